--- a/names.go
+++ b/names.go
@@ -14,7 +14,7 @@
 }
 
 // String is the outcome's name in answers, spans and metrics.
-func (o Outcome) String() string { return named(outcomeNames[o], uint8(o)) }
+func (o Outcome) String() string { return nameOrUnknown(outcomeNames[o], uint8(o)) }
 
 var callEndNames = map[CallEnd]string{
 	EndComplete:   "complete",
@@ -27,7 +27,7 @@
 }
 
 // String is the end's name in spans and metrics.
-func (e CallEnd) String() string { return named(callEndNames[e], uint8(e)) }
+func (e CallEnd) String() string { return nameOrUnknown(callEndNames[e], uint8(e)) }
 
 var kindNames = map[StageKind]string{
 	KindEncode:   "encode",
@@ -38,7 +38,7 @@
 }
 
 // String is the kind's name in the rules.
-func (k StageKind) String() string { return named(kindNames[k], uint8(k)) }
+func (k StageKind) String() string { return nameOrUnknown(kindNames[k], uint8(k)) }
 
 // KindNamed is the kind that the rules call name.
 func KindNamed(name string) (StageKind, bool) {
@@ -50,7 +50,7 @@
 	return 0, false
 }
 
-func named(name string, n uint8) string {
+func nameOrUnknown(name string, n uint8) string {
 	if name == "" {
 		return "unknown_" + strconv.Itoa(int(n))
 	}
--- a/relay.go
+++ b/relay.go
@@ -152,11 +152,11 @@
 
 // Fact is what one item of the platform's store says: *Catalog, Listing or
 // ZoneClosed.
-type Fact interface{ fact() }
+type Fact interface{ record() }
 
-func (*Catalog) fact()   {}
-func (Listing) fact()    {}
-func (ZoneClosed) fact() {}
+func (*Catalog) record()   {}
+func (Listing) record()    {}
+func (ZoneClosed) record() {}
 
 // Item is one item of the platform's store, as it is kept there. Peers pass
 // items on to VMs that don't reach the store.
