--- a/action.go
+++ b/action.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// Action is what a decision asks its driver to do.
+// Action is an instruction from a decision package to its driver.
 type Action interface{ action() }
 
-// StartCall asks to send the call to a backend server of this zone. The driver ends it
+// StartCall sends the call to a backend server of this zone. The driver reports its end
 // with exactly one CallEnded.
 type StartCall struct {
 	Call   Call
@@ -13,24 +13,24 @@
 	URL    string
 	Stage  Stage
 	Model  ModelID
-	// Until is the last moment at which the driver may still send; past it the
-	// call ends as EndNotStarted. It bounds what a process that was paused
-	// between the decision and the send can do.
+	// Until is the latest time at which the driver may send; after it the call
+	// ends as EndNotStarted. This keeps a process that was paused between the
+	// decision and the send from acting on an outdated decision.
 	Until time.Time
-	// Deadline is when the result is worth nothing any more.
+	// Deadline is the time after which the result has no value.
 	Deadline time.Time
-	// Priority for the engine: smaller is more urgent.
+	// Priority for the engine: lower is more urgent.
 	Priority int
-	// Silence is the longest time without a frame before the call is broken.
+	// Silence is the longest gap between frames before the call counts as broken.
 	Silence time.Duration
-	// ResumeFrom is how many tokens are already here; above 0 the driver asks
-	// the engine to go on with the stream of call Resumes from there.
+	// ResumeFrom is the number of tokens already received; above 0 the driver
+	// asks the engine to continue the stream of the call Resumes from there.
 	ResumeFrom Tokens
 	Resumes    Call
 }
 
-// HandStage asks to hand the stage call to a peer. The driver ends it with exactly one
-// CallEnded.
+// HandStage forwards the stage call to a peer. The driver reports its end with exactly
+// one CallEnded.
 type HandStage struct {
 	To       VM
 	Ask      StageAsk
@@ -39,37 +39,37 @@
 	Silence  time.Duration
 }
 
-// HandRequest asks to hand the whole request to the home of its ticket and pass the
-// answer through. The driver finishes it by itself: with the home's answer, or
-// as OutcomeUnknown if the link breaks after a byte left.
+// HandRequest forwards the whole request to the home of its ticket and relays the
+// answer. The driver finishes the request itself: with the home's answer, or
+// as OutcomeUnknown if the link breaks after a byte was sent.
 type HandRequest struct {
 	Request  RequestID
 	To       Peer
 	Deadline time.Time
 }
 
-// JoinRequest says that the request already runs or ended here; the caller gets what the
-// first one gets.
+// JoinRequest reports that the request is already running or finished here; the caller
+// gets the answer of the first one.
 type JoinRequest struct{ Request RequestID }
 
-// RefuseStage answers a StageAsked that was not run.
+// RefuseStage answers a StageAsked whose call was not run.
 type RefuseStage struct {
 	Call       Call
 	Reason     Reason
 	RetryAfter time.Duration
 }
 
-// CancelCall says that nobody wants the call's result any more; tell the engine.
+// CancelCall cancels a call whose result is no longer needed, at the engine too.
 type CancelCall struct {
 	Call   Call
 	Reason Reason
 }
 
-// StageDone says that the stage's result, as produced by Call, is now the input of the
-// next stage. Other attempts' results are thrown away.
+// StageDone selects the result produced by Call as the input of the next stage. Results
+// of other attempts are discarded.
 type StageDone struct{ Call Call }
 
-// Finish gives the request its final answer. There is exactly one for each
+// Finish is the final answer to a request. There is exactly one for each
 // Arrived, except where HandRequest or JoinRequest answers.
 type Finish struct {
 	Request    RequestID
@@ -91,14 +91,14 @@
 type ReadConfig struct {
 	After Revision
 	Wait  time.Duration
-	// Have are the parts that need not be read again.
+	// Have lists the parts already held, which need not be read again.
 	Have []PartHash
 }
 
 // ReadVMs reads the platform's list of VMs.
 type ReadVMs struct{}
 
-// RulesInForce says that the daemon now follows these rules.
+// RulesInForce reports the rules that the daemon applies from now on.
 type RulesInForce struct{ Rules *Rules }
 
 // PollServer asks a backend server for its load report.
@@ -107,7 +107,7 @@
 	URL    string
 }
 
-// SendOrder orders an engine to load a model or to change its role.
+// SendOrder sends an engine the order to load a model or to change its role.
 type SendOrder struct {
 	Server ServerID
 	URL    string
@@ -119,10 +119,10 @@
 	Role     string
 }
 
-// Ready tells the balancer whether this VM takes requests.
+// Ready tells the load balancer whether this VM accepts requests.
 type Ready struct{ Ready bool }
 
-// Note records why something was decided, for explain, logs and metrics.
+// Note records the reason for a decision, for explain, logs and metrics.
 type Note struct {
 	Reason  Reason
 	Request RequestID
@@ -130,11 +130,11 @@
 	Zone    ZoneID
 	Peer    VM
 	Rule    Origin
-	// Count is how many like it this note stands for; 0 means 1.
+	// Count is the number of equal decisions that this note stands for; 0 means 1.
 	Count int
 }
 
-// Exit says that everything is done; the process may end.
+// Exit reports that all work is finished and the process may end.
 type Exit struct{}
 
 func (StartCall) action()    {}
--- a/crash.go
+++ b/crash.go
@@ -5,51 +5,52 @@
 	"time"
 )
 
-// Fingerprint names a request by what stays the same when its caller sends it again.
+// Fingerprint identifies a request across resends by its caller.
 type Fingerprint [16]byte
 
-// String returns the fingerprint as it stands in logs.
+// String returns the fingerprint in hex, as logged.
 func (f Fingerprint) String() string { return hex.EncodeToString(f[:]) }
 
 // MarshalText implements encoding.TextMarshaler, for logs.
 func (f Fingerprint) MarshalText() ([]byte, error) { return []byte(f.String()), nil }
 
-// RequestRef is what a piece's request is known by if servers end under it.
+// RequestRef identifies the request of a piece when servers crash while running it.
 type RequestRef struct {
 	Request   Fingerprint `cbor:"1,keyasint"`
 	Workspace WorkspaceID `cbor:"2,keyasint,omitempty"`
 }
 
-// ServerStart names one start of a backend server.
+// ServerStart identifies one start of a backend server.
 type ServerStart struct {
 	Server ServerID `cbor:"1,keyasint"`
-	// Born as in Listing.
+	// Born is the time of the start, as in Listing.
 	Born int64 `cbor:"2,keyasint,omitempty"`
 }
 
-// ServerCrash says that a server ended while it ran a request.
+// ServerCrash reports that a server ended while it was running a request.
 type ServerCrash struct {
 	Start ServerStart `cbor:"1,keyasint"`
-	// Age is how long ago that was when the message was sent.
+	// Age is the time from the crash to the sending of the message.
 	Age time.Duration `cbor:"2,keyasint"`
 }
 
-// Suspect is a request under which servers ended.
+// Suspect is a request during which servers crashed.
 type Suspect struct {
 	Request   Fingerprint   `cbor:"1,keyasint"`
 	Workspace WorkspaceID   `cbor:"2,keyasint,omitempty"`
 	Crashes   []ServerCrash `cbor:"3,keyasint,omitempty"`
-	// Ran is how long ago a server ran it and did not end; nil if none is known.
+	// Ran is the time since a server ran the request without crashing; nil if no such
+	// run is known.
 	Ran *time.Duration `cbor:"4,keyasint,omitempty"`
 }
 
-// CrashNews tells peers what is known of requests that crash servers. Receivers take the
-// union of what they hear, so that it may come in any order and more than once.
+// CrashNews shares with peers what is known of requests that crash servers. Receivers merge
+// it as a set union, so it may arrive in any order and more than once.
 type CrashNews struct {
 	Suspects []Suspect `cbor:"1,keyasint"`
-	// All: every peer is told the same.
+	// All is set if every peer is sent the same.
 	All bool `cbor:"2,keyasint,omitempty"`
-	// Ended are servers that ended lately, under any request.
+	// Ended lists recent server crashes, under any request.
 	Ended []ServerCrash `cbor:"3,keyasint,omitempty"`
 }
 
--- a/doc.go
+++ b/doc.go
@@ -1,8 +1,8 @@
-// Package shed holds the types and interfaces that every part of jasmineshed
-// shares: ids, the rules in force, the events a decision is taken on, the
-// actions a decision asks for, and the messages between daemons.
+// Package shed defines the types and interfaces shared by all parts of
+// jasmineshed: ids, the rules in force, the events that decisions are based
+// on, the actions that they result in, and the messages between daemons.
 //
-// Decisions live in pure packages below internal/. A pure package takes an
+// Decisions are made in pure packages below internal/. A pure package takes an
 // Event and the time, and returns Actions. It reads no clock, opens no socket,
 // starts no goroutine, writes no log and never depends on map order, so any
 // run can be replayed from its events.
--- a/event.go
+++ b/event.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// Event is something that happened, told to a decision package by its driver.
+// Event is an occurrence that a driver reports to a decision package.
 type Event interface{ event() }
 
-// Tick comes every TickEvery. Wall and Mono are read together: the monotonic
-// clock may stand still while a VM is suspended, so a leap of either one tells
-// that the process slept.
+// Tick is sent every TickEvery. Wall and Mono are read together: the monotonic
+// clock may stop while a VM is suspended, so a jump of either one shows that
+// the process was paused.
 type Tick struct {
 	Wall time.Time
 	Mono time.Duration
@@ -16,69 +16,69 @@
 // TickEvery is the period of Tick.
 const TickEvery = 100 * time.Millisecond
 
-// Arrived means that a request came in, from a caller, or handed over by peer From.
+// Arrived reports a request received from a caller, or forwarded by the peer From.
 type Arrived struct {
 	Request   RequestID
 	Ticketed  bool
 	Workspace WorkspaceID
 	Pipeline  PipelineID
-	// Deadline is when the answer must be whole.
+	// Deadline is the time by which the answer must be complete.
 	Deadline time.Time
-	// Prefix hashes the start of the prompt, for cache affinity.
+	// Prefix is a hash of the start of the prompt, for cache affinity.
 	Prefix uint64
-	// Input estimates the size of the input.
+	// Input is the estimated size of the input.
 	Input Tokens
-	// From is the peer that handed the request over; zero for a caller.
+	// From is the peer that forwarded the request; zero for a caller.
 	From Peer
 }
 
-// HandedBack means that a HandRequest is over: the home's answer went to the
-// caller, or none came.
+// HandedBack reports that a HandRequest has ended: the home's answer went to the
+// caller, or none arrived.
 type HandedBack struct{ Request RequestID }
 
-// CallerGone means that nobody waits for the request's answer any more.
+// CallerGone reports that no caller is waiting for the request's answer.
 type CallerGone struct{ Request RequestID }
 
-// StageAsked means that peer From hands one stage call over to this daemon, which applies
-// its own rules, limits and knowledge and makes one attempt at the most.
+// StageAsked reports that the peer From forwards one stage call to this daemon, which
+// applies its own rules, limits and state and makes at most one attempt.
 type StageAsked struct {
 	Ask  StageAsk
 	From Peer
 }
 
-// StageAsk describes a stage call well enough for any daemon to place it.
+// StageAsk holds what any daemon needs to place a stage call.
 type StageAsk struct {
 	Call      Call        `cbor:"1,keyasint"`
 	Pipeline  PipelineID  `cbor:"2,keyasint"`
 	Workspace WorkspaceID `cbor:"3,keyasint"`
 	Prefix    uint64      `cbor:"4,keyasint"`
 	Input     Tokens      `cbor:"5,keyasint"`
-	// Budget is the time left; a duration, since clocks of VMs differ.
+	// Budget is the remaining time; a duration, since clocks of VMs differ.
 	Budget time.Duration `cbor:"6,keyasint"`
-	// Hops counts the hand-overs so far.
+	// Hops is the number of times the call has been forwarded.
 	Hops uint8 `cbor:"7,keyasint"`
-	// Revision is what the sender had in force.
+	// Revision is the revision in force at the sender.
 	Revision Revision `cbor:"8,keyasint"`
-	// Avoid are servers that failed this request before.
+	// Avoid lists servers that have failed this request.
 	Avoid []ServerID `cbor:"9,keyasint,omitempty"`
 }
 
-// CallProgress means that the live call has produced Tokens in all. It comes when
-// the server has accepted the call, with the first token, and then at most every ProgressEvery.
+// CallProgress reports that the live call has produced Tokens in total. It is sent when the
+// server has accepted the call, with the first token, and then at most every ProgressEvery.
 type CallProgress struct {
 	Call   Call
 	Tokens Tokens
-	// Server is the one that runs the call, which a far daemon may have chosen.
+	// Server runs the call; a remote daemon may have chosen it.
 	Server ServerID
 	Zone   ZoneID
-	// Boot is the server's boot identity, if it gave one with its acceptance.
+	// Boot is the server's boot identity, if the server sent one on accepting the call.
 	Boot string
 }
 
-// ProgressEvery is the shortest time between two CallProgress of one call.
+// ProgressEvery is the minimum interval between two CallProgress events of one call.
 const ProgressEvery = 100 * time.Millisecond
 
-// CallEnded means that the call is over and will produce nothing more.
+// CallEnded reports that the call has ended and will produce nothing more.
 type CallEnded struct {
 	Call   Call
 	End    CallEnd
@@ -86,79 +86,81 @@
 	Tokens Tokens
 	Server ServerID
 	Zone   ZoneID
-	// RetryAfter is when the far side said to come back; 0 if it did not.
+	// RetryAfter is the retry delay that the remote side asked for; 0 if none.
 	RetryAfter time.Duration
 }
 
-// PeerMessage means that a control message came in from a peer.
+// PeerMessage reports a control message received from a peer.
 type PeerMessage struct {
 	From    Peer
 	Message Message
 }
 
-// PeerLost means that the link to a peer gave no answer to a heartbeat in time.
+// PeerLost reports that a heartbeat on the link to a peer timed out.
 type PeerLost struct{ Peer VM }
 
-// ConfigRead means that the platform answered a ReadConfig.
+// ConfigRead is the platform's answer to a ReadConfig.
 type ConfigRead struct {
 	Err   bool
 	Index ConfigIndex
-	// Parts are those asked for, by hash.
+	// Parts holds the requested parts by hash.
 	Parts map[PartHash][]byte
 }
 
-// VMsRead means that the platform answered a ReadVMs.
+// VMsRead is the platform's answer to a ReadVMs.
 type VMsRead struct {
 	Err bool
 	VMs []VMEntry
 }
 
-// VMEntry is one line of the platform's lagging list.
+// VMEntry is one entry of the platform's list of VMs, which lags behind the real state.
 type VMEntry struct {
 	VM      VM
 	Zone    ZoneID
 	Leaving bool
 }
 
-// LoadReported means that a backend server reported its load. Reports lag by Age.
+// LoadReported reports the load report of a backend server. Reports lag by Age.
 type LoadReported struct {
 	Server ServerID
 	Report LoadReport
 }
 
-// LoadReport is what a backend server says of itself.
+// LoadReport is the state that a backend server reports of itself.
 type LoadReport struct {
-	// Boot tells two starts of the server apart.
+	// Boot identifies one start of the server.
 	Boot string `cbor:"1,keyasint"`
-	// Sequence grows with each report of one boot; an older one is dropped.
+	// Sequence increases with each report of one boot; an older report is dropped.
 	Sequence uint64 `cbor:"2,keyasint"`
 	Running  int    `cbor:"3,keyasint"`
 	Waiting  int    `cbor:"4,keyasint"`
-	// Warm: the server says it can bear its full load.
+	// Warm is set if the server reports that it can handle its full load.
 	Warm bool `cbor:"5,keyasint"`
-	// Done counts calls completed since boot.
+	// Done is the number of calls completed since boot.
 	Done uint64 `cbor:"6,keyasint"`
-	// Fence is the highest fencing number it accepted.
+	// Fence is the highest fencing number that the server has accepted.
 	Fence uint64 `cbor:"7,keyasint"`
-	// Model is what it has loaded, as "model@version".
+	// Model is the loaded model, as "model@version".
 	Model string        `cbor:"8,keyasint"`
 	Role  string        `cbor:"9,keyasint"`
 	Age   time.Duration `cbor:"10,keyasint"`
 }
 
-// ServerSilent means that a backend server gave no load report in time.
+// ServerSilent reports that a backend server sent no load report in time.
 type ServerSilent struct{ Server ServerID }
 
-// OrderEnded means that a backend server answered an order.
+// OrderEnded is a backend server's answer to an order.
 type OrderEnded struct {
 	Server ServerID
 	Fence  uint64
 	Done   bool
-	// StaleFence: refused, since it has seen a higher fencing number.
+	// StaleFence is set if the server refused the order because it has seen a higher
+	// fencing number.
 	StaleFence bool
 }
 
-// StopAsked means that the process was told to stop; a second one asks to hurry.
+// StopAsked reports a request to stop the process; a second one sets Hurry: new
+// requests are then refused at once, without the notice period.
 type StopAsked struct{ Hurry bool }
 
 func (Tick) event()         {}
--- a/limit.go
+++ b/limit.go
@@ -2,22 +2,23 @@
 
 import "time"
 
-// Rate is a number of requests in a second.
+// Rate is a number of requests per second.
 type Rate float64
 
-// ServerLimit is what a server said that it takes from all VMs together.
+// ServerLimit is the request rate that a server accepts from all VMs together, as
+// reported by the server.
 type ServerLimit struct {
 	Start ServerStart `cbor:"1,keyasint"`
-	// Rate is above 0; void if Ended.
+	// Rate is above 0; not valid if Ended.
 	Rate Rate `cbor:"2,keyasint,omitempty"`
-	// Ended: it takes any number again.
+	// Ended is set if the server no longer limits its rate.
 	Ended bool `cbor:"3,keyasint,omitempty"`
-	// Age is how long ago it said so when the message was sent.
+	// Age is the time from the server's report to the sending of the message.
 	Age time.Duration `cbor:"4,keyasint,omitempty"`
 }
 
-// LimitNews tells peers what servers said that they take. Of two that are about one start
-// of a server the newer one counts, so that they may come in any order.
+// LimitNews shares the limits of servers with peers. Of two limits for the same start of a
+// server the newer one counts, so they may arrive in any order.
 type LimitNews struct {
 	Limits []ServerLimit `cbor:"1,keyasint"`
 }
--- a/message.go
+++ b/message.go
@@ -2,42 +2,42 @@
 
 import "time"
 
-// Message is a control message between daemons. It may be lost, late, doubled
-// or reordered; every receiver bears that.
+// Message is a control message between daemons. It may be lost, delayed,
+// duplicated or reordered; every receiver tolerates that.
 type Message interface{ message() }
 
 // PartHash is the SHA-256 of one part of the configuration.
 type PartHash [32]byte
 
-// ConfigIndex is one configuration: the parts, in order, that make its text.
+// ConfigIndex describes one configuration by the parts, in order, of its text.
 type ConfigIndex struct {
 	Revision Revision   `cbor:"1,keyasint"`
 	Parts    []PartHash `cbor:"2,keyasint"`
 }
 
-// ConfigDigest says which revision the sender has in force and how long ago
-// that was known to be the newest, by the platform itself or by a chain of
-// peers back to it.
+// ConfigDigest reports the revision in force at the sender and how long ago it
+// was confirmed as the newest, by the platform itself or through a chain of
+// peers.
 type ConfigDigest struct {
 	Revision  Revision      `cbor:"1,keyasint"`
 	Confirmed time.Duration `cbor:"2,keyasint"`
-	// Never is true if the sender was never confirmed; Confirmed is then void.
+	// Never is set if the revision was never confirmed; Confirmed is then not valid.
 	Never bool `cbor:"3,keyasint,omitempty"`
-	// Ask wants a ConfigDigest back.
+	// Ask requests a ConfigDigest in reply.
 	Ask bool `cbor:"4,keyasint,omitempty"`
-	// Sequence of an Ask comes back in its answer; 0 in a digest that nobody
-	// asked for. An answer can't be older than its ask, so the asker knows how
-	// old Confirmed is at the most, however long the answer was on its way.
+	// Sequence of a request is returned in its reply; 0 in an unsolicited digest.
+	// A reply can't be older than its request, which bounds the age of Confirmed
+	// whatever the propagation delay of the reply.
 	Sequence uint64 `cbor:"5,keyasint,omitempty"`
 }
 
-// ConfigPull asks a peer for its configuration, but for the parts held.
+// ConfigPull requests a peer's configuration, except for the parts in Have.
 type ConfigPull struct {
 	Have []PartHash `cbor:"1,keyasint,omitempty"`
 }
 
-// ConfigPush carries a whole configuration, but for the parts that the puller
-// said it holds.
+// ConfigPush carries a whole configuration, except for the parts that the
+// ConfigPull listed.
 type ConfigPush struct {
 	Index ConfigIndex         `cbor:"1,keyasint"`
 	Parts map[PartHash][]byte `cbor:"2,keyasint,omitempty"`
@@ -46,8 +46,8 @@
 // Status of a member.
 type Status uint8
 
-// The states of a member. A higher one overrules a lower one of the same
-// incarnation; a higher incarnation overrules all.
+// The states of a member. A higher one overrides a lower one of the same
+// incarnation; a higher incarnation overrides all.
 const (
 	StatusAlive Status = iota + 1
 	StatusSuspect
@@ -55,29 +55,29 @@
 	StatusDead
 )
 
-// Member is what one daemon tells others of a process.
+// Member is the state of a process, as gossiped between daemons.
 type Member struct {
 	Peer   Peer   `cbor:"1,keyasint"`
 	Zone   ZoneID `cbor:"2,keyasint"`
 	Status Status `cbor:"3,keyasint"`
-	// Heir holds the unused tickets of a process that left; zero if none.
+	// Heir is the process that holds the unused tickets of one that left; zero if none.
 	Heir Peer `cbor:"4,keyasint,omitempty"`
-	// Refute counts how often the process denied being dead; a higher one wins
-	// within an incarnation.
+	// Refute counts how often the process refuted reports that it is dead; a higher
+	// count wins within an incarnation.
 	Refute uint32 `cbor:"5,keyasint,omitempty"`
-	// Power is how strong the process's VM is beside others; 0 if it doesn't say.
+	// Power is the relative capacity of the process's VM; 0 if not known.
 	Power float64 `cbor:"6,keyasint,omitempty"`
 }
 
-// Probe asks whether the receiver lives. Sequence comes back in the ProbeAck.
+// Probe checks that the receiver is alive. Sequence is returned in the ProbeAck.
 type Probe struct {
 	Sequence uint64   `cbor:"1,keyasint"`
 	Self     Member   `cbor:"2,keyasint"`
 	Gossip   []Member `cbor:"3,keyasint,omitempty"`
-	// For, if set, asks the receiver to probe that VM on the sender's behalf.
+	// For, if set, is the VM that the receiver is to probe on the sender's behalf.
 	For VM `cbor:"4,keyasint,omitempty"`
-	// View is the sender's view of its zone, as a hash. If the receiver is of
-	// the same zone and has another, it adds more gossip to its ack.
+	// View is a hash of the sender's view of its zone. If the receiver is in the same
+	// zone and has a different one, it adds more gossip to its ack.
 	View uint64 `cbor:"5,keyasint,omitempty"`
 }
 
@@ -86,42 +86,41 @@
 	Sequence uint64   `cbor:"1,keyasint"`
 	Self     Member   `cbor:"2,keyasint"`
 	Gossip   []Member `cbor:"3,keyasint,omitempty"`
-	// For is set if the ack is passed on for another VM.
+	// For is the probed VM if the ack is passed on for another VM.
 	For VM `cbor:"4,keyasint,omitempty"`
-	// View as in Probe.
+	// View is a hash of the sender's view, as in Probe.
 	View uint64 `cbor:"5,keyasint,omitempty"`
 }
 
-// SlotRelease says that the sender uses no slot of these servers any more but
-// for those that its view gives it; no servers means all of the zone.
+// SlotRelease reports that the sender uses only those slots of these servers
+// that its view assigns to it; no servers means all of the zone.
 type SlotRelease struct {
 	Servers []ServerID `cbor:"1,keyasint"`
-	// View is the sender's view, as a hash, for which it let go.
+	// View is a hash of the sender's view for which it released the slots.
 	View uint64 `cbor:"2,keyasint"`
-	// Turn is new after each change of the sender's view; Seen is the last Turn
-	// that the sender heard from the receiver, so a late release is known as
-	// such.
+	// Turn changes with each change of the sender's view; Seen is the last one that
+	// the sender received from the receiver, so a late release can be detected.
 	Turn uint64 `cbor:"3,keyasint,omitempty"`
 	Seen uint64 `cbor:"4,keyasint,omitempty"`
 }
 
-// LoadDigest spreads load reports within a zone.
+// LoadDigest shares load reports within a zone.
 type LoadDigest struct {
 	Reports map[ServerID]LoadReport `cbor:"1,keyasint"`
 }
 
-// TicketMove hands unused tickets to an heir. The sender has forgotten them
-// before it sends: a lost move loses tickets, it never doubles one.
+// TicketMove transfers unused tickets to a successor. The sender drops them
+// before it sends: a lost move loses tickets but never duplicates one.
 type TicketMove struct {
 	From    Peer          `cbor:"1,keyasint"`
 	Tickets []MovedTicket `cbor:"2,keyasint"`
-	// To is the one process that may adopt the tickets. A copy that reaches a
-	// later process on the same VM must not count: the earlier one may have run
-	// some of them.
+	// To is the only process that may adopt the tickets. A copy that reaches a
+	// later process on the same VM must be ignored: the earlier process may have
+	// run some of them.
 	To Peer `cbor:"3,keyasint"`
 }
 
-// MovedTicket is one unused ticket on its way to an heir.
+// MovedTicket is one unused ticket in a TicketMove.
 type MovedTicket struct {
 	ID        RequestID     `cbor:"1,keyasint"`
 	Workspace WorkspaceID   `cbor:"2,keyasint"`
@@ -129,86 +128,86 @@
 	Left      time.Duration `cbor:"4,keyasint"`
 }
 
-// RelayLoad tells peers what the sender has under way: on backend servers, and
-// waiting for pieces. It replaces what the sender told before.
+// RelayLoad reports to peers the sender's requests in flight on backend servers, and
+// its waiting pieces. It replaces the sender's earlier reports.
 type RelayLoad struct {
-	// Sequence grows with each one of a process; an older one is dropped.
+	// Sequence increases with each report of a process; an older report is dropped.
 	Sequence uint64                   `cbor:"1,keyasint"`
 	Servers  map[ServerID]ServerShare `cbor:"2,keyasint,omitempty"`
 	Waits    []PieceWait              `cbor:"3,keyasint,omitempty"`
-	// Placed are the prompts placed since the last one.
+	// Placed lists the prompts placed since the last report.
 	Placed []PromptPlaced `cbor:"4,keyasint,omitempty"`
-	// AsOf is up to which revision of the store the sender knows everything,
-	// Digest a hash of what it holds of it, Confirmed how long ago the store
-	// answered, to the sender or to a peer of its that knew no more.
+	// AsOf is the revision up to which the sender knows all changes of the store,
+	// Digest a hash of the items it holds, Confirmed the time since the store
+	// answered the sender, or a peer that knew no later revision.
 	AsOf      Revision      `cbor:"5,keyasint,omitempty"`
 	Digest    uint64        `cbor:"7,keyasint,omitempty"`
 	Confirmed time.Duration `cbor:"8,keyasint,omitempty"`
 	// Catalog is the revision of the configuration in force at the sender.
 	Catalog Revision `cbor:"11,keyasint,omitempty"`
-	// Held are the bytes of results that servers hold for the sender, which
-	// gathers pieces.
+	// Held is the size in bytes of the results that each server holds for the sender,
+	// which coordinates batches of pieces.
 	Held map[ServerID]int64 `cbor:"6,keyasint,omitempty"`
-	// Coming is how many pieces the sender's requests will ask of each pool once
-	// the steps before are done.
+	// Coming is the number of pieces that the sender's requests will need from each
+	// pool once their earlier steps are done.
 	Coming map[PoolID]int `cbor:"10,keyasint,omitempty"`
-	// Limits are what servers said that they take, as the sender has heard.
+	// Limits are the limits of servers that the sender knows of.
 	Limits []ServerLimit `cbor:"14,keyasint,omitempty"`
-	// PassOn: only the receiver is told; it passes the load on to all.
+	// PassOn is set if the load is sent only to the receiver, which forwards it to all.
 	PassOn bool `cbor:"12,keyasint,omitempty"`
-	// Carried are loads of other VMs that the sender passes on.
+	// Carried are loads of other VMs that the sender forwards.
 	Carried []CarriedLoad `cbor:"13,keyasint,omitempty"`
 }
 
-// CarriedLoad is the load of another VM than the one that sends it.
+// CarriedLoad is the load of a VM other than the sender.
 type CarriedLoad struct {
 	// From is the process whose load it is.
 	From Peer `cbor:"1,keyasint"`
-	// Age is how long ago the sender heard it.
+	// Age is the time since the sender received it.
 	Age  time.Duration `cbor:"2,keyasint,omitempty"`
 	Load RelayLoad     `cbor:"3,keyasint"`
 }
 
-// ServerShare is what one daemon has on one server.
+// ServerShare is the load that one daemon puts on one server.
 type ServerShare struct {
 	Running int `cbor:"1,keyasint"`
-	// Reading are the prompt tokens of requests whose first event is still out.
+	// Reading is the number of prompt tokens of requests without a first event yet.
 	Reading Tokens `cbor:"2,keyasint,omitempty"`
 }
 
-// PieceWait is how long a piece would take at the sender, which gathers the
+// PieceWait is the predicted time of a piece at the sender, which coordinates the
 // pieces for the pool.
 type PieceWait struct {
 	Pool PoolID `cbor:"1,keyasint"`
-	// Timely is the time if the piece goes before those that can't be in time
-	// any more, Last if it goes after all others.
+	// Timely is the time if the piece is queued before those that can no longer be in
+	// time, Last if it is queued after all others.
 	Timely time.Duration `cbor:"2,keyasint"`
 	Last   time.Duration `cbor:"3,keyasint"`
-	// Slow is how much longer calls take than the configuration says.
+	// Slow is the ratio of actual to configured call time.
 	Slow float64 `cbor:"4,keyasint,omitempty"`
-	// Rate is how many pieces the pool makes in a second in full calls.
+	// Rate is the throughput of the pool with full calls, in pieces per second.
 	Rate float64 `cbor:"5,keyasint,omitempty"`
 }
 
-// PromptPlaced says that a server reads a prompt; Chain are the hashes of its
-// shared parts.
+// PromptPlaced reports that a server processes a prompt; Chain holds the hashes of
+// the prompt's shared parts.
 type PromptPlaced struct {
 	Server ServerID `cbor:"1,keyasint"`
 	Chain  []uint64 `cbor:"2,keyasint"`
 }
 
-// ResultsFreed gives results of pieces up at the VM that had them made.
+// ResultsFreed releases results of pieces at the VM that requested them.
 type ResultsFreed struct {
 	Refs []ResultRef `cbor:"1,keyasint"`
 }
 
-// StoreNews passes on what has changed in the platform's store after a revision.
+// StoreNews forwards the changes of the platform's store after a revision.
 type StoreNews struct {
 	After Revision     `cbor:"1,keyasint"`
 	AsOf  Revision     `cbor:"2,keyasint"`
 	Items []ItemChange `cbor:"3,keyasint"`
-	// Unsent: the changes are too large for a message; Items is empty, and they are
-	// to be read from the sender.
+	// Unsent is set if the changes are too large for a message; Items is then empty,
+	// and the receiver has to fetch them from the sender.
 	Unsent bool `cbor:"4,keyasint,omitempty"`
 }
 
--- a/names.go
+++ b/names.go
@@ -2,7 +2,7 @@
 
 import "strconv"
 
-// outcomeNames are the outcomes as answers, spans and metrics give them.
+// outcomeNames are the names of the outcomes in answers, spans and metrics.
 var outcomeNames = map[Outcome]string{
 	OutcomeComplete:  "complete",
 	OutcomeNotRun:    "not_run",
@@ -13,7 +13,7 @@
 	OutcomeCancelled: "cancelled",
 }
 
-// String is the outcome's name in answers, spans and metrics.
+// String returns the outcome's name in answers, spans and metrics.
 func (o Outcome) String() string { return nameOrUnknown(outcomeNames[o], uint8(o)) }
 
 var callEndNames = map[CallEnd]string{
@@ -26,7 +26,7 @@
 	EndCancelled:  "cancelled",
 }
 
-// String is the end's name in spans and metrics.
+// String returns the end's name in spans and metrics.
 func (e CallEnd) String() string { return nameOrUnknown(callEndNames[e], uint8(e)) }
 
 var kindNames = map[StageKind]string{
@@ -37,10 +37,10 @@
 	KindService:  "service",
 }
 
-// String is the kind's name in the rules.
+// String returns the kind's name in the rules.
 func (k StageKind) String() string { return nameOrUnknown(kindNames[k], uint8(k)) }
 
-// KindNamed is the kind that the rules call name.
+// KindNamed returns the stage kind of this name in the rules.
 func KindNamed(name string) (StageKind, bool) {
 	for k := KindEncode; k <= KindService; k++ {
 		if kindNames[k] == name {
--- a/outcome.go
+++ b/outcome.go
@@ -7,27 +7,27 @@
 
 // The outcomes.
 const (
-	// OutcomeComplete: every stage ran and the caller has the whole answer.
+	// OutcomeComplete: every stage ran and the caller received the whole answer.
 	OutcomeComplete Outcome = iota + 1
 	// OutcomeNotRun: no call of any stage can have reached a backend server.
 	OutcomeNotRun
-	// OutcomeRefused: given up on after some stages had run.
+	// OutcomeRefused: abandoned after some stages had run.
 	OutcomeRefused
 	// OutcomeUnknown: a non-idempotent stage may have run; it was not and will
-	// not be started again.
+	// not be retried.
 	OutcomeUnknown
-	// OutcomeFailed: a stage answered with an error that a retry won't mend.
+	// OutcomeFailed: a stage answered with an error that a retry can't resolve.
 	OutcomeFailed
 	// OutcomeDeadline: the deadline passed.
 	OutcomeDeadline
-	// OutcomeCancelled: the caller went away.
+	// OutcomeCancelled: the caller disconnected or cancelled.
 	OutcomeCancelled
 )
 
-// Reason says why a request was refused, retried, moved or dropped.
+// Reason is why a request was refused, retried, moved or dropped.
 type Reason string
 
-// The reasons, as they stand in answers, spans, metrics and explain.
+// The reasons, as shown in answers, spans, metrics and explain.
 const (
 	ReasonNone             Reason = ""
 	ReasonUnknownPipeline  Reason = "unknown_pipeline"
@@ -67,35 +67,35 @@
 	ReasonConfigBehind     Reason = "configuration_behind"
 )
 
-// CallEnd is how one call ended, as the driver saw it. The set is closed.
+// CallEnd is how one call ended, as seen by the driver. The set is closed.
 type CallEnd uint8
 
 // The ends of a call.
 const (
 	// EndComplete: the whole result has arrived, in sequence.
 	EndComplete CallEnd = iota + 1
-	// EndNotStarted: the call can not have reached a backend server: no byte
-	// left, or the far side said so truthfully.
+	// EndNotStarted: the call can't have reached a backend server: no byte was
+	// sent, or the remote side reliably reported so.
 	EndNotStarted
 	// EndOverloaded: the server refused the call before running it.
 	EndOverloaded
-	// EndBroken: the connection broke or went silent after bytes had left; the
+	// EndBroken: the connection broke or timed out after bytes were sent; the
 	// work may have run.
 	EndBroken
 	// EndError: the server ran the call and answered with an error.
 	EndError
-	// EndBadReply: the server's reply made no sense; the work may have run.
+	// EndBadReply: the server's reply was malformed; the work may have run.
 	EndBadReply
-	// EndCancelled: cancelled by an action CancelCall.
+	// EndCancelled: cancelled by a CancelCall action.
 	EndCancelled
 )
 
-// MayHaveRun tells whether the work may have run on a backend server.
+// MayHaveRun reports whether the work may have run on a backend server.
 func (e CallEnd) MayHaveRun() bool {
 	return e != EndNotStarted && e != EndOverloaded
 }
 
-// StageReport says what ran of one stage, and what it cost.
+// StageReport describes the execution and the cost of one stage.
 type StageReport struct {
 	Stage    StageID
 	Server   ServerID
@@ -105,7 +105,7 @@
 	Ran    bool
 	Took   time.Duration
 	Tokens Tokens
-	// Useful and Wasted split the cost: wasted is what cancelled, superseded,
-	// late and failed attempts cost.
+	// Useful and Wasted split the cost: Wasted is the cost of cancelled, superseded,
+	// late and failed attempts.
 	Useful, Wasted Cost
 }
--- a/placement.go
+++ b/placement.go
@@ -2,31 +2,31 @@
 
 import "time"
 
-// Placer decides where one stage call runs. It reserves nothing; the caller
-// acts on the answer in the same step.
+// Placer decides where one stage call runs. It reserves nothing, so the caller
+// must act on the answer in the same step.
 type Placer interface {
 	Place(now time.Time, ask PlaceAsk) Placement
 }
 
-// PlaceAsk is the question to a Placer.
+// PlaceAsk is the input of a Placer.
 type PlaceAsk struct {
 	StageAsk
 	Stage    Stage
 	Deadline time.Time
 }
 
-// PlaceKind tells the answers of a Placer apart. The set is closed.
+// PlaceKind is the kind of a Placer's answer. The set is closed.
 type PlaceKind uint8
 
 // The answers of a Placer.
 const (
-	// PlaceLocal: run it on Server, in this zone.
+	// PlaceLocal: run the call on Server, in this zone.
 	PlaceLocal PlaceKind = iota + 1
-	// PlacePeer: hand it over to Peer.
+	// PlacePeer: forward the call to Peer.
 	PlacePeer
-	// PlaceWait: every server that may run it is full; ask again when one frees.
+	// PlaceWait: every eligible server is full; try again when one has a free slot.
 	PlaceWait
-	// PlaceNowhere: nothing may run it now.
+	// PlaceNowhere: no server may run the call now.
 	PlaceNowhere
 )
 
@@ -37,30 +37,30 @@
 	Peer   VM
 	Reason Reason
 	Rule   Origin
-	// RetryAfter says when to come back, for PlaceNowhere.
+	// RetryAfter is the retry delay, for PlaceNowhere.
 	RetryAfter time.Duration
 }
 
-// Candidate is one server that may run a call, as far as this daemon knows.
+// Candidate is a server eligible for a call, with its state as this daemon knows it.
 type Candidate struct {
 	Server *Server
-	// Running is the estimate of calls on it: the last report, corrected by
-	// what this daemon has sent and seen end since.
+	// Running is the estimated number of calls on the server: the last report,
+	// adjusted by the calls that this daemon has since started and seen end.
 	Running int
-	// Own is how many of this daemon's calls run on it.
+	// Own is the number of this daemon's calls on the server.
 	Own int
-	// Cold servers bear only Server.ColdBears calls.
+	// Cold servers can handle only Server.ColdBears calls.
 	Cold bool
-	// Age of the last report.
+	// Age of the server's last report.
 	Age time.Duration
-	// Slow is the recent median time per call, or 0 if unknown.
+	// Slow is the recent median time per call; 0 if unknown.
 	Slow time.Duration
 }
 
-// Policy picks a server among candidates that all have room. Implementations
-// are pure; chance comes from the seed they were built with.
+// Policy selects a server among candidates that all have a free slot.
+// Implementations are pure; randomness comes only from the seed they were built with.
 type Policy interface {
-	// Pick returns the index of the chosen candidate. from is never empty and
+	// Pick returns the index of the chosen candidate. from is never empty and is
 	// sorted by server id.
 	Pick(now time.Time, prefix uint64, from []Candidate) int
 }
--- a/relay.go
+++ b/relay.go
@@ -8,31 +8,31 @@
 	"time"
 )
 
-// A relayed request is one whose body the system never looks into: it is
-// passed on byte for byte to a backend server that its route names, and the
-// answer comes back the same way. The types here say what is known of such
-// requests, of the routes, and of the servers.
+// A relayed request is one whose body the system never inspects: it is
+// forwarded byte for byte to a backend server chosen by its route, and the
+// answer is returned the same way. The types here describe such requests, the
+// routes, and the servers.
 
-// RouteID names a route.
+// RouteID identifies a route.
 type RouteID string
 
 // Catalog is one configuration of the relay: routes, pools, workspaces, limits.
-// It is never changed after it was built.
+// It is immutable once built.
 type Catalog struct {
-	// Version is the operator's own number, for logs; Revision of the item that
-	// holds it gives the order.
+	// Version is the operator's own number, for logs; catalogs are ordered by the
+	// Revision of their item.
 	Version string
 	Routes  []Route
 	Pools   map[PoolID]*RelayPool
-	// Keys are the workspaces' API keys; empty if callers need none.
+	// Keys maps API keys to workspaces; empty if callers need no key.
 	Keys   map[string]WorkspaceID
 	Ranks  map[WorkspaceID]int
 	Limits RelayLimits
 }
 
-// RelayLimits bound what a caller may send; 0 means not limited here.
+// RelayLimits limits what a caller may send; 0 means no limit here.
 type RelayLimits struct {
-	// BodyBytes is the largest body.
+	// BodyBytes is the maximum size of a body.
 	BodyBytes int64
 }
 
@@ -42,30 +42,30 @@
 	Host string
 	// Prefix begins and ends with a slash.
 	Prefix string
-	// Split shares the route's requests out; never empty.
+	// Split distributes the route's requests over pools; never empty.
 	Split []RouteShare
-	// Timeout is the longest that a caller is kept waiting for the final answer.
+	// Timeout is the maximum time a caller waits for the final answer.
 	Timeout time.Duration
-	// Target is the time within which an answer is worth most; for a stream,
+	// Target is the time within which an answer has its full value; for a stream,
 	// the time to its first event.
 	Target time.Duration
-	// Rank orders routes by urgency; 0 is the most urgent.
+	// Rank is the priority of the route; 0 is the most urgent.
 	Rank int
-	// MostSends is how many servers one request may be sent to; 1 or more.
+	// MostSends is the maximum number of servers one request is sent to; 1 or more.
 	MostSends int
-	// Streaming: the answer is a stream of events.
+	// Streaming is set if the answer is a stream of events.
 	Streaming bool
-	// Repeatable: running a request twice does no harm. Resumable: the same,
-	// if the second run goes on behind the last event that was passed on.
+	// Repeatable is set if running a request twice is harmless. Resumable is set if that
+	// holds when the second run continues after the last event passed to the caller.
 	Repeatable, Resumable bool
-	// Public: callers need no key.
+	// Public is set if callers need no key.
 	Public bool
-	// Steps is the work to be done before the request itself, in an order in
-	// which each step follows those it needs.
+	// Steps is the work to be done before the request itself, in topological order:
+	// each step follows those it depends on.
 	Steps []RouteStep
 }
 
-// Uses tells whether a step of the route runs in the pool.
+// Uses reports whether a step of the route runs in the pool.
 func (r *Route) Uses(pool PoolID) bool {
 	return slices.ContainsFunc(r.Steps, func(s RouteStep) bool { return s.Pool == pool })
 }
@@ -76,137 +76,138 @@
 	Weight int
 }
 
-// RouteStep is one step of preparation, made of pieces that run in batches.
+// RouteStep is one preparation step, which consists of pieces that run in batches.
 type RouteStep struct {
 	// Index is the step's number on the wire.
 	Index int
 	Pool  PoolID
-	// After are the Index of the steps whose results it needs.
+	// After lists the Index of each step whose results this step needs.
 	After []int
-	// ResultBytes is about how large the result of one piece is.
+	// ResultBytes is the approximate size of the result of one piece.
 	ResultBytes int64
 }
 
-// RelayPool is what the configuration says of the servers that do the same work.
+// RelayPool is the configuration of a pool of servers that do the same work.
 type RelayPool struct {
 	ID PoolID
-	// ColdFor is how long a server stays cold after its start; 0 if it never is.
+	// ColdFor is how long a server is cold after its start; 0 if it never is.
 	ColdFor time.Duration
-	// ColdRate is how many requests a second a cold server bears, from all VMs
-	// together.
+	// ColdRate is the number of requests per second that a cold server can handle,
+	// from all VMs together.
 	ColdRate float64
-	// Batch is set for pools whose servers make pieces.
+	// Batch is set for pools whose servers run pieces.
 	Batch *BatchLimits
 	// Engine is set for pools of model engines.
 	Engine *EngineLimits
 }
 
-// MakesPieces tells whether this is a pool whose servers make pieces.
+// MakesPieces reports whether the pool's servers run pieces.
 func (p *RelayPool) MakesPieces() bool { return p != nil && p.Batch != nil }
 
-// EngineLimits say what one model engine bears.
+// EngineLimits are the limits of one model engine.
 type EngineLimits struct {
-	// Slots is how many requests it runs at once.
+	// Slots is the maximum number of concurrent requests.
 	Slots int
-	// Memory is how many tokens of prompts and answers it holds.
+	// Memory is the maximum number of prompt and answer tokens that the engine holds.
 	Memory Tokens
-	// FetchRate is how many tokens of a prompt's KV cache it fetches from another
-	// engine in a millisecond; 0 if it can't.
+	// FetchRate is the rate at which the engine fetches a prompt's KV cache from another
+	// engine, in tokens per millisecond; 0 if it can't.
 	FetchRate float64
 }
 
-// BatchLimits say how one server makes pieces.
+// BatchLimits are the limits and costs of running pieces on one server.
 type BatchLimits struct {
-	// Most is the most pieces in one call.
+	// Most is the maximum number of pieces in one call.
 	Most int
-	// CallTime is what a call takes however little it holds; PieceTime what
-	// each piece adds, about.
+	// CallTime is the approximate fixed time of a call; PieceTime is the approximate
+	// time that each piece adds.
 	CallTime, PieceTime time.Duration
-	// Room is how many bytes of results the server holds at once.
+	// Room is the maximum size in bytes of the results that the server holds.
 	Room int64
-	// KeepFor is how long it keeps a result that nobody freed.
+	// KeepFor is how long the server keeps a result that was not freed.
 	KeepFor time.Duration
 }
 
-// Listing is a backend server as it has listed itself on the platform.
+// Listing is a backend server's own entry in the platform's store.
 type Listing struct {
 	ID   ServerID
 	Pool PoolID
-	// Addr is where it takes requests, as ip:port.
+	// Addr is the ip:port at which the server accepts requests.
 	Addr string
 	Zone ZoneID
-	// Slots is how many requests it runs at once; 0 if it doesn't say.
+	// Slots is the maximum number of concurrent requests; 0 if not specified.
 	Slots int
-	// Leaving: it takes no new work.
+	// Leaving is set if the server accepts no new work.
 	Leaving bool
-	// Cold is how much longer it said that it stays cold.
+	// Cold is the remaining cold time that the server reported.
 	Cold time.Duration
-	// Born tells two starts under one id apart: the Unix millisecond of the
-	// start, 0 if it doesn't say.
+	// Born distinguishes starts under one id: the Unix time of the start in
+	// milliseconds, 0 if not specified.
 	Born int64
 }
 
-// ZoneClosed says that operators took a zone out: nothing more is sent to its
-// servers.
+// ZoneClosed records that operators took a zone out of service: nothing more is
+// sent to its servers.
 type ZoneClosed struct{ Zone ZoneID }
 
-// Fact is what one item of the platform's store says: *Catalog, Listing or
-// ZoneClosed.
+// Fact is the parsed content of an item of the platform's store: *Catalog,
+// Listing or ZoneClosed.
 type Fact interface{ record() }
 
 func (*Catalog) record()   {}
 func (Listing) record()    {}
 func (ZoneClosed) record() {}
 
-// Item is one item of the platform's store, as it is kept there. Peers pass
-// items on to VMs that don't reach the store.
+// Item is one item of the platform's store, unparsed. Peers forward items to VMs
+// that can't reach the store.
 type Item struct {
 	Key      string   `cbor:"1,keyasint"`
 	Value    []byte   `cbor:"2,keyasint,omitempty"`
 	Revision Revision `cbor:"3,keyasint"`
-	// Gone: the item was deleted at this revision.
+	// Gone is set if the item was deleted at this revision.
 	Gone bool `cbor:"4,keyasint,omitempty"`
 }
 
-// ItemChange is an Item on its way between VMs.
+// ItemChange is an Item as sent between VMs.
 type ItemChange struct {
 	Item
-	// Packed: Value is packed, as the difference to the value that the key had at the
-	// revision Base, or to nothing if that is 0.
+	// Packed is set if Value is packed, as the difference to the key's value at the
+	// revision Base, or to an empty value if Base is 0.
 	Packed bool     `cbor:"5,keyasint,omitempty"`
 	Base   Revision `cbor:"6,keyasint,omitempty"`
 }
 
 // Errors of a Store.
 var (
-	// ErrStoreUnreachable: no whole answer came in time.
+	// ErrStoreUnreachable: no complete answer arrived in time.
 	ErrStoreUnreachable = errors.New("store unreachable")
-	// ErrStoreBusy: the store turned the call away.
+	// ErrStoreBusy: the store rejected the call.
 	ErrStoreBusy = errors.New("store busy")
-	// ErrHistoryGone: the store no longer knows all changes since then; read anew.
+	// ErrHistoryGone: the store no longer has all changes since the given revision; list
+	// all items again.
 	ErrHistoryGone = errors.New("store history gone")
-	// ErrStoreReply: the answer makes no sense.
+	// ErrStoreReply: the answer is malformed.
 	ErrStoreReply = errors.New("bad reply of the store")
-	// ErrNoFact: the item says nothing that the system knows.
+	// ErrNoFact: the item holds no record that the system knows.
 	ErrNoFact = errors.New("item says nothing known")
 )
 
-// Store reads the platform's store. Implementations are safe for use by many
-// goroutines, and never repeat a call by themselves.
+// Store reads the platform's store. Implementations are safe for concurrent use
+// and never retry a call.
 type Store interface {
-	// List reads all items. Changes after the returned revision may or may not
-	// be in them.
+	// List reads all items. They may or may not include changes after the returned
+	// revision.
 	List(ctx context.Context) ([]Item, Revision, error)
-	// ListCopy is List from any copy of the store. The copy may be seconds behind; the
-	// revision is then an earlier one, and Watch tells what the copy lacks. It costs a
-	// small part of List.
+	// ListCopy is List from any replica of the store. The replica may lag by seconds; the
+	// revision is then an earlier one, and Watch returns the missing changes. It costs a
+	// fraction of List.
 	ListCopy(ctx context.Context) ([]Item, Revision, error)
-	// Watch returns the changes after a revision, waiting for one at most for
-	// wait, and the revision up to which these are all.
+	// Watch returns all changes after a revision, and the revision up to which they are
+	// complete. It waits for a change for at most wait.
 	Watch(ctx context.Context, after Revision, wait time.Duration) ([]Item, Revision, error)
-	// Read tells what an item says; ErrNoFact if nothing.
+	// Read parses the record of an item; ErrNoFact if it holds none.
 	Read(item Item) (Fact, error)
-	// Owns tells whether an item with this key can say a Fact.
+	// Owns reports whether an item with this key can hold a record.
 	Owns(key string) bool
 }
 
@@ -216,98 +217,100 @@
 	Tokens Tokens
 }
 
-// Ask is what the head of a relayed request says.
+// Ask is the parsed head of a relayed request.
 type Ask struct {
-	// ID is the caller's own name for this attempt; each attempt has another.
+	// ID is the caller's id of this attempt; each attempt has a different one.
 	ID RequestID
-	// Method, Host and Target are passed on unchanged; Target is the path with
+	// Method, Host and Target are forwarded unchanged; Target is the path with
 	// its query.
 	Method, Host, Target string
-	// Header is passed on, without what concerns only one connection and what
-	// the system sets itself.
+	// Header is forwarded, without hop-by-hop headers and those that the system sets
+	// itself.
 	Header http.Header
-	// Key is the caller's API key; empty if it gave none.
+	// Key is the caller's API key; empty if none was sent.
 	Key string
-	// Wait is how long the caller waits; 0 if it doesn't say.
+	// Wait is how long the caller waits for the answer; 0 if not specified.
 	Wait time.Duration
-	// Resume is the id of the last event that the caller has; empty if none.
+	// Resume is the id of the last event that the caller received; empty if none.
 	Resume string
-	// Prompt are the parts of the prompt in order; the last one is the
-	// request's or its session's own.
+	// Prompt lists the parts of the prompt in order; the last one is specific to the
+	// request or its session.
 	Prompt []PromptPart
-	// Input and Output are the prompt's tokens and the most tokens of the answer.
+	// Input and Output are the tokens of the prompt and the maximum tokens of the answer.
 	Input, Output Tokens
-	// Pieces is how many pieces each step of the route has, by Index.
+	// Pieces is the number of pieces of each step of the route, by Index.
 	Pieces []int
-	// PieceKey goes with pieces of steps that need no other.
+	// PieceKey is sent with pieces of steps that depend on no other.
 	PieceKey string
 }
 
-// Hop is what the system adds to a relayed request on its way to one server.
+// Hop is what the system adds to a relayed request sent to one server.
 type Hop struct {
 	Server Listing
-	// Left is how long the server may take.
+	// Left is the time that the server may take.
 	Left      time.Duration
 	Workspace WorkspaceID
-	// Urgency is 0 for the most urgent to 9, below 0 to leave it out.
+	// Urgency is from 0, the most urgent, to 9; below 0 to omit it.
 	Urgency int
-	// Resume is the id of the last event that the caller has; empty if none.
+	// Resume is the id of the last event that the caller received; empty if none.
 	Resume string
-	// Inputs are the results that the server is to fetch.
+	// Inputs are the results that the server has to fetch.
 	Inputs []ResultRef
-	// Donor is the address of the server whose KV cache has more of the prompt;
-	// empty if none is to be asked.
+	// Donor is the address of a server whose KV cache holds more of the prompt;
+	// empty for no fetch.
 	Donor string
 }
 
-// ResultRef names a piece's result at the server that made it.
+// ResultRef identifies a piece's result at the server that produced it.
 type ResultRef string
 
-// Reply is what the head of a server's answer says.
+// Reply is the parsed head of a server's answer.
 type Reply struct {
-	// ID is the request that it answers; empty if it doesn't say.
+	// ID is the id of the answered request; empty if not specified.
 	ID RequestID
-	// Sealed: the answer has the server's own mark, without which a success
-	// isn't the server's.
+	// Sealed is set if the answer carries the server's seal; a success without it does
+	// not come from the server.
 	Sealed bool
-	// NotRun: the server says that it has not run the request.
+	// NotRun is set if the server reports that it has not run the request.
 	NotRun bool
-	// OtherServer: another server than the expected one has the address.
+	// OtherServer is set if a server other than the expected one has the address.
 	OtherServer bool
-	// InputsGone: a result that the request needs no longer exists.
+	// InputsGone is set if a result that the request needs no longer exists.
 	InputsGone bool
-	// Running and Waiting are the server's load; Running is below 0 if it
-	// doesn't say.
+	// Running and Waiting are the server's load; Running is below 0 if not
+	// specified.
 	Running, Waiting int
-	// Cold is how much longer the server stays cold.
+	// Cold is the server's remaining cold time.
 	Cold time.Duration
-	// Limit is how many requests it takes from all VMs together; 0 if any number. BadLimit
-	// is what it said of that if it can't be read; Limit is void then.
+	// Limit is the request rate that the server accepts from all VMs together; 0 for no
+	// limit. BadLimit is the server's text for it if that can't be parsed; Limit is then not
+	// valid.
 	Limit    Rate
 	BadLimit string
 }
 
-// Piece is one piece of a step, as it is asked for.
+// Piece is the request for one piece of a step.
 type Piece struct {
 	Request RequestID `cbor:"1,keyasint"`
-	// Step and Number name the piece within its request.
+	// Step and Number identify the piece within its request.
 	Step   int `cbor:"2,keyasint"`
 	Number int `cbor:"3,keyasint"`
-	// Key is set for a step that needs no other, else Inputs.
+	// Key is set for a step that depends on no other, otherwise Inputs.
 	Key    string      `cbor:"4,keyasint,omitempty"`
 	Inputs []ResultRef `cbor:"5,keyasint,omitempty"`
-	// Bytes is about how large the result will be.
+	// Bytes is the approximate size of the result.
 	Bytes int64 `cbor:"6,keyasint,omitempty"`
-	// Left is the time after which the result is worth nothing, Aim the time by
-	// which it should be there; durations, since clocks of VMs differ.
+	// Left is the time after which the result has no value, Aim the target time for
+	// it; durations, since clocks of VMs differ.
 	Left time.Duration `cbor:"7,keyasint"`
 	Aim  time.Duration `cbor:"8,keyasint"`
-	// Near is the zone where the result is wanted; empty if it doesn't matter.
+	// Near is the zone where the result is needed; empty if any will do.
 	Near ZoneID `cbor:"9,keyasint,omitempty"`
-	// Together: all pieces of the step are wanted in one zone, whichever it is.
+	// Together is set if all pieces of the step are needed in the same zone, whichever
+	// it is.
 	Together bool `cbor:"10,keyasint,omitempty"`
-	// Origin is the caller's request; the same for all pieces of a step, so that it goes
-	// once with the call for them.
+	// Origin is the caller's request. It is the same for all pieces of a step, so it is
+	// sent once per call for them.
 	Origin RequestRef `cbor:"-"`
 }
 
@@ -316,17 +319,17 @@
 
 // The ends of a piece.
 const (
-	// PieceMade: the result is there.
+	// PieceMade: the result is available.
 	PieceMade PieceEnd = iota + 1
-	// PieceLate: its time was over, or would have been.
+	// PieceLate: its time had run out, or would have before the result.
 	PieceLate
-	// PieceInputsGone: a result that it needs no longer exists.
+	// PieceInputsGone: a result that the piece needs no longer exists.
 	PieceInputsGone
-	// PieceNoRoom: the server has no room for the result.
+	// PieceNoRoom: the server has no capacity for the result.
 	PieceNoRoom
-	// PieceFailed: no server made it.
+	// PieceFailed: no server completed the piece.
 	PieceFailed
-	// PieceMoved: the VM that was asked gathers no more; ask another one.
+	// PieceMoved: the VM no longer coordinates the pool; another one has to be asked.
 	PieceMoved
 )
 
@@ -336,34 +339,34 @@
 	Ref ResultRef `cbor:"2,keyasint,omitempty"`
 }
 
-// HopHeaders are the headers of requests and answers that concern one connection
-// only, and the length, which the sender of each hop sets anew.
+// HopHeaders are the hop-by-hop headers of requests and answers, and the length,
+// which the sender of each hop sets itself.
 var HopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length", "Expect",
 }
 
-// Dialect is the language that callers and backend servers of the relay speak:
-// names and formats, no decisions. Implementations are safe for use by many
-// goroutines.
+// Dialect is the protocol of callers and backend servers of the relay: names and
+// formats, no decisions. Implementations are safe for concurrent use.
 type Dialect interface {
-	// Ask reads the head of a caller's request.
+	// Ask parses the head of a caller's request.
 	Ask(r *http.Request) (Ask, error)
-	// Forward writes the head of the request to a server.
+	// Forward returns the head of the request to a server.
 	Forward(ask *Ask, hop Hop) (*http.Request, error)
-	// Reply reads the head of a server's answer.
+	// Reply parses the head of a server's answer.
 	Reply(r *http.Response) Reply
-	// RunPieces writes a call for pieces, and Results reads its answer, which
+	// RunPieces returns a call for pieces, and Results parses its answer, which
 	// has a result for each piece.
 	RunPieces(server Listing, pieces []Piece) (*http.Request, error)
 	Results(body []byte, pieces int) ([]PieceResult, error)
-	// FreeResults writes a call that gives results up.
+	// FreeResults returns a call that releases results.
 	FreeResults(addr string, refs []ResultRef) (*http.Request, error)
-	// Maker is the address of the server that holds the result.
+	// Maker returns the address of the server that produced and holds the result.
 	Maker(ref ResultRef) string
 	// EventID returns the id of an event of a stream; empty if it has none.
 	EventID(event []byte) string
 }
 
-// ErrBadAsk is returned by a Dialect for a request that names itself wrongly.
+// ErrBadAsk is returned by a Dialect for a request with an invalid head, such as one
+// without exactly one id.
 var ErrBadAsk = errors.New("bad request head")
--- a/rules.go
+++ b/rules.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// StageKind tells what a stage does, and so which protocol its servers speak.
+// StageKind is what a stage does, which also determines the protocol of its servers.
 type StageKind uint8
 
 // The kinds of stage.
@@ -11,20 +11,20 @@
 	KindRetrieve
 	KindRerank
 	KindGenerate
-	// KindService is a plain service, some of whose calls may not be repeated.
+	// KindService is a plain service, some of whose calls must not be repeated.
 	KindService
 )
 
-// Origin tells where a rule came from, so that each decision can name it.
+// Origin is the source of a rule, so that each decision can name it.
 type Origin struct {
 	// Line in the rules file, from 1.
 	Line int
-	// Asked is the comment that names who asked for the rule.
+	// Asked is the comment that names who requested the rule.
 	Asked string
 }
 
-// Rules is one accepted configuration, compiled. It is never changed after it
-// was built, so it may be shared between goroutines.
+// Rules is one accepted configuration, compiled. It is immutable once built,
+// so it may be shared between goroutines.
 type Rules struct {
 	// Revision is the platform's store revision of this configuration.
 	Revision   Revision
@@ -35,8 +35,8 @@
 	Zones      map[ZoneID]*Zone
 	Suppliers  map[SupplierID]*Supplier
 	Models     map[ModelID]*Model
-	// WeightLoads is how many model loads may run at once against the weight
-	// store, in all zones together.
+	// WeightLoads is the maximum number of concurrent model loads from the weight
+	// store, over all zones.
 	WeightLoads int
 }
 
@@ -44,13 +44,13 @@
 type Pipeline struct {
 	Origin
 	ID PipelineID
-	// Deadline is the longest that a request may take from its arrival.
+	// Deadline is the maximum duration of a request from its arrival.
 	Deadline time.Duration
-	// Stages run in this order; each takes the result of the one before.
+	// Stages run in this order; each takes the result of the previous one.
 	Stages []Stage
 }
 
-// Idempotent tells whether the whole pipeline may safely run twice.
+// Idempotent reports whether the whole pipeline may safely run twice.
 func (p *Pipeline) Idempotent() bool {
 	for _, s := range p.Stages {
 		if !s.Idempotent {
@@ -66,10 +66,10 @@
 	ID   StageID
 	Kind StageKind
 	Pool PoolID
-	// Zones are where the stage may run, sorted; empty means every zone.
+	// Zones lists where the stage may run, sorted; empty means every zone.
 	Zones []ZoneID
-	// Minimum is the least time the stage can take; the deadline of its
-	// pipeline is never below the sum of these.
+	// Minimum is the shortest time the stage can take; the deadline of its
+	// pipeline is never below the sum over its stages.
 	Minimum time.Duration
 	// Idempotent is false for a stage that must run at most once.
 	Idempotent bool
@@ -80,11 +80,11 @@
 	Origin
 	ID   PoolID
 	Kind StageKind
-	// Model is what the pool's engines should have loaded; empty for services.
+	// Model is the model that the pool's engines should have loaded; empty for services.
 	Model ModelID
 	// Servers are the pool's servers, sorted by id.
 	Servers []*Server
-	// Unit prices one second of a whole server, for cost by stage.
+	// Unit is the price of one second of a whole server, for cost by stage.
 	Unit float64
 }
 
@@ -97,30 +97,30 @@
 	Supplier SupplierID
 	// URL is the base of the server's HTTP interface.
 	URL string
-	// Capacity is how many calls a warm server carries at once; 1 or more.
+	// Capacity is the number of concurrent calls a warm server can handle; 1 or more.
 	Capacity int
-	// ColdBears is how many calls it bears at once while cold; 1 or more and
-	// never above Capacity.
+	// ColdBears is the number of concurrent calls the server can handle while cold;
+	// 1 or more and never above Capacity.
 	ColdBears int
-	// ChecksCaller: the server refuses orders from those who may not give them.
+	// ChecksCaller is set if the server refuses orders from unauthorized callers.
 	ChecksCaller bool
-	// Fenced: the server refuses an order with an old fencing number.
+	// Fenced is set if the server refuses an order with an old fencing number.
 	Fenced bool
-	// Leaving: no new work.
+	// Leaving is set if the server gets no new work.
 	Leaving bool
 	// Role is the engine's desired role: "", "prefill" or "decode".
 	Role string
 }
 
-// Workspace is one customer's share of the system.
+// Workspace is one customer of the system.
 type Workspace struct {
 	Origin
 	ID WorkspaceID
-	// Share weighs the workspace in fair queueing; 1 or more.
+	// Share is the workspace's weight in fair queueing; 1 or more.
 	Share int
 	// TokenHash is the hex SHA-256 of the workspace's token.
 	TokenHash string
-	// Pipelines it may run, sorted; empty means every pipeline.
+	// Pipelines the workspace may run, sorted; empty means every pipeline.
 	Pipelines []PipelineID
 }
 
@@ -129,19 +129,19 @@
 	Origin
 	ID     ZoneID
 	Region string
-	// Out: operators took the zone out; no new work.
+	// Out is set if operators took the zone out of service; it gets no new work.
 	Out bool
 }
 
-// Supplier supplies backend servers.
+// Supplier is a supplier of backend servers.
 type Supplier struct {
 	Origin
 	ID SupplierID
-	// Leaving: none of its servers gets new work.
+	// Leaving is set if none of the supplier's servers gets new work.
 	Leaving bool
 }
 
-// Model is what an engine can load.
+// Model is a model that an engine can load.
 type Model struct {
 	Origin
 	ID       ModelID
@@ -149,7 +149,7 @@
 	Adapters []string
 }
 
-// ServerOpen tells whether the rules let the server have new work, and if not,
+// ServerOpen reports whether the rules allow new work on the server, and if not,
 // the rule that forbids it.
 func (r *Rules) ServerOpen(s *Server) (bool, Origin) {
 	if s.Leaving {
@@ -164,7 +164,7 @@
 	return true, Origin{}
 }
 
-// MayRun tells whether the stage may run in zone z.
+// MayRun reports whether the stage may run in zone z.
 func (s *Stage) MayRun(z ZoneID) bool {
 	if len(s.Zones) == 0 {
 		return true
