--- a/action.go
+++ b/action.go
@@ -13,36 +13,36 @@
 	URL    string
 	Stage  Stage
 	Model  ModelID
-	// Until is the latest time at which the driver may send; after it the call
+	// SendBy is the latest time at which the driver may send; after it the call
 	// ends as EndNotStarted. This keeps a process that was paused between the
 	// decision and the send from acting on an outdated decision.
-	Until time.Time
+	SendBy time.Time
 	// Deadline is the time after which the result has no value.
 	Deadline time.Time
 	// Priority for the engine: lower is more urgent.
 	Priority int
-	// Silence is the longest gap between frames before the call counts as broken.
-	Silence time.Duration
+	// IdleTimeout is the longest gap between frames before the call counts as broken.
+	IdleTimeout time.Duration
 	// ResumeFrom is the number of tokens already received; above 0 the driver
 	// asks the engine to continue the stream of the call Resumes from there.
 	ResumeFrom Tokens
 	Resumes    Call
 }
 
-// HandStage forwards the stage call to a peer. The driver reports its end with exactly
+// ForwardStage forwards the stage call to a peer. The driver reports its end with exactly
 // one CallEnded.
-type HandStage struct {
-	To       VM
-	Ask      StageAsk
-	Until    time.Time
-	Deadline time.Time
-	Silence  time.Duration
+type ForwardStage struct {
+	To          VM
+	Request     StageRequest
+	SendBy      time.Time
+	Deadline    time.Time
+	IdleTimeout time.Duration
 }
 
-// HandRequest forwards the whole request to the home of its ticket and relays the
+// ForwardRequest forwards the whole request to the home of its ticket and relays the
 // answer. The driver finishes the request itself: with the home's answer, or
 // as OutcomeUnknown if the link breaks after a byte was sent.
-type HandRequest struct {
+type ForwardRequest struct {
 	Request  RequestID
 	To       Peer
 	Deadline time.Time
@@ -119,8 +119,8 @@
 	Role     string
 }
 
-// Ready tells the load balancer whether this VM accepts requests.
-type Ready struct{ Ready bool }
+// SetReady tells the load balancer whether this VM accepts requests.
+type SetReady struct{ SetReady bool }
 
 // Note records the reason for a decision, for explain, logs and metrics.
 type Note struct {
@@ -137,20 +137,20 @@
 // Exit reports that all work is finished and the process may end.
 type Exit struct{}
 
-func (StartCall) action()    {}
-func (HandStage) action()    {}
-func (HandRequest) action()  {}
-func (JoinRequest) action()  {}
-func (RefuseStage) action()  {}
-func (CancelCall) action()   {}
-func (StageDone) action()    {}
-func (Finish) action()       {}
-func (SendPeer) action()     {}
-func (ReadConfig) action()   {}
-func (ReadVMs) action()      {}
-func (RulesInForce) action() {}
-func (PollServer) action()   {}
-func (SendOrder) action()    {}
-func (Ready) action()        {}
-func (Note) action()         {}
-func (Exit) action()         {}
+func (StartCall) action()      {}
+func (ForwardStage) action()   {}
+func (ForwardRequest) action() {}
+func (JoinRequest) action()    {}
+func (RefuseStage) action()    {}
+func (CancelCall) action()     {}
+func (StageDone) action()      {}
+func (Finish) action()         {}
+func (SendPeer) action()       {}
+func (ReadConfig) action()     {}
+func (ReadVMs) action()        {}
+func (RulesInForce) action()   {}
+func (PollServer) action()     {}
+func (SendOrder) action()      {}
+func (SetReady) action()       {}
+func (Note) action()           {}
+func (Exit) action()           {}
--- a/crash.go
+++ b/crash.go
@@ -23,8 +23,8 @@
 // ServerStart identifies one start of a backend server.
 type ServerStart struct {
 	Server ServerID `cbor:"1,keyasint"`
-	// Born is the time of the start, as in Listing.
-	Born int64 `cbor:"2,keyasint,omitempty"`
+	// StartedMs is the time of the start, as in Listing.
+	StartedMs int64 `cbor:"2,keyasint,omitempty"`
 }
 
 // ServerCrash reports that a server ended while it was running a request.
@@ -39,19 +39,19 @@
 	Request   Fingerprint   `cbor:"1,keyasint"`
 	Workspace WorkspaceID   `cbor:"2,keyasint,omitempty"`
 	Crashes   []ServerCrash `cbor:"3,keyasint,omitempty"`
-	// Ran is the time since a server ran the request without crashing; nil if no such
+	// SurvivedAgo is the time since a server ran the request without crashing; nil if no such
 	// run is known.
-	Ran *time.Duration `cbor:"4,keyasint,omitempty"`
+	SurvivedAgo *time.Duration `cbor:"4,keyasint,omitempty"`
 }
 
-// CrashNews shares with peers what is known of requests that crash servers. Receivers merge
+// CrashUpdate shares with peers what is known of requests that crash servers. Receivers merge
 // it as a set union, so it may arrive in any order and more than once.
-type CrashNews struct {
+type CrashUpdate struct {
 	Suspects []Suspect `cbor:"1,keyasint"`
 	// All is set if every peer is sent the same.
 	All bool `cbor:"2,keyasint,omitempty"`
-	// Ended lists recent server crashes, under any request.
-	Ended []ServerCrash `cbor:"3,keyasint,omitempty"`
+	// RecentCrashes lists recent server crashes, under any request.
+	RecentCrashes []ServerCrash `cbor:"3,keyasint,omitempty"`
 }
 
-func (CrashNews) message() {}
+func (CrashUpdate) message() {}
--- a/event.go
+++ b/event.go
@@ -16,8 +16,8 @@
 // TickEvery is the period of Tick.
 const TickEvery = 100 * time.Millisecond
 
-// Arrived reports a request received from a caller, or forwarded by the peer From.
-type Arrived struct {
+// RequestArrived reports a request received from a caller, or forwarded by the peer From.
+type RequestArrived struct {
 	Request   RequestID
 	Ticketed  bool
 	Workspace WorkspaceID
@@ -26,33 +26,33 @@
 	Deadline time.Time
 	// Prefix is a hash of the start of the prompt, for cache affinity.
 	Prefix uint64
-	// Input is the estimated size of the input.
-	Input Tokens
+	// InputTokens is the estimated size of the input.
+	InputTokens Tokens
 	// From is the peer that forwarded the request; zero for a caller.
 	From Peer
 }
 
-// HandedBack reports that a HandRequest has ended: the home's answer went to the
+// ForwardEnded reports that a HandRequest has ended: the home's answer went to the
 // caller, or none arrived.
-type HandedBack struct{ Request RequestID }
+type ForwardEnded struct{ Request RequestID }
 
 // CallerGone reports that no caller is waiting for the request's answer.
 type CallerGone struct{ Request RequestID }
 
-// StageAsked reports that the peer From forwards one stage call to this daemon, which
+// StageRequested reports that the peer From forwards one stage call to this daemon, which
 // applies its own rules, limits and state and makes at most one attempt.
-type StageAsked struct {
-	Ask  StageAsk
-	From Peer
+type StageRequested struct {
+	Request StageRequest
+	From    Peer
 }
 
-// StageAsk holds what any daemon needs to place a stage call.
-type StageAsk struct {
-	Call      Call        `cbor:"1,keyasint"`
-	Pipeline  PipelineID  `cbor:"2,keyasint"`
-	Workspace WorkspaceID `cbor:"3,keyasint"`
-	Prefix    uint64      `cbor:"4,keyasint"`
-	Input     Tokens      `cbor:"5,keyasint"`
+// StageRequest holds what any daemon needs to place a stage call.
+type StageRequest struct {
+	Call        Call        `cbor:"1,keyasint"`
+	Pipeline    PipelineID  `cbor:"2,keyasint"`
+	Workspace   WorkspaceID `cbor:"3,keyasint"`
+	Prefix      uint64      `cbor:"4,keyasint"`
+	InputTokens Tokens      `cbor:"5,keyasint"`
 	// Budget is the remaining time; a duration, since clocks of VMs differ.
 	Budget time.Duration `cbor:"6,keyasint"`
 	// Hops is the number of times the call has been forwarded.
@@ -101,16 +101,16 @@
 
 // ConfigRead is the platform's answer to a ReadConfig.
 type ConfigRead struct {
-	Err   bool
-	Index ConfigIndex
+	Failed bool
+	Index  ConfigIndex
 	// Parts holds the requested parts by hash.
 	Parts map[PartHash][]byte
 }
 
 // VMsRead is the platform's answer to a ReadVMs.
 type VMsRead struct {
-	Err bool
-	VMs []VMEntry
+	Failed bool
+	VMs    []VMEntry
 }
 
 // VMEntry is one entry of the platform's list of VMs, which lags behind the real state.
@@ -159,25 +159,25 @@
 	StaleFence bool
 }
 
-// StopAsked reports a request to stop the process; a second one sets Hurry: new
+// StopRequested reports a request to stop the process; a second one sets Hurry: new
 // requests are then refused at once, without the notice period.
-type StopAsked struct{ Hurry bool }
-
-func (Tick) event()         {}
-func (Arrived) event()      {}
-func (CallerGone) event()   {}
-func (HandedBack) event()   {}
-func (StageAsked) event()   {}
-func (CallProgress) event() {}
-func (CallEnded) event()    {}
-func (PeerMessage) event()  {}
-func (PeerLost) event()     {}
-func (ConfigRead) event()   {}
-func (VMsRead) event()      {}
-func (LoadReported) event() {}
-func (ServerSilent) event() {}
-func (OrderEnded) event()   {}
-func (StopAsked) event()    {}
+type StopRequested struct{ SkipNotice bool }
+
+func (Tick) event()           {}
+func (RequestArrived) event() {}
+func (CallerGone) event()     {}
+func (ForwardEnded) event()   {}
+func (StageRequested) event() {}
+func (CallProgress) event()   {}
+func (CallEnded) event()      {}
+func (PeerMessage) event()    {}
+func (PeerLost) event()       {}
+func (ConfigRead) event()     {}
+func (VMsRead) event()        {}
+func (LoadReported) event()   {}
+func (ServerSilent) event()   {}
+func (OrderEnded) event()     {}
+func (StopRequested) event()  {}
 
 // Later returns the later of two times.
 func Later(a, b time.Time) time.Time {
--- a/internal/load/book.go
+++ b/internal/load/book.go
@@ -291,12 +291,12 @@
 		return shed.Candidate{}, false
 	}
 	return shed.Candidate{
-		Server:  e.server,
-		Running: e.running(),
-		Own:     len(e.flight),
-		Cold:    e.cold.on,
-		Age:     now.Sub(e.at),
-		Slow:    e.whole.median(),
+		Server:         e.server,
+		Running:        e.running(),
+		OwnCalls:       len(e.flight),
+		Cold:           e.cold.on,
+		Age:            now.Sub(e.at),
+		MedianCallTime: e.whole.median(),
 	}, true
 }
 
--- a/limit.go
+++ b/limit.go
@@ -11,16 +11,16 @@
 	Start ServerStart `cbor:"1,keyasint"`
 	// Rate is above 0; not valid if Ended.
 	Rate Rate `cbor:"2,keyasint,omitempty"`
-	// Ended is set if the server no longer limits its rate.
-	Ended bool `cbor:"3,keyasint,omitempty"`
+	// Lifted is set if the server no longer limits its rate.
+	Lifted bool `cbor:"3,keyasint,omitempty"`
 	// Age is the time from the server's report to the sending of the message.
 	Age time.Duration `cbor:"4,keyasint,omitempty"`
 }
 
-// LimitNews shares the limits of servers with peers. Of two limits for the same start of a
+// LimitUpdate shares the limits of servers with peers. Of two limits for the same start of a
 // server the newer one counts, so they may arrive in any order.
-type LimitNews struct {
+type LimitUpdate struct {
 	Limits []ServerLimit `cbor:"1,keyasint"`
 }
 
-func (LimitNews) message() {}
+func (LimitUpdate) message() {}
--- a/message.go
+++ b/message.go
@@ -19,12 +19,12 @@
 // was confirmed as the newest, by the platform itself or through a chain of
 // peers.
 type ConfigDigest struct {
-	Revision  Revision      `cbor:"1,keyasint"`
-	Confirmed time.Duration `cbor:"2,keyasint"`
-	// Never is set if the revision was never confirmed; Confirmed is then not valid.
-	Never bool `cbor:"3,keyasint,omitempty"`
-	// Ask requests a ConfigDigest in reply.
-	Ask bool `cbor:"4,keyasint,omitempty"`
+	Revision     Revision      `cbor:"1,keyasint"`
+	ConfirmedAgo time.Duration `cbor:"2,keyasint"`
+	// NeverConfirmed is set if the revision was never confirmed; Confirmed is then not valid.
+	NeverConfirmed bool `cbor:"3,keyasint,omitempty"`
+	// WantReply requests a ConfigDigest in reply.
+	WantReply bool `cbor:"4,keyasint,omitempty"`
 	// Sequence of a request is returned in its reply; 0 in an unsolicited digest.
 	// A reply can't be older than its request, which bounds the age of Confirmed
 	// whatever the propagation delay of the reply.
@@ -60,8 +60,8 @@
 	Peer   Peer   `cbor:"1,keyasint"`
 	Zone   ZoneID `cbor:"2,keyasint"`
 	Status Status `cbor:"3,keyasint"`
-	// Heir is the process that holds the unused tickets of one that left; zero if none.
-	Heir Peer `cbor:"4,keyasint,omitempty"`
+	// Successor is the process that holds the unused tickets of one that left; zero if none.
+	Successor Peer `cbor:"4,keyasint,omitempty"`
 	// Refute counts how often the process refuted reports that it is dead; a higher
 	// count wins within an incarnation.
 	Refute uint32 `cbor:"5,keyasint,omitempty"`
@@ -74,11 +74,11 @@
 	Sequence uint64   `cbor:"1,keyasint"`
 	Self     Member   `cbor:"2,keyasint"`
 	Gossip   []Member `cbor:"3,keyasint,omitempty"`
-	// For, if set, is the VM that the receiver is to probe on the sender's behalf.
-	For VM `cbor:"4,keyasint,omitempty"`
-	// View is a hash of the sender's view of its zone. If the receiver is in the same
+	// Target, if set, is the VM that the receiver is to probe on the sender's behalf.
+	Target VM `cbor:"4,keyasint,omitempty"`
+	// ViewHash is a hash of the sender's view of its zone. If the receiver is in the same
 	// zone and has a different one, it adds more gossip to its ack.
-	View uint64 `cbor:"5,keyasint,omitempty"`
+	ViewHash uint64 `cbor:"5,keyasint,omitempty"`
 }
 
 // ProbeAck answers a Probe.
@@ -86,22 +86,22 @@
 	Sequence uint64   `cbor:"1,keyasint"`
 	Self     Member   `cbor:"2,keyasint"`
 	Gossip   []Member `cbor:"3,keyasint,omitempty"`
-	// For is the probed VM if the ack is passed on for another VM.
-	For VM `cbor:"4,keyasint,omitempty"`
-	// View is a hash of the sender's view, as in Probe.
-	View uint64 `cbor:"5,keyasint,omitempty"`
+	// Target is the probed VM if the ack is passed on for another VM.
+	Target VM `cbor:"4,keyasint,omitempty"`
+	// ViewHash is a hash of the sender's view, as in Probe.
+	ViewHash uint64 `cbor:"5,keyasint,omitempty"`
 }
 
 // SlotRelease reports that the sender uses only those slots of these servers
 // that its view assigns to it; no servers means all of the zone.
 type SlotRelease struct {
 	Servers []ServerID `cbor:"1,keyasint"`
-	// View is a hash of the sender's view for which it released the slots.
-	View uint64 `cbor:"2,keyasint"`
-	// Turn changes with each change of the sender's view; Seen is the last one that
+	// ViewHash is a hash of the sender's view for which it released the slots.
+	ViewHash uint64 `cbor:"2,keyasint"`
+	// Epoch changes with each change of the sender's view; Seen is the last one that
 	// the sender received from the receiver, so a late release can be detected.
-	Turn uint64 `cbor:"3,keyasint,omitempty"`
-	Seen uint64 `cbor:"4,keyasint,omitempty"`
+	Epoch     uint64 `cbor:"3,keyasint,omitempty"`
+	SeenEpoch uint64 `cbor:"4,keyasint,omitempty"`
 }
 
 // LoadDigest shares load reports within a zone.
@@ -125,7 +125,7 @@
 	ID        RequestID     `cbor:"1,keyasint"`
 	Workspace WorkspaceID   `cbor:"2,keyasint"`
 	Pipeline  PipelineID    `cbor:"3,keyasint"`
-	Left      time.Duration `cbor:"4,keyasint"`
+	ExpiresIn time.Duration `cbor:"4,keyasint"`
 }
 
 // RelayLoad reports to peers the sender's requests in flight on backend servers, and
@@ -140,27 +140,27 @@
 	// AsOf is the revision up to which the sender knows all changes of the store,
 	// Digest a hash of the items it holds, Confirmed the time since the store
 	// answered the sender, or a peer that knew no later revision.
-	AsOf      Revision      `cbor:"5,keyasint,omitempty"`
-	Digest    uint64        `cbor:"7,keyasint,omitempty"`
-	Confirmed time.Duration `cbor:"8,keyasint,omitempty"`
+	AsOf         Revision      `cbor:"5,keyasint,omitempty"`
+	Digest       uint64        `cbor:"7,keyasint,omitempty"`
+	ConfirmedAgo time.Duration `cbor:"8,keyasint,omitempty"`
 	// Catalog is the revision of the configuration in force at the sender.
 	Catalog Revision `cbor:"11,keyasint,omitempty"`
-	// Held is the size in bytes of the results that each server holds for the sender,
+	// HeldBytes is the size in bytes of the results that each server holds for the sender,
 	// which coordinates batches of pieces.
-	Held map[ServerID]int64 `cbor:"6,keyasint,omitempty"`
-	// Coming is the number of pieces that the sender's requests will need from each
+	HeldBytes map[ServerID]int64 `cbor:"6,keyasint,omitempty"`
+	// ExpectedPieces is the number of pieces that the sender's requests will need from each
 	// pool once their earlier steps are done.
-	Coming map[PoolID]int `cbor:"10,keyasint,omitempty"`
+	ExpectedPieces map[PoolID]int `cbor:"10,keyasint,omitempty"`
 	// Limits are the limits of servers that the sender knows of.
 	Limits []ServerLimit `cbor:"14,keyasint,omitempty"`
-	// PassOn is set if the load is sent only to the receiver, which forwards it to all.
-	PassOn bool `cbor:"12,keyasint,omitempty"`
-	// Carried are loads of other VMs that the sender forwards.
-	Carried []CarriedLoad `cbor:"13,keyasint,omitempty"`
+	// ForwardToAll is set if the load is sent only to the receiver, which forwards it to all.
+	ForwardToAll bool `cbor:"12,keyasint,omitempty"`
+	// Forwarded are loads of other VMs that the sender forwards.
+	Forwarded []ForwardedLoad `cbor:"13,keyasint,omitempty"`
 }
 
-// CarriedLoad is the load of a VM other than the sender.
-type CarriedLoad struct {
+// ForwardedLoad is the load of a VM other than the sender.
+type ForwardedLoad struct {
 	// From is the process whose load it is.
 	From Peer `cbor:"1,keyasint"`
 	// Age is the time since the sender received it.
@@ -201,8 +201,8 @@
 	Refs []ResultRef `cbor:"1,keyasint"`
 }
 
-// StoreNews forwards the changes of the platform's store after a revision.
-type StoreNews struct {
+// StoreUpdate forwards the changes of the platform's store after a revision.
+type StoreUpdate struct {
 	After Revision     `cbor:"1,keyasint"`
 	AsOf  Revision     `cbor:"2,keyasint"`
 	Items []ItemChange `cbor:"3,keyasint"`
@@ -211,7 +211,7 @@
 	Unsent bool `cbor:"4,keyasint,omitempty"`
 }
 
-func (StoreNews) message()    {}
+func (StoreUpdate) message()  {}
 func (RelayLoad) message()    {}
 func (ResultsFreed) message() {}
 func (ConfigDigest) message() {}
--- a/names.go
+++ b/names.go
@@ -40,8 +40,8 @@
 // String returns the kind's name in the rules.
 func (k StageKind) String() string { return nameOrUnknown(kindNames[k], uint8(k)) }
 
-// KindNamed returns the stage kind of this name in the rules.
-func KindNamed(name string) (StageKind, bool) {
+// ParseStageKind returns the stage kind of this name in the rules.
+func ParseStageKind(name string) (StageKind, bool) {
 	for k := KindEncode; k <= KindService; k++ {
 		if kindNames[k] == name {
 			return k, true
--- a/placement.go
+++ b/placement.go
@@ -5,12 +5,12 @@
 // Placer decides where one stage call runs. It reserves nothing, so the caller
 // must act on the answer in the same step.
 type Placer interface {
-	Place(now time.Time, ask PlaceAsk) Placement
+	Place(now time.Time, ask PlaceRequest) Placement
 }
 
-// PlaceAsk is the input of a Placer.
-type PlaceAsk struct {
-	StageAsk
+// PlaceRequest is the input of a Placer.
+type PlaceRequest struct {
+	StageRequest
 	Stage    Stage
 	Deadline time.Time
 }
@@ -47,14 +47,14 @@
 	// Running is the estimated number of calls on the server: the last report,
 	// adjusted by the calls that this daemon has since started and seen end.
 	Running int
-	// Own is the number of this daemon's calls on the server.
-	Own int
+	// OwnCalls is the number of this daemon's calls on the server.
+	OwnCalls int
 	// Cold servers can handle only Server.ColdBears calls.
 	Cold bool
 	// Age of the server's last report.
 	Age time.Duration
-	// Slow is the recent median time per call; 0 if unknown.
-	Slow time.Duration
+	// MedianCallTime is the recent median time per call; 0 if unknown.
+	MedianCallTime time.Duration
 }
 
 // Policy selects a server among candidates that all have a free slot.
--- a/relay.go
+++ b/relay.go
@@ -24,10 +24,10 @@
 	Version string
 	Routes  []Route
 	Pools   map[PoolID]*RelayPool
-	// Keys maps API keys to workspaces; empty if callers need no key.
-	Keys   map[string]WorkspaceID
-	Ranks  map[WorkspaceID]int
-	Limits RelayLimits
+	// APIKeys maps API keys to workspaces; empty if callers need no key.
+	APIKeys map[string]WorkspaceID
+	Ranks   map[WorkspaceID]int
+	Limits  RelayLimits
 }
 
 // RelayLimits limits what a caller may send; 0 means no limit here.
@@ -51,8 +51,8 @@
 	Target time.Duration
 	// Rank is the priority of the route; 0 is the most urgent.
 	Rank int
-	// MostSends is the maximum number of servers one request is sent to; 1 or more.
-	MostSends int
+	// MaxSends is the maximum number of servers one request is sent to; 1 or more.
+	MaxSends int
 	// Streaming is set if the answer is a stream of events.
 	Streaming bool
 	// Repeatable is set if running a request twice is harmless. Resumable is set if that
@@ -65,8 +65,8 @@
 	Steps []RouteStep
 }
 
-// Uses reports whether a step of the route runs in the pool.
-func (r *Route) Uses(pool PoolID) bool {
+// UsesPool reports whether a step of the route runs in the pool.
+func (r *Route) UsesPool(pool PoolID) bool {
 	return slices.ContainsFunc(r.Steps, func(s RouteStep) bool { return s.Pool == pool })
 }
 
@@ -81,8 +81,8 @@
 	// Index is the step's number on the wire.
 	Index int
 	Pool  PoolID
-	// After lists the Index of each step whose results this step needs.
-	After []int
+	// DependsOn lists the Index of each step whose results this step needs.
+	DependsOn []int
 	// ResultBytes is the approximate size of the result of one piece.
 	ResultBytes int64
 }
@@ -90,8 +90,8 @@
 // RelayPool is the configuration of a pool of servers that do the same work.
 type RelayPool struct {
 	ID PoolID
-	// ColdFor is how long a server is cold after its start; 0 if it never is.
-	ColdFor time.Duration
+	// ColdDuration is how long a server is cold after its start; 0 if it never is.
+	ColdDuration time.Duration
 	// ColdRate is the number of requests per second that a cold server can handle,
 	// from all VMs together.
 	ColdRate float64
@@ -101,15 +101,15 @@
 	Engine *EngineLimits
 }
 
-// MakesPieces reports whether the pool's servers run pieces.
-func (p *RelayPool) MakesPieces() bool { return p != nil && p.Batch != nil }
+// RunsPieces reports whether the pool's servers run pieces.
+func (p *RelayPool) RunsPieces() bool { return p != nil && p.Batch != nil }
 
 // EngineLimits are the limits of one model engine.
 type EngineLimits struct {
 	// Slots is the maximum number of concurrent requests.
 	Slots int
-	// Memory is the maximum number of prompt and answer tokens that the engine holds.
-	Memory Tokens
+	// TokenCapacity is the maximum number of prompt and answer tokens that the engine holds.
+	TokenCapacity Tokens
 	// FetchRate is the rate at which the engine fetches a prompt's KV cache from another
 	// engine, in tokens per millisecond; 0 if it can't.
 	FetchRate float64
@@ -117,19 +117,19 @@
 
 // BatchLimits are the limits and costs of running pieces on one server.
 type BatchLimits struct {
-	// Most is the maximum number of pieces in one call.
-	Most int
+	// MaxPieces is the maximum number of pieces in one call.
+	MaxPieces int
 	// CallTime is the approximate fixed time of a call; PieceTime is the approximate
 	// time that each piece adds.
 	CallTime, PieceTime time.Duration
-	// Room is the maximum size in bytes of the results that the server holds.
-	Room int64
-	// KeepFor is how long the server keeps a result that was not freed.
-	KeepFor time.Duration
+	// ResultCapacity is the maximum size in bytes of the results that the server holds.
+	ResultCapacity int64
+	// ResultRetention is how long the server keeps a result that was not freed.
+	ResultRetention time.Duration
 }
 
-// Listing is a backend server's own entry in the platform's store.
-type Listing struct {
+// ServerEntry is a backend server's own entry in the platform's store.
+type ServerEntry struct {
 	ID   ServerID
 	Pool PoolID
 	// Addr is the ip:port at which the server accepts requests.
@@ -139,24 +139,24 @@
 	Slots int
 	// Leaving is set if the server accepts no new work.
 	Leaving bool
-	// Cold is the remaining cold time that the server reported.
-	Cold time.Duration
-	// Born distinguishes starts under one id: the Unix time of the start in
+	// ColdRemaining is the remaining cold time that the server reported.
+	ColdRemaining time.Duration
+	// StartedMs distinguishes starts under one id: the Unix time of the start in
 	// milliseconds, 0 if not specified.
-	Born int64
+	StartedMs int64
 }
 
 // ZoneClosed records that operators took a zone out of service: nothing more is
 // sent to its servers.
 type ZoneClosed struct{ Zone ZoneID }
 
-// Fact is the parsed content of an item of the platform's store: *Catalog,
+// Record is the parsed content of an item of the platform's store: *Catalog,
 // Listing or ZoneClosed.
-type Fact interface{ record() }
+type Record interface{ record() }
 
-func (*Catalog) record()   {}
-func (Listing) record()    {}
-func (ZoneClosed) record() {}
+func (*Catalog) record()    {}
+func (ServerEntry) record() {}
+func (ZoneClosed) record()  {}
 
 // Item is one item of the platform's store, unparsed. Peers forward items to VMs
 // that can't reach the store.
@@ -164,8 +164,8 @@
 	Key      string   `cbor:"1,keyasint"`
 	Value    []byte   `cbor:"2,keyasint,omitempty"`
 	Revision Revision `cbor:"3,keyasint"`
-	// Gone is set if the item was deleted at this revision.
-	Gone bool `cbor:"4,keyasint,omitempty"`
+	// Deleted is set if the item was deleted at this revision.
+	Deleted bool `cbor:"4,keyasint,omitempty"`
 }
 
 // ItemChange is an Item as sent between VMs.
@@ -186,10 +186,10 @@
 	// ErrHistoryGone: the store no longer has all changes since the given revision; list
 	// all items again.
 	ErrHistoryGone = errors.New("store history gone")
-	// ErrStoreReply: the answer is malformed.
-	ErrStoreReply = errors.New("bad reply of the store")
-	// ErrNoFact: the item holds no record that the system knows.
-	ErrNoFact = errors.New("item says nothing known")
+	// ErrBadStoreReply: the answer is malformed.
+	ErrBadStoreReply = errors.New("bad reply of the store")
+	// ErrUnknownRecord: the item holds no record that the system knows.
+	ErrUnknownRecord = errors.New("item says nothing known")
 )
 
 // Store reads the platform's store. Implementations are safe for concurrent use
@@ -198,17 +198,17 @@
 	// List reads all items. They may or may not include changes after the returned
 	// revision.
 	List(ctx context.Context) ([]Item, Revision, error)
-	// ListCopy is List from any replica of the store. The replica may lag by seconds; the
+	// ListReplica is List from any replica of the store. The replica may lag by seconds; the
 	// revision is then an earlier one, and Watch returns the missing changes. It costs a
 	// fraction of List.
-	ListCopy(ctx context.Context) ([]Item, Revision, error)
+	ListReplica(ctx context.Context) ([]Item, Revision, error)
 	// Watch returns all changes after a revision, and the revision up to which they are
 	// complete. It waits for a change for at most wait.
 	Watch(ctx context.Context, after Revision, wait time.Duration) ([]Item, Revision, error)
-	// Read parses the record of an item; ErrNoFact if it holds none.
-	Read(item Item) (Fact, error)
-	// Owns reports whether an item with this key can hold a record.
-	Owns(key string) bool
+	// ParseRecord parses the record of an item; ErrNoFact if it holds none.
+	ParseRecord(item Item) (Record, error)
+	// IsRecordKey reports whether an item with this key can hold a record.
+	IsRecordKey(key string) bool
 }
 
 // PromptPart is a part of a prompt that requests may share.
@@ -217,8 +217,8 @@
 	Tokens Tokens
 }
 
-// Ask is the parsed head of a relayed request.
-type Ask struct {
+// RequestHead is the parsed head of a relayed request.
+type RequestHead struct {
 	// ID is the caller's id of this attempt; each attempt has a different one.
 	ID RequestID
 	// Method, Host and Target are forwarded unchanged; Target is the path with
@@ -229,15 +229,15 @@
 	Header http.Header
 	// Key is the caller's API key; empty if none was sent.
 	Key string
-	// Wait is how long the caller waits for the answer; 0 if not specified.
-	Wait time.Duration
-	// Resume is the id of the last event that the caller received; empty if none.
-	Resume string
+	// Budget is how long the caller waits for the answer; 0 if not specified.
+	Budget time.Duration
+	// LastEventID is the id of the last event that the caller received; empty if none.
+	LastEventID string
 	// Prompt lists the parts of the prompt in order; the last one is specific to the
 	// request or its session.
 	Prompt []PromptPart
-	// Input and Output are the tokens of the prompt and the maximum tokens of the answer.
-	Input, Output Tokens
+	// InputTokens and MaxOutputTokens are the tokens of the prompt and the maximum tokens of the answer.
+	InputTokens, MaxOutputTokens Tokens
 	// Pieces is the number of pieces of each step of the route, by Index.
 	Pieces []int
 	// PieceKey is sent with pieces of steps that depend on no other.
@@ -246,26 +246,26 @@
 
 // Hop is what the system adds to a relayed request sent to one server.
 type Hop struct {
-	Server Listing
-	// Left is the time that the server may take.
-	Left      time.Duration
+	Server ServerEntry
+	// Budget is the time that the server may take.
+	Budget    time.Duration
 	Workspace WorkspaceID
 	// Urgency is from 0, the most urgent, to 9; below 0 to omit it.
 	Urgency int
-	// Resume is the id of the last event that the caller received; empty if none.
-	Resume string
+	// LastEventID is the id of the last event that the caller received; empty if none.
+	LastEventID string
 	// Inputs are the results that the server has to fetch.
 	Inputs []ResultRef
-	// Donor is the address of a server whose KV cache holds more of the prompt;
+	// CacheSource is the address of a server whose KV cache holds more of the prompt;
 	// empty for no fetch.
-	Donor string
+	CacheSource string
 }
 
 // ResultRef identifies a piece's result at the server that produced it.
 type ResultRef string
 
-// Reply is the parsed head of a server's answer.
-type Reply struct {
+// ReplyHead is the parsed head of a server's answer.
+type ReplyHead struct {
 	// ID is the id of the answered request; empty if not specified.
 	ID RequestID
 	// Sealed is set if the answer carries the server's seal; a success without it does
@@ -280,8 +280,8 @@
 	// Running and Waiting are the server's load; Running is below 0 if not
 	// specified.
 	Running, Waiting int
-	// Cold is the server's remaining cold time.
-	Cold time.Duration
+	// ColdRemaining is the server's remaining cold time.
+	ColdRemaining time.Duration
 	// Limit is the request rate that the server accepts from all VMs together; 0 for no
 	// limit. BadLimit is the server's text for it if that can't be parsed; Limit is then not
 	// valid.
@@ -300,15 +300,15 @@
 	Inputs []ResultRef `cbor:"5,keyasint,omitempty"`
 	// Bytes is the approximate size of the result.
 	Bytes int64 `cbor:"6,keyasint,omitempty"`
-	// Left is the time after which the result has no value, Aim the target time for
+	// Budget is the time after which the result has no value, Aim the target time for
 	// it; durations, since clocks of VMs differ.
-	Left time.Duration `cbor:"7,keyasint"`
-	Aim  time.Duration `cbor:"8,keyasint"`
-	// Near is the zone where the result is needed; empty if any will do.
-	Near ZoneID `cbor:"9,keyasint,omitempty"`
-	// Together is set if all pieces of the step are needed in the same zone, whichever
+	Budget time.Duration `cbor:"7,keyasint"`
+	Target time.Duration `cbor:"8,keyasint"`
+	// PreferredZone is the zone where the result is needed; empty if any will do.
+	PreferredZone ZoneID `cbor:"9,keyasint,omitempty"`
+	// SameZone is set if all pieces of the step are needed in the same zone, whichever
 	// it is.
-	Together bool `cbor:"10,keyasint,omitempty"`
+	SameZone bool `cbor:"10,keyasint,omitempty"`
 	// Origin is the caller's request. It is the same for all pieces of a step, so it is
 	// sent once per call for them.
 	Origin RequestRef `cbor:"-"`
@@ -319,14 +319,14 @@
 
 // The ends of a piece.
 const (
-	// PieceMade: the result is available.
-	PieceMade PieceEnd = iota + 1
+	// PieceComplete: the result is available.
+	PieceComplete PieceEnd = iota + 1
 	// PieceLate: its time had run out, or would have before the result.
 	PieceLate
 	// PieceInputsGone: a result that the piece needs no longer exists.
 	PieceInputsGone
-	// PieceNoRoom: the server has no capacity for the result.
-	PieceNoRoom
+	// PieceNoCapacity: the server has no capacity for the result.
+	PieceNoCapacity
 	// PieceFailed: no server completed the piece.
 	PieceFailed
 	// PieceMoved: the VM no longer coordinates the pool; another one has to be asked.
@@ -349,24 +349,24 @@
 // Dialect is the protocol of callers and backend servers of the relay: names and
 // formats, no decisions. Implementations are safe for concurrent use.
 type Dialect interface {
-	// Ask parses the head of a caller's request.
-	Ask(r *http.Request) (Ask, error)
-	// Forward returns the head of the request to a server.
-	Forward(ask *Ask, hop Hop) (*http.Request, error)
-	// Reply parses the head of a server's answer.
-	Reply(r *http.Response) Reply
-	// RunPieces returns a call for pieces, and Results parses its answer, which
+	// ParseRequest parses the head of a caller's request.
+	ParseRequest(r *http.Request) (RequestHead, error)
+	// NewForwardRequest returns the head of the request to a server.
+	NewForwardRequest(ask *RequestHead, hop Hop) (*http.Request, error)
+	// ParseReply parses the head of a server's answer.
+	ParseReply(r *http.Response) ReplyHead
+	// NewPiecesRequest returns a call for pieces, and Results parses its answer, which
 	// has a result for each piece.
-	RunPieces(server Listing, pieces []Piece) (*http.Request, error)
-	Results(body []byte, pieces int) ([]PieceResult, error)
-	// FreeResults returns a call that releases results.
-	FreeResults(addr string, refs []ResultRef) (*http.Request, error)
-	// Maker returns the address of the server that produced and holds the result.
-	Maker(ref ResultRef) string
+	NewPiecesRequest(server ServerEntry, pieces []Piece) (*http.Request, error)
+	ParseResults(body []byte, pieces int) ([]PieceResult, error)
+	// NewFreeRequest returns a call that releases results.
+	NewFreeRequest(addr string, refs []ResultRef) (*http.Request, error)
+	// Producer returns the address of the server that produced and holds the result.
+	Producer(ref ResultRef) string
 	// EventID returns the id of an event of a stream; empty if it has none.
 	EventID(event []byte) string
 }
 
 // ErrBadAsk is returned by a Dialect for a request with an invalid head, such as one
 // without exactly one id.
-var ErrBadAsk = errors.New("bad request head")
+var ErrBadRequestHead = errors.New("bad request head")
--- a/rules.go
+++ b/rules.go
@@ -19,8 +19,8 @@
 type Origin struct {
 	// Line in the rules file, from 1.
 	Line int
-	// Asked is the comment that names who requested the rule.
-	Asked string
+	// RequestedBy is the comment that names who requested the rule.
+	RequestedBy string
 }
 
 // Rules is one accepted configuration, compiled. It is immutable once built,
@@ -35,9 +35,9 @@
 	Zones      map[ZoneID]*Zone
 	Suppliers  map[SupplierID]*Supplier
 	Models     map[ModelID]*Model
-	// WeightLoads is the maximum number of concurrent model loads from the weight
+	// MaxWeightLoads is the maximum number of concurrent model loads from the weight
 	// store, over all zones.
-	WeightLoads int
+	MaxWeightLoads int
 }
 
 // Pipeline is a chain of stages under one deadline.
@@ -68,9 +68,9 @@
 	Pool PoolID
 	// Zones lists where the stage may run, sorted; empty means every zone.
 	Zones []ZoneID
-	// Minimum is the shortest time the stage can take; the deadline of its
+	// MinDuration is the shortest time the stage can take; the deadline of its
 	// pipeline is never below the sum over its stages.
-	Minimum time.Duration
+	MinDuration time.Duration
 	// Idempotent is false for a stage that must run at most once.
 	Idempotent bool
 }
@@ -84,8 +84,8 @@
 	Model ModelID
 	// Servers are the pool's servers, sorted by id.
 	Servers []*Server
-	// Unit is the price of one second of a whole server, for cost by stage.
-	Unit float64
+	// UnitPrice is the price of one second of a whole server, for cost by stage.
+	UnitPrice float64
 }
 
 // Server is one backend server.
@@ -99,9 +99,9 @@
 	URL string
 	// Capacity is the number of concurrent calls a warm server can handle; 1 or more.
 	Capacity int
-	// ColdBears is the number of concurrent calls the server can handle while cold;
+	// ColdCapacity is the number of concurrent calls the server can handle while cold;
 	// 1 or more and never above Capacity.
-	ColdBears int
+	ColdCapacity int
 	// ChecksCaller is set if the server refuses orders from unauthorized callers.
 	ChecksCaller bool
 	// Fenced is set if the server refuses an order with an old fencing number.
@@ -129,8 +129,8 @@
 	Origin
 	ID     ZoneID
 	Region string
-	// Out is set if operators took the zone out of service; it gets no new work.
-	Out bool
+	// OutOfService is set if operators took the zone out of service; it gets no new work.
+	OutOfService bool
 }
 
 // Supplier is a supplier of backend servers.
@@ -158,14 +158,14 @@
 	if sup := r.Suppliers[s.Supplier]; sup != nil && sup.Leaving {
 		return false, sup.Origin
 	}
-	if z := r.Zones[s.Zone]; z != nil && z.Out {
+	if z := r.Zones[s.Zone]; z != nil && z.OutOfService {
 		return false, z.Origin
 	}
 	return true, Origin{}
 }
 
-// MayRun reports whether the stage may run in zone z.
-func (s *Stage) MayRun(z ZoneID) bool {
+// MayRunIn reports whether the stage may run in zone z.
+func (s *Stage) MayRunIn(z ZoneID) bool {
 	if len(s.Zones) == 0 {
 		return true
 	}
