--- a/action.go
+++ b/action.go
@@ -52,7 +52,7 @@
 // gets the answer of the first one.
 type JoinRequest struct{ Request RequestID }
 
-// RefuseStage answers a StageAsked whose call was not run.
+// RefuseStage answers a StageRequested whose call was not run.
 type RefuseStage struct {
 	Call       Call
 	Reason     Reason
@@ -70,7 +70,7 @@
 type StageDone struct{ Call Call }
 
 // Finish is the final answer to a request. There is exactly one for each
-// Arrived, except where HandRequest or JoinRequest answers.
+// RequestArrived, except where ForwardRequest or JoinRequest answers.
 type Finish struct {
 	Request    RequestID
 	Outcome    Outcome
--- a/crash.go
+++ b/crash.go
@@ -23,7 +23,7 @@
 // ServerStart identifies one start of a backend server.
 type ServerStart struct {
 	Server ServerID `cbor:"1,keyasint"`
-	// StartedMs is the time of the start, as in Listing.
+	// StartedMs is the time of the start, as in ServerEntry.
 	StartedMs int64 `cbor:"2,keyasint,omitempty"`
 }
 
--- a/event.go
+++ b/event.go
@@ -32,7 +32,7 @@
 	From Peer
 }
 
-// ForwardEnded reports that a HandRequest has ended: the home's answer went to the
+// ForwardEnded reports that a ForwardRequest has ended: the home's answer went to the
 // caller, or none arrived.
 type ForwardEnded struct{ Request RequestID }
 
@@ -159,7 +159,7 @@
 	StaleFence bool
 }
 
-// StopRequested reports a request to stop the process; a second one sets Hurry: new
+// StopRequested reports a request to stop the process; a second one sets SkipNotice: new
 // requests are then refused at once, without the notice period.
 type StopRequested struct{ SkipNotice bool }
 
--- a/limit.go
+++ b/limit.go
@@ -9,7 +9,7 @@
 // reported by the server.
 type ServerLimit struct {
 	Start ServerStart `cbor:"1,keyasint"`
-	// Rate is above 0; not valid if Ended.
+	// Rate is above 0; not valid if Lifted.
 	Rate Rate `cbor:"2,keyasint,omitempty"`
 	// Lifted is set if the server no longer limits its rate.
 	Lifted bool `cbor:"3,keyasint,omitempty"`
--- a/message.go
+++ b/message.go
@@ -21,12 +21,13 @@
 type ConfigDigest struct {
 	Revision     Revision      `cbor:"1,keyasint"`
 	ConfirmedAgo time.Duration `cbor:"2,keyasint"`
-	// NeverConfirmed is set if the revision was never confirmed; Confirmed is then not valid.
+	// NeverConfirmed is set if the revision was never confirmed; ConfirmedAgo is then not
+	// valid.
 	NeverConfirmed bool `cbor:"3,keyasint,omitempty"`
 	// WantReply requests a ConfigDigest in reply.
 	WantReply bool `cbor:"4,keyasint,omitempty"`
 	// Sequence of a request is returned in its reply; 0 in an unsolicited digest.
-	// A reply can't be older than its request, which bounds the age of Confirmed
+	// A reply can't be older than its request, which bounds the age of ConfirmedAgo
 	// whatever the propagation delay of the reply.
 	Sequence uint64 `cbor:"5,keyasint,omitempty"`
 }
@@ -98,7 +99,7 @@
 	Servers []ServerID `cbor:"1,keyasint"`
 	// ViewHash is a hash of the sender's view for which it released the slots.
 	ViewHash uint64 `cbor:"2,keyasint"`
-	// Epoch changes with each change of the sender's view; Seen is the last one that
+	// Epoch changes with each change of the sender's view; SeenEpoch is the last one that
 	// the sender received from the receiver, so a late release can be detected.
 	Epoch     uint64 `cbor:"3,keyasint,omitempty"`
 	SeenEpoch uint64 `cbor:"4,keyasint,omitempty"`
@@ -138,7 +139,7 @@
 	// Placed lists the prompts placed since the last report.
 	Placed []PromptPlaced `cbor:"4,keyasint,omitempty"`
 	// AsOf is the revision up to which the sender knows all changes of the store,
-	// Digest a hash of the items it holds, Confirmed the time since the store
+	// Digest a hash of the items it holds, ConfirmedAgo the time since the store
 	// answered the sender, or a peer that knew no later revision.
 	AsOf         Revision      `cbor:"5,keyasint,omitempty"`
 	Digest       uint64        `cbor:"7,keyasint,omitempty"`
--- a/placement.go
+++ b/placement.go
@@ -49,7 +49,7 @@
 	Running int
 	// OwnCalls is the number of this daemon's calls on the server.
 	OwnCalls int
-	// Cold servers can handle only Server.ColdBears calls.
+	// Cold servers can handle only Server.ColdCapacity calls.
 	Cold bool
 	// Age of the server's last report.
 	Age time.Duration
--- a/relay.go
+++ b/relay.go
@@ -151,7 +151,7 @@
 type ZoneClosed struct{ Zone ZoneID }
 
 // Record is the parsed content of an item of the platform's store: *Catalog,
-// Listing or ZoneClosed.
+// ServerEntry or ZoneClosed.
 type Record interface{ record() }
 
 func (*Catalog) record()    {}
@@ -205,7 +205,7 @@
 	// Watch returns all changes after a revision, and the revision up to which they are
 	// complete. It waits for a change for at most wait.
 	Watch(ctx context.Context, after Revision, wait time.Duration) ([]Item, Revision, error)
-	// ParseRecord parses the record of an item; ErrNoFact if it holds none.
+	// ParseRecord parses the record of an item; ErrUnknownRecord if it holds none.
 	ParseRecord(item Item) (Record, error)
 	// IsRecordKey reports whether an item with this key can hold a record.
 	IsRecordKey(key string) bool
@@ -236,7 +236,7 @@
 	// Prompt lists the parts of the prompt in order; the last one is specific to the
 	// request or its session.
 	Prompt []PromptPart
-	// InputTokens and MaxOutputTokens are the tokens of the prompt and the maximum tokens of the answer.
+	// InputTokens is the size of the prompt, MaxOutputTokens the limit for the answer.
 	InputTokens, MaxOutputTokens Tokens
 	// Pieces is the number of pieces of each step of the route, by Index.
 	Pieces []int
@@ -300,8 +300,8 @@
 	Inputs []ResultRef `cbor:"5,keyasint,omitempty"`
 	// Bytes is the approximate size of the result.
 	Bytes int64 `cbor:"6,keyasint,omitempty"`
-	// Budget is the time after which the result has no value, Aim the target time for
-	// it; durations, since clocks of VMs differ.
+	// Budget is the time after which the result has no value, Target the target time
+	// for it; durations, since clocks of VMs differ.
 	Budget time.Duration `cbor:"7,keyasint"`
 	Target time.Duration `cbor:"8,keyasint"`
 	// PreferredZone is the zone where the result is needed; empty if any will do.
@@ -355,7 +355,7 @@
 	NewForwardRequest(ask *RequestHead, hop Hop) (*http.Request, error)
 	// ParseReply parses the head of a server's answer.
 	ParseReply(r *http.Response) ReplyHead
-	// NewPiecesRequest returns a call for pieces, and Results parses its answer, which
+	// NewPiecesRequest returns a call for pieces, and ParseResults parses its answer, which
 	// has a result for each piece.
 	NewPiecesRequest(server ServerEntry, pieces []Piece) (*http.Request, error)
 	ParseResults(body []byte, pieces int) ([]PieceResult, error)
@@ -367,6 +367,6 @@
 	EventID(event []byte) string
 }
 
-// ErrBadAsk is returned by a Dialect for a request with an invalid head, such as one
+// ErrBadRequestHead is returned by a Dialect for a request with an invalid head, such as one
 // without exactly one id.
 var ErrBadRequestHead = errors.New("bad request head")
