--- a/names.go
+++ b/names.go
@@ -2,7 +2,7 @@
 
 import "strconv"
 
-// outcomeNames are the outcomes as answers, spans and metrics give them.
+// outcomeNames are the names of the outcomes in answers, spans and metrics.
 var outcomeNames = map[Outcome]string{
 	OutcomeComplete:  "complete",
 	OutcomeNotRun:    "not_run",
@@ -13,8 +13,8 @@
 	OutcomeCancelled: "cancelled",
 }
 
-// String is the outcome's name in answers, spans and metrics.
-func (o Outcome) String() string { return named(outcomeNames[o], uint8(o)) }
+// String returns the outcome's name in answers, spans and metrics.
+func (o Outcome) String() string { return nameOrUnknown(outcomeNames[o], uint8(o)) }
 
 var callEndNames = map[CallEnd]string{
 	EndComplete:   "complete",
@@ -26,8 +26,8 @@
 	EndCancelled:  "cancelled",
 }
 
-// String is the end's name in spans and metrics.
-func (e CallEnd) String() string { return named(callEndNames[e], uint8(e)) }
+// String returns the end's name in spans and metrics.
+func (e CallEnd) String() string { return nameOrUnknown(callEndNames[e], uint8(e)) }
 
 var kindNames = map[StageKind]string{
 	KindEncode:   "encode",
@@ -37,11 +37,11 @@
 	KindService:  "service",
 }
 
-// String is the kind's name in the rules.
-func (k StageKind) String() string { return named(kindNames[k], uint8(k)) }
+// String returns the kind's name in the rules.
+func (k StageKind) String() string { return nameOrUnknown(kindNames[k], uint8(k)) }
 
-// KindNamed is the kind that the rules call name.
-func KindNamed(name string) (StageKind, bool) {
+// ParseStageKind returns the stage kind of this name in the rules.
+func ParseStageKind(name string) (StageKind, bool) {
 	for k := KindEncode; k <= KindService; k++ {
 		if kindNames[k] == name {
 			return k, true
@@ -50,7 +50,7 @@
 	return 0, false
 }
 
-func named(name string, n uint8) string {
+func nameOrUnknown(name string, n uint8) string {
 	if name == "" {
 		return "unknown_" + strconv.Itoa(int(n))
 	}
