--- a/internal/batch/batch_test.go
+++ b/internal/batch/batch_test.go
@@ -19,8 +19,8 @@
 	}
 )
 
-// table hosts a Batcher in virtual time.
-type table struct {
+// harness hosts a Batcher in virtual time.
+type harness struct {
 	t       *testing.T
 	b       *batch.Batcher
 	now     time.Time
@@ -31,8 +31,8 @@
 	made    int
 }
 
-func newTable(t *testing.T, zones ...shed.ZoneID) *table {
-	tb := &table{t: t, now: start, done: map[batch.JobID][]shed.PieceResult{}}
+func newHarness(t *testing.T, zones ...shed.ZoneID) *harness {
+	tb := &harness{t: t, now: start, done: map[batch.JobID][]shed.PieceResult{}}
 	for i, z := range zones {
 		tb.servers = append(tb.servers, shed.Listing{ID: shed.ServerID(fmt.Sprintf("s%d", i)), Pool: "p", Zone: z, Born: 1})
 	}
@@ -40,7 +40,7 @@
 	return tb
 }
 
-func (tb *table) handle(ev batch.Event) {
+func (tb *harness) handle(ev batch.Event) {
 	for _, act := range tb.b.Handle(tb.now, ev) {
 		switch a := act.(type) {
 		case batch.Send:
@@ -54,7 +54,7 @@
 	}
 }
 
-func (tb *table) ask(job batch.JobID, n int, aim time.Duration, change func(*shed.Piece)) {
+func (tb *harness) addJob(job batch.JobID, n int, aim time.Duration, change func(*shed.Piece)) {
 	pieces := make([]shed.Piece, n)
 	for i := range pieces {
 		pieces[i] = shed.Piece{
@@ -67,15 +67,15 @@
 	tb.handle(batch.Asked{Job: job, Pool: "p", Limits: limits, Pieces: pieces})
 }
 
-// take returns the oldest call that was sent.
-func (tb *table) take() batch.Send {
+// nextSend returns the oldest call that was sent.
+func (tb *harness) nextSend() batch.Send {
 	require.NotEmpty(tb.t, tb.sends)
 	s := tb.sends[0]
 	tb.sends = tb.sends[1:]
 	return s
 }
 
-func (tb *table) answer(s batch.Send, end shed.PieceEnd) {
+func (tb *harness) answer(s batch.Send, end shed.PieceEnd) {
 	results := make([]shed.PieceResult, len(s.Pieces))
 	for i := range results {
 		results[i].End = end
@@ -87,7 +87,7 @@
 	tb.handle(batch.CallEnded{Call: s.Call, Results: results})
 }
 
-func (tb *table) pass(d time.Duration) {
+func (tb *harness) advance(d time.Duration) {
 	for end := tb.now.Add(d); tb.now.Before(end); {
 		tb.now = tb.now.Add(min(100*time.Millisecond, end.Sub(tb.now)))
 		tb.handle(batch.Tick{})
@@ -105,16 +105,16 @@
 // Many small requests meet in full calls: one call runs on the server, the rest
 // waits and fills the next one, the most urgent first.
 func TestPiecesMeetInFullCalls(t *testing.T) {
-	tb := newTable(t, "a")
-	tb.ask(1, 1, time.Second, nil)
-	require.Len(t, tb.take().Pieces, 1)
-	tb.ask(2, 2, 3*time.Second, nil)
-	tb.ask(3, 1, 2*time.Second, nil)
-	tb.ask(4, 2, time.Second, nil)
+	tb := newHarness(t, "a")
+	tb.addJob(1, 1, time.Second, nil)
+	require.Len(t, tb.nextSend().Pieces, 1)
+	tb.addJob(2, 2, 3*time.Second, nil)
+	tb.addJob(3, 1, 2*time.Second, nil)
+	tb.addJob(4, 2, time.Second, nil)
 	require.Empty(t, tb.sends, "one call at a time")
 	tb.now = tb.now.Add(160 * time.Millisecond)
 	tb.answer(batch.Send{Call: 1, Pieces: make([]shed.Piece, 1)}, shed.PieceMade)
-	require.Equal(t, []shed.RequestID{"q4", "q4", "q3", "q2"}, requests(tb.take()))
+	require.Equal(t, []shed.RequestID{"q4", "q4", "q3", "q2"}, requests(tb.nextSend()))
 }
 
 // Load beyond what a server can do: each 0.1 s a request comes that should be
@@ -122,7 +122,7 @@
 // servers' time goes to requests that can be in time; the others are told at
 // once and hold up nobody.
 func TestOverloadServesInTimeWhatItServes(t *testing.T) {
-	tb := newTable(t, "a")
+	tb := newHarness(t, "a")
 	var running *batch.Send
 	var ends time.Time
 	job := batch.JobID(0)
@@ -133,14 +133,14 @@
 		if step%10 == 0 {
 			job++
 			asked[job] = tb.now
-			tb.ask(job, 4, 500*time.Millisecond, func(p *shed.Piece) { p.Bytes = 0 })
+			tb.addJob(job, 4, 500*time.Millisecond, func(p *shed.Piece) { p.Bytes = 0 })
 		}
 		if running != nil && !tb.now.Before(ends) {
 			tb.answer(*running, shed.PieceMade)
 			running = nil
 		}
 		if running == nil && len(tb.sends) > 0 {
-			s := tb.take()
+			s := tb.nextSend()
 			running, ends = &s, tb.now.Add(190*time.Millisecond)
 		}
 		tb.handle(batch.Tick{})
@@ -162,45 +162,45 @@
 // A server has room for ten results. No call asks for more than fit beside those
 // that it holds, until it was told that some are given up.
 func TestRoomIsCounted(t *testing.T) {
-	tb := newTable(t, "a")
-	tb.ask(1, 9, 20*time.Second, func(p *shed.Piece) { p.Left = 30 * time.Second })
-	tb.answer(tb.take(), shed.PieceMade)
-	tb.answer(tb.take(), shed.PieceMade)
+	tb := newHarness(t, "a")
+	tb.addJob(1, 9, 20*time.Second, func(p *shed.Piece) { p.Left = 30 * time.Second })
+	tb.answer(tb.nextSend(), shed.PieceMade)
+	tb.answer(tb.nextSend(), shed.PieceMade)
 	// 920 bytes are used at the most: one more piece fits.
-	s := tb.take()
+	s := tb.nextSend()
 	require.Len(t, s.Pieces, 1)
 	tb.answer(s, shed.PieceMade)
 	refs := []shed.ResultRef{tb.done[1][0].Ref, tb.done[1][1].Ref}
-	tb.ask(2, 2, 20*time.Second, func(p *shed.Piece) { p.Left = 30 * time.Second })
+	tb.addJob(2, 2, 20*time.Second, func(p *shed.Piece) { p.Left = 30 * time.Second })
 	require.Empty(t, tb.sends)
 	tb.handle(batch.Freed{Refs: refs})
 	require.Equal(t, refs, tb.freed)
 	require.Empty(t, tb.sends, "the server has not been told yet")
 	tb.handle(batch.FreeEnded{Refs: refs})
-	require.Len(t, tb.take().Pieces, 2)
+	require.Len(t, tb.nextSend().Pieces, 2)
 }
 
 // Results that nobody frees are dropped by the server after a while; their room
 // must come back here, too.
 func TestRoomComesBack(t *testing.T) {
-	tb := newTable(t, "a")
-	tb.ask(1, 4, time.Second, func(p *shed.Piece) { p.Bytes = 230 })
-	tb.answer(tb.take(), shed.PieceMade)
-	tb.ask(2, 4, 5*time.Second, func(p *shed.Piece) { p.Bytes, p.Left = 230, 10*time.Second })
+	tb := newHarness(t, "a")
+	tb.addJob(1, 4, time.Second, func(p *shed.Piece) { p.Bytes = 230 })
+	tb.answer(tb.nextSend(), shed.PieceMade)
+	tb.addJob(2, 4, 5*time.Second, func(p *shed.Piece) { p.Bytes, p.Left = 230, 10*time.Second })
 	require.Empty(t, tb.sends)
-	tb.pass(4200 * time.Millisecond)
-	require.Len(t, tb.take().Pieces, 4)
+	tb.advance(4200 * time.Millisecond)
+	require.Len(t, tb.nextSend().Pieces, 4)
 }
 
 // The caller waits for a server that fell silent. After twice the usual time the
 // pieces go to another server too, and the first result counts; the other one
 // is given up.
 func TestSilentServer(t *testing.T) {
-	tb := newTable(t, "a", "b")
-	tb.ask(1, 2, 2*time.Second, nil)
-	silent := tb.take()
-	tb.pass(700 * time.Millisecond)
-	second := tb.take()
+	tb := newHarness(t, "a", "b")
+	tb.addJob(1, 2, 2*time.Second, nil)
+	silent := tb.nextSend()
+	tb.advance(700 * time.Millisecond)
+	second := tb.nextSend()
 	require.NotEqual(t, silent.Server.ID, second.Server.ID)
 	tb.answer(second, shed.PieceMade)
 	require.Len(t, tb.done[1], 2)
@@ -211,11 +211,11 @@
 // A call's answer is lost, but the server lives: it gets one more call at once,
 // not only after the first one's limit.
 func TestLostAnswerDoesNotIdleTheServer(t *testing.T) {
-	tb := newTable(t, "a")
-	tb.ask(1, 1, 2*time.Second, nil)
-	tb.take()
-	tb.pass(600 * time.Millisecond)
-	again := tb.take()
+	tb := newHarness(t, "a")
+	tb.addJob(1, 1, 2*time.Second, nil)
+	tb.nextSend()
+	tb.advance(600 * time.Millisecond)
+	again := tb.nextSend()
 	require.Equal(t, shed.RequestID("q1"), again.Pieces[0].Request)
 	tb.answer(again, shed.PieceMade)
 	require.Equal(t, shed.PieceMade, tb.done[1][0].End)
@@ -223,25 +223,25 @@
 
 // A refusal by a full server is no try: some other VM's calls are in its queue.
 func TestFullServerIsNoTry(t *testing.T) {
-	tb := newTable(t, "a")
-	tb.ask(1, 1, 4*time.Second, nil)
+	tb := newHarness(t, "a")
+	tb.addJob(1, 1, 4*time.Second, nil)
 	for range 5 {
-		s := tb.take()
+		s := tb.nextSend()
 		tb.handle(batch.CallEnded{Call: s.Call, NotRun: true, Busy: true})
-		tb.pass(200 * time.Millisecond)
+		tb.advance(200 * time.Millisecond)
 	}
-	tb.answer(tb.take(), shed.PieceMade)
+	tb.answer(tb.nextSend(), shed.PieceMade)
 	require.Equal(t, shed.PieceMade, tb.done[1][0].End)
 }
 
 // A server breaks off again and again. The piece isn't sent for ever: its
 // request is told that it can't be made.
 func TestBrokenCallsEnd(t *testing.T) {
-	tb := newTable(t, "a", "a")
-	tb.ask(1, 1, 4*time.Second, nil)
+	tb := newHarness(t, "a", "a")
+	tb.addJob(1, 1, 4*time.Second, nil)
 	for i := 0; len(tb.done) == 0; i++ {
 		require.Less(t, i, 4)
-		tb.handle(batch.CallEnded{Call: tb.take().Call})
+		tb.handle(batch.CallEnded{Call: tb.nextSend().Call})
 	}
 	require.Equal(t, shed.PieceFailed, tb.done[1][0].End)
 }
@@ -249,8 +249,8 @@
 // No server may have work, as when operators took all zones out: the request is
 // told at once.
 func TestNoServer(t *testing.T) {
-	tb := newTable(t)
-	tb.ask(1, 2, time.Second, nil)
+	tb := newHarness(t)
+	tb.addJob(1, 2, time.Second, nil)
 	require.Equal(t, shed.PieceFailed, tb.done[1][0].End)
 	require.Equal(t, batch.NoServers, tb.b.Wait(tb.now, "p", limits).Timely)
 }
@@ -258,10 +258,10 @@
 // The caller has gone: its pieces are not sent any more, and what was made for
 // it is given up.
 func TestDropped(t *testing.T) {
-	tb := newTable(t, "a")
-	tb.ask(1, 1, time.Second, nil)
-	running := tb.take()
-	tb.ask(2, 1, time.Second, nil)
+	tb := newHarness(t, "a")
+	tb.addJob(1, 1, time.Second, nil)
+	running := tb.nextSend()
+	tb.addJob(2, 1, time.Second, nil)
 	tb.handle(batch.Dropped{Job: 1})
 	tb.handle(batch.Dropped{Job: 2})
 	tb.answer(running, shed.PieceMade)
@@ -273,10 +273,10 @@
 // The VM stops: what waits goes back to those who asked, who ask the next VM;
 // what runs is ended.
 func TestStoppedHandsBack(t *testing.T) {
-	tb := newTable(t, "a")
-	tb.ask(1, 1, time.Second, nil)
-	running := tb.take()
-	tb.ask(2, 2, time.Second, nil)
+	tb := newHarness(t, "a")
+	tb.addJob(1, 1, time.Second, nil)
+	running := tb.nextSend()
+	tb.addJob(2, 2, time.Second, nil)
 	tb.handle(batch.Stopped{})
 	require.Equal(t, shed.PieceMoved, tb.done[2][1].End)
 	tb.answer(running, shed.PieceMade)
@@ -286,27 +286,27 @@
 // Each piece of the next step fetches all results of this one, so a step's
 // pieces stay in one zone though a server of another one is idle.
 func TestTogether(t *testing.T) {
-	tb := newTable(t, "a", "b")
+	tb := newHarness(t, "a", "b")
 	together := func(p *shed.Piece) { p.Together, p.Bytes = true, 0 }
-	tb.ask(1, 6, 3*time.Second, together)
-	first := tb.take()
+	tb.addJob(1, 6, 3*time.Second, together)
+	first := tb.nextSend()
 	require.Equal(t, shed.ZoneID("a"), first.Server.Zone)
 	require.Empty(t, tb.sends, "zone b gets none of them")
 	tb.answer(first, shed.PieceMade)
-	require.Equal(t, shed.ZoneID("a"), tb.take().Server.Zone)
+	require.Equal(t, shed.ZoneID("a"), tb.nextSend().Server.Zone)
 }
 
 // Large results are wanted in zone b, whose server is busy. As long as it will
 // be in time, the idle one in zone a gets none of them.
 func TestNearUnlessLate(t *testing.T) {
-	tb := newTable(t, "a", "b")
+	tb := newHarness(t, "a", "b")
 	near := func(p *shed.Piece) { p.Near, p.Bytes = "b", 0 }
-	tb.ask(1, 1, 3*time.Second, near)
-	require.Equal(t, shed.ZoneID("b"), tb.take().Server.Zone)
-	tb.ask(2, 1, 3*time.Second, near)
+	tb.addJob(1, 1, 3*time.Second, near)
+	require.Equal(t, shed.ZoneID("b"), tb.nextSend().Server.Zone)
+	tb.addJob(2, 1, 3*time.Second, near)
 	require.Empty(t, tb.sends)
-	tb.ask(3, 1, 250*time.Millisecond, near)
-	s := tb.take()
+	tb.addJob(3, 1, 250*time.Millisecond, near)
+	s := tb.nextSend()
 	require.Equal(t, shed.ZoneID("a"), s.Server.Zone)
 	require.Equal(t, []shed.RequestID{"q3"}, requests(s))
 }
@@ -314,18 +314,18 @@
 // Another VM gathered before this one and told what servers hold for it. That
 // room counts as taken, and comes back as those results lapse.
 func TestRoomHeldForAnotherVM(t *testing.T) {
-	tb := newTable(t, "a")
+	tb := newHarness(t, "a")
 	tb.handle(batch.HeldElsewhere{From: "vm2", Held: map[shed.ServerID]int64{"s0": 920}, Keep: limits.KeepFor})
-	tb.ask(1, 4, 5*time.Second, func(p *shed.Piece) { p.Left = 10 * time.Second })
+	tb.addJob(1, 4, 5*time.Second, func(p *shed.Piece) { p.Left = 10 * time.Second })
 	require.Empty(t, tb.sends)
-	tb.pass(2 * time.Second)
-	require.Len(t, tb.take().Pieces, 1)
+	tb.advance(2 * time.Second)
+	require.Len(t, tb.nextSend().Pieces, 1)
 }
 
 // What is foreseen of an idle pool is what its configuration says: two servers make
 // four pieces each in 0.19 s.
 func TestForecastOfAnIdlePool(t *testing.T) {
-	tb := newTable(t, "a", "b")
+	tb := newHarness(t, "a", "b")
 	f := tb.b.Wait(tb.now, "p", limits)
 	require.InDelta(t, 8/0.19, f.Rate, 0.1)
 	require.InDelta(t, 1, f.Slow, 0.01)
@@ -336,11 +336,11 @@
 // sent just in time by the configuration, and came late. Now the calls that were
 // seen count: what can't be in time that way makes room for what can.
 func TestSlowPoolIsForeseenSlow(t *testing.T) {
-	tb := newTable(t, "a")
+	tb := newHarness(t, "a")
 	for job := range batch.JobID(20) {
-		tb.ask(job+1, 1, 5*time.Second, nil)
-		s := tb.take()
-		tb.pass(320 * time.Millisecond)
+		tb.addJob(job+1, 1, 5*time.Second, nil)
+		s := tb.nextSend()
+		tb.advance(320 * time.Millisecond)
 		tb.answer(s, shed.PieceMade)
 		tb.handle(batch.Freed{Refs: []shed.ResultRef{tb.done[job+1][0].Ref}})
 		tb.handle(batch.FreeEnded{Refs: tb.freed})
--- a/internal/batch/crash.go
+++ b/internal/batch/crash.go
@@ -6,11 +6,11 @@
 	shed "jasmineshed"
 )
 
-// split parts the requests of a call under which its server ended into two lots, which no
+// splitRequests parts the requests of a call under which its server ended into two lots, which no
 // longer go in one call with each other or with others. Sent again as a whole they would
 // end one server after the other; so the one to blame is alone after a few, and the others
 // come through. One that was alone, and ends several servers, is not sent again.
-func (b *Batcher) split(c *call) {
+func (b *Batcher) splitRequests(c *call) {
 	var requests []shed.RequestID
 	for _, p := range c.pieces {
 		p.crashes++
@@ -20,13 +20,13 @@
 	}
 	first := requests[:(len(requests)+1)/2]
 	for _, p := range c.pieces {
-		p.lot = b.lastLot + 2
+		p.subgroup = b.lastSubgroup + 2
 		if slices.Contains(first, p.Request) {
-			p.lot = b.lastLot + 1
+			p.subgroup = b.lastSubgroup + 1
 		}
-		if len(requests) == 1 && p.crashes >= tries {
-			p.tries = tries
+		if len(requests) == 1 && p.crashes >= maxTries {
+			p.tries = maxTries
 		}
 	}
-	b.lastLot += 2
+	b.lastSubgroup += 2
 }
--- a/internal/batch/crash_test.go
+++ b/internal/batch/crash_test.go
@@ -14,7 +14,7 @@
 // Pieces of eight requests go in one call, and one of them ends its server. Sent again as
 // a whole they ended one server after the other, and nobody's pieces were made.
 func TestCallThatEndsItsServerIsSplit(t *testing.T) {
-	tb := newTable(t, "a")
+	tb := newHarness(t, "a")
 	const culprit = batch.JobID(5)
 	limits := limits
 	limits.Most = 8
@@ -23,24 +23,24 @@
 			Request: requestOf(id), Bytes: 10, Left: 20 * time.Second, Aim: 10 * time.Second,
 		}}})
 	}
-	ended, innocent := 0, map[shed.RequestID]bool{}
+	crashes, completed := 0, map[shed.RequestID]bool{}
 	for range 60 {
 		for len(tb.sends) > 0 {
-			s := tb.take()
+			s := tb.nextSend()
 			if !slices.Contains(requests(s), requestOf(culprit)) {
 				for _, request := range requests(s) {
-					innocent[request] = true
+					completed[request] = true
 				}
 				tb.answer(s, shed.PieceMade)
 				continue
 			}
-			ended++
+			crashes++
 			tb.servers = []shed.Listing{{ID: s.Server.ID + "x", Pool: "p", Zone: "a", Born: 1}}
 			tb.handle(batch.CallEnded{Call: s.Call, Crashed: true})
 		}
-		tb.pass(100 * time.Millisecond)
+		tb.advance(100 * time.Millisecond)
 	}
-	require.Len(t, innocent, 7)
+	require.Len(t, completed, 7)
 	for id := batch.JobID(1); id <= 8; id++ {
 		want := shed.PieceMade
 		if id == culprit {
@@ -48,7 +48,7 @@
 		}
 		require.Equal(t, want, tb.done[id][0].End, "job %d", id)
 	}
-	require.LessOrEqual(t, ended, 4)
+	require.LessOrEqual(t, crashes, 4)
 }
 
 func requestOf(id batch.JobID) shed.RequestID { return shed.RequestID(string(rune('a' + id))) }
--- a/internal/batch/dispatch.go
+++ b/internal/batch/dispatch.go
@@ -10,36 +10,36 @@
 
 // dispatch gives the group's waiting pieces to servers that have no call.
 func (b *Batcher) dispatch(now time.Time, out []Action, g *group) []Action {
-	if len(g.waiting) == 0 {
+	if len(g.pending) == 0 {
 		return out
 	}
-	g.slow = b.slowness(now, g.pool)
-	out = b.giveUpLate(now, out, g)
+	g.slowness = b.slowness(now, g.pool)
+	out = b.rejectLate(now, out, g)
 	servers := b.servers(g.pool)
-	usable, sound := 0, 0
+	usableServers, reachableServers := 0, 0
 	var idle []shed.Listing
 	for _, s := range servers {
-		m := b.maker(s)
+		m := b.producer(s)
 		if !m.unreached {
-			sound++
+			reachableServers++
 		}
-		if m.away(now) {
+		if m.isUnreachable(now) {
 			continue
 		}
-		if now.Before(m.shunned) {
-			usable += b.soon(now, m)
+		if now.Before(m.backoffUntil) {
+			usableServers += b.countRetryableSoon(now, m)
 			continue
 		}
-		usable++
+		usableServers++
 		if m.running == 0 {
 			idle = append(idle, s)
 		}
 	}
-	if usable == 0 {
-		return b.failAll(out, g)
+	if usableServers == 0 {
+		return b.failPending(out, g)
 	}
 	slices.SortStableFunc(idle, func(x, y shed.Listing) int {
-		mx, my := b.makers[x.ID], b.makers[y.ID]
+		mx, my := b.producers[x.ID], b.producers[y.ID]
 		if mx.unreached != my.unreached {
 			// Tries come first: they leave the pieces to the others.
 			if mx.unreached {
@@ -47,83 +47,83 @@
 			}
 			return 1
 		}
-		if c := cmp.Compare(mx.doubted, my.doubted); c != 0 {
+		if c := cmp.Compare(mx.suspectedCalls, my.suspectedCalls); c != 0 {
 			return c
 		}
-		return cmp.Compare(mx.slow, my.slow)
+		return cmp.Compare(mx.slowness, my.slowness)
 	})
 	for _, s := range idle {
-		if len(g.waiting) == 0 {
+		if len(g.pending) == 0 {
 			break
 		}
-		b.sortWaiting(now, g, s.Zone)
-		if sound > 0 && b.makers[s.ID].unreached {
-			out = b.try(now, out, g, s)
+		b.sortPending(now, g, s.Zone)
+		if reachableServers > 0 && b.producers[s.ID].unreached {
+			out = b.probe(now, out, g, s)
 			continue
 		}
-		if b.worthWaiting(now, g, servers, s) {
+		if b.busyServerIsFaster(now, g, servers, s) {
 			continue
 		}
-		out = b.send(now, out, g, servers, s)
+		out = b.fillCall(now, out, g, servers, s)
 	}
 	return out
 }
 
-// giveUpLate answers pieces whose time would be over before a call ends: no
+// rejectLate answers pieces whose time would be over before a call ends: no
 // server need work on them.
-func (b *Batcher) giveUpLate(now time.Time, out []Action, g *group) []Action {
-	var keep []*piece
-	crowded := b.Wait(now, g.pool, g.limits).Last > crowdedFrom
-	for _, p := range g.waiting {
+func (b *Batcher) rejectLate(now time.Time, out []Action, g *group) []Action {
+	var kept []*piece
+	overloaded := b.Wait(now, g.pool, g.limits).Last > overloadWait
+	for _, p := range g.pending {
 		if p.settled || p.job.dropped {
 			continue
 		}
-		if p.out == 0 && b.hopeless(now, g, p, crowded) {
+		if p.inFlight == 0 && b.isTooLate(now, g, p, overloaded) {
 			out = b.settle(out, p, shed.PieceResult{End: shed.PieceLate})
 			continue
 		}
-		keep = append(keep, p)
+		kept = append(kept, p)
 	}
-	g.waiting = keep
+	g.pending = kept
 	return out
 }
 
-// hopeless tells whether the piece is not worth waiting for any more: its time
+// isTooLate tells whether the piece is not worth waiting for any more: its time
 // would be over before a call ends, or it would be late while others wait that
 // need not be. Then its caller is better told at once.
-func (b *Batcher) hopeless(now time.Time, g *group, p *piece, crowded bool) bool {
-	soonest := g.soonest(now)
-	return soonest.After(p.job.deadline) || crowded && soonest.After(p.job.aim.Add(doubtfulFor))
+func (b *Batcher) isTooLate(now time.Time, g *group, p *piece, overloaded bool) bool {
+	soonest := g.earliestCompletion(now)
+	return soonest.After(p.job.deadline) || overloaded && soonest.After(p.job.target.Add(lateMargin))
 }
 
-// failAll answers all pieces when no server can make them, so that the asker
+// failPending answers all pieces when no server can make them, so that the asker
 // may try another zone at once.
-func (b *Batcher) failAll(out []Action, g *group) []Action {
-	waiting := g.waiting
-	g.waiting = nil
+func (b *Batcher) failPending(out []Action, g *group) []Action {
+	waiting := g.pending
+	g.pending = nil
 	for _, p := range waiting {
 		out = b.settle(out, p, shed.PieceResult{End: shed.PieceFailed})
 	}
 	return out
 }
 
-// sortWaiting orders pieces by the time at which their results should be there.
+// sortPending orders pieces by the time at which their results should be there.
 // Those that can't make it any more come after the others by their deadline: if
 // they went first, all would be late once there is more than can be served.
 // Results are wanted near the server that will fetch them.
-func (b *Batcher) sortWaiting(now time.Time, g *group, zone shed.ZoneID) {
-	soonest := g.soonest(now)
+func (b *Batcher) sortPending(now time.Time, g *group, zone shed.ZoneID) {
+	soonest := g.earliestCompletion(now)
 	key := func(p *piece) time.Time {
-		due := p.job.aim
+		due := p.job.target
 		if due.Before(soonest) {
 			due = p.job.deadline
 		}
-		if p.wanted() == zone {
-			due = due.Add(-nearBonus)
+		if p.preferredZone() == zone {
+			due = due.Add(-sameZoneBonus)
 		}
 		return due
 	}
-	slices.SortStableFunc(g.waiting, func(x, y *piece) int {
+	slices.SortStableFunc(g.pending, func(x, y *piece) int {
 		if c := key(x).Compare(key(y)); c != 0 {
 			return c
 		}
@@ -131,28 +131,28 @@
 	})
 }
 
-// soonest is when a call that is sent now could be done.
-func (g *group) soonest(now time.Time) time.Time {
-	return now.Add(scale(expected(g.limits, min(len(g.waiting), g.limits.Most)), g.slow) + wayTime)
+// earliestCompletion is when a call that is sent now could be done.
+func (g *group) earliestCompletion(now time.Time) time.Time {
+	return now.Add(scale(expectedTime(g.limits, min(len(g.pending), g.limits.Most)), g.slowness) + networkTime)
 }
 
-func expected(l shed.BatchLimits, pieces int) time.Duration {
+func expectedTime(l shed.BatchLimits, pieces int) time.Duration {
 	return l.CallTime + time.Duration(pieces)*l.PieceTime
 }
 
-// worthWaiting tells whether a busy server would be done with the pieces before
+// busyServerIsFaster tells whether a busy server would be done with the pieces before
 // the idle, slow server s.
-func (b *Batcher) worthWaiting(now time.Time, g *group, servers []shed.Listing, s shed.Listing) bool {
-	n := min(len(g.waiting), g.limits.Most)
-	own := scale(expected(g.limits, n), b.makers[s.ID].slow)
+func (b *Batcher) busyServerIsFaster(now time.Time, g *group, servers []shed.Listing, s shed.Listing) bool {
+	n := min(len(g.pending), g.limits.Most)
+	own := scale(expectedTime(g.limits, n), b.producers[s.ID].slowness)
 	for _, other := range servers {
-		m := b.makers[other.ID]
-		if m.running == 0 || now.Before(m.shunned) || len(g.waiting) > g.limits.Most {
+		m := b.producers[other.ID]
+		if m.running == 0 || now.Before(m.backoffUntil) || len(g.pending) > g.limits.Most {
 			continue
 		}
 		c := b.calls[m.running]
-		left := max(c.began.Add(scale(c.expected, m.slow)).Sub(now), 0)
-		if left+scale(expected(g.limits, n), m.slow) < own {
+		left := max(c.sentAt.Add(scale(c.expected, m.slowness)).Sub(now), 0)
+		if left+scale(expectedTime(g.limits, n), m.slowness) < own {
 			return true
 		}
 	}
@@ -163,67 +163,67 @@
 	return time.Duration(float64(d) * by)
 }
 
-// try sends one piece, the least urgent one, to a server that the last call did not
+// probe sends one piece, the least urgent one, to a server that the last call did not
 // reach, to see whether it can be reached again. The piece goes on waiting for a
 // sound server: in a zone that was cut off from the others, pieces went from one
 // server beyond the cut to the next, 0.2 s each, for up to 1.3 s.
-func (b *Batcher) try(now time.Time, out []Action, g *group, s shed.Listing) []Action {
-	at := len(g.waiting) - 1
-	for at >= 0 && (g.waiting[at].settled || g.waiting[at].out > 0) {
+func (b *Batcher) probe(now time.Time, out []Action, g *group, s shed.Listing) []Action {
+	at := len(g.pending) - 1
+	for at >= 0 && (g.pending[at].settled || g.pending[at].inFlight > 0) {
 		at--
 	}
-	m := b.makers[s.ID]
-	if at < 0 || !m.mayHold(now, g.limits, g.waiting[at].Bytes) {
+	m := b.producers[s.ID]
+	if at < 0 || !m.canHold(now, g.limits, g.pending[at].Bytes) {
 		return out
 	}
-	return b.call(now, out, g, s, []*piece{g.waiting[at]})
+	return b.startCall(now, out, g, s, []*piece{g.pending[at]})
 }
 
-// send fills a call for the server with the most urgent pieces that it has room
+// fillCall fills a call for the server with the most urgent pieces that it has room
 // for.
-func (b *Batcher) send(now time.Time, out []Action, g *group, servers []shed.Listing, s shed.Listing) []Action {
-	room := b.makers[s.ID].room(now, g.limits)
-	near := b.nearness(now, g, servers)
-	var taken, rest []*piece
+func (b *Batcher) fillCall(now time.Time, out []Action, g *group, servers []shed.Listing, s shed.Listing) []Action {
+	room := b.producers[s.ID].freeBytes(now, g.limits)
+	schedule := b.zoneSchedule(now, g, servers)
+	var chosen, rest []*piece
 	var bytes int64
-	for _, p := range g.waiting {
+	for _, p := range g.pending {
 		if p.settled {
 			continue
 		}
-		apart := len(taken) > 0 && p.lot != taken[0].lot
-		if apart || len(taken) == g.limits.Most || !near.mayMake(p, s) || p.Bytes > room-bytes && g.limits.Room > 0 {
+		otherSubgroup := len(chosen) > 0 && p.subgroup != chosen[0].subgroup
+		if otherSubgroup || len(chosen) == g.limits.Most || !schedule.mayRunOn(p, s) || p.Bytes > room-bytes && g.limits.Room > 0 {
 			rest = append(rest, p)
 			continue
 		}
 		p.queued = false
-		taken = append(taken, p)
+		chosen = append(chosen, p)
 		bytes += p.Bytes
 		if p.Together && p.Near == "" {
-			p.job.near = s.Zone
+			p.job.preferredZone = s.Zone
 		}
 	}
-	if len(taken) == 0 {
+	if len(chosen) == 0 {
 		return out
 	}
-	g.waiting = rest
-	return b.call(now, out, g, s, taken)
+	g.pending = rest
+	return b.startCall(now, out, g, s, chosen)
 }
 
-// call sends pieces to a server.
-func (b *Batcher) call(now time.Time, out []Action, g *group, s shed.Listing, pieces []*piece) []Action {
-	m := b.makers[s.ID]
-	c := &call{server: s, group: g, began: now, pieces: pieces, expected: expected(g.limits, len(pieces))}
+// startCall sends pieces to a server.
+func (b *Batcher) startCall(now time.Time, out []Action, g *group, s shed.Listing, pieces []*piece) []Action {
+	m := b.producers[s.ID]
+	c := &call{server: s, group: g, sentAt: now, pieces: pieces, expected: expectedTime(g.limits, len(pieces))}
 	for _, p := range pieces {
 		c.bytes += p.Bytes
 	}
-	m.bytes += c.bytes
+	m.heldBytes += c.bytes
 	b.nextID++
 	m.running = b.nextID
 	b.calls[b.nextID] = c
-	c.doubt = now.Add(doubtTimes*scale(c.expected, max(m.slow, 1)) + doubtExtra)
-	send := Send{Call: b.nextID, Server: s, Limit: limitTimes*c.expected + limitExtra, Left: len(g.waiting)}
+	c.suspectAt = now.Add(suspectFactor*scale(c.expected, max(m.slowness, 1)) + suspectMargin)
+	send := Send{Call: b.nextID, Server: s, Limit: callLimitFactor*c.expected + callLimitMargin, Left: len(g.pending)}
 	for _, p := range c.pieces {
-		p.out++
+		p.inFlight++
 		piece := p.Piece
 		piece.Left = p.job.deadline.Sub(now)
 		send.Pieces = append(send.Pieces, piece)
@@ -231,48 +231,48 @@
 	return append(out, send)
 }
 
-// nearness tells, while one call is filled, whether the servers of a zone will
+// zoneSchedule tells, while one call is filled, whether the servers of a zone will
 // take the pieces that are wanted there.
-type nearness struct {
-	// done is when a call that is not sent yet could be done in a zone, room
+type zoneSchedule struct {
+	// completion is when a call that is not sent yet could be done in a zone, room
 	// is how many more pieces the zone's next calls have room for.
-	done map[shed.ZoneID]time.Time
-	room map[shed.ZoneID]int
+	completion map[shed.ZoneID]time.Time
+	freeSlots  map[shed.ZoneID]int
 }
 
-func (b *Batcher) nearness(now time.Time, g *group, servers []shed.Listing) nearness {
-	n := nearness{done: map[shed.ZoneID]time.Time{}, room: map[shed.ZoneID]int{}}
+func (b *Batcher) zoneSchedule(now time.Time, g *group, servers []shed.Listing) zoneSchedule {
+	n := zoneSchedule{completion: map[shed.ZoneID]time.Time{}, freeSlots: map[shed.ZoneID]int{}}
 	for _, s := range servers {
-		m := b.maker(s)
-		if now.Before(m.shunned) {
+		m := b.producer(s)
+		if now.Before(m.backoffUntil) {
 			continue
 		}
 		done := now
 		if c := b.calls[m.running]; c != nil {
-			done = shed.Later(now, c.began.Add(scale(c.expected, m.slow)))
+			done = shed.Later(now, c.sentAt.Add(scale(c.expected, m.slowness)))
 		}
-		done = done.Add(scale(expected(g.limits, g.limits.Most), m.slow))
-		if old, ok := n.done[s.Zone]; !ok || done.Before(old) {
-			n.done[s.Zone] = done
+		done = done.Add(scale(expectedTime(g.limits, g.limits.Most), m.slowness))
+		if old, ok := n.completion[s.Zone]; !ok || done.Before(old) {
+			n.completion[s.Zone] = done
 		}
-		n.room[s.Zone] += g.limits.Most
+		n.freeSlots[s.Zone] += g.limits.Most
 	}
 	return n
 }
 
-// mayMake keeps pieces whose results are wanted in one zone from servers of the
+// mayRunOn keeps pieces whose results are wanted in one zone from servers of the
 // others, as long as the next calls there have room for them and will be in
 // time: fetching large results from another zone is what users pay most for. A
 // piece that is kept back takes its place in those calls.
-func (n nearness) mayMake(p *piece, s shed.Listing) bool {
-	zone := p.wanted()
+func (n zoneSchedule) mayRunOn(p *piece, s shed.Listing) bool {
+	zone := p.preferredZone()
 	if zone == "" || zone == s.Zone {
 		return true
 	}
-	done, ok := n.done[zone]
-	if !ok || done.After(p.job.aim) || n.room[zone] <= 0 {
+	done, ok := n.completion[zone]
+	if !ok || done.After(p.job.target) || n.freeSlots[zone] <= 0 {
 		return true
 	}
-	n.room[zone]--
+	n.freeSlots[zone]--
 	return false
 }
--- a/internal/batch/machine_test.go
+++ b/internal/batch/machine_test.go
@@ -17,11 +17,11 @@
 // more, every job that was not dropped is answered.
 func TestAnyOrder(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		tb := newTable(t, "a", "a", "b")
+		tb := newHarness(t, "a", "a", "b")
 		all := tb.servers
 		asked := map[batch.JobID]int{}
 		next := batch.JobID(0)
-		given := func() map[shed.ResultRef]int {
+		resultCounts := func() map[shed.ResultRef]int {
 			refs := map[shed.ResultRef]int{}
 			for _, results := range tb.done {
 				for _, r := range results {
@@ -39,7 +39,7 @@
 			if len(tb.sends) == 0 {
 				return
 			}
-			s := tb.take()
+			s := tb.nextSend()
 			require.LessOrEqual(t, len(s.Pieces), limits.Most)
 			switch rapid.IntRange(0, 7).Draw(rt, "end") {
 			case 0:
@@ -62,7 +62,7 @@
 				n := rapid.IntRange(1, 9).Draw(rt, "pieces")
 				asked[next] = n
 				aim := time.Duration(rapid.IntRange(100, 2000).Draw(rt, "aim")) * time.Millisecond
-				tb.ask(next, n, aim, func(p *shed.Piece) {
+				tb.addJob(next, n, aim, func(p *shed.Piece) {
 					p.Together = n%2 == 0
 					if n%3 == 0 {
 						p.Near = "b"
@@ -70,7 +70,7 @@
 				})
 			},
 			"end":  func(*rapid.T) { end() },
-			"pass": func(rt *rapid.T) { tb.pass(time.Duration(rapid.IntRange(1, 900).Draw(rt, "ms")) * time.Millisecond) },
+			"pass": func(rt *rapid.T) { tb.advance(time.Duration(rapid.IntRange(1, 900).Draw(rt, "ms")) * time.Millisecond) },
 			"drop": func(rt *rapid.T) {
 				if next == 0 {
 					return
@@ -97,7 +97,7 @@
 						require.Len(rt, results, n)
 					}
 				}
-				for ref, n := range given() {
+				for ref, n := range resultCounts() {
 					require.Equal(rt, 1, n, "result %s was given or given up once", ref)
 				}
 			},
@@ -105,9 +105,9 @@
 		tb.servers = all
 		for range 200 {
 			for len(tb.sends) > 0 {
-				tb.answer(tb.take(), shed.PieceMade)
+				tb.answer(tb.nextSend(), shed.PieceMade)
 			}
-			tb.pass(100 * time.Millisecond)
+			tb.advance(100 * time.Millisecond)
 		}
 		for id := range asked {
 			require.Contains(rt, tb.done, id)
--- a/internal/batch/reach_test.go
+++ b/internal/batch/reach_test.go
@@ -15,28 +15,28 @@
 // again. Now only a single piece tries whether one is back, and the same piece does
 // not wait for it: it is made by the server that can be reached.
 func TestUnreachedServersAreTriedWithOnePiece(t *testing.T) {
-	tb := newTable(t, "b", "b", "b", "a")
+	tb := newHarness(t, "b", "b", "b", "a")
 	small := func(p *shed.Piece) { p.Bytes = 1 }
-	tb.ask(1, 16, time.Second, small)
+	tb.addJob(1, 16, time.Second, small)
 	for range 4 {
-		if s := tb.take(); s.Server.Zone == "b" {
+		if s := tb.nextSend(); s.Server.Zone == "b" {
 			tb.handle(batch.CallEnded{Call: s.Call, NotRun: true})
 		} else {
 			tb.answer(s, shed.PieceMade)
 		}
 	}
 	for len(tb.done) == 0 {
-		tb.answer(tb.take(), shed.PieceMade)
+		tb.answer(tb.nextSend(), shed.PieceMade)
 	}
-	tb.pass(2 * time.Second)
-	tb.ask(2, 9, time.Second, small)
-	tried, made := 0, 0
+	tb.advance(2 * time.Second)
+	tb.addJob(2, 9, time.Second, small)
+	probes, made := 0, 0
 	for len(tb.sends) > 0 {
-		s := tb.take()
+		s := tb.nextSend()
 		if s.Server.Zone == "b" {
 			require.Len(t, s.Pieces, 1)
-			tried++
-			tb.pass(50 * time.Millisecond)
+			probes++
+			tb.advance(50 * time.Millisecond)
 			tb.handle(batch.CallEnded{Call: s.Call, NotRun: true})
 			continue
 		}
@@ -44,14 +44,14 @@
 		tb.answer(s, shed.PieceMade)
 	}
 	require.Equal(t, 9, made)
-	require.Positive(t, tried)
+	require.Positive(t, probes)
 	require.Len(t, tb.done[2], 9)
-	tb.pass(4 * time.Second)
-	tb.ask(3, 1, time.Second, small)
+	tb.advance(4 * time.Second)
+	tb.addJob(3, 1, time.Second, small)
 	for len(tb.sends) > 0 {
-		tb.answer(tb.take(), shed.PieceMade)
+		tb.answer(tb.nextSend(), shed.PieceMade)
 	}
-	tb.ask(4, 16, time.Second, small)
+	tb.addJob(4, 16, time.Second, small)
 	require.GreaterOrEqual(t, len(tb.sends), 2, "a server that answered a try gets full calls again")
 }
 
@@ -61,19 +61,19 @@
 // as soon as no server is left to try, and so are those that come meanwhile; when a
 // server may be tried again, the next one that comes tries it.
 func TestNoServerCanBeReached(t *testing.T) {
-	tb := newTable(t, "a", "b")
-	tb.ask(1, 8, 5*time.Second, nil)
+	tb := newHarness(t, "a", "b")
+	tb.addJob(1, 8, 5*time.Second, nil)
 	for len(tb.sends) > 0 {
-		s := tb.take()
+		s := tb.nextSend()
 		tb.now = tb.now.Add(200 * time.Millisecond)
 		tb.handle(batch.CallEnded{Call: s.Call, NotRun: true})
 	}
 	require.Equal(t, shed.PieceFailed, tb.done[1][0].End)
 	require.LessOrEqual(t, tb.now.Sub(start), 600*time.Millisecond)
 	require.Equal(t, batch.NoServers, tb.b.Wait(tb.now, "p", limits).Timely)
-	tb.pass(time.Second)
+	tb.advance(time.Second)
 	require.Less(t, tb.b.Wait(tb.now, "p", limits).Timely, time.Second)
-	tb.ask(2, 1, 5*time.Second, nil)
-	tb.answer(tb.take(), shed.PieceMade)
+	tb.addJob(2, 1, 5*time.Second, nil)
+	tb.answer(tb.nextSend(), shed.PieceMade)
 	require.Equal(t, shed.PieceMade, tb.done[2][0].End)
 }
--- a/internal/batch/wait.go
+++ b/internal/batch/wait.go
@@ -20,11 +20,11 @@
 }
 
 const (
-	// slowLow and slowHigh bound a pool's slowness.
-	slowLow, slowHigh = 0.8, 3.0
-	// wayTime is about what a call takes beside the server's work: the ways to the
+	// minPoolSlowness and slowHigh bound a pool's slowness.
+	minPoolSlowness, maxPoolSlowness = 0.8, 3.0
+	// networkTime is about what a call takes beside the server's work: the ways to the
 	// server and back, and of the results to who asked.
-	wayTime = 20 * time.Millisecond
+	networkTime = 20 * time.Millisecond
 )
 
 // slowness is how much longer the pool's calls take than the configuration says:
@@ -32,36 +32,36 @@
 // the pieces of an overloaded pool were sent just in time by the configuration, and
 // most answers came just after their target.
 func (b *Batcher) slowness(now time.Time, pool shed.PoolID) float64 {
-	n, speed := 0, 0.0
+	n, totalSpeed := 0, 0.0
 	for _, s := range b.servers(pool) {
-		if m := b.maker(s); !now.Before(m.shunned) {
+		if m := b.producer(s); !now.Before(m.backoffUntil) {
 			n++
-			speed += 1 / m.slow
+			totalSpeed += 1 / m.slowness
 		}
 	}
 	if n == 0 {
 		return 1
 	}
-	return min(max(float64(n)/speed, slowLow), slowHigh)
+	return min(max(float64(n)/totalSpeed, minPoolSlowness), maxPoolSlowness)
 }
 
 // Wait predicts how long one more piece of the pool would take.
 func (b *Batcher) Wait(now time.Time, pool shed.PoolID, limits shed.BatchLimits) Forecast {
 	var rate float64
-	soonest := time.Duration(-1)
+	earliestFree := time.Duration(-1)
 	for _, s := range b.servers(pool) {
-		m := b.maker(s)
-		if m.away(now) {
+		m := b.producer(s)
+		if m.isUnreachable(now) {
 			continue
 		}
-		rate += float64(limits.Most) / (float64(expected(limits, limits.Most)) * m.slow)
+		rate += float64(limits.Most) / (float64(expectedTime(limits, limits.Most)) * m.slowness)
 		left := time.Duration(0)
 		if c := b.calls[m.running]; c != nil {
-			left = max(c.began.Add(scale(c.expected, m.slow)).Sub(now), 0)
+			left = max(c.sentAt.Add(scale(c.expected, m.slowness)).Sub(now), 0)
 		}
-		left = max(left, m.shunned.Sub(now))
-		if soonest < 0 || left < soonest {
-			soonest = left
+		left = max(left, m.backoffUntil.Sub(now))
+		if earliestFree < 0 || left < earliestFree {
+			earliestFree = left
 		}
 	}
 	if rate == 0 {
@@ -74,7 +74,7 @@
 		if n >= limits.Most {
 			queue = time.Duration(float64(n) / rate)
 		}
-		return soonest + queue + scale(expected(limits, min(n+1, limits.Most)), slow) + wayTime
+		return earliestFree + queue + scale(expectedTime(limits, min(n+1, limits.Most)), slow) + networkTime
 	}
 	return Forecast{Timely: wait(timely), Last: wait(all), Slow: slow, Rate: rate * float64(time.Second)}
 }
@@ -85,13 +85,13 @@
 	if g == nil {
 		return 0, 0
 	}
-	soonest := g.soonest(now)
-	for _, p := range g.waiting {
+	soonest := g.earliestCompletion(now)
+	for _, p := range g.pending {
 		if p.settled {
 			continue
 		}
 		all++
-		if !p.job.aim.Before(soonest) {
+		if !p.job.target.Before(soonest) {
 			timely++
 		}
 	}
@@ -110,7 +110,7 @@
 	}
 	var out []shed.PoolID
 	for _, g := range b.order {
-		if running[g] || len(g.waiting) > 0 {
+		if running[g] || len(g.pending) > 0 {
 			out = append(out, g.pool)
 		}
 	}
@@ -120,7 +120,7 @@
 // Waiting is how many pieces of a pool wait here.
 func (b *Batcher) Waiting(pool shed.PoolID) int {
 	if g := b.groups[pool]; g != nil {
-		return len(g.waiting)
+		return len(g.pending)
 	}
 	return 0
 }
