--- a/internal/batch/batch.go
+++ b/internal/batch/batch.go
@@ -1,11 +1,10 @@
-// Package batch decides in which calls the pieces of many requests run. It is
-// pure.
+// Package batch groups pieces of many requests into calls to backend servers. It does no I/O
+// and reads no clock: the caller passes events and times in and performs the returned actions.
 //
-// A call to a server costs a large fixed time whatever it holds, and a server
-// runs one call at a time. If every VM sent its own small calls, the servers'
-// queues would fill with nearly empty ones. So the pieces for one pool meet at
-// one VM, which keeps one call running on each server and fills the next one
-// with the most urgent pieces.
+// A call to a server costs a large fixed time whatever it holds, and a server runs one call at
+// a time. If every VM sent its own small calls, the servers' queues would fill with nearly
+// empty ones. So one VM coordinates the pieces for one pool: it keeps one call running on each
+// server and fills the next one with the most urgent pieces.
 package batch
 
 import (
@@ -16,36 +15,37 @@
 )
 
 const (
-	// slownessWeight is the weight of the newest call in a server's slowness.
+	// slownessWeight is the weight of the newest call in the moving average of a server's
+	// slowness.
 	slownessWeight = 0.3
-	// minSlowness and slowMost bound a server's slowness.
+	// minSlowness and maxSlowness bound a server's slowness.
 	minSlowness, maxSlowness = 0.5, 10.0
-	// callLimitFactor and limitExtra give the time after which a call is given up:
-	// servers are seen to turn five times as slow and go on.
+	// callLimitFactor and callLimitMargin give the time after which a call is abandoned.
+	// Servers have been seen to become five times as slow and still answer.
 	callLimitFactor = 6
 	callLimitMargin = 300 * time.Millisecond
-	// suspectFactor and doubtExtra give the time after which a call's pieces are
-	// sent to another server too, and the first server gets no others: it may
-	// be slow, or silent for good.
+	// suspectFactor and suspectMargin give the time after which a call's pieces are hedged on
+	// another server; the first server gets no other pieces, since it may be slow or
+	// permanently unresponsive.
 	suspectFactor = 2
 	suspectMargin = 100 * time.Millisecond
-	// sameZoneBonus is how much sooner a piece counts as due at a server of the zone
-	// where its result is wanted.
+	// sameZoneBonus is how much earlier a piece counts as due at a server of the zone where
+	// its result is wanted.
 	sameZoneBonus = 100 * time.Millisecond
-	// initialBackoff is how long a server is left alone after a call that failed; it
-	// doubles with each further one, up to shunMost.
+	// initialBackoff is how long a server is avoided after a failed call; it doubles with each
+	// further failure, up to maxBackoff.
 	initialBackoff = 500 * time.Millisecond
 	maxBackoff     = 2 * time.Second
-	// maxTries is how often a piece is sent at the most; a repeat draws on the
-	// fleet's budget of repeats.
+	// maxTries limits how often a piece is sent. Retries draw on the fleet's retry budget.
 	maxTries = 3
-	// overloadWait is the wait for all pieces from which those that would be late
-	// anyway are given up: about two full calls.
+	// overloadWait is the predicted wait for all pending pieces, about two full calls, from
+	// which pieces that would miss their target are rejected.
 	overloadWait = 700 * time.Millisecond
-	// lateMargin is how much too late a piece must be foreseen to be given up: what
-	// is foreseen has that much to spare for most requests.
+	// lateMargin is how far beyond its target a piece must be predicted to end before it is
+	// rejected: for most requests the prediction is that much too long.
 	lateMargin = 200 * time.Millisecond
-	// usableCapacityShare of a server's room is used: sizes are approximate.
+	// usableCapacityShare is the share of a server's result capacity that is used; result
+	// sizes are approximate.
 	usableCapacityShare = 0.92
 )
 
@@ -62,7 +62,7 @@
 func (Done) action() {}
 func (Free) action() {}
 
-// Batcher gathers pieces. It is not safe for concurrent use.
+// Batcher batches pieces into calls. It is not safe for concurrent use.
 type Batcher struct {
 	servers      Servers
 	groups       map[shed.PoolID]*group
@@ -76,7 +76,7 @@
 	order []*group
 }
 
-// group is what is gathered for one pool.
+// group holds the pending pieces of one pool.
 type group struct {
 	pool    shed.PoolID
 	limits  shed.BatchLimits
@@ -85,21 +85,21 @@
 	slowness float64
 }
 
-// job is what one daemon asked for at once.
+// job is one request for pieces by a daemon.
 type job struct {
 	id        JobID
 	group     *group
 	results   []shed.PieceResult
 	unsettled int
 	dropped   bool
-	// target and deadline are when the results should and must be there.
+	// target and deadline are the soft and the hard time limit of the results.
 	target, deadline time.Time
-	// preferredZone is the zone where all its results are wanted, once one piece has
-	// been sent there.
+	// preferredZone is the zone where all its results are wanted; set once a piece has been
+	// sent to that zone.
 	preferredZone shed.ZoneID
 }
 
-// preferredZone is the zone where the piece's result is wanted; empty if in any.
+// preferredZone is the zone where the piece's result is wanted; empty if any will do.
 func (p *piece) preferredZone() shed.ZoneID {
 	if p.Near != "" {
 		return p.Near
@@ -111,20 +111,21 @@
 type piece struct {
 	shed.Piece
 	job   *job
-	index int // in job.results
+	index int // index in job.results
 	tries int
-	// inFlight is how many calls have it; above 1 once one of them is in doubt.
+	// inFlight counts the calls that include it; above 1 once one of them is suspect.
 	inFlight int
 	settled  bool
-	// crashes counts the calls with it under which servers ended. After one, it only goes
-	// along with pieces of its lot; 0 is no lot.
+	// crashes counts the calls with it under which servers crashed. After a crash it is only
+	// sent with pieces of its subgroup; 0 means no subgroup.
 	crashes, subgroup int
-	// queued: it is among the group's waiting pieces, also if a call has it.
+	// queued is set while the piece is among the group's pending pieces, even if it is also in
+	// flight.
 	queued bool
 }
 
-// enqueue lets a piece wait, once: one that was queued twice went out twice in one
-// call.
+// enqueue adds a piece to the pending ones unless it is already there: a piece queued twice
+// would be sent twice in one call.
 func (g *group) enqueue(p *piece) {
 	if !p.queued {
 		p.queued = true
@@ -132,7 +133,7 @@
 	}
 }
 
-// countFailure counts a try that failed, unless the piece waits for another server anyway.
+// countFailure counts a failed try, unless the piece is pending for another server anyway.
 func (p *piece) countFailure() {
 	if !p.queued {
 		p.tries++
@@ -147,7 +148,8 @@
 	sentAt   time.Time
 	expected time.Duration
 	bytes    int64
-	// suspectAt is when its pieces go to another server too; doubted: they have.
+	// suspectAt is when its pieces are hedged on another server; suspected is set once they
+	// are.
 	suspectAt time.Time
 	suspected bool
 }
@@ -164,7 +166,7 @@
 	}
 }
 
-// Handle takes one event and returns what to do.
+// Handle processes one event and returns the actions to perform.
 func (b *Batcher) Handle(now time.Time, ev Event) []Action {
 	var out []Action
 	switch ev := ev.(type) {
@@ -210,8 +212,8 @@
 	}
 }
 
-// dropJob forgets the job's pieces that wait; results of those that run are given
-// up when their call ends.
+// dropJob removes the job's pending pieces. Results of those in flight are released when their
+// call ends.
 func (b *Batcher) dropJob(id JobID) {
 	j := b.jobs[id]
 	if j == nil {
@@ -272,7 +274,7 @@
 		}
 		return b.settle(out, p, r)
 	case shed.PieceNoRoom:
-		// The server holds more than is known here, so it gets less for a while.
+		// The server holds more than this VM has accounted for, so it gets less for a while.
 		m.unaccounted = append(m.unaccounted, unaccountedBytes{bytes: p.Bytes, expires: now.Add(c.group.limits.KeepFor / 2)})
 		return b.requeue(out, p)
 	case shed.PieceFailed:
@@ -285,8 +287,8 @@
 	return b.settle(out, p, r)
 }
 
-// requeue puts a piece back to be sent once more, unless that was often enough or
-// another call still has it.
+// requeue makes a piece pending again, unless it has used up its tries or another call still
+// has it.
 func (b *Batcher) requeue(out []Action, p *piece) []Action {
 	if p.job.dropped || p.settled || p.queued || p.inFlight > 0 {
 		return out
@@ -298,12 +300,11 @@
 	return out
 }
 
-// hedgeSuspectCalls looks for calls that take much longer than their server usually does.
-// Their pieces go to another server too, the result that comes first counts,
-// and the other one is given up: a server that fell silent would else hold up
-// requests until the call's limit.
-// The server gets one more call on another connection: if only the answer was
-// lost, it has long been idle.
+// hedgeSuspectCalls finds calls that take much longer than usual for their server and hedges
+// their pieces: they are sent to another server too, the first result counts and the other one
+// is released. Otherwise an unresponsive server would delay requests until the call's limit.
+// The server gets one more call on another connection: if only the answer was lost, it has
+// long been idle.
 func (b *Batcher) hedgeSuspectCalls(now time.Time) {
 	for _, g := range b.order {
 		for _, s := range b.servers(g.pool) {
@@ -337,7 +338,7 @@
 	return append(out, Done{Job: j.id, Results: j.results})
 }
 
-// movePending answers all pieces that wait.
+// movePending answers all pending pieces with PieceMoved.
 func (b *Batcher) movePending(out []Action) []Action {
 	for _, g := range b.order {
 		waiting := g.pending
--- a/internal/batch/batch_test.go
+++ b/internal/batch/batch_test.go
@@ -19,7 +19,7 @@
 	}
 )
 
-// harness hosts a Batcher in virtual time.
+// harness runs a Batcher in virtual time.
 type harness struct {
 	t       *testing.T
 	b       *batch.Batcher
@@ -67,7 +67,7 @@
 	tb.handle(batch.Asked{Job: job, Pool: "p", Limits: limits, Pieces: pieces})
 }
 
-// nextSend returns the oldest call that was sent.
+// nextSend removes and returns the oldest call that was sent.
 func (tb *harness) nextSend() batch.Send {
 	require.NotEmpty(tb.t, tb.sends)
 	s := tb.sends[0]
@@ -102,8 +102,8 @@
 	return out
 }
 
-// Many small requests meet in full calls: one call runs on the server, the rest
-// waits and fills the next one, the most urgent first.
+// While the server runs a call, the pieces of small requests must be batched: the next call is
+// full and holds the most urgent ones first.
 func TestPiecesMeetInFullCalls(t *testing.T) {
 	tb := newHarness(t, "a")
 	tb.addJob(1, 1, time.Second, nil)
@@ -117,10 +117,9 @@
 	require.Equal(t, []shed.RequestID{"q4", "q4", "q3", "q2"}, requests(tb.nextSend()))
 }
 
-// Load beyond what a server can do: each 0.1 s a request comes that should be
-// done within half a second, though a full call of four takes 0.19 s. The
-// servers' time goes to requests that can be in time; the others are told at
-// once and hold up nobody.
+// Overload: every 0.1 s a request arrives with a target of half a second, while a full call of
+// four pieces takes 0.19 s. The servers' time must go to requests that can meet their target;
+// the others are rejected at once and delay no other request.
 func TestOverloadServesInTimeWhatItServes(t *testing.T) {
 	tb := newHarness(t, "a")
 	var running *batch.Send
@@ -149,7 +148,7 @@
 				late++
 			}
 			if results[0].End == shed.PieceLate {
-				require.LessOrEqual(t, tb.now.Sub(asked[id]), 600*time.Millisecond, "told as soon as it can't be in time")
+				require.LessOrEqual(t, tb.now.Sub(asked[id]), 600*time.Millisecond, "rejected as soon as it can't meet its target")
 			}
 			delete(tb.done, id)
 		}
@@ -159,14 +158,14 @@
 	require.LessOrEqual(t, late, 3)
 }
 
-// A server has room for ten results. No call asks for more than fit beside those
-// that it holds, until it was told that some are given up.
+// A server has capacity for ten results. No call may hold more pieces than fit beside the
+// results held there, until the server has been notified that some are released.
 func TestRoomIsCounted(t *testing.T) {
 	tb := newHarness(t, "a")
 	tb.addJob(1, 9, 20*time.Second, func(p *shed.Piece) { p.Left = 30 * time.Second })
 	tb.answer(tb.nextSend(), shed.PieceMade)
 	tb.answer(tb.nextSend(), shed.PieceMade)
-	// 920 bytes are used at the most: one more piece fits.
+	// At most 920 bytes are used, so one more piece fits.
 	s := tb.nextSend()
 	require.Len(t, s.Pieces, 1)
 	tb.answer(s, shed.PieceMade)
@@ -175,13 +174,13 @@
 	require.Empty(t, tb.sends)
 	tb.handle(batch.Freed{Refs: refs})
 	require.Equal(t, refs, tb.freed)
-	require.Empty(t, tb.sends, "the server has not been told yet")
+	require.Empty(t, tb.sends, "the server has not been notified yet")
 	tb.handle(batch.FreeEnded{Refs: refs})
 	require.Len(t, tb.nextSend().Pieces, 2)
 }
 
-// Results that nobody frees are dropped by the server after a while; their room
-// must come back here, too.
+// Servers drop results that nobody frees after the retention period; the Batcher must then
+// count their capacity as free again.
 func TestRoomComesBack(t *testing.T) {
 	tb := newHarness(t, "a")
 	tb.addJob(1, 4, time.Second, func(p *shed.Piece) { p.Bytes = 230 })
@@ -192,9 +191,8 @@
 	require.Len(t, tb.nextSend().Pieces, 4)
 }
 
-// The caller waits for a server that fell silent. After twice the usual time the
-// pieces go to another server too, and the first result counts; the other one
-// is given up.
+// A server does not answer while the caller waits. After twice the usual time its pieces must
+// be hedged on another server; the first result counts and the other one is released.
 func TestSilentServer(t *testing.T) {
 	tb := newHarness(t, "a", "b")
 	tb.addJob(1, 2, 2*time.Second, nil)
@@ -208,8 +206,8 @@
 	require.Len(t, tb.freed, 2)
 }
 
-// A call's answer is lost, but the server lives: it gets one more call at once,
-// not only after the first one's limit.
+// A call's answer is lost, but the server is alive. It must get one more call once the first
+// one is suspect, not only after that call's limit.
 func TestLostAnswerDoesNotIdleTheServer(t *testing.T) {
 	tb := newHarness(t, "a")
 	tb.addJob(1, 1, 2*time.Second, nil)
@@ -221,7 +219,8 @@
 	require.Equal(t, shed.PieceMade, tb.done[1][0].End)
 }
 
-// A refusal by a full server is no try: some other VM's calls are in its queue.
+// A refusal by a full server must not count as a try: the server is busy with calls of another
+// VM.
 func TestFullServerIsNoTry(t *testing.T) {
 	tb := newHarness(t, "a")
 	tb.addJob(1, 1, 4*time.Second, nil)
@@ -234,8 +233,8 @@
 	require.Equal(t, shed.PieceMade, tb.done[1][0].End)
 }
 
-// A server breaks off again and again. The piece isn't sent for ever: its
-// request is told that it can't be made.
+// Every call to the servers fails. The piece must not be retried for ever: its request gets a
+// failure.
 func TestBrokenCallsEnd(t *testing.T) {
 	tb := newHarness(t, "a", "a")
 	tb.addJob(1, 1, 4*time.Second, nil)
@@ -246,8 +245,8 @@
 	require.Equal(t, shed.PieceFailed, tb.done[1][0].End)
 }
 
-// No server may have work, as when operators took all zones out: the request is
-// told at once.
+// No server may get work, as when operators took all zones out of service: the request must
+// fail at once.
 func TestNoServer(t *testing.T) {
 	tb := newHarness(t)
 	tb.addJob(1, 2, time.Second, nil)
@@ -255,8 +254,8 @@
 	require.Equal(t, batch.NoServers, tb.b.Wait(tb.now, "p", limits).Timely)
 }
 
-// The caller has gone: its pieces are not sent any more, and what was made for
-// it is given up.
+// The caller has gone: its pending pieces must not be sent, and results made for it must be
+// released.
 func TestDropped(t *testing.T) {
 	tb := newHarness(t, "a")
 	tb.addJob(1, 1, time.Second, nil)
@@ -270,8 +269,8 @@
 	require.Len(t, tb.freed, 1)
 }
 
-// The VM stops: what waits goes back to those who asked, who ask the next VM;
-// what runs is ended.
+// The VM stops: pending pieces go back to the requesting VMs, which ask the next coordinator;
+// calls in flight run to their end.
 func TestStoppedHandsBack(t *testing.T) {
 	tb := newHarness(t, "a")
 	tb.addJob(1, 1, time.Second, nil)
@@ -283,8 +282,8 @@
 	require.Equal(t, shed.PieceMade, tb.done[1][0].End)
 }
 
-// Each piece of the next step fetches all results of this one, so a step's
-// pieces stay in one zone though a server of another one is idle.
+// Each piece of the next step fetches all results of this step, so the pieces of a step must
+// stay in one zone even if a server of another zone is idle.
 func TestTogether(t *testing.T) {
 	tb := newHarness(t, "a", "b")
 	together := func(p *shed.Piece) { p.Together, p.Bytes = true, 0 }
@@ -296,8 +295,8 @@
 	require.Equal(t, shed.ZoneID("a"), tb.nextSend().Server.Zone)
 }
 
-// Large results are wanted in zone b, whose server is busy. As long as it will
-// be in time, the idle one in zone a gets none of them.
+// Large results are wanted in zone b, whose server is busy. The idle server in zone a must get
+// only the pieces that would otherwise miss their target.
 func TestNearUnlessLate(t *testing.T) {
 	tb := newHarness(t, "a", "b")
 	near := func(p *shed.Piece) { p.Near, p.Bytes = "b", 0 }
@@ -311,8 +310,8 @@
 	require.Equal(t, []shed.RequestID{"q3"}, requests(s))
 }
 
-// Another VM gathered before this one and told what servers hold for it. That
-// room counts as taken, and comes back as those results lapse.
+// Another VM coordinated the pool before this one and reported what servers hold for it. That
+// capacity must count as used, and become free as those results expire.
 func TestRoomHeldForAnotherVM(t *testing.T) {
 	tb := newHarness(t, "a")
 	tb.handle(batch.HeldElsewhere{From: "vm2", Held: map[shed.ServerID]int64{"s0": 920}, Keep: limits.KeepFor})
@@ -322,19 +321,18 @@
 	require.Len(t, tb.nextSend().Pieces, 1)
 }
 
-// What is foreseen of an idle pool is what its configuration says: two servers make
-// four pieces each in 0.19 s.
+// The forecast of an idle pool must follow its configuration: two servers make four pieces
+// each in 0.19 s.
 func TestForecastOfAnIdlePool(t *testing.T) {
 	tb := newHarness(t, "a", "b")
 	f := tb.b.Wait(tb.now, "p", limits)
 	require.InDelta(t, 8/0.19, f.Rate, 0.1)
 	require.InDelta(t, 1, f.Slow, 0.01)
-	require.InDelta(t, 0.18, f.Timely.Seconds(), 0.001, "a call with one piece, and its way")
+	require.InDelta(t, 0.18, f.Timely.Seconds(), 0.001, "a call with one piece, and its network time")
 }
 
-// All calls of a pool take twice as long as its configuration says. Its pieces were
-// sent just in time by the configuration, and came late. Now the calls that were
-// seen count: what can't be in time that way makes room for what can.
+// All calls of a pool take twice as long as its configuration says. Pieces were sent just in
+// time by the configuration and came late; the measured call times must count in the forecast.
 func TestSlowPoolIsForeseenSlow(t *testing.T) {
 	tb := newHarness(t, "a")
 	for job := range batch.JobID(20) {
--- a/internal/batch/crash.go
+++ b/internal/batch/crash.go
@@ -6,10 +6,11 @@
 	shed "jasmineshed"
 )
 
-// splitRequests parts the requests of a call under which its server ended into two lots, which no
-// longer go in one call with each other or with others. Sent again as a whole they would
-// end one server after the other; so the one to blame is alone after a few, and the others
-// come through. One that was alone, and ends several servers, is not sent again.
+// splitRequests divides the requests of a call under which its server crashed into two
+// subgroups, which are never again sent in one call with each other or with others. Sent again
+// as a whole they would crash one server after the other; bisecting isolates the request that
+// causes the crash in a few calls, and the others succeed. A request that is alone and crashes
+// several servers is not sent again.
 func (b *Batcher) splitRequests(c *call) {
 	var requests []shed.RequestID
 	for _, p := range c.pieces {
--- a/internal/batch/crash_test.go
+++ b/internal/batch/crash_test.go
@@ -11,8 +11,8 @@
 	"jasmineshed/internal/batch"
 )
 
-// Pieces of eight requests go in one call, and one of them ends its server. Sent again as
-// a whole they ended one server after the other, and nobody's pieces were made.
+// Pieces of eight requests are in one call, and one of them crashes its server. Sent again as
+// a whole they crashed one server after the other, and no piece was made.
 func TestCallThatEndsItsServerIsSplit(t *testing.T) {
 	tb := newHarness(t, "a")
 	const culprit = batch.JobID(5)
--- a/internal/batch/dispatch.go
+++ b/internal/batch/dispatch.go
@@ -8,7 +8,7 @@
 	shed "jasmineshed"
 )
 
-// dispatch gives the group's waiting pieces to servers that have no call.
+// dispatch assigns the group's pending pieces to servers that have no call.
 func (b *Batcher) dispatch(now time.Time, out []Action, g *group) []Action {
 	if len(g.pending) == 0 {
 		return out
@@ -41,7 +41,7 @@
 	slices.SortStableFunc(idle, func(x, y shed.Listing) int {
 		mx, my := b.producers[x.ID], b.producers[y.ID]
 		if mx.unreached != my.unreached {
-			// Tries come first: they leave the pieces to the others.
+			// Probes go first: a probed piece stays pending for the other servers.
 			if mx.unreached {
 				return -1
 			}
@@ -69,8 +69,8 @@
 	return out
 }
 
-// rejectLate answers pieces whose time would be over before a call ends: no
-// server need work on them.
+// rejectLate answers pieces whose deadline would pass before a call ends, so that no server
+// works on them.
 func (b *Batcher) rejectLate(now time.Time, out []Action, g *group) []Action {
 	var kept []*piece
 	overloaded := b.Wait(now, g.pool, g.limits).Last > overloadWait
@@ -88,16 +88,16 @@
 	return out
 }
 
-// isTooLate tells whether the piece is not worth waiting for any more: its time
-// would be over before a call ends, or it would be late while others wait that
-// need not be. Then its caller is better told at once.
+// isTooLate reports whether a call that is sent now would end after the piece's deadline or,
+// under overload, too far after its target while other pieces could still meet theirs. Its
+// caller is then better told at once.
 func (b *Batcher) isTooLate(now time.Time, g *group, p *piece, overloaded bool) bool {
 	soonest := g.earliestCompletion(now)
 	return soonest.After(p.job.deadline) || overloaded && soonest.After(p.job.target.Add(lateMargin))
 }
 
-// failPending answers all pieces when no server can make them, so that the asker
-// may try another zone at once.
+// failPending fails all pending pieces when no server can run them, so that the caller can try
+// another zone at once.
 func (b *Batcher) failPending(out []Action, g *group) []Action {
 	waiting := g.pending
 	g.pending = nil
@@ -107,10 +107,9 @@
 	return out
 }
 
-// sortPending orders pieces by the time at which their results should be there.
-// Those that can't make it any more come after the others by their deadline: if
-// they went first, all would be late once there is more than can be served.
-// Results are wanted near the server that will fetch them.
+// sortPending orders pieces by target. Those that can no longer meet their target come after
+// the others, by deadline: if they went first, all pieces would be late under overload. Pieces
+// count as due sooner in the zone of the server that will fetch their results.
 func (b *Batcher) sortPending(now time.Time, g *group, zone shed.ZoneID) {
 	soonest := g.earliestCompletion(now)
 	key := func(p *piece) time.Time {
@@ -131,7 +130,7 @@
 	})
 }
 
-// earliestCompletion is when a call that is sent now could be done.
+// earliestCompletion is when a call that is sent now could end.
 func (g *group) earliestCompletion(now time.Time) time.Time {
 	return now.Add(scale(expectedTime(g.limits, min(len(g.pending), g.limits.Most)), g.slowness) + networkTime)
 }
@@ -140,8 +139,8 @@
 	return l.CallTime + time.Duration(pieces)*l.PieceTime
 }
 
-// busyServerIsFaster tells whether a busy server would be done with the pieces before
-// the idle, slow server s.
+// busyServerIsFaster reports whether a busy server would finish the pieces before the idle,
+// slow server s.
 func (b *Batcher) busyServerIsFaster(now time.Time, g *group, servers []shed.Listing, s shed.Listing) bool {
 	n := min(len(g.pending), g.limits.Most)
 	own := scale(expectedTime(g.limits, n), b.producers[s.ID].slowness)
@@ -163,10 +162,10 @@
 	return time.Duration(float64(d) * by)
 }
 
-// probe sends one piece, the least urgent one, to a server that the last call did not
-// reach, to see whether it can be reached again. The piece goes on waiting for a
-// sound server: in a zone that was cut off from the others, pieces went from one
-// server beyond the cut to the next, 0.2 s each, for up to 1.3 s.
+// probe sends one piece, the least urgent one, to a server that the last call did not reach,
+// to see whether it is reachable again. The piece stays pending for a healthy server: in a
+// zone that was partitioned from the others, pieces went from one unreachable server to the
+// next, 0.2 s each, for up to 1.3 s.
 func (b *Batcher) probe(now time.Time, out []Action, g *group, s shed.Listing) []Action {
 	at := len(g.pending) - 1
 	for at >= 0 && (g.pending[at].settled || g.pending[at].inFlight > 0) {
@@ -179,8 +178,8 @@
 	return b.startCall(now, out, g, s, []*piece{g.pending[at]})
 }
 
-// fillCall fills a call for the server with the most urgent pieces that it has room
-// for.
+// fillCall fills a call with the most urgent pieces whose results fit the server's free
+// capacity.
 func (b *Batcher) fillCall(now time.Time, out []Action, g *group, servers []shed.Listing, s shed.Listing) []Action {
 	room := b.producers[s.ID].freeBytes(now, g.limits)
 	schedule := b.zoneSchedule(now, g, servers)
@@ -231,11 +230,11 @@
 	return append(out, send)
 }
 
-// zoneSchedule tells, while one call is filled, whether the servers of a zone will
-// take the pieces that are wanted there.
+// zoneSchedule tracks, while one call is filled, whether the servers of a zone can take the
+// pieces whose results are wanted there.
 type zoneSchedule struct {
-	// completion is when a call that is not sent yet could be done in a zone, room
-	// is how many more pieces the zone's next calls have room for.
+	// completion is when a call that is not sent yet could end in a zone; freeSlots is how
+	// many more pieces fit the zone's next calls.
 	completion map[shed.ZoneID]time.Time
 	freeSlots  map[shed.ZoneID]int
 }
@@ -260,10 +259,10 @@
 	return n
 }
 
-// mayRunOn keeps pieces whose results are wanted in one zone from servers of the
-// others, as long as the next calls there have room for them and will be in
-// time: fetching large results from another zone is what users pay most for. A
-// piece that is kept back takes its place in those calls.
+// mayRunOn keeps pieces whose results are wanted in one zone off servers of other zones, as
+// long as the next calls of that zone have free slots and meet the target: fetching large
+// results from another zone is what users pay most for. A piece that is held back uses up a
+// slot of those calls.
 func (n zoneSchedule) mayRunOn(p *piece, s shed.Listing) bool {
 	zone := p.preferredZone()
 	if zone == "" || zone == s.Zone {
--- a/internal/batch/event.go
+++ b/internal/batch/event.go
@@ -6,16 +6,16 @@
 	shed "jasmineshed"
 )
 
-// JobID names what one daemon asked for at once.
+// JobID identifies one request for pieces by a daemon.
 type JobID uint64
 
-// CallID names one call.
+// CallID identifies one call.
 type CallID uint64
 
-// Event is what the driver tells.
+// Event is an input from the driver.
 type Event interface{ event() }
 
-// Asked means that pieces are wanted. The driver answers the job with Done.
+// Asked requests pieces. The driver answers the job when it gets Done.
 type Asked struct {
 	Job    JobID
 	Pool   shed.PoolID
@@ -23,57 +23,57 @@
 	Pieces []shed.Piece
 }
 
-// Dropped means that nobody wants the job any more.
+// Dropped means that the job's results are no longer wanted.
 type Dropped struct{ Job JobID }
 
-// CallEnded means that a call is over. Results is nil if it gave none.
+// CallEnded means that a call is over. Results is nil if it produced none.
 type CallEnded struct {
 	Call    CallID
 	Results []shed.PieceResult
-	// NotRun: the server said that it has not run the call, or nothing can
+	// NotRun is set if the server said that it has not run the call, or if the call cannot
 	// have reached it.
 	NotRun bool
-	// Crashed: the server ended under the call.
+	// Crashed is set if the server crashed during the call.
 	Crashed bool
-	// Busy: the server refused since it is full.
+	// Busy is set if the server refused the call because it is full.
 	Busy bool
 }
 
-// Freed means that results are given up.
+// Freed means that results are no longer needed.
 type Freed struct{ Refs []shed.ResultRef }
 
-// FreeEnded means that the servers have been told, and have room again.
+// FreeEnded means that the servers have been notified, and their capacity is free again.
 type FreeEnded struct{ Refs []shed.ResultRef }
 
-// HeldElsewhere means that another VM told what servers hold for it. A VM that
-// begins to gather knows by it which room is taken: without it, many pieces found none
-// for the seconds after a gatherer was stopped.
+// HeldElsewhere reports what servers hold for another VM. A VM that starts to coordinate a
+// pool uses it to know the used capacity: without it, many pieces were refused for lack of
+// capacity in the seconds after a coordinator was stopped.
 type HeldElsewhere struct {
 	From shed.VM
 	Held map[shed.ServerID]int64
-	// Keep is how long servers keep results.
+	// Keep is how long servers retain results.
 	Keep time.Duration
 }
 
-// Stopped means that this VM gathers no more: what waits goes back to those who
-// asked, what runs is ended. Else two VMs would gather for the same servers
-// until the last piece that waits is made, with twice the calls.
+// Stopped means that this VM stops coordinating: pending pieces go back to the VMs that
+// requested them, calls in flight run to their end. Otherwise two VMs would coordinate the
+// same servers, with twice the calls, until the last pending piece is made.
 type Stopped struct{}
 
-// Tick lets time pass.
+// Tick means that time has passed.
 type Tick struct{}
 
-// Action is what the driver is to do.
+// Action is what the driver has to perform.
 type Action interface{ action() }
 
-// Send asks to run a call. The driver ends it with one CallEnded.
+// Send requests a call. The driver ends it with one CallEnded.
 type Send struct {
 	Call   CallID
 	Server shed.Listing
 	Pieces []shed.Piece
-	// Limit is the time after which the call is given up.
+	// Limit is the time after which the call is abandoned.
 	Limit time.Duration
-	// Left is how many pieces go on waiting.
+	// Left is how many pieces stay pending.
 	Left int
 }
 
@@ -83,8 +83,8 @@
 	Results []shed.PieceResult
 }
 
-// Free asks to give results up at the server that holds them.
+// Free requests that results be released at the server that holds them.
 type Free struct{ Refs []shed.ResultRef }
 
-// Servers gives the servers of a pool that may have new work, sorted by id.
+// Servers returns the servers of a pool that may get new work, sorted by id.
 type Servers func(shed.PoolID) []shed.Listing
--- a/internal/batch/machine_test.go
+++ b/internal/batch/machine_test.go
@@ -11,10 +11,9 @@
 	"jasmineshed/internal/batch"
 )
 
-// Whatever happens to calls and servers, in any order: each job is answered at
-// most once, with a result for each piece; no call holds more than it may; a
-// result that nobody was given is given up; and once nothing goes wrong any
-// more, every job that was not dropped is answered.
+// Whatever happens to calls and servers, in any order: each job is answered at most once, with
+// a result for each piece; no call exceeds its limit; a result that was given to no job is
+// released; and once faults cease, every job that was not dropped is answered.
 func TestAnyOrder(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		tb := newHarness(t, "a", "a", "b")
@@ -98,7 +97,7 @@
 					}
 				}
 				for ref, n := range resultCounts() {
-					require.Equal(rt, 1, n, "result %s was given or given up once", ref)
+					require.Equal(rt, 1, n, "result %s was given to a job or released exactly once", ref)
 				}
 			},
 		})
--- a/internal/batch/producer.go
+++ b/internal/batch/producer.go
@@ -7,32 +7,34 @@
 	shed "jasmineshed"
 )
 
-// producer is one server as this daemon has seen it work.
+// producer is the state of one server as seen by this VM.
 type producer struct {
 	born int64
-	// running is the call under way; 0 if none.
+	// running is the call in flight; 0 if none.
 	running CallID
-	// slowness is how much longer its calls take than expected.
+	// slowness is the ratio of actual to expected call time.
 	slowness float64
-	// backoffUntil until then, after so many failures in a row.
+	// backoffUntil is when the server may get calls again after consecutiveFailures.
 	backoffUntil        time.Time
 	consecutiveFailures int
-	// unreached: the last call did not reach it.
+	// unreached is set if the last call did not reach the server.
 	unreached bool
-	// heldBytes of results that it holds, or will once its call is done.
+	// heldBytes is the size of results that it holds, or will hold once its call ends.
 	heldBytes int64
-	// unaccounted are results that it may hold though nobody here knows them: of
-	// calls whose answer was lost, or made through another VM.
+	// unaccounted are results that it may hold without this VM knowing them: of calls whose
+	// answer was lost, or made through another VM.
 	unaccounted []unaccountedBytes
-	// suspectedCalls calls are out while the server got another one.
+	// suspectedCalls counts suspect calls in flight beside which the server may get another
+	// one.
 	suspectedCalls int
-	// heldForOthers is what it holds for other VMs that gather or did so lately.
+	// heldForOthers is what it holds for other VMs that coordinate the pool or did so
+	// recently.
 	heldForOthers map[shed.VM]heldElsewhere
 }
 
-// isUnreachable tells whether the server could not be reached and is not tried again yet.
-// Requests must not wait for it: if all servers of a pool are beyond a cut, pieces
-// went from one to the next until their callers gave up.
+// isUnreachable reports whether the server could not be reached and its backoff has not ended.
+// Requests must not wait for it: when all servers of a pool were partitioned off, pieces went
+// from one to the next until their callers gave up.
 func (m *producer) isUnreachable(now time.Time) bool {
 	return m.unreached && now.Before(m.backoffUntil)
 }
@@ -48,7 +50,7 @@
 	expires time.Time
 }
 
-// usedBytes is how much of the server's room is taken.
+// usedBytes is how much of the server's result capacity is used.
 func (m *producer) usedBytes(now time.Time) int64 {
 	m.unaccounted = slices.DeleteFunc(m.unaccounted, func(u unaccountedBytes) bool { return now.After(u.expires) })
 	used := m.heldBytes
@@ -56,19 +58,19 @@
 		used += u.bytes
 	}
 	for _, o := range m.heldForOthers {
-		// What was held then lapses, or is given up, within keep.
+		// What was held at the report expires or is released within the retention period.
 		left := 1 - float64(now.Sub(o.reportedAt))/float64(o.retention)
 		used += int64(float64(o.bytes) * max(left, 0))
 	}
 	return used
 }
 
-// freeBytes is how many bytes of results it has room for.
+// freeBytes is the server's free result capacity.
 func (m *producer) freeBytes(now time.Time, l shed.BatchLimits) int64 {
 	return int64(float64(l.Room)*usableCapacityShare) - m.usedBytes(now)
 }
 
-// canHold tells whether it has room for one more result.
+// canHold reports whether the server has capacity for one more result.
 func (m *producer) canHold(now time.Time, l shed.BatchLimits, bytes int64) bool {
 	return l.Room == 0 || bytes <= m.freeBytes(now, l)
 }
@@ -79,9 +81,9 @@
 	expires time.Time
 }
 
-// recordFailure leaves the server alone for a while, so that the other servers,
-// or another zone, get the pieces. One that is just full is tried again when a
-// call of somebody else may have ended.
+// recordFailure backs off from the server for a while, so that the other servers, or another
+// zone, get the pieces. One that is just full is tried again when another VM's call may have
+// ended.
 func (b *Batcher) recordFailure(now time.Time, m *producer, c *call, ev CallEnded) {
 	if ev.Busy {
 		m.backoffUntil = now.Add(c.expected / 2)
@@ -91,7 +93,7 @@
 		m.unaccounted = append(m.unaccounted, unaccountedBytes{bytes: c.bytes, expires: now.Add(c.group.limits.KeepFor)})
 	}
 	if c.suspected && m.consecutiveFailures == 0 {
-		// The server answered a later call: it lives, only this answer was lost.
+		// The server answered a later call, so it is alive and only this answer was lost.
 		return
 	}
 	m.unreached = ev.NotRun
@@ -99,9 +101,8 @@
 	m.consecutiveFailures++
 }
 
-// freeResults gives results up; those that this daemon doesn't know may have been
-// made through another one. Their room counts as taken until the server was
-// told.
+// freeResults releases results; those that this VM doesn't know may have been made through
+// another one. Their capacity counts as used until the server has been notified.
 func (b *Batcher) freeResults(out []Action, refs []shed.ResultRef) []Action {
 	if len(refs) == 0 {
 		return out
@@ -134,7 +135,7 @@
 	}
 }
 
-// Held are the bytes that servers hold for this VM.
+// Held returns the bytes that servers hold for this VM.
 func (b *Batcher) Held() map[shed.ServerID]int64 {
 	out := map[shed.ServerID]int64{}
 	for id, m := range b.producers {
@@ -145,7 +146,7 @@
 	return out
 }
 
-// expireResults forgets results that their servers have dropped by now.
+// expireResults forgets results whose retention period at their server is over.
 func (b *Batcher) expireResults(now time.Time) {
 	for ref, h := range b.held {
 		if now.After(h.expires) {
@@ -164,7 +165,7 @@
 		m.born = s.Born
 	}
 	if m.born != s.Born {
-		// A new start holds nothing of before.
+		// A restarted server holds no earlier results.
 		*m = producer{born: s.Born, slowness: 1, running: m.running, heldBytes: b.runningBytes(m.running)}
 		for ref, h := range b.held {
 			if h.server == s.ID {
@@ -182,7 +183,7 @@
 	return 0
 }
 
-// allowParallelCall lets a server have a call beside the one in doubt.
+// allowParallelCall lets a server have one call beside the suspect one.
 func (b *Batcher) allowParallelCall(s shed.Listing) {
 	m := b.producers[s.ID]
 	if m.suspectedCalls++; m.suspectedCalls == 1 {
@@ -190,7 +191,7 @@
 	}
 }
 
-// countRetryableSoon is 1 if the server is left alone for a moment only, since it was full.
+// countRetryableSoon is 1 if the server is only avoided briefly because it was full, else 0.
 func (b *Batcher) countRetryableSoon(now time.Time, m *producer) int {
 	if m.consecutiveFailures == 0 || m.backoffUntil.Sub(now) < initialBackoff/2 {
 		return 1
--- a/internal/batch/reach_test.go
+++ b/internal/batch/reach_test.go
@@ -10,10 +10,10 @@
 	"jasmineshed/internal/batch"
 )
 
-// Three of four servers lie beyond a cut: calls to them end after a while, not run.
-// Callers' pieces went to one of them after the other, each time they were free
-// again. Now only a single piece tries whether one is back, and the same piece does
-// not wait for it: it is made by the server that can be reached.
+// Three of four servers are partitioned off, and calls to them end after a while without
+// having run. All pieces of callers went to one of them after the other whenever it was free.
+// Now a single piece probes whether such a server is back, and does not wait for it: the
+// reachable server makes it.
 func TestUnreachedServersAreTriedWithOnePiece(t *testing.T) {
 	tb := newHarness(t, "b", "b", "b", "a")
 	small := func(p *shed.Piece) { p.Bytes = 1 }
@@ -52,14 +52,13 @@
 		tb.answer(tb.nextSend(), shed.PieceMade)
 	}
 	tb.addJob(4, 16, time.Second, small)
-	require.GreaterOrEqual(t, len(tb.sends), 2, "a server that answered a try gets full calls again")
+	require.GreaterOrEqual(t, len(tb.sends), 2, "a server that answered a probe gets full calls again")
 }
 
-// A zone is cut off, and operators had taken its own servers out: none that is left
-// can be reached. Callers waited there until they gave up, since pieces went from one
-// server to the next for ever, and others were let in behind them. Now they are told
-// as soon as no server is left to try, and so are those that come meanwhile; when a
-// server may be tried again, the next one that comes tries it.
+// A zone is partitioned off while its own servers are out of service, so no server is
+// reachable. Pieces went from one server to the next for ever, callers waited until they gave
+// up, and others were admitted behind them. Callers must get a failure as soon as no server is
+// left to try; once the backoff ends, the next piece tries a server again.
 func TestNoServerCanBeReached(t *testing.T) {
 	tb := newHarness(t, "a", "b")
 	tb.addJob(1, 8, 5*time.Second, nil)
--- a/internal/batch/wait.go
+++ b/internal/batch/wait.go
@@ -8,29 +8,26 @@
 
 // Forecast predicts, from now, how long one more piece of the pool would take.
 type Forecast struct {
-	// Timely is the time if it goes before those that can't be in time any
-	// more, Last if it goes after all others.
+	// Timely is the time if the piece goes before those that can no longer meet their target,
+	// Last the time if it goes after all others.
 	Timely, Last time.Duration
-	// Slow is how much longer calls take than the configuration says; 0 if it isn't
-	// known.
+	// Slow is the ratio of actual to configured call time; 0 if unknown.
 	Slow float64
-	// Rate is how many pieces the pool makes in a second in full calls; 0 if it
-	// isn't known.
+	// Rate is how many pieces the pool makes per second in full calls; 0 if unknown.
 	Rate float64
 }
 
 const (
-	// minPoolSlowness and slowHigh bound a pool's slowness.
+	// minPoolSlowness and maxPoolSlowness bound a pool's slowness.
 	minPoolSlowness, maxPoolSlowness = 0.8, 3.0
-	// networkTime is about what a call takes beside the server's work: the ways to the
-	// server and back, and of the results to who asked.
+	// networkTime approximates what a call takes beside the server's work: the round trip to
+	// the server and the transfer of results to the requesting VM.
 	networkTime = 20 * time.Millisecond
 )
 
-// slowness is how much longer the pool's calls take than the configuration says:
-// the harmonic mean over its servers, since fast ones get more calls. Without it,
-// the pieces of an overloaded pool were sent just in time by the configuration, and
-// most answers came just after their target.
+// slowness is the ratio of actual to configured call time of the pool: the harmonic mean over
+// its servers, since fast ones get more calls. Without it, pieces of an overloaded pool were
+// sent just in time by the configuration, and most answers just missed their target.
 func (b *Batcher) slowness(now time.Time, pool shed.PoolID) float64 {
 	n, totalSpeed := 0, 0.0
 	for _, s := range b.servers(pool) {
@@ -79,7 +76,7 @@
 	return Forecast{Timely: wait(timely), Last: wait(all), Slow: slow, Rate: rate * float64(time.Second)}
 }
 
-// backlog counts the pieces that wait: those that can be in time, and all.
+// backlog counts the pending pieces: those that can meet their target, and all.
 func (b *Batcher) backlog(now time.Time, pool shed.PoolID) (timely, all int) {
 	g := b.groups[pool]
 	if g == nil {
@@ -101,8 +98,7 @@
 // NoServers is what Wait predicts for a pool without servers.
 const NoServers = time.Hour
 
-// Busy are the pools with pieces that wait or run, in the order of their first
-// use.
+// Busy returns the pools with pieces pending or in flight, in the order of their first use.
 func (b *Batcher) Busy() []shed.PoolID {
 	running := map[*group]bool{}
 	for _, c := range b.calls {
@@ -117,7 +113,7 @@
 	return out
 }
 
-// Waiting is how many pieces of a pool wait here.
+// Waiting returns the number of pending pieces of a pool.
 func (b *Batcher) Waiting(pool shed.PoolID) int {
 	if g := b.groups[pool]; g != nil {
 		return len(g.pending)
