--- a/internal/picker/fetch.go
+++ b/internal/picker/fetch.go
@@ -9,13 +9,13 @@
 
 // fetchLeast is the least that is worth fetching, in tokens: below it, setting the
 // transfer up takes about as long as reading.
-const fetchLeast shed.Tokens = 256
+const minFetch shed.Tokens = 256
 
 // fetchSetUp is what a fetch takes beside the transfer.
-const fetchSetUp = 5 * time.Millisecond
+const fetchSetupTime = 5 * time.Millisecond
 
 // farTimes is how much longer a fetch from another zone takes.
-const farTimes = 2
+const crossZoneFetchFactor = 2
 
 // donors are, by zone, the servers that keep the most of the shared parts of a
 // prompt, and the one that keeps the most of all.
@@ -25,43 +25,43 @@
 // takes a fraction of the time that reading it again takes, during which all other
 // requests of that server would wait for their next token.
 type donors struct {
-	zone map[shed.ZoneID]donor
-	best donor
-	// shared are the tokens of the prompt's shared parts.
-	shared shed.Tokens
+	byZone map[shed.ZoneID]donor
+	best   donor
+	// sharedTokens are the tokens of the prompt's shared parts.
+	sharedTokens shed.Tokens
 }
 
 type donor struct {
 	server *roster.Server
-	// keeps are the tokens of shared parts that it has.
-	keeps shed.Tokens
+	// cachedTokens are the tokens of shared parts that it has.
+	cachedTokens shed.Tokens
 }
 
-func (p *Picker) donors(now time.Time, w *Want, from []*roster.Server, chain []uint64) donors {
+func (p *Picker) findDonors(now time.Time, w *Want, servers []*roster.Server, chain []uint64) donors {
 	var out donors
 	if !w.Engine || w.FetchRate <= 0 || len(chain) == 0 {
 		return out
 	}
 	for _, part := range w.Prompt[:len(chain)] {
-		out.shared += part.Tokens
+		out.sharedTokens += part.Tokens
 	}
-	for _, s := range from {
+	for _, s := range servers {
 		st := p.state(s)
-		d := donor{server: s, keeps: st.keeps(now, w, chain)}
-		if d.keeps < fetchLeast || avoided(w.Avoid, s.ID) {
+		d := donor{server: s, cachedTokens: st.cachedTokens(now, w, chain)}
+		if d.cachedTokens < minFetch || avoided(w.Avoid, s.ID) {
 			continue
 		}
-		if p.zone(s.Zone).now(now) > mostFaults || st.faults.now(now) > mostFaults {
+		if p.zoneFailureRate(s.Zone).now(now) > maxDonorFailureRate || st.failures.now(now) > maxDonorFailureRate {
 			continue
 		}
-		if d.keeps > out.best.keeps {
+		if d.cachedTokens > out.best.cachedTokens {
 			out.best = d
 		}
-		if d.keeps > out.zone[s.Zone].keeps {
-			if out.zone == nil {
-				out.zone = map[shed.ZoneID]donor{}
+		if d.cachedTokens > out.byZone[s.Zone].cachedTokens {
+			if out.byZone == nil {
+				out.byZone = map[shed.ZoneID]donor{}
 			}
-			out.zone[s.Zone] = d
+			out.byZone[s.Zone] = d
 		}
 	}
 	return out
@@ -69,14 +69,14 @@
 
 // mostFaults is the share of failed calls from which a server is asked for nothing
 // that can be had without it.
-const mostFaults = 0.1
+const maxDonorFailureRate = 0.1
 
-// keeps is how many tokens of the prompt's shared parts the server has.
-func (st *state) keeps(now time.Time, w *Want, chain []uint64) shed.Tokens {
+// cachedTokens is how many tokens of the prompt's shared parts the server has.
+func (st *state) cachedTokens(now time.Time, w *Want, chain []uint64) shed.Tokens {
 	var out shed.Tokens
 	for i, h := range chain {
 		at, ok := st.prefixes[h]
-		if !ok || now.Sub(at) > keepPrefix {
+		if !ok || now.Sub(at) > prefixRetention {
 			break
 		}
 		out += w.Prompt[i].Tokens
@@ -84,21 +84,21 @@
 	return out
 }
 
-// fetch lets the chosen server fetch what it lacks of the shared parts, and returns
+// planFetch lets the chosen server fetch what it lacks of the shared parts, and returns
 // how many tokens of them it need not read.
-func (d donors) fetch(c *Choice, s *roster.Server, again shed.Tokens) shed.Tokens {
-	if again < fetchLeast {
+func (d donors) planFetch(c *Choice, s *roster.Server, reread shed.Tokens) shed.Tokens {
+	if reread < minFetch {
 		return 0
 	}
-	has := d.shared - again
-	from := d.zone[s.Zone]
-	if from.keeps < has+fetchLeast {
-		from = d.best
+	cached := d.sharedTokens - reread
+	source := d.byZone[s.Zone]
+	if source.cachedTokens < cached+minFetch {
+		source = d.best
 	}
-	if from.keeps < has+fetchLeast || from.server == s {
+	if source.cachedTokens < cached+minFetch || source.server == s {
 		return 0
 	}
-	c.Donor, c.Fetched = from.server, from.keeps-has
+	c.Donor, c.Fetched = source.server, source.cachedTokens-cached
 	c.Missing -= min(c.Missing, c.Fetched)
 	return c.Fetched
 }
@@ -110,7 +110,7 @@
 	}
 	took := time.Duration(float64(c.Fetched) / rate * float64(time.Millisecond))
 	if c.Donor.Zone != c.Server.Zone {
-		took *= farTimes
+		took *= crossZoneFetchFactor
 	}
-	return fetchSetUp + took
+	return fetchSetupTime + took
 }
--- a/internal/picker/fetch_test.go
+++ b/internal/picker/fetch_test.go
@@ -91,21 +91,21 @@
 // Bursts come in prefixes that few servers have. Wherever the load went, engines read
 // them again, and first events came later for all.
 func TestHotPrefixInABurst(t *testing.T) {
-	without, with := hotPrefix(0), hotPrefix(fetchRate)
+	without, with := replayHotPrefixes(0), replayHotPrefixes(fetchRate)
 	t.Logf("read again: %+v; fetched: %+v", without, with)
 	require.Less(t, with.read, without.read)
-	require.Less(t, with.slow, without.slow)
+	require.Less(t, with.p90, without.p90)
 }
 
-// engineWork is what engines did in a replay: tokens read, and the time in which 90
+// replayResult is what engines did in a replay: tokens read, and the time in which 90
 // of 100 first events came.
-type engineWork struct {
+type replayResult struct {
 	read shed.Tokens
-	slow time.Duration
+	p90  time.Duration
 }
 
-// hotPrefix plays a burst of requests with six prefixes at nine engines.
-func hotPrefix(rate float64) engineWork {
+// replayHotPrefixes plays a burst of requests with six prefixes at nine engines.
+func replayHotPrefixes(rate float64) replayResult {
 	const perSec, readRate, last = 25, 38, 10 * time.Second
 	rng := rand.New(rand.NewPCG(2, 2))
 	from := servers(9, nil)
@@ -118,7 +118,7 @@
 	}
 	var runs []running
 	var took []time.Duration
-	var work engineWork
+	var work replayResult
 	for now := start; now.Before(start.Add(last)); {
 		now = now.Add(time.Duration(rng.ExpFloat64() * float64(time.Second) / perSec))
 		runs = slices.DeleteFunc(runs, func(r running) bool {
@@ -149,6 +149,6 @@
 		runs = append(runs, running{c: c, at: ends})
 	}
 	slices.Sort(took)
-	work.slow = took[len(took)*9/10]
+	work.p90 = took[len(took)*9/10]
 	return work
 }
--- a/internal/picker/overrun.go
+++ b/internal/picker/overrun.go
@@ -6,10 +6,10 @@
 	// FirstOverrun is about what a server takes to the first event beyond reading
 	// the prompts that are known, as long as none was measured.
 	FirstOverrun = 40 * time.Millisecond
-	// overrunShare is the weight of the newest sample: the last 16 count.
-	overrunShare = 1.0 / 16
-	// mostOverrun bounds a sample: a server that is ill says nothing of the others.
-	mostOverrun = 600 * time.Millisecond
+	// overrunWeight is the weight of the newest sample: the last 16 count.
+	overrunWeight = 1.0 / 16
+	// maxOverrun bounds a sample: a server that is ill says nothing of the others.
+	maxOverrun = 600 * time.Millisecond
 )
 
 // overrun is how long first events take beyond what is foreseen: requests of other
@@ -18,10 +18,10 @@
 type overrun struct{ mean, spread time.Duration }
 
 func (o *overrun) add(sample time.Duration) {
-	sample = min(max(sample, 0), mostOverrun)
-	off := sample - o.mean
-	o.mean += time.Duration(overrunShare * float64(off))
-	o.spread += time.Duration(overrunShare * float64(off.Abs()-o.spread))
+	sample = min(max(sample, 0), maxOverrun)
+	deviation := sample - o.mean
+	o.mean += time.Duration(overrunWeight * float64(deviation))
+	o.spread += time.Duration(overrunWeight * float64(deviation.Abs()-o.spread))
 }
 
 // Overrun is what a first event takes beyond Choice.Time, for most requests.
--- a/internal/picker/picker.go
+++ b/internal/picker/picker.go
@@ -22,26 +22,26 @@
 	// DefaultReadRate is in tokens a millisecond; it only weighs waiting against
 	// reading a shared prefix again.
 	DefaultReadRate = 50.0
-	// farCost is what a hop to another zone costs in the choice: the round trip, and
+	// crossZoneCost is what a hop to another zone costs in the choice: the round trip, and
 	// the bytes between zones, which users pay for.
-	farCost = 6 * time.Millisecond
-	// againCost is what each token of a shared part that the server would have
+	crossZoneCost = 6 * time.Millisecond
+	// rereadCost is what each token of a shared part that the server would have
 	// to read adds in the choice, up to againMost, beside the time: users pay
 	// for parts that are read again, and the reading delays all others there.
-	againCost = 30 * time.Microsecond
-	againMost = 80 * time.Millisecond
-	// runCost is what each request that runs on an engine adds to the first
+	rereadCost    = 30 * time.Microsecond
+	maxRereadCost = 80 * time.Millisecond
+	// runningRequestCost is what each request that runs on an engine adds to the first
 	// token's delay: its share of the batch step and of prompts being read.
-	runCost = 4 * time.Millisecond
-	// isolateCost is what each request on a server adds in the choice for one under which
+	runningRequestCost = 4 * time.Millisecond
+	// isolationCost is what each request on a server adds in the choice for one under which
 	// the server may end.
-	isolateCost = time.Second
-	// usualTime is taken for a plain call while no server was called yet.
-	usualTime = 30 * time.Millisecond
-	// timeShare is the weight of the newest sample in a server's mean time.
-	timeShare = 0.2
-	// keepPrefix is how long a prefix is taken to stay in a server's memory.
-	keepPrefix = 30 * time.Second
+	isolationCost = time.Second
+	// defaultCallTime is taken for a plain call while no server was called yet.
+	defaultCallTime = 30 * time.Millisecond
+	// callTimeWeight is the weight of the newest sample in a server's mean time.
+	callTimeWeight = 0.2
+	// prefixRetention is how long a prefix is taken to stay in a server's memory.
+	prefixRetention = 30 * time.Second
 	// maxPrefixes bounds what is remembered of one server's memory.
 	maxPrefixes = 2048
 )
@@ -51,12 +51,12 @@
 type Picker struct {
 	cfg     Config
 	servers map[shed.ServerID]*state
-	// zones holds how often servers of a zone could not be reached lately.
-	zones   map[shed.ZoneID]*faults
-	overrun overrun
-	// told is what each peer last said, so that a choice need not look at each
+	// zoneFailures holds how often servers of a zone could not be reached lately.
+	zoneFailures map[shed.ZoneID]*failureRate
+	overrun      overrun
+	// peerShares is what each peer last said, so that a choice need not look at each
 	// peer for each server.
-	told map[shed.VM]map[shed.ServerID]shed.ServerShare
+	peerShares map[shed.VM]map[shed.ServerID]shed.ServerShare
 }
 
 // New returns a Picker that knows of no load.
@@ -65,9 +65,9 @@
 		cfg.ReadRate = DefaultReadRate
 	}
 	return &Picker{
-		cfg: cfg, servers: map[shed.ServerID]*state{}, zones: map[shed.ZoneID]*faults{},
-		told:    map[shed.VM]map[shed.ServerID]shed.ServerShare{},
-		overrun: overrun{mean: FirstOverrun},
+		cfg: cfg, servers: map[shed.ServerID]*state{}, zoneFailures: map[shed.ZoneID]*failureRate{},
+		peerShares: map[shed.VM]map[shed.ServerID]shed.ServerShare{},
+		overrun:    overrun{mean: FirstOverrun},
 	}
 }
 
@@ -128,20 +128,20 @@
 
 // Pick returns the server with the least cost among from, which is sorted by
 // id; Server is nil if there is none.
-func (p *Picker) Pick(now time.Time, w Want, from []*roster.Server) Choice {
+func (p *Picker) Pick(now time.Time, w Want, servers []*roster.Server) Choice {
 	var best Choice
-	chain := chains(w.Prompt)
-	usual := p.usual(from)
-	donors := p.donors(now, &w, from, chain)
-	held, away := false, time.Duration(0)
-	for _, s := range from {
+	chain := prefixChains(w.Prompt)
+	usual := p.fastestCallTime(servers)
+	donors := p.findDonors(now, &w, servers, chain)
+	held, unreachableFor := false, time.Duration(0)
+	for _, s := range servers {
 		if avoided(w.Avoid, s.ID) {
 			continue
 		}
 		st := p.state(s)
-		if left := st.away.Sub(now); left > 0 {
-			if away == 0 || left < away {
-				away = left
+		if left := st.backoffUntil.Sub(now); left > 0 {
+			if unreachableFor == 0 || left < unreachableFor {
+				unreachableFor = left
 			}
 			continue
 		}
@@ -153,31 +153,31 @@
 			held = true
 			continue
 		}
-		c := p.cost(now, &w, s, st, chain, usual, donors)
+		c := p.evaluate(now, &w, s, st, chain, usual, donors)
 		c.ByTurn = access == ByTurn
 		if best.Server == nil || c.Cost < best.Cost {
 			best = c
 		}
 	}
 	if best.Server == nil {
-		best.Held, best.Away = held, away
+		best.Held, best.Away = held, unreachableFor
 	}
 	return best
 }
 
-// usual is the time taken for a server not called yet: that of the fastest one,
+// fastestCallTime is the time taken for a server not called yet: that of the fastest one,
 // so that a new or reopened server is tried.
-func (p *Picker) usual(from []*roster.Server) time.Duration {
-	least := time.Duration(0)
-	for _, s := range from {
-		if took := p.state(s).took; took > 0 && (least == 0 || took < least) {
-			least = took
+func (p *Picker) fastestCallTime(servers []*roster.Server) time.Duration {
+	fastest := time.Duration(0)
+	for _, s := range servers {
+		if took := p.state(s).meanCallTime; took > 0 && (fastest == 0 || took < fastest) {
+			fastest = took
 		}
 	}
-	if least == 0 {
-		return usualTime
+	if fastest == 0 {
+		return defaultCallTime
 	}
-	return least
+	return fastest
 }
 
 func avoided(avoid []shed.ServerID, id shed.ServerID) bool {
@@ -189,21 +189,21 @@
 	return false
 }
 
-func (p *Picker) cost(
+func (p *Picker) evaluate(
 	now time.Time, w *Want, s *roster.Server, st *state, chain []uint64, usual time.Duration, donors donors,
 ) Choice {
-	running, reading := st.own+st.peers.Running, st.reading+st.peers.Reading
+	running, reading := st.ownRunning+st.peers.Running, st.ownReading+st.peers.Reading
 	c := Choice{Server: s}
 	if w.Engine {
-		var again shed.Tokens
-		c.Missing, again = st.missing(now, w, chain)
-		again -= donors.fetch(&c, s, again)
-		c.Time = p.readTime(c.Missing) + c.fetchTime(w.FetchRate) + p.readTime(reading) + time.Duration(running)*runCost
+		var reread shed.Tokens
+		c.Missing, reread = st.missingTokens(now, w, chain)
+		reread -= donors.planFetch(&c, s, reread)
+		c.Time = p.readTime(c.Missing) + c.fetchTime(w.FetchRate) + p.readTime(reading) + time.Duration(running)*runningRequestCost
 		c.Cost = c.Time
-		c.Cost += min(time.Duration(again)*againCost, againMost)
-		c.Cost += homeCost(s, chain, p.readTime(c.Missing))
+		c.Cost += min(time.Duration(reread)*rereadCost, maxRereadCost)
+		c.Cost += rendezvousCost(s, chain, p.readTime(c.Missing))
 	} else {
-		took := st.took
+		took := st.meanCallTime
 		if took == 0 {
 			took = usual
 		}
@@ -213,23 +213,23 @@
 		}
 	}
 	if s.Zone != p.cfg.Zone {
-		c.Cost += farCost
+		c.Cost += crossZoneCost
 	}
 	if w.Isolate {
-		c.Cost += time.Duration(running) * isolateCost
+		c.Cost += time.Duration(running) * isolationCost
 	}
 	if w.Zone != "" && s.Zone != w.Zone {
 		c.Cost += w.ZoneCost
 	}
-	c.Cost += st.faults.cost(now, faultCost) + p.zone(s.Zone).cost(now, zoneCost)
+	c.Cost += st.failures.cost(now, failureCost) + p.zoneFailureRate(s.Zone).cost(now, zoneFailureCost)
 	return c
 }
 
-func (p *Picker) zone(id shed.ZoneID) *faults {
-	f := p.zones[id]
+func (p *Picker) zoneFailureRate(id shed.ZoneID) *failureRate {
+	f := p.zoneFailures[id]
 	if f == nil {
-		f = &faults{}
-		p.zones[id] = f
+		f = &failureRate{}
+		p.zoneFailures[id] = f
 	}
 	return f
 }
--- a/internal/picker/picker_test.go
+++ b/internal/picker/picker_test.go
@@ -191,7 +191,7 @@
 		}
 	}
 	now := start
-	lost := 0
+	unreached := 0
 	for i := range 20 {
 		w := prompt("x", i)
 		c := p.Pick(now, w, from)
@@ -202,11 +202,11 @@
 			p.Ended(now, c, picker.End{})
 			continue
 		}
-		lost++
+		unreached++
 		now = now.Add(200 * time.Millisecond)
 		p.Ended(now, c, picker.End{Failed: true, Unreached: true})
 	}
-	require.LessOrEqual(t, lost, 2)
+	require.LessOrEqual(t, unreached, 2)
 	now = now.Add(6 * time.Second)
 	require.EqualValues(t, "b", p.Pick(now, prompt("y", 99), from).Server.Zone)
 }
@@ -231,14 +231,14 @@
 func TestOnlyServerBeyondACut(t *testing.T) {
 	from := servers(1, nil)
 	p := picker.New(picker.Config{Zone: "a"})
-	lost := func(now time.Time) {
+	failToConnect := func(now time.Time) {
 		c := p.Pick(now, picker.Want{}, from)
 		require.NotNil(t, c.Server)
 		p.Placed(now, picker.Want{}, c)
 		p.Ended(now, c, picker.End{Failed: true, Unreached: true})
 	}
-	lost(start)
-	lost(start.Add(200 * time.Millisecond))
+	failToConnect(start)
+	failToConnect(start.Add(200 * time.Millisecond))
 	now := start.Add(210 * time.Millisecond)
 	c := p.Pick(now, picker.Want{}, from)
 	require.Nil(t, c.Server)
@@ -246,7 +246,7 @@
 	require.LessOrEqual(t, c.Away, time.Second)
 	require.False(t, c.Held)
 	now = now.Add(c.Away)
-	lost(now)
+	failToConnect(now)
 	c = p.Pick(now, picker.Want{}, from)
 	require.Greater(t, c.Away, 500*time.Millisecond, "longer each time")
 	now = now.Add(c.Away)
@@ -254,7 +254,7 @@
 	p.Placed(now, picker.Want{}, c)
 	p.Ended(now, c, picker.End{Took: time.Millisecond})
 	require.NotNil(t, p.Pick(now, picker.Want{}, from).Server, "it is back")
-	lost(now)
+	failToConnect(now)
 	require.NotNil(t, p.Pick(now, picker.Want{}, from).Server, "one lost packet says little")
 }
 
--- a/internal/picker/prefix.go
+++ b/internal/picker/prefix.go
@@ -9,11 +9,11 @@
 	"jasmineshed/internal/roster"
 )
 
-// homeCost orders servers that would all have to read the prompt: the same
+// rendezvousCost orders servers that would all have to read the prompt: the same
 // daemonless hash on every VM lets requests with a common prefix meet on one
 // server though none of the VMs has told the others of it. It is a share of the
 // reading time, so that load outweighs it.
-func homeCost(s *roster.Server, chain []uint64, reading time.Duration) time.Duration {
+func rendezvousCost(s *roster.Server, chain []uint64, reading time.Duration) time.Duration {
 	if len(chain) == 0 || reading == 0 {
 		return 0
 	}
@@ -23,10 +23,10 @@
 	return time.Duration(float64(reading) * float64(h>>11) / (1 << 53))
 }
 
-// chains hashes the prompt's shared parts, each together with those before it:
+// prefixChains hashes the prompt's shared parts, each together with those before it:
 // a part is only kept in memory for the parts that it follows. The last part is
 // the request's own.
-func chains(prompt []shed.PromptPart) []uint64 {
+func prefixChains(prompt []shed.PromptPart) []uint64 {
 	if len(prompt) < 2 {
 		return nil
 	}
@@ -43,4 +43,4 @@
 }
 
 // Chains are the hashes by which peers tell each other of prefixes.
-func Chains(prompt []shed.PromptPart) []uint64 { return chains(prompt) }
+func Chains(prompt []shed.PromptPart) []uint64 { return prefixChains(prompt) }
--- a/internal/picker/state.go
+++ b/internal/picker/state.go
@@ -11,19 +11,19 @@
 type state struct {
 	// born is the start that the state is about.
 	born int64
-	// own are this daemon's requests on it; reading are the prompt tokens of
+	// ownRunning are this daemon's requests on it; reading are the prompt tokens of
 	// those whose first event is still out.
-	own     int
-	reading shed.Tokens
+	ownRunning int
+	ownReading shed.Tokens
 	// peers is the sum of what the other daemons last said that they have on it.
 	peers shed.ServerShare
-	// took is the mean time of a plain call.
-	took   time.Duration
-	faults faults
-	// lost counts the connections in a row that did not come about; away is until
+	// meanCallTime is the mean time of a plain call.
+	meanCallTime time.Duration
+	failures     failureRate
+	// failedConnections counts the connections in a row that did not come about; away is until
 	// when none is tried.
-	lost int
-	away time.Time
+	failedConnections int
+	backoffUntil      time.Time
 	// prefixes are the parts that it has read, by the hash of the chain up to
 	// them, with the time of the last use.
 	prefixes map[uint64]time.Time
@@ -35,7 +35,7 @@
 		// A new start holds and knows nothing of before.
 		next := &state{born: s.Born, prefixes: map[uint64]time.Time{}}
 		if st != nil {
-			next.own, next.peers = st.own, st.peers
+			next.ownRunning, next.peers = st.ownRunning, st.peers
 		}
 		st = next
 		p.servers[s.ID] = st
@@ -43,9 +43,9 @@
 	return st
 }
 
-// missing is how many tokens the server would have to read, and how many of
+// missingTokens is how many tokens the server would have to read, and how many of
 // them belong to parts that requests share.
-func (st *state) missing(now time.Time, w *Want, chain []uint64) (left, again shed.Tokens) {
+func (st *state) missingTokens(now time.Time, w *Want, chain []uint64) (left, reread shed.Tokens) {
 	var all, shared shed.Tokens
 	for i, part := range w.Prompt {
 		all += part.Tokens
@@ -53,22 +53,22 @@
 			shared += part.Tokens
 		}
 	}
-	keeps := st.keeps(now, w, chain)
+	keeps := st.cachedTokens(now, w, chain)
 	return max(w.Input, all) - keeps, shared - keeps
 }
 
 // Placed notes that a request goes to the server.
 func (p *Picker) Placed(now time.Time, w Want, c Choice) {
 	st := p.state(c.Server)
-	st.own++
+	st.ownRunning++
 	if !w.Engine {
 		return
 	}
-	st.reading += c.Missing
-	for _, h := range chains(w.Prompt) {
+	st.ownReading += c.Missing
+	for _, h := range prefixChains(w.Prompt) {
 		st.prefixes[h] = now
 	}
-	st.bound(now)
+	st.prunePrefixes(now)
 }
 
 // Seen notes that a peer placed a request with this prefix.
@@ -80,16 +80,16 @@
 	for _, h := range chain {
 		st.prefixes[h] = now
 	}
-	st.bound(now)
+	st.prunePrefixes(now)
 }
 
-// bound forgets prefixes that are surely out of memory.
-func (st *state) bound(now time.Time) {
+// prunePrefixes forgets prefixes that are surely out of memory.
+func (st *state) prunePrefixes(now time.Time) {
 	if len(st.prefixes) <= maxPrefixes {
 		return
 	}
 	for h, at := range st.prefixes {
-		if now.Sub(at) > keepPrefix {
+		if now.Sub(at) > prefixRetention {
 			delete(st.prefixes, h)
 		}
 	}
@@ -101,7 +101,7 @@
 // Began notes that a request's first event has come: its prompt is read.
 func (p *Picker) Began(c Choice) {
 	if st := p.servers[c.Server.ID]; st != nil {
-		st.reading -= min(st.reading, c.Missing)
+		st.ownReading -= min(st.ownReading, c.Missing)
 	}
 }
 
@@ -124,32 +124,32 @@
 	if st == nil {
 		return
 	}
-	st.own = max(st.own-1, 0)
+	st.ownRunning = max(st.ownRunning-1, 0)
 	if end.Forgotten {
 		return
 	}
-	p.judge(now, st, c.Server.Zone, end)
+	p.recordOutcome(now, st, c.Server.Zone, end)
 	if end.Took <= 0 {
 		return
 	}
-	if st.took == 0 {
-		st.took = end.Took
+	if st.meanCallTime == 0 {
+		st.meanCallTime = end.Took
 		return
 	}
-	st.took += time.Duration(timeShare * float64(end.Took-st.took))
+	st.meanCallTime += time.Duration(callTimeWeight * float64(end.Took-st.meanCallTime))
 }
 
-// judge takes the end of a call in for the server and its zone.
-func (p *Picker) judge(now time.Time, st *state, zone shed.ZoneID, end End) {
-	weight := faultShare
+// recordOutcome takes the end of a call in for the server and its zone.
+func (p *Picker) recordOutcome(now time.Time, st *state, zone shed.ZoneID, end End) {
+	weight := failureWeight
 	if end.Unreached {
-		weight = unreachedShare
+		weight = unreachedWeight
 	}
-	st.faults.add(now, end.Failed, weight)
-	st.reached(now, end)
+	st.failures.record(now, end.Failed, weight)
+	st.recordReachability(now, end)
 	if end.Unreached || !end.Failed {
 		// One that was reached and failed says nothing of its zone.
-		p.zone(zone).add(now, end.Unreached, zoneShare)
+		p.zoneFailureRate(zone).record(now, end.Unreached, zoneFailureWeight)
 	}
 }
 
@@ -157,8 +157,8 @@
 func (p *Picker) Shares() map[shed.ServerID]shed.ServerShare {
 	out := map[shed.ServerID]shed.ServerShare{}
 	for id, st := range p.servers {
-		if st.own > 0 {
-			out[id] = shed.ServerShare{Running: st.own, Reading: st.reading}
+		if st.ownRunning > 0 {
+			out[id] = shed.ServerShare{Running: st.ownRunning, Reading: st.ownReading}
 		}
 	}
 	return out
@@ -167,7 +167,7 @@
 // PeerShares takes in what a peer has on the servers; it replaces what the peer
 // said before.
 func (p *Picker) PeerShares(from shed.VM, shares map[shed.ServerID]shed.ServerShare) {
-	for id, old := range p.told[from] {
+	for id, old := range p.peerShares[from] {
 		if st := p.servers[id]; st != nil {
 			st.peers.Running -= old.Running
 			st.peers.Reading -= min(st.peers.Reading, old.Reading)
@@ -181,22 +181,22 @@
 			kept[id] = share
 		}
 	}
-	p.told[from] = kept
+	p.peerShares[from] = kept
 }
 
 // PeerGone forgets what a peer said.
 func (p *Picker) PeerGone(vm shed.VM) {
 	p.PeerShares(vm, nil)
-	delete(p.told, vm)
+	delete(p.peerShares, vm)
 }
 
 // Keep forgets servers that are no longer listed and have nothing of this
 // daemon's.
 func (p *Picker) Keep(listed func(shed.ServerID) bool) {
 	for id, st := range p.servers {
-		if st.own == 0 && !listed(id) {
+		if st.ownRunning == 0 && !listed(id) {
 			delete(p.servers, id)
-			for _, shares := range p.told {
+			for _, shares := range p.peerShares {
 				delete(shares, id)
 			}
 		}
