--- a/internal/picker/failures.go
+++ b/internal/picker/failures.go
@@ -6,37 +6,37 @@
 )
 
 const (
-	// failureCost times the share of recent failures is added to a server's cost.
+	// failureCost, times the share of recent failures, is added to a server's cost.
 	failureCost = 400 * time.Millisecond
-	// failureWeight is the weight of the newest sample in the share of failures.
+	// failureWeight is the weight of the newest sample in the failure rate.
 	failureWeight = 0.25
-	// unreachedWeight is that weight if a server could not be reached: each such
-	// try takes the whole time for connecting, 0.2 s.
+	// unreachedWeight is the weight if a server could not be reached: each such try takes the
+	// whole connect timeout, 0.2 s.
 	unreachedWeight = 0.5
 	// zoneFailureWeight is the weight of the newest sample in the share of a zone's servers
-	// that could not be reached, and zoneCost times that share is added to the cost
-	// of each of them: after two in a row it is above what it takes to read a large
-	// shared prefix again, and one dark server does not close a zone.
+	// that could not be reached; zoneFailureCost, times that share, is added to the cost of
+	// each of them. After two failures in a row this exceeds the cost of reading a large
+	// shared prefix again, and one unreachable server does not close a zone.
 	zoneFailureWeight = 0.35
 	zoneFailureCost   = 700 * time.Millisecond
-	// failureHalfLife is the time in which a share of failures halves by itself, so
-	// that a server that healed is tried again.
+	// failureHalfLife is the time in which a failure rate halves without new samples, so that
+	// a recovered server is tried again.
 	failureHalfLife = 2 * time.Second
 )
 
 const (
-	// unreachableAfter is how many connections in a row must fail for a server to count as
-	// away: one lost packet fails one.
+	// unreachableAfter is how many consecutive connections must fail for a server to count as
+	// unreachable: one lost packet fails one.
 	unreachableAfter = 2
-	// initialBackoff is how long it is left alone then; that doubles with each further
-	// failure, up to awayMost.
+	// initialBackoff is how long the server is then avoided; it doubles with each further
+	// failure, up to maxBackoff.
 	initialBackoff = 500 * time.Millisecond
 	maxBackoff     = 2 * time.Second
 )
 
-// recordReachability takes in whether a connection to the server came about. Without it, callers
-// whose pool has no server on their side of a cut wait for connections in vain until
-// their time is over.
+// recordReachability records whether a connection to the server was established. Without it,
+// callers whose pool has no server on their side of a network partition wait for connections
+// until their deadline.
 func (st *state) recordReachability(now time.Time, end End) {
 	if !end.Unreached {
 		st.failedConnections, st.backoffUntil = 0, time.Time{}
@@ -61,7 +61,7 @@
 	return f.rate * math.Exp2(-float64(now.Sub(f.at))/float64(failureHalfLife))
 }
 
-// record takes one more call in, with a weight.
+// record adds the outcome of one call with a weight.
 func (f *failureRate) record(now time.Time, failed bool, weight float64) {
 	f.rate = f.now(now) * (1 - weight)
 	f.at = now
@@ -70,7 +70,7 @@
 	}
 }
 
-// cost is what the failures add to the cost of a choice; most if all calls failed.
+// cost is what the failures add to the cost of a choice; maxCost if all calls failed.
 func (f *failureRate) cost(now time.Time, maxCost time.Duration) time.Duration {
 	return time.Duration(f.now(now) * float64(maxCost))
 }
--- a/internal/picker/fetch.go
+++ b/internal/picker/fetch.go
@@ -7,33 +7,33 @@
 	"jasmineshed/internal/roster"
 )
 
-// fetchLeast is the least that is worth fetching, in tokens: below it, setting the
-// transfer up takes about as long as reading.
+// minFetch is the smallest number of tokens worth fetching: below it, setting up the transfer
+// takes about as long as reading them.
 const minFetch shed.Tokens = 256
 
-// fetchSetUp is what a fetch takes beside the transfer.
+// fetchSetupTime is the fixed time of a fetch besides the transfer.
 const fetchSetupTime = 5 * time.Millisecond
 
-// farTimes is how much longer a fetch from another zone takes.
+// crossZoneFetchFactor is how much longer a fetch from another zone takes.
 const crossZoneFetchFactor = 2
 
-// donors are, by zone, the servers that keep the most of the shared parts of a
-// prompt, and the one that keeps the most of all.
+// donors holds the server that has cached the most of the shared parts of a prompt, per zone
+// and overall.
 //
-// Load pattern: many requests share a long prefix, and the server that has it is
-// busy or in another zone than the request's inputs. Fetching the prefix from it
-// takes a fraction of the time that reading it again takes, during which all other
-// requests of that server would wait for their next token.
+// Load pattern: many requests share a long prefix, and the server that has cached it is busy
+// or in another zone than the request's inputs. Fetching the prefix from it takes a fraction
+// of the time of reading it again, during which all other requests of the reading server would
+// wait for their next token.
 type donors struct {
 	byZone map[shed.ZoneID]donor
 	best   donor
-	// sharedTokens are the tokens of the prompt's shared parts.
+	// sharedTokens counts the tokens of the prompt's shared parts.
 	sharedTokens shed.Tokens
 }
 
 type donor struct {
 	server *roster.Server
-	// cachedTokens are the tokens of shared parts that it has.
+	// cachedTokens counts the tokens of shared parts that it has cached.
 	cachedTokens shed.Tokens
 }
 
@@ -67,11 +67,11 @@
 	return out
 }
 
-// mostFaults is the share of failed calls from which a server is asked for nothing
-// that can be had without it.
+// maxDonorFailureRate is the share of failed calls above which a server is not used as a
+// donor: the prefix can be read without it.
 const maxDonorFailureRate = 0.1
 
-// cachedTokens is how many tokens of the prompt's shared parts the server has.
+// cachedTokens is how many tokens of the prompt's shared parts the server has cached.
 func (st *state) cachedTokens(now time.Time, w *Want, chain []uint64) shed.Tokens {
 	var out shed.Tokens
 	for i, h := range chain {
@@ -84,8 +84,8 @@
 	return out
 }
 
-// planFetch lets the chosen server fetch what it lacks of the shared parts, and returns
-// how many tokens of them it need not read.
+// planFetch chooses a donor for the shared parts that the chosen server lacks, and returns how
+// many tokens it need not read.
 func (d donors) planFetch(c *Choice, s *roster.Server, reread shed.Tokens) shed.Tokens {
 	if reread < minFetch {
 		return 0
@@ -103,7 +103,7 @@
 	return c.Fetched
 }
 
-// fetchTime is how long the fetch takes that c stands for.
+// fetchTime is how long the fetch planned in c takes.
 func (c *Choice) fetchTime(rate float64) time.Duration {
 	if c.Donor == nil {
 		return 0
--- a/internal/picker/fetch_test.go
+++ b/internal/picker/fetch_test.go
@@ -14,8 +14,8 @@
 	"jasmineshed/internal/roster"
 )
 
-// fetchRate is how many tokens of KV cache engines fetch from each other in a
-// millisecond, in these tests.
+// fetchRate is how many tokens of KV cache engines fetch from each other per millisecond in
+// these tests.
 const fetchRate = 250
 
 func fetching(shared string, own int) picker.Want {
@@ -24,13 +24,13 @@
 	return w
 }
 
-// The server that has a prefix is crowded. Another one is chosen, and fetches the
+// The server that has cached a prefix is overloaded. Another one must be chosen, and fetch the
 // prefix instead of reading it again.
 func TestPrefixIsFetchedFromACrowdedServer(t *testing.T) {
 	from := servers(12, nil)
 	p := picker.New(picker.Config{Zone: "a"})
 	home := p.Pick(start, fetching("x", 0), from)
-	require.Nil(t, home.Donor, "nobody has it yet")
+	require.Nil(t, home.Donor, "no server has cached it yet")
 	p.Placed(start, fetching("x", 0), home)
 	p.PeerShares("vm2", map[shed.ServerID]shed.ServerShare{home.Server.ID: {Running: 20, Reading: 20000}})
 	next := p.Pick(start, fetching("x", 1), from)
@@ -38,11 +38,11 @@
 	require.Equal(t, home.Server.ID, next.Donor.ID)
 	require.Equal(t, shed.Tokens(13000), next.Fetched)
 	require.Equal(t, shed.Tokens(3000), next.Missing)
-	require.Less(t, next.Time, 200*time.Millisecond, "reading it again alone takes 260 ms")
+	require.Less(t, next.Time, 200*time.Millisecond, "reading it again takes 260 ms alone")
 }
 
-// Two servers have the prefix, one in each zone, and both are crowded. The transfer
-// within the zone is the faster one.
+// Servers in several zones have cached the prefix and are overloaded. The donor must be the
+// one in the same zone, since that transfer is faster.
 func TestPrefixIsFetchedWithinTheZone(t *testing.T) {
 	from := servers(6, nil)
 	p := picker.New(picker.Config{Zone: "a"})
@@ -60,8 +60,8 @@
 	require.Equal(t, c.Server.Zone, c.Donor.Zone)
 }
 
-// Engines that don't fetch, or a donor that can't be reached, or that failed this
-// request: the prefix is read again, nobody waits for it.
+// Engines don't fetch, or the donor can't be reached or failed this request: the prefix must
+// be read again, and no request waits for it.
 func TestPrefixIsNotFetched(t *testing.T) {
 	from := servers(2, func(_ int, s *roster.Server) { s.Zone = "a" })
 	home, other := from[0], from[1]
@@ -85,11 +85,11 @@
 	p := seen()
 	p.Ended(start, picker.Choice{Server: home}, picker.End{Failed: true, Unreached: true})
 	require.Nil(t, p.Pick(start, fetching("x", 1), from).Donor)
-	require.Nil(t, seen().Pick(start.Add(time.Minute), fetching("x", 1), from).Donor, "it is no longer taken to be in memory")
+	require.Nil(t, seen().Pick(start.Add(time.Minute), fetching("x", 1), from).Donor, "its retention period is over")
 }
 
-// Bursts come in prefixes that few servers have. Wherever the load went, engines read
-// them again, and first events came later for all.
+// Bursts bring prefixes that few servers have cached. Wherever the load went, engines read
+// them again, and first events were later for all requests.
 func TestHotPrefixInABurst(t *testing.T) {
 	without, with := replayHotPrefixes(0), replayHotPrefixes(fetchRate)
 	t.Logf("read again: %+v; fetched: %+v", without, with)
@@ -97,14 +97,14 @@
 	require.Less(t, with.p90, without.p90)
 }
 
-// replayResult is what engines did in a replay: tokens read, and the time in which 90
-// of 100 first events came.
+// replayResult holds the prompt tokens that engines read in a replay, and the time by which 90
+// of 100 first events had arrived.
 type replayResult struct {
 	read shed.Tokens
 	p90  time.Duration
 }
 
-// replayHotPrefixes plays a burst of requests with six prefixes at nine engines.
+// replayHotPrefixes replays a burst of requests with six prefixes on nine engines.
 func replayHotPrefixes(rate float64) replayResult {
 	const perSec, readRate, last = 25, 38, 10 * time.Second
 	rng := rand.New(rand.NewPCG(2, 2))
--- a/internal/picker/overrun.go
+++ b/internal/picker/overrun.go
@@ -3,18 +3,18 @@
 import "time"
 
 const (
-	// FirstOverrun is about what a server takes to the first event beyond reading
-	// the prompts that are known, as long as none was measured.
+	// FirstOverrun approximates the time a server takes to the first event beyond reading the
+	// known prompts; it is used until one has been measured.
 	FirstOverrun = 40 * time.Millisecond
-	// overrunWeight is the weight of the newest sample: the last 16 count.
+	// overrunWeight is the weight of the newest sample: about the last 16 count.
 	overrunWeight = 1.0 / 16
-	// maxOverrun bounds a sample: a server that is ill says nothing of the others.
+	// maxOverrun bounds a sample: an unhealthy server says nothing about the others.
 	maxOverrun = 600 * time.Millisecond
 )
 
-// overrun is how long first events take beyond what is foreseen: requests of other
-// VMs, decoding and the network. Without it answers of a loaded pool were foreseen
-// too soon, and came after their target.
+// overrun is how long first events take beyond the predicted time, due to requests of other
+// VMs, decoding and the network. Without it, answers of a loaded pool were predicted too early
+// and missed their target.
 type overrun struct{ mean, spread time.Duration }
 
 func (o *overrun) add(sample time.Duration) {
@@ -24,8 +24,8 @@
 	o.spread += time.Duration(overrunWeight * float64(deviation.Abs()-o.spread))
 }
 
-// Overrun is what a first event takes beyond Choice.Time, for most requests.
+// Overrun is how long a first event takes beyond Choice.Time, for most requests.
 func (p *Picker) Overrun() time.Duration { return p.overrun.mean + p.overrun.spread }
 
-// First notes that the first event of a request came so long after it was sent.
+// First records how long after it was sent the first event of a request arrived.
 func (p *Picker) First(c Choice, took time.Duration) { p.overrun.add(took - c.Time) }
--- a/internal/picker/picker.go
+++ b/internal/picker/picker.go
@@ -1,6 +1,6 @@
-// Package picker chooses the backend server for one relayed request. It is
-// pure: it knows what this daemon has placed, what peers said that they have
-// placed, and what servers said with their answers.
+// Package picker chooses the backend server for one relayed request. It does no I/O and reads
+// no clock. It knows the requests that this VM has placed, the load that peers reported, and
+// what servers reported with their answers.
 package picker
 
 import (
@@ -10,56 +10,55 @@
 	"jasmineshed/internal/roster"
 )
 
-// Config sets up a Picker. Fields left at 0 get the Default of their name.
+// Config configures a Picker. Fields left at 0 get the default constant of their name.
 type Config struct {
-	// Zone of this VM.
+	// Zone is the zone of this VM.
 	Zone shed.ZoneID
-	// ReadRate is how many prompt tokens an engine reads in a millisecond.
+	// ReadRate is how many prompt tokens an engine reads per millisecond.
 	ReadRate float64
 }
 
 const (
-	// DefaultReadRate is in tokens a millisecond; it only weighs waiting against
+	// DefaultReadRate is in tokens per millisecond; it is only used to weigh queueing against
 	// reading a shared prefix again.
 	DefaultReadRate = 50.0
-	// crossZoneCost is what a hop to another zone costs in the choice: the round trip, and
-	// the bytes between zones, which users pay for.
+	// crossZoneCost is the cost of a hop to another zone: the round trip, and the bytes
+	// between zones, which users pay for.
 	crossZoneCost = 6 * time.Millisecond
-	// rereadCost is what each token of a shared part that the server would have
-	// to read adds in the choice, up to againMost, beside the time: users pay
-	// for parts that are read again, and the reading delays all others there.
+	// rereadCost is added for each token of a shared part that the server would have to read,
+	// up to maxRereadCost, in addition to the time: users pay for parts that are read again,
+	// and the reading delays all other requests there.
 	rereadCost    = 30 * time.Microsecond
 	maxRereadCost = 80 * time.Millisecond
-	// runningRequestCost is what each request that runs on an engine adds to the first
-	// token's delay: its share of the batch step and of prompts being read.
+	// runningRequestCost is what each request running on an engine adds to the delay of the
+	// first token: its share of the batch step and of prompts being read.
 	runningRequestCost = 4 * time.Millisecond
-	// isolationCost is what each request on a server adds in the choice for one under which
-	// the server may end.
+	// isolationCost is added for each request running on a server when a request is placed
+	// that may crash its server.
 	isolationCost = time.Second
-	// defaultCallTime is taken for a plain call while no server was called yet.
+	// defaultCallTime is assumed for a plain call until a server has been called.
 	defaultCallTime = 30 * time.Millisecond
-	// callTimeWeight is the weight of the newest sample in a server's mean time.
+	// callTimeWeight is the weight of the newest sample in a server's mean call time.
 	callTimeWeight = 0.2
-	// prefixRetention is how long a prefix is taken to stay in a server's memory.
+	// prefixRetention is how long a prefix is assumed to stay in a server's memory.
 	prefixRetention = 30 * time.Second
-	// maxPrefixes bounds what is remembered of one server's memory.
+	// maxPrefixes bounds the number of prefixes remembered per server.
 	maxPrefixes = 2048
 )
 
-// Picker is what is known of the servers' load. It is not safe for concurrent
-// use.
+// Picker tracks the servers' load and failures. It is not safe for concurrent use.
 type Picker struct {
 	cfg     Config
 	servers map[shed.ServerID]*state
-	// zoneFailures holds how often servers of a zone could not be reached lately.
+	// zoneFailures holds, per zone, the share of recent connections to servers that failed.
 	zoneFailures map[shed.ZoneID]*failureRate
 	overrun      overrun
-	// peerShares is what each peer last said, so that a choice need not look at each
-	// peer for each server.
+	// peerShares holds the last load report of each peer; the sums are kept in servers, so
+	// that a choice need not look at each peer for each server.
 	peerShares map[shed.VM]map[shed.ServerID]shed.ServerShare
 }
 
-// New returns a Picker that knows of no load.
+// New returns a Picker without any load.
 func New(cfg Config) *Picker {
 	if cfg.ReadRate == 0 {
 		cfg.ReadRate = DefaultReadRate
@@ -71,63 +70,63 @@
 	}
 }
 
-// Want is what is to be placed.
+// Want describes the request to be placed.
 type Want struct {
 	Prompt []shed.PromptPart
 	Input  shed.Tokens
-	// Engine: the pool's servers are model engines.
+	// Engine is set if the pool's servers are model engines.
 	Engine bool
-	// FetchRate is how many tokens of KV cache they fetch from each other in a
-	// millisecond; 0 if they don't.
+	// FetchRate is how many tokens of KV cache engines fetch from each other per millisecond;
+	// 0 if they don't.
 	FetchRate float64
-	// Zone is where the request's inputs lie; empty if it has none or they are
-	// light.
+	// Zone is where the request's inputs are held; empty if it has none or they are small.
 	Zone shed.ZoneID
-	// ZoneCost is what it costs to choose another zone than Zone.
+	// ZoneCost is the cost of choosing another zone than Zone.
 	ZoneCost time.Duration
-	// Avoid are servers that failed this request before.
+	// Avoid lists servers that failed this request before.
 	Avoid []shed.ServerID
-	// Isolate: the server may end under the request, so it goes where few others run.
+	// Isolate is set if the request may crash its server, so it goes where few others run.
 	Isolate bool
-	// Access tells whether a server takes requests; nil if all do.
+	// Access returns whether a server accepts requests; nil if all do.
 	Access func(*roster.Server) Access
 }
 
-// Access is whether a server takes one more request. The set is closed.
+// Access is whether a server accepts one more request. The set is closed.
 type Access uint8
 
 const (
-	// Free means that it takes any number.
+	// Free means that the server accepts any number of requests.
 	Free Access = iota
-	// ByTurn means that it takes so many from all daemons together, so a turn is needed.
+	// ByTurn means that the server limits the requests of all daemons together, so a turn is
+	// needed.
 	ByTurn
-	// Held means that it has no turn for this daemon yet.
+	// Held means that this daemon has no turn for the server yet.
 	Held
 )
 
-// Choice is a chosen server and why.
+// Choice is the chosen server, or the reason why there is none.
 type Choice struct {
 	Server *roster.Server
-	// Cost is the predicted time to the first token or the answer, and what else
-	// speaks against the server as a time.
+	// Cost is the predicted time to the first token or the answer, plus penalties expressed as
+	// a time.
 	Cost time.Duration
-	// Time is the same without what is added for what users pay.
+	// Time is the predicted time without the penalties.
 	Time time.Duration
-	// Missing are the tokens of the prompt that the server has to read, Fetched
-	// those that it fetches from Donor instead; Donor is nil if none.
+	// Missing counts the prompt tokens that the server has to read, Fetched those that it
+	// fetches from Donor instead; Donor is nil if there is none.
 	Missing, Fetched shed.Tokens
 	Donor            *roster.Server
-	// ByTurn: the server may be sent the request in its turn.
+	// ByTurn is set if sending the request to the server needs a turn.
 	ByTurn bool
-	// Held: all servers that could serve have no turn for this daemon.
+	// Held is set if this daemon has no turn for any of the servers that could serve.
 	Held bool
-	// Away: no server that could serve can be reached; one may be tried again after
-	// that time. 0 if that is not the reason.
+	// Away is the time until a server may be tried again if none that could serve is
+	// reachable; 0 if that is not the reason.
 	Away time.Duration
 }
 
-// Pick returns the server with the least cost among from, which is sorted by
-// id; Server is nil if there is none.
+// Pick returns the server with the least cost among servers, which are sorted by id; Server is
+// nil if there is none.
 func (p *Picker) Pick(now time.Time, w Want, servers []*roster.Server) Choice {
 	var best Choice
 	chain := prefixChains(w.Prompt)
@@ -165,8 +164,8 @@
 	return best
 }
 
-// fastestCallTime is the time taken for a server not called yet: that of the fastest one,
-// so that a new or reopened server is tried.
+// fastestCallTime is the shortest mean call time of any server. It is assumed for a server
+// that has not been called yet, so that a new or reopened server is tried.
 func (p *Picker) fastestCallTime(servers []*roster.Server) time.Duration {
 	fastest := time.Duration(0)
 	for _, s := range servers {
--- a/internal/picker/picker_test.go
+++ b/internal/picker/picker_test.go
@@ -34,8 +34,8 @@
 	}}
 }
 
-// Two VMs that have told each other nothing yet place the first requests with a
-// prefix. They meet on one server, so that the prefix is read once.
+// Two VMs that have not exchanged reports yet place the first requests with a prefix. They
+// must choose the same server, so that the prefix is read once.
 func TestPrefixMeetsOnOneServer(t *testing.T) {
 	from := servers(12, nil)
 	one, two := picker.New(picker.Config{Zone: "a"}), picker.New(picker.Config{Zone: "a"})
@@ -55,15 +55,14 @@
 	next := p.Pick(start, prompt("x", 1), from)
 	require.Equal(t, home.Server.ID, next.Server.ID)
 	require.Equal(t, shed.Tokens(3000), next.Missing)
-	// Peers have so many prompts waiting there that reading the prefix
-	// elsewhere is sooner done.
+	// Peers have so many prompts queued there that reading the prefix elsewhere ends sooner.
 	p.PeerShares("vm2", map[shed.ServerID]shed.ServerShare{home.Server.ID: {Running: 40, Reading: 40000}})
 	require.NotEqual(t, home.Server.ID, p.Pick(start, prompt("x", 2), from).Server.ID)
 	p.PeerShares("vm2", nil)
 	require.Equal(t, home.Server.ID, p.Pick(start, prompt("x", 2), from).Server.ID)
 }
 
-// A peer placed the prefix; this VM was told and follows it.
+// A peer placed the prefix and reported it; this VM must choose the same server.
 func TestPrefixSeenByAPeer(t *testing.T) {
 	from := servers(12, nil)
 	p := picker.New(picker.Config{Zone: "a"})
@@ -73,8 +72,8 @@
 	require.Equal(t, other.ID, p.Pick(start, prompt("x", 1), from).Server.ID)
 }
 
-// One server has no turn, another one needs one: the first is not chosen, and the choice
-// says what the second needs.
+// There is no turn for one server, and another one needs a turn: the first must not be chosen,
+// and the choice must say that the second needs one.
 func TestServersThatTakeOnlySoMany(t *testing.T) {
 	from := servers(3, nil)
 	p := picker.New(picker.Config{Zone: "a"})
@@ -91,8 +90,8 @@
 	require.False(t, p.Pick(start, w, from).ByTurn)
 }
 
-// A server answers with failures though its health check is good. It gets less
-// work for a while, and is tried again later.
+// A server fails requests though its health check passes. It must get less work for a while,
+// and be tried again later.
 func TestFailingServerIsAvoided(t *testing.T) {
 	from := servers(2, func(_ int, s *roster.Server) { s.Zone, s.Slots = "a", 6 })
 	p := picker.New(picker.Config{Zone: "a"})
@@ -112,7 +111,7 @@
 	require.Nil(t, p.Pick(start, w, from).Server)
 }
 
-// A server starts again under its id: it has read nothing.
+// A server restarts under the same id: its earlier prefixes must not count as cached.
 func TestNewStartKnowsNothing(t *testing.T) {
 	from := servers(1, nil)
 	p := picker.New(picker.Config{Zone: "a"})
@@ -123,7 +122,7 @@
 	require.Equal(t, shed.Tokens(16000), p.Pick(start, prompt("x", 1), from).Missing)
 }
 
-// Large inputs lie in zone b: a server there is taken unless reading the prompt
+// Large inputs are held in zone b: a server there must be chosen unless reading the prompt
 // again costs more.
 func TestInputsPullTheirZone(t *testing.T) {
 	from := servers(3, nil)
@@ -135,8 +134,8 @@
 	require.Equal(t, shed.ServerID("s02"), p.Pick(start, w, from).Server.ID)
 }
 
-// Peers tell their shares in any order, forget servers, and die. What is left is
-// what the living said last.
+// Peers report their shares in any order, drop servers from them, and die. Only the latest
+// reports of live peers must count.
 func TestPeerSharesAddUp(t *testing.T) {
 	from := servers(2, nil)
 	p := picker.New(picker.Config{Zone: "a"})
@@ -176,10 +175,9 @@
 	}
 }
 
-// A zone is cut off. Each request that is sent to a server there waits for a
-// connection in vain, and a prefix that was read there draws requests to one such
-// server after the other. After two of them the zone is left alone, and tried
-// again a few seconds later.
+// A zone is partitioned off. Each request sent to a server there waits for a connection in
+// vain, and a prefix that was read there draws requests to one such server after the other.
+// After two of them the zone must be avoided, and be tried again a few seconds later.
 func TestZoneThatCannotBeReached(t *testing.T) {
 	from := servers(12, nil)
 	p := picker.New(picker.Config{Zone: "a"})
@@ -211,8 +209,8 @@
 	require.EqualValues(t, "b", p.Pick(now, prompt("y", 99), from).Server.Zone)
 }
 
-// Servers of a loaded pool answer 0.2 s later than their prompts alone explain. Steps
-// were due too late by that much, and answers came just after their target.
+// Servers of a loaded pool answer 0.2 s later than their prompts alone explain. Steps were
+// scheduled too late by that much, and answers just missed their target.
 func TestFirstEventsAreForeseenAsTheyCame(t *testing.T) {
 	p := picker.New(picker.Config{Zone: "a"})
 	require.Equal(t, picker.FirstOverrun, p.Overrun())
@@ -222,12 +220,12 @@
 	}
 	require.InDelta(t, 0.2, p.Overrun().Seconds(), 0.01)
 	p.First(c, 20*time.Second)
-	require.Less(t, p.Overrun(), 300*time.Millisecond, "one server that is ill")
+	require.Less(t, p.Overrun(), 300*time.Millisecond, "one unhealthy server")
 }
 
-// The only open server of a pool lies beyond a cut. Each caller waited for its
-// connection again and again, until its time was over. After two failures in a row
-// the server counts as away, and callers are told at once; later one tries again.
+// The only open server of a pool is partitioned off. Each caller retried its connection until
+// its deadline. After two consecutive failures the server must count as unreachable and
+// callers must be rejected at once; after the backoff one tries again.
 func TestOnlyServerBeyondACut(t *testing.T) {
 	from := servers(1, nil)
 	p := picker.New(picker.Config{Zone: "a"})
@@ -248,18 +246,18 @@
 	now = now.Add(c.Away)
 	failToConnect(now)
 	c = p.Pick(now, picker.Want{}, from)
-	require.Greater(t, c.Away, 500*time.Millisecond, "longer each time")
+	require.Greater(t, c.Away, 500*time.Millisecond, "the backoff grows with each failure")
 	now = now.Add(c.Away)
 	c = p.Pick(now, picker.Want{}, from)
 	p.Placed(now, picker.Want{}, c)
 	p.Ended(now, c, picker.End{Took: time.Millisecond})
-	require.NotNil(t, p.Pick(now, picker.Want{}, from).Server, "it is back")
+	require.NotNil(t, p.Pick(now, picker.Want{}, from).Server, "the server is reachable again")
 	failToConnect(now)
-	require.NotNil(t, p.Pick(now, picker.Want{}, from).Server, "one lost packet says little")
+	require.NotNil(t, p.Pick(now, picker.Want{}, from).Server, "one lost packet does not make a server unreachable")
 }
 
-// A request under which a server may end goes where fewest run, though another server has
-// its prompt: what runs there would be broken off with it.
+// A request that may crash its server must go where the fewest requests run, even if another
+// server has cached its prompt: the other requests there would be broken off too.
 func TestSuspectRunsWhereFewestAre(t *testing.T) {
 	from := servers(2, nil)
 	p := picker.New(picker.Config{Zone: "a"})
--- a/internal/picker/prefix.go
+++ b/internal/picker/prefix.go
@@ -9,10 +9,9 @@
 	"jasmineshed/internal/roster"
 )
 
-// rendezvousCost orders servers that would all have to read the prompt: the same
-// daemonless hash on every VM lets requests with a common prefix meet on one
-// server though none of the VMs has told the others of it. It is a share of the
-// reading time, so that load outweighs it.
+// rendezvousCost ranks servers that would all have to read the prompt. The same rendezvous
+// hash on every VM sends requests with a common prefix to one server before the VMs have
+// exchanged any reports. It is a share of the reading time, so that load outweighs it.
 func rendezvousCost(s *roster.Server, chain []uint64, reading time.Duration) time.Duration {
 	if len(chain) == 0 || reading == 0 {
 		return 0
@@ -23,9 +22,8 @@
 	return time.Duration(float64(reading) * float64(h>>11) / (1 << 53))
 }
 
-// prefixChains hashes the prompt's shared parts, each together with those before it:
-// a part is only kept in memory for the parts that it follows. The last part is
-// the request's own.
+// prefixChains hashes the prompt's shared parts, each together with those before it: a cached
+// part can only be used after the parts that it follows. The last part is the request's own.
 func prefixChains(prompt []shed.PromptPart) []uint64 {
 	if len(prompt) < 2 {
 		return nil
@@ -42,5 +40,5 @@
 	return out
 }
 
-// Chains are the hashes by which peers tell each other of prefixes.
+// Chains returns the hashes by which peers identify prefixes to each other.
 func Chains(prompt []shed.PromptPart) []uint64 { return prefixChains(prompt) }
--- a/internal/picker/state.go
+++ b/internal/picker/state.go
@@ -9,22 +9,22 @@
 
 // state is one server's load.
 type state struct {
-	// born is the start that the state is about.
+	// born is the server start that the state belongs to.
 	born int64
-	// ownRunning are this daemon's requests on it; reading are the prompt tokens of
-	// those whose first event is still out.
+	// ownRunning counts this daemon's requests on the server; ownReading counts the prompt
+	// tokens of those that await their first event.
 	ownRunning int
 	ownReading shed.Tokens
-	// peers is the sum of what the other daemons last said that they have on it.
+	// peers is the sum of the latest load reports of the other daemons.
 	peers shed.ServerShare
 	// meanCallTime is the mean time of a plain call.
 	meanCallTime time.Duration
 	failures     failureRate
-	// failedConnections counts the connections in a row that did not come about; away is until
-	// when none is tried.
+	// failedConnections counts consecutive failed connections; no connection is tried before
+	// backoffUntil.
 	failedConnections int
 	backoffUntil      time.Time
-	// prefixes are the parts that it has read, by the hash of the chain up to
+	// prefixes holds the prompt parts that the server has read, by the hash of the chain up to
 	// them, with the time of the last use.
 	prefixes map[uint64]time.Time
 }
@@ -32,7 +32,7 @@
 func (p *Picker) state(s *roster.Server) *state {
 	st := p.servers[s.ID]
 	if st == nil || st.born != s.Born {
-		// A new start holds and knows nothing of before.
+		// A restarted server has nothing cached.
 		next := &state{born: s.Born, prefixes: map[uint64]time.Time{}}
 		if st != nil {
 			next.ownRunning, next.peers = st.ownRunning, st.peers
@@ -43,8 +43,8 @@
 	return st
 }
 
-// missingTokens is how many tokens the server would have to read, and how many of
-// them belong to parts that requests share.
+// missingTokens is how many tokens the server would have to read, and how many of them belong
+// to parts that requests share.
 func (st *state) missingTokens(now time.Time, w *Want, chain []uint64) (left, reread shed.Tokens) {
 	var all, shared shed.Tokens
 	for i, part := range w.Prompt {
@@ -57,7 +57,7 @@
 	return max(w.Input, all) - keeps, shared - keeps
 }
 
-// Placed notes that a request goes to the server.
+// Placed records that a request goes to the server.
 func (p *Picker) Placed(now time.Time, w Want, c Choice) {
 	st := p.state(c.Server)
 	st.ownRunning++
@@ -71,7 +71,7 @@
 	st.prunePrefixes(now)
 }
 
-// Seen notes that a peer placed a request with this prefix.
+// Seen records that a peer placed a request with this prefix.
 func (p *Picker) Seen(now time.Time, id shed.ServerID, chain []uint64) {
 	st := p.servers[id]
 	if st == nil {
@@ -83,7 +83,7 @@
 	st.prunePrefixes(now)
 }
 
-// prunePrefixes forgets prefixes that are surely out of memory.
+// prunePrefixes forgets prefixes that have surely been evicted from the server's memory.
 func (st *state) prunePrefixes(now time.Time) {
 	if len(st.prefixes) <= maxPrefixes {
 		return
@@ -98,7 +98,7 @@
 	}
 }
 
-// Began notes that a request's first event has come: its prompt is read.
+// Began records that a request's first event has arrived, so its prompt has been read.
 func (p *Picker) Began(c Choice) {
 	if st := p.servers[c.Server.ID]; st != nil {
 		st.ownReading -= min(st.ownReading, c.Missing)
@@ -107,18 +107,19 @@
 
 // End is how a request ended at a server.
 type End struct {
-	// Took is how long it took; for plain calls that ended well.
+	// Took is the duration of a plain call that succeeded.
 	Took time.Duration
-	// Failed: the server broke off, gave no answer or one that is not its own.
+	// Failed is set if the server broke off, did not answer, or its answer was another
+	// server's.
 	Failed bool
-	// Unreached: no connection to it came about in time; Failed is set too.
+	// Unreached is set if no connection was established in time; Failed is set too.
 	Unreached bool
-	// Forgotten: the request ended for reasons that say nothing of the server.
+	// Forgotten is set if the request ended for reasons unrelated to the server.
 	Forgotten bool
 }
 
-// Ended notes that the request is no longer on the server. Began was called
-// before if its first event came.
+// Ended records that the request is no longer on the server. Began was called before if its
+// first event arrived.
 func (p *Picker) Ended(now time.Time, c Choice, end End) {
 	st := p.servers[c.Server.ID]
 	if st == nil {
@@ -139,7 +140,7 @@
 	st.meanCallTime += time.Duration(callTimeWeight * float64(end.Took-st.meanCallTime))
 }
 
-// recordOutcome takes the end of a call in for the server and its zone.
+// recordOutcome records the end of a call for the server and its zone.
 func (p *Picker) recordOutcome(now time.Time, st *state, zone shed.ZoneID, end End) {
 	weight := failureWeight
 	if end.Unreached {
@@ -148,12 +149,12 @@
 	st.failures.record(now, end.Failed, weight)
 	st.recordReachability(now, end)
 	if end.Unreached || !end.Failed {
-		// One that was reached and failed says nothing of its zone.
+		// A failure of a server that was reached says nothing about its zone.
 		p.zoneFailureRate(zone).record(now, end.Unreached, zoneFailureWeight)
 	}
 }
 
-// Shares is what this daemon has on each server that has any.
+// Shares returns this daemon's load on each server where it has any.
 func (p *Picker) Shares() map[shed.ServerID]shed.ServerShare {
 	out := map[shed.ServerID]shed.ServerShare{}
 	for id, st := range p.servers {
@@ -164,8 +165,7 @@
 	return out
 }
 
-// PeerShares takes in what a peer has on the servers; it replaces what the peer
-// said before.
+// PeerShares replaces the load that a peer reported on the servers.
 func (p *Picker) PeerShares(from shed.VM, shares map[shed.ServerID]shed.ServerShare) {
 	for id, old := range p.peerShares[from] {
 		if st := p.servers[id]; st != nil {
@@ -184,14 +184,13 @@
 	p.peerShares[from] = kept
 }
 
-// PeerGone forgets what a peer said.
+// PeerGone forgets the load of a peer.
 func (p *Picker) PeerGone(vm shed.VM) {
 	p.PeerShares(vm, nil)
 	delete(p.peerShares, vm)
 }
 
-// Keep forgets servers that are no longer listed and have nothing of this
-// daemon's.
+// Keep forgets servers that are no longer listed and have no requests of this daemon.
 func (p *Picker) Keep(listed func(shed.ServerID) bool) {
 	for id, st := range p.servers {
 		if st.ownRunning == 0 && !listed(id) {
