--- a/internal/batch/batch.go
+++ b/internal/batch/batch.go
@@ -49,10 +49,10 @@
 	usableCapacityShare = 0.92
 )
 
-func (Asked) event()         {}
-func (Dropped) event()       {}
+func (JobAdded) event()      {}
+func (JobDropped) event()    {}
 func (CallEnded) event()     {}
-func (Freed) event()         {}
+func (FreeRequested) event() {}
 func (FreeEnded) event()     {}
 func (HeldElsewhere) event() {}
 func (Stopped) event()       {}
@@ -170,13 +170,13 @@
 func (b *Batcher) Handle(now time.Time, ev Event) []Action {
 	var out []Action
 	switch ev := ev.(type) {
-	case Asked:
+	case JobAdded:
 		b.addJob(now, ev)
-	case Dropped:
+	case JobDropped:
 		b.dropJob(ev.Job)
 	case CallEnded:
 		out = b.finishCall(now, out, ev)
-	case Freed:
+	case FreeRequested:
 		out = b.freeResults(out, ev.Refs)
 	case Stopped:
 		out = b.movePending(out)
@@ -196,7 +196,7 @@
 	return out
 }
 
-func (b *Batcher) addJob(now time.Time, ev Asked) {
+func (b *Batcher) addJob(now time.Time, ev JobAdded) {
 	g := b.groups[ev.Pool]
 	if g == nil {
 		g = &group{pool: ev.Pool, slowness: 1}
--- a/internal/batch/dispatch.go
+++ b/internal/batch/dispatch.go
@@ -73,7 +73,7 @@
 // works on them.
 func (b *Batcher) rejectLate(now time.Time, out []Action, g *group) []Action {
 	var kept []*piece
-	overloaded := b.Wait(now, g.pool, g.limits).Last > overloadWait
+	overloaded := b.PredictWait(now, g.pool, g.limits).Last > overloadWait
 	for _, p := range g.pending {
 		if p.settled || p.job.dropped {
 			continue
@@ -220,7 +220,7 @@
 	m.running = b.nextID
 	b.calls[b.nextID] = c
 	c.suspectAt = now.Add(suspectFactor*scale(c.expected, max(m.slowness, 1)) + suspectMargin)
-	send := Send{Call: b.nextID, Server: s, Limit: callLimitFactor*c.expected + callLimitMargin, Left: len(g.pending)}
+	send := Send{Call: b.nextID, Server: s, Limit: callLimitFactor*c.expected + callLimitMargin, Pending: len(g.pending)}
 	for _, p := range c.pieces {
 		p.inFlight++
 		piece := p.Piece
--- a/internal/batch/event.go
+++ b/internal/batch/event.go
@@ -15,16 +15,16 @@
 // Event is an input from the driver.
 type Event interface{ event() }
 
-// Asked requests pieces. The driver answers the job when it gets Done.
-type Asked struct {
+// JobAdded requests pieces. The driver answers the job when it gets Done.
+type JobAdded struct {
 	Job    JobID
 	Pool   shed.PoolID
 	Limits shed.BatchLimits
 	Pieces []shed.Piece
 }
 
-// Dropped means that the job's results are no longer wanted.
-type Dropped struct{ Job JobID }
+// JobDropped means that the job's results are no longer wanted.
+type JobDropped struct{ Job JobID }
 
 // CallEnded means that a call is over. Results is nil if it produced none.
 type CallEnded struct {
@@ -39,8 +39,8 @@
 	Busy bool
 }
 
-// Freed means that results are no longer needed.
-type Freed struct{ Refs []shed.ResultRef }
+// FreeRequested means that results are no longer needed.
+type FreeRequested struct{ Refs []shed.ResultRef }
 
 // FreeEnded means that the servers have been notified, and their capacity is free again.
 type FreeEnded struct{ Refs []shed.ResultRef }
@@ -51,8 +51,8 @@
 type HeldElsewhere struct {
 	From shed.VM
 	Held map[shed.ServerID]int64
-	// Keep is how long servers retain results.
-	Keep time.Duration
+	// Retention is how long servers retain results.
+	Retention time.Duration
 }
 
 // Stopped means that this VM stops coordinating: pending pieces go back to the VMs that
@@ -73,8 +73,8 @@
 	Pieces []shed.Piece
 	// Limit is the time after which the call is abandoned.
 	Limit time.Duration
-	// Left is how many pieces stay pending.
-	Left int
+	// Pending is how many pieces stay pending.
+	Pending int
 }
 
 // Done answers a job, with a result for each piece.
--- a/internal/batch/producer.go
+++ b/internal/batch/producer.go
@@ -131,12 +131,12 @@
 		if m.heldForOthers == nil {
 			m.heldForOthers = map[shed.VM]heldElsewhere{}
 		}
-		m.heldForOthers[ev.From] = heldElsewhere{bytes: bytes, reportedAt: now, retention: ev.Keep}
+		m.heldForOthers[ev.From] = heldElsewhere{bytes: bytes, reportedAt: now, retention: ev.Retention}
 	}
 }
 
-// Held returns the bytes that servers hold for this VM.
-func (b *Batcher) Held() map[shed.ServerID]int64 {
+// HeldBytes returns the bytes that servers hold for this VM.
+func (b *Batcher) HeldBytes() map[shed.ServerID]int64 {
 	out := map[shed.ServerID]int64{}
 	for id, m := range b.producers {
 		if m.heldBytes > 0 {
--- a/internal/batch/wait.go
+++ b/internal/batch/wait.go
@@ -42,8 +42,8 @@
 	return min(max(float64(n)/totalSpeed, minPoolSlowness), maxPoolSlowness)
 }
 
-// Wait predicts how long one more piece of the pool would take.
-func (b *Batcher) Wait(now time.Time, pool shed.PoolID, limits shed.BatchLimits) Forecast {
+// PredictWait predicts how long one more piece of the pool would take.
+func (b *Batcher) PredictWait(now time.Time, pool shed.PoolID, limits shed.BatchLimits) Forecast {
 	var rate float64
 	earliestFree := time.Duration(-1)
 	for _, s := range b.servers(pool) {
@@ -98,8 +98,8 @@
 // NoServers is what Wait predicts for a pool without servers.
 const NoServers = time.Hour
 
-// Busy returns the pools with pieces pending or in flight, in the order of their first use.
-func (b *Batcher) Busy() []shed.PoolID {
+// ActivePools returns the pools with pieces pending or in flight, in the order of their first use.
+func (b *Batcher) ActivePools() []shed.PoolID {
 	running := map[*group]bool{}
 	for _, c := range b.calls {
 		running[c.group] = true
@@ -113,8 +113,8 @@
 	return out
 }
 
-// Waiting returns the number of pending pieces of a pool.
-func (b *Batcher) Waiting(pool shed.PoolID) int {
+// PendingCount returns the number of pending pieces of a pool.
+func (b *Batcher) PendingCount(pool shed.PoolID) int {
 	if g := b.groups[pool]; g != nil {
 		return len(g.pending)
 	}
--- a/internal/picker/fetch.go
+++ b/internal/picker/fetch.go
@@ -37,7 +37,7 @@
 	cachedTokens shed.Tokens
 }
 
-func (p *Picker) findDonors(now time.Time, w *Want, servers []*roster.Server, chain []uint64) donors {
+func (p *Picker) findDonors(now time.Time, w *Request, servers []*roster.Server, chain []uint64) donors {
 	var out donors
 	if !w.Engine || w.FetchRate <= 0 || len(chain) == 0 {
 		return out
@@ -72,7 +72,7 @@
 const maxDonorFailureRate = 0.1
 
 // cachedTokens is how many tokens of the prompt's shared parts the server has cached.
-func (st *state) cachedTokens(now time.Time, w *Want, chain []uint64) shed.Tokens {
+func (st *state) cachedTokens(now time.Time, w *Request, chain []uint64) shed.Tokens {
 	var out shed.Tokens
 	for i, h := range chain {
 		at, ok := st.prefixes[h]
--- a/internal/picker/overrun.go
+++ b/internal/picker/overrun.go
@@ -3,9 +3,9 @@
 import "time"
 
 const (
-	// FirstOverrun approximates the time a server takes to the first event beyond reading the
+	// DefaultOverrun approximates the time a server takes to the first event beyond reading the
 	// known prompts; it is used until one has been measured.
-	FirstOverrun = 40 * time.Millisecond
+	DefaultOverrun = 40 * time.Millisecond
 	// overrunWeight is the weight of the newest sample: about the last 16 count.
 	overrunWeight = 1.0 / 16
 	// maxOverrun bounds a sample: an unhealthy server says nothing about the others.
@@ -27,5 +27,5 @@
 // Overrun is how long a first event takes beyond Choice.Time, for most requests.
 func (p *Picker) Overrun() time.Duration { return p.overrun.mean + p.overrun.spread }
 
-// First records how long after it was sent the first event of a request arrived.
-func (p *Picker) First(c Choice, took time.Duration) { p.overrun.add(took - c.Time) }
+// RecordFirstEvent records how long after it was sent the first event of a request arrived.
+func (p *Picker) RecordFirstEvent(c Choice, took time.Duration) { p.overrun.add(took - c.Time) }
--- a/internal/picker/picker.go
+++ b/internal/picker/picker.go
@@ -66,12 +66,12 @@
 	return &Picker{
 		cfg: cfg, servers: map[shed.ServerID]*state{}, zoneFailures: map[shed.ZoneID]*failureRate{},
 		peerShares: map[shed.VM]map[shed.ServerID]shed.ServerShare{},
-		overrun:    overrun{mean: FirstOverrun},
+		overrun:    overrun{mean: DefaultOverrun},
 	}
 }
 
-// Want describes the request to be placed.
-type Want struct {
+// Request describes the request to be placed.
+type Request struct {
 	Prompt []shed.PromptPart
 	Input  shed.Tokens
 	// Engine is set if the pool's servers are model engines.
@@ -100,8 +100,8 @@
 	// ByTurn means that the server limits the requests of all daemons together, so a turn is
 	// needed.
 	ByTurn
-	// Held means that this daemon has no turn for the server yet.
-	Held
+	// NoTurn means that this daemon has no turn for the server yet.
+	NoTurn
 )
 
 // Choice is the chosen server, or the reason why there is none.
@@ -118,16 +118,16 @@
 	Donor            *roster.Server
 	// ByTurn is set if sending the request to the server needs a turn.
 	ByTurn bool
-	// Held is set if this daemon has no turn for any of the servers that could serve.
-	Held bool
-	// Away is the time until a server may be tried again if none that could serve is
+	// NoTurn is set if this daemon has no turn for any of the servers that could serve.
+	NoTurn bool
+	// UnreachableFor is the time until a server may be tried again if none that could serve is
 	// reachable; 0 if that is not the reason.
-	Away time.Duration
+	UnreachableFor time.Duration
 }
 
 // Pick returns the server with the least cost among servers, which are sorted by id; Server is
 // nil if there is none.
-func (p *Picker) Pick(now time.Time, w Want, servers []*roster.Server) Choice {
+func (p *Picker) Pick(now time.Time, w Request, servers []*roster.Server) Choice {
 	var best Choice
 	chain := prefixChains(w.Prompt)
 	usual := p.fastestCallTime(servers)
@@ -148,7 +148,7 @@
 		if w.Access != nil {
 			access = w.Access(s)
 		}
-		if access == Held {
+		if access == NoTurn {
 			held = true
 			continue
 		}
@@ -159,7 +159,7 @@
 		}
 	}
 	if best.Server == nil {
-		best.Held, best.Away = held, unreachableFor
+		best.NoTurn, best.UnreachableFor = held, unreachableFor
 	}
 	return best
 }
@@ -189,7 +189,7 @@
 }
 
 func (p *Picker) evaluate(
-	now time.Time, w *Want, s *roster.Server, st *state, chain []uint64, usual time.Duration, donors donors,
+	now time.Time, w *Request, s *roster.Server, st *state, chain []uint64, usual time.Duration, donors donors,
 ) Choice {
 	running, reading := st.ownRunning+st.peers.Running, st.ownReading+st.peers.Reading
 	c := Choice{Server: s}
--- a/internal/picker/prefix.go
+++ b/internal/picker/prefix.go
@@ -40,5 +40,5 @@
 	return out
 }
 
-// Chains returns the hashes by which peers identify prefixes to each other.
-func Chains(prompt []shed.PromptPart) []uint64 { return prefixChains(prompt) }
+// PrefixChains returns the hashes by which peers identify prefixes to each other.
+func PrefixChains(prompt []shed.PromptPart) []uint64 { return prefixChains(prompt) }
--- a/internal/picker/state.go
+++ b/internal/picker/state.go
@@ -45,7 +45,7 @@
 
 // missingTokens is how many tokens the server would have to read, and how many of them belong
 // to parts that requests share.
-func (st *state) missingTokens(now time.Time, w *Want, chain []uint64) (left, reread shed.Tokens) {
+func (st *state) missingTokens(now time.Time, w *Request, chain []uint64) (left, reread shed.Tokens) {
 	var all, shared shed.Tokens
 	for i, part := range w.Prompt {
 		all += part.Tokens
@@ -57,8 +57,8 @@
 	return max(w.Input, all) - keeps, shared - keeps
 }
 
-// Placed records that a request goes to the server.
-func (p *Picker) Placed(now time.Time, w Want, c Choice) {
+// RecordPlacement records that a request goes to the server.
+func (p *Picker) RecordPlacement(now time.Time, w Request, c Choice) {
 	st := p.state(c.Server)
 	st.ownRunning++
 	if !w.Engine {
@@ -71,8 +71,8 @@
 	st.prunePrefixes(now)
 }
 
-// Seen records that a peer placed a request with this prefix.
-func (p *Picker) Seen(now time.Time, id shed.ServerID, chain []uint64) {
+// RecordPeerPrefix records that a peer placed a request with this prefix.
+func (p *Picker) RecordPeerPrefix(now time.Time, id shed.ServerID, chain []uint64) {
 	st := p.servers[id]
 	if st == nil {
 		return
@@ -98,8 +98,8 @@
 	}
 }
 
-// Began records that a request's first event has arrived, so its prompt has been read.
-func (p *Picker) Began(c Choice) {
+// RecordPromptRead records that a request's first event has arrived, so its prompt has been read.
+func (p *Picker) RecordPromptRead(c Choice) {
 	if st := p.servers[c.Server.ID]; st != nil {
 		st.ownReading -= min(st.ownReading, c.Missing)
 	}
@@ -114,19 +114,19 @@
 	Failed bool
 	// Unreached is set if no connection was established in time; Failed is set too.
 	Unreached bool
-	// Forgotten is set if the request ended for reasons unrelated to the server.
-	Forgotten bool
+	// Inconclusive is set if the request ended for reasons unrelated to the server.
+	Inconclusive bool
 }
 
-// Ended records that the request is no longer on the server. Began was called before if its
+// RecordEnd records that the request is no longer on the server. Began was called before if its
 // first event arrived.
-func (p *Picker) Ended(now time.Time, c Choice, end End) {
+func (p *Picker) RecordEnd(now time.Time, c Choice, end End) {
 	st := p.servers[c.Server.ID]
 	if st == nil {
 		return
 	}
 	st.ownRunning = max(st.ownRunning-1, 0)
-	if end.Forgotten {
+	if end.Inconclusive {
 		return
 	}
 	p.recordOutcome(now, st, c.Server.Zone, end)
@@ -165,8 +165,8 @@
 	return out
 }
 
-// PeerShares replaces the load that a peer reported on the servers.
-func (p *Picker) PeerShares(from shed.VM, shares map[shed.ServerID]shed.ServerShare) {
+// SetPeerShares replaces the load that a peer reported on the servers.
+func (p *Picker) SetPeerShares(from shed.VM, shares map[shed.ServerID]shed.ServerShare) {
 	for id, old := range p.peerShares[from] {
 		if st := p.servers[id]; st != nil {
 			st.peers.Running -= old.Running
@@ -184,14 +184,14 @@
 	p.peerShares[from] = kept
 }
 
-// PeerGone forgets the load of a peer.
-func (p *Picker) PeerGone(vm shed.VM) {
-	p.PeerShares(vm, nil)
+// RemovePeer forgets the load of a peer.
+func (p *Picker) RemovePeer(vm shed.VM) {
+	p.SetPeerShares(vm, nil)
 	delete(p.peerShares, vm)
 }
 
-// Keep forgets servers that are no longer listed and have no requests of this daemon.
-func (p *Picker) Keep(listed func(shed.ServerID) bool) {
+// RetainServers forgets servers that are no longer listed and have no requests of this daemon.
+func (p *Picker) RetainServers(listed func(shed.ServerID) bool) {
 	for id, st := range p.servers {
 		if st.ownRunning == 0 && !listed(id) {
 			delete(p.servers, id)
