--- a/internal/batch/dispatch.go
+++ b/internal/batch/dispatch.go
@@ -89,8 +89,8 @@
 }
 
 // isTooLate reports whether a call that is sent now would end after the piece's deadline or,
-// under overload, too far after its target while other pieces could still meet theirs. Its
-// caller is then better told at once.
+// under overload, too far after its target while other pieces could still meet theirs. The
+// piece is then better rejected at once.
 func (b *Batcher) isTooLate(now time.Time, g *group, p *piece, overloaded bool) bool {
 	soonest := g.earliestCompletion(now)
 	return soonest.After(p.job.deadline) || overloaded && soonest.After(p.job.target.Add(lateMargin))
--- a/internal/batch/wait.go
+++ b/internal/batch/wait.go
@@ -95,7 +95,7 @@
 	return timely, all
 }
 
-// NoServers is what Wait predicts for a pool without servers.
+// NoServers is what PredictWait predicts for a pool without servers.
 const NoServers = time.Hour
 
 // ActivePools returns the pools with pieces pending or in flight, in the order of their first use.
--- a/internal/picker/state.go
+++ b/internal/picker/state.go
@@ -118,8 +118,8 @@
 	Inconclusive bool
 }
 
-// RecordEnd records that the request is no longer on the server. Began was called before if its
-// first event arrived.
+// RecordEnd records that the request is no longer on the server. RecordPromptRead was called
+// before if its first event arrived.
 func (p *Picker) RecordEnd(now time.Time, c Choice, end End) {
 	st := p.servers[c.Server.ID]
 	if st == nil {
