--- a/internal/batch/batch.go
+++ b/internal/batch/batch.go
@@ -101,8 +101,8 @@
 
 // preferredZone is the zone where the piece's result is wanted; empty if any will do.
 func (p *piece) preferredZone() shed.ZoneID {
-	if p.Near != "" {
-		return p.Near
+	if p.PreferredZone != "" {
+		return p.PreferredZone
 	}
 	return p.job.preferredZone
 }
@@ -142,7 +142,7 @@
 
 // call is one call that a server runs.
 type call struct {
-	server   shed.Listing
+	server   shed.ServerEntry
 	group    *group
 	pieces   []*piece
 	sentAt   time.Time
@@ -207,7 +207,7 @@
 	j := &job{id: ev.Job, group: g, results: make([]shed.PieceResult, len(ev.Pieces)), unsettled: len(ev.Pieces)}
 	b.jobs[ev.Job] = j
 	for i, p := range ev.Pieces {
-		j.target, j.deadline = now.Add(p.Aim), now.Add(p.Left)
+		j.target, j.deadline = now.Add(p.Target), now.Add(p.Budget)
 		g.enqueue(&piece{Piece: p, job: j, index: i})
 	}
 }
@@ -266,16 +266,16 @@
 ) []Action {
 	p.inFlight--
 	switch r.End {
-	case shed.PieceMade:
+	case shed.PieceComplete:
 		m.heldBytes += p.Bytes
-		b.held[r.Ref] = heldResult{server: c.server.ID, bytes: p.Bytes, expires: now.Add(c.group.limits.KeepFor)}
+		b.held[r.Ref] = heldResult{server: c.server.ID, bytes: p.Bytes, expires: now.Add(c.group.limits.ResultRetention)}
 		if p.settled || p.job.dropped {
 			return append(out, Free{Refs: []shed.ResultRef{r.Ref}})
 		}
 		return b.settle(out, p, r)
-	case shed.PieceNoRoom:
+	case shed.PieceNoCapacity:
 		// The server holds more than this VM has accounted for, so it gets less for a while.
-		m.unaccounted = append(m.unaccounted, unaccountedBytes{bytes: p.Bytes, expires: now.Add(c.group.limits.KeepFor / 2)})
+		m.unaccounted = append(m.unaccounted, unaccountedBytes{bytes: p.Bytes, expires: now.Add(c.group.limits.ResultRetention / 2)})
 		return b.requeue(out, p)
 	case shed.PieceFailed:
 		p.countFailure()
--- a/internal/batch/batch_test.go
+++ b/internal/batch/batch_test.go
@@ -14,8 +14,8 @@
 var (
 	start  = time.Unix(1_700_000_000, 0)
 	limits = shed.BatchLimits{
-		Most: 4, CallTime: 150 * time.Millisecond, PieceTime: 10 * time.Millisecond,
-		Room: 1000, KeepFor: 4 * time.Second,
+		MaxPieces: 4, CallTime: 150 * time.Millisecond, PieceTime: 10 * time.Millisecond,
+		ResultCapacity: 1000, ResultRetention: 4 * time.Second,
 	}
 )
 
@@ -24,7 +24,7 @@
 	t       *testing.T
 	b       *batch.Batcher
 	now     time.Time
-	servers []shed.Listing
+	servers []shed.ServerEntry
 	sends   []batch.Send
 	done    map[batch.JobID][]shed.PieceResult
 	freed   []shed.ResultRef
@@ -34,9 +34,9 @@
 func newHarness(t *testing.T, zones ...shed.ZoneID) *harness {
 	tb := &harness{t: t, now: start, done: map[batch.JobID][]shed.PieceResult{}}
 	for i, z := range zones {
-		tb.servers = append(tb.servers, shed.Listing{ID: shed.ServerID(fmt.Sprintf("s%d", i)), Pool: "p", Zone: z, Born: 1})
+		tb.servers = append(tb.servers, shed.ServerEntry{ID: shed.ServerID(fmt.Sprintf("s%d", i)), Pool: "p", Zone: z, StartedMs: 1})
 	}
-	tb.b = batch.New(func(shed.PoolID) []shed.Listing { return tb.servers })
+	tb.b = batch.New(func(shed.PoolID) []shed.ServerEntry { return tb.servers })
 	return tb
 }
 
@@ -58,7 +58,7 @@
 	pieces := make([]shed.Piece, n)
 	for i := range pieces {
 		pieces[i] = shed.Piece{
-			Request: shed.RequestID(fmt.Sprint("q", job)), Number: i, Bytes: 100, Left: 5 * time.Second, Aim: aim,
+			Request: shed.RequestID(fmt.Sprint("q", job)), Number: i, Bytes: 100, Budget: 5 * time.Second, Target: aim,
 		}
 		if change != nil {
 			change(&pieces[i])
@@ -79,7 +79,7 @@
 	results := make([]shed.PieceResult, len(s.Pieces))
 	for i := range results {
 		results[i].End = end
-		if end == shed.PieceMade {
+		if end == shed.PieceComplete {
 			tb.made++
 			results[i].Ref = shed.ResultRef(fmt.Sprintf("%s/%d", s.Server.ID, tb.made))
 		}
@@ -113,7 +113,7 @@
 	tb.addJob(4, 2, time.Second, nil)
 	require.Empty(t, tb.sends, "one call at a time")
 	tb.now = tb.now.Add(160 * time.Millisecond)
-	tb.answer(batch.Send{Call: 1, Pieces: make([]shed.Piece, 1)}, shed.PieceMade)
+	tb.answer(batch.Send{Call: 1, Pieces: make([]shed.Piece, 1)}, shed.PieceComplete)
 	require.Equal(t, []shed.RequestID{"q4", "q4", "q3", "q2"}, requests(tb.nextSend()))
 }
 
@@ -135,7 +135,7 @@
 			tb.addJob(job, 4, 500*time.Millisecond, func(p *shed.Piece) { p.Bytes = 0 })
 		}
 		if running != nil && !tb.now.Before(ends) {
-			tb.answer(*running, shed.PieceMade)
+			tb.answer(*running, shed.PieceComplete)
 			running = nil
 		}
 		if running == nil && len(tb.sends) > 0 {
@@ -144,7 +144,7 @@
 		}
 		tb.handle(batch.Tick{})
 		for id, results := range tb.done {
-			if results[0].End == shed.PieceMade && tb.now.Sub(asked[id]) > 500*time.Millisecond {
+			if results[0].End == shed.PieceComplete && tb.now.Sub(asked[id]) > 500*time.Millisecond {
 				late++
 			}
 			if results[0].End == shed.PieceLate {
@@ -162,15 +162,15 @@
 // results held there, until the server has been notified that some are released.
 func TestRoomIsCounted(t *testing.T) {
 	tb := newHarness(t, "a")
-	tb.addJob(1, 9, 20*time.Second, func(p *shed.Piece) { p.Left = 30 * time.Second })
-	tb.answer(tb.nextSend(), shed.PieceMade)
-	tb.answer(tb.nextSend(), shed.PieceMade)
+	tb.addJob(1, 9, 20*time.Second, func(p *shed.Piece) { p.Budget = 30 * time.Second })
+	tb.answer(tb.nextSend(), shed.PieceComplete)
+	tb.answer(tb.nextSend(), shed.PieceComplete)
 	// At most 920 bytes are used, so one more piece fits.
 	s := tb.nextSend()
 	require.Len(t, s.Pieces, 1)
-	tb.answer(s, shed.PieceMade)
+	tb.answer(s, shed.PieceComplete)
 	refs := []shed.ResultRef{tb.done[1][0].Ref, tb.done[1][1].Ref}
-	tb.addJob(2, 2, 20*time.Second, func(p *shed.Piece) { p.Left = 30 * time.Second })
+	tb.addJob(2, 2, 20*time.Second, func(p *shed.Piece) { p.Budget = 30 * time.Second })
 	require.Empty(t, tb.sends)
 	tb.handle(batch.FreeRequested{Refs: refs})
 	require.Equal(t, refs, tb.freed)
@@ -184,8 +184,8 @@
 func TestRoomComesBack(t *testing.T) {
 	tb := newHarness(t, "a")
 	tb.addJob(1, 4, time.Second, func(p *shed.Piece) { p.Bytes = 230 })
-	tb.answer(tb.nextSend(), shed.PieceMade)
-	tb.addJob(2, 4, 5*time.Second, func(p *shed.Piece) { p.Bytes, p.Left = 230, 10*time.Second })
+	tb.answer(tb.nextSend(), shed.PieceComplete)
+	tb.addJob(2, 4, 5*time.Second, func(p *shed.Piece) { p.Bytes, p.Budget = 230, 10*time.Second })
 	require.Empty(t, tb.sends)
 	tb.advance(4200 * time.Millisecond)
 	require.Len(t, tb.nextSend().Pieces, 4)
@@ -200,9 +200,9 @@
 	tb.advance(700 * time.Millisecond)
 	second := tb.nextSend()
 	require.NotEqual(t, silent.Server.ID, second.Server.ID)
-	tb.answer(second, shed.PieceMade)
+	tb.answer(second, shed.PieceComplete)
 	require.Len(t, tb.done[1], 2)
-	tb.answer(silent, shed.PieceMade)
+	tb.answer(silent, shed.PieceComplete)
 	require.Len(t, tb.freed, 2)
 }
 
@@ -215,8 +215,8 @@
 	tb.advance(600 * time.Millisecond)
 	again := tb.nextSend()
 	require.Equal(t, shed.RequestID("q1"), again.Pieces[0].Request)
-	tb.answer(again, shed.PieceMade)
-	require.Equal(t, shed.PieceMade, tb.done[1][0].End)
+	tb.answer(again, shed.PieceComplete)
+	require.Equal(t, shed.PieceComplete, tb.done[1][0].End)
 }
 
 // A refusal by a full server must not count as a try: the server is busy with calls of another
@@ -229,8 +229,8 @@
 		tb.handle(batch.CallEnded{Call: s.Call, NotRun: true, Busy: true})
 		tb.advance(200 * time.Millisecond)
 	}
-	tb.answer(tb.nextSend(), shed.PieceMade)
-	require.Equal(t, shed.PieceMade, tb.done[1][0].End)
+	tb.answer(tb.nextSend(), shed.PieceComplete)
+	require.Equal(t, shed.PieceComplete, tb.done[1][0].End)
 }
 
 // Every call to the servers fails. The piece must not be retried for ever: its request gets a
@@ -263,7 +263,7 @@
 	tb.addJob(2, 1, time.Second, nil)
 	tb.handle(batch.JobDropped{Job: 1})
 	tb.handle(batch.JobDropped{Job: 2})
-	tb.answer(running, shed.PieceMade)
+	tb.answer(running, shed.PieceComplete)
 	require.Empty(t, tb.sends)
 	require.Empty(t, tb.done)
 	require.Len(t, tb.freed, 1)
@@ -278,20 +278,20 @@
 	tb.addJob(2, 2, time.Second, nil)
 	tb.handle(batch.Stopped{})
 	require.Equal(t, shed.PieceMoved, tb.done[2][1].End)
-	tb.answer(running, shed.PieceMade)
-	require.Equal(t, shed.PieceMade, tb.done[1][0].End)
+	tb.answer(running, shed.PieceComplete)
+	require.Equal(t, shed.PieceComplete, tb.done[1][0].End)
 }
 
 // Each piece of the next step fetches all results of this step, so the pieces of a step must
 // stay in one zone even if a server of another zone is idle.
 func TestTogether(t *testing.T) {
 	tb := newHarness(t, "a", "b")
-	together := func(p *shed.Piece) { p.Together, p.Bytes = true, 0 }
+	together := func(p *shed.Piece) { p.SameZone, p.Bytes = true, 0 }
 	tb.addJob(1, 6, 3*time.Second, together)
 	first := tb.nextSend()
 	require.Equal(t, shed.ZoneID("a"), first.Server.Zone)
 	require.Empty(t, tb.sends, "zone b gets none of them")
-	tb.answer(first, shed.PieceMade)
+	tb.answer(first, shed.PieceComplete)
 	require.Equal(t, shed.ZoneID("a"), tb.nextSend().Server.Zone)
 }
 
@@ -299,7 +299,7 @@
 // only the pieces that would otherwise miss their target.
 func TestNearUnlessLate(t *testing.T) {
 	tb := newHarness(t, "a", "b")
-	near := func(p *shed.Piece) { p.Near, p.Bytes = "b", 0 }
+	near := func(p *shed.Piece) { p.PreferredZone, p.Bytes = "b", 0 }
 	tb.addJob(1, 1, 3*time.Second, near)
 	require.Equal(t, shed.ZoneID("b"), tb.nextSend().Server.Zone)
 	tb.addJob(2, 1, 3*time.Second, near)
@@ -314,8 +314,8 @@
 // capacity must count as used, and become free as those results expire.
 func TestRoomHeldForAnotherVM(t *testing.T) {
 	tb := newHarness(t, "a")
-	tb.handle(batch.HeldElsewhere{From: "vm2", Held: map[shed.ServerID]int64{"s0": 920}, Retention: limits.KeepFor})
-	tb.addJob(1, 4, 5*time.Second, func(p *shed.Piece) { p.Left = 10 * time.Second })
+	tb.handle(batch.HeldElsewhere{From: "vm2", Held: map[shed.ServerID]int64{"s0": 920}, Retention: limits.ResultRetention})
+	tb.addJob(1, 4, 5*time.Second, func(p *shed.Piece) { p.Budget = 10 * time.Second })
 	require.Empty(t, tb.sends)
 	tb.advance(2 * time.Second)
 	require.Len(t, tb.nextSend().Pieces, 1)
@@ -339,7 +339,7 @@
 		tb.addJob(job+1, 1, 5*time.Second, nil)
 		s := tb.nextSend()
 		tb.advance(320 * time.Millisecond)
-		tb.answer(s, shed.PieceMade)
+		tb.answer(s, shed.PieceComplete)
 		tb.handle(batch.FreeRequested{Refs: []shed.ResultRef{tb.done[job+1][0].Ref}})
 		tb.handle(batch.FreeEnded{Refs: tb.freed})
 	}
--- a/internal/batch/dispatch.go
+++ b/internal/batch/dispatch.go
@@ -17,7 +17,7 @@
 	out = b.rejectLate(now, out, g)
 	servers := b.servers(g.pool)
 	usableServers, reachableServers := 0, 0
-	var idle []shed.Listing
+	var idle []shed.ServerEntry
 	for _, s := range servers {
 		m := b.producer(s)
 		if !m.unreached {
@@ -38,7 +38,7 @@
 	if usableServers == 0 {
 		return b.failPending(out, g)
 	}
-	slices.SortStableFunc(idle, func(x, y shed.Listing) int {
+	slices.SortStableFunc(idle, func(x, y shed.ServerEntry) int {
 		mx, my := b.producers[x.ID], b.producers[y.ID]
 		if mx.unreached != my.unreached {
 			// Probes go first: a probed piece stays pending for the other servers.
@@ -132,7 +132,7 @@
 
 // earliestCompletion is when a call that is sent now could end.
 func (g *group) earliestCompletion(now time.Time) time.Time {
-	return now.Add(scale(expectedTime(g.limits, min(len(g.pending), g.limits.Most)), g.slowness) + networkTime)
+	return now.Add(scale(expectedTime(g.limits, min(len(g.pending), g.limits.MaxPieces)), g.slowness) + networkTime)
 }
 
 func expectedTime(l shed.BatchLimits, pieces int) time.Duration {
@@ -141,12 +141,12 @@
 
 // busyServerIsFaster reports whether a busy server would finish the pieces before the idle,
 // slow server s.
-func (b *Batcher) busyServerIsFaster(now time.Time, g *group, servers []shed.Listing, s shed.Listing) bool {
-	n := min(len(g.pending), g.limits.Most)
+func (b *Batcher) busyServerIsFaster(now time.Time, g *group, servers []shed.ServerEntry, s shed.ServerEntry) bool {
+	n := min(len(g.pending), g.limits.MaxPieces)
 	own := scale(expectedTime(g.limits, n), b.producers[s.ID].slowness)
 	for _, other := range servers {
 		m := b.producers[other.ID]
-		if m.running == 0 || now.Before(m.backoffUntil) || len(g.pending) > g.limits.Most {
+		if m.running == 0 || now.Before(m.backoffUntil) || len(g.pending) > g.limits.MaxPieces {
 			continue
 		}
 		c := b.calls[m.running]
@@ -166,7 +166,7 @@
 // to see whether it is reachable again. The piece stays pending for a healthy server: in a
 // zone that was partitioned from the others, pieces went from one unreachable server to the
 // next, 0.2 s each, for up to 1.3 s.
-func (b *Batcher) probe(now time.Time, out []Action, g *group, s shed.Listing) []Action {
+func (b *Batcher) probe(now time.Time, out []Action, g *group, s shed.ServerEntry) []Action {
 	at := len(g.pending) - 1
 	for at >= 0 && (g.pending[at].settled || g.pending[at].inFlight > 0) {
 		at--
@@ -180,7 +180,7 @@
 
 // fillCall fills a call with the most urgent pieces whose results fit the server's free
 // capacity.
-func (b *Batcher) fillCall(now time.Time, out []Action, g *group, servers []shed.Listing, s shed.Listing) []Action {
+func (b *Batcher) fillCall(now time.Time, out []Action, g *group, servers []shed.ServerEntry, s shed.ServerEntry) []Action {
 	room := b.producers[s.ID].freeBytes(now, g.limits)
 	schedule := b.zoneSchedule(now, g, servers)
 	var chosen, rest []*piece
@@ -190,14 +190,14 @@
 			continue
 		}
 		otherSubgroup := len(chosen) > 0 && p.subgroup != chosen[0].subgroup
-		if otherSubgroup || len(chosen) == g.limits.Most || !schedule.mayRunOn(p, s) || p.Bytes > room-bytes && g.limits.Room > 0 {
+		if otherSubgroup || len(chosen) == g.limits.MaxPieces || !schedule.mayRunOn(p, s) || p.Bytes > room-bytes && g.limits.ResultCapacity > 0 {
 			rest = append(rest, p)
 			continue
 		}
 		p.queued = false
 		chosen = append(chosen, p)
 		bytes += p.Bytes
-		if p.Together && p.Near == "" {
+		if p.SameZone && p.PreferredZone == "" {
 			p.job.preferredZone = s.Zone
 		}
 	}
@@ -209,7 +209,7 @@
 }
 
 // startCall sends pieces to a server.
-func (b *Batcher) startCall(now time.Time, out []Action, g *group, s shed.Listing, pieces []*piece) []Action {
+func (b *Batcher) startCall(now time.Time, out []Action, g *group, s shed.ServerEntry, pieces []*piece) []Action {
 	m := b.producers[s.ID]
 	c := &call{server: s, group: g, sentAt: now, pieces: pieces, expected: expectedTime(g.limits, len(pieces))}
 	for _, p := range pieces {
@@ -224,7 +224,7 @@
 	for _, p := range c.pieces {
 		p.inFlight++
 		piece := p.Piece
-		piece.Left = p.job.deadline.Sub(now)
+		piece.Budget = p.job.deadline.Sub(now)
 		send.Pieces = append(send.Pieces, piece)
 	}
 	return append(out, send)
@@ -239,7 +239,7 @@
 	freeSlots  map[shed.ZoneID]int
 }
 
-func (b *Batcher) zoneSchedule(now time.Time, g *group, servers []shed.Listing) zoneSchedule {
+func (b *Batcher) zoneSchedule(now time.Time, g *group, servers []shed.ServerEntry) zoneSchedule {
 	n := zoneSchedule{completion: map[shed.ZoneID]time.Time{}, freeSlots: map[shed.ZoneID]int{}}
 	for _, s := range servers {
 		m := b.producer(s)
@@ -250,11 +250,11 @@
 		if c := b.calls[m.running]; c != nil {
 			done = shed.Later(now, c.sentAt.Add(scale(c.expected, m.slowness)))
 		}
-		done = done.Add(scale(expectedTime(g.limits, g.limits.Most), m.slowness))
+		done = done.Add(scale(expectedTime(g.limits, g.limits.MaxPieces), m.slowness))
 		if old, ok := n.completion[s.Zone]; !ok || done.Before(old) {
 			n.completion[s.Zone] = done
 		}
-		n.freeSlots[s.Zone] += g.limits.Most
+		n.freeSlots[s.Zone] += g.limits.MaxPieces
 	}
 	return n
 }
@@ -263,7 +263,7 @@
 // long as the next calls of that zone have free slots and meet the target: fetching large
 // results from another zone is what users pay most for. A piece that is held back uses up a
 // slot of those calls.
-func (n zoneSchedule) mayRunOn(p *piece, s shed.Listing) bool {
+func (n zoneSchedule) mayRunOn(p *piece, s shed.ServerEntry) bool {
 	zone := p.preferredZone()
 	if zone == "" || zone == s.Zone {
 		return true
--- a/internal/batch/producer.go
+++ b/internal/batch/producer.go
@@ -67,12 +67,12 @@
 
 // freeBytes is the server's free result capacity.
 func (m *producer) freeBytes(now time.Time, l shed.BatchLimits) int64 {
-	return int64(float64(l.Room)*usableCapacityShare) - m.usedBytes(now)
+	return int64(float64(l.ResultCapacity)*usableCapacityShare) - m.usedBytes(now)
 }
 
 // canHold reports whether the server has capacity for one more result.
 func (m *producer) canHold(now time.Time, l shed.BatchLimits, bytes int64) bool {
-	return l.Room == 0 || bytes <= m.freeBytes(now, l)
+	return l.ResultCapacity == 0 || bytes <= m.freeBytes(now, l)
 }
 
 type heldResult struct {
@@ -90,7 +90,7 @@
 		return
 	}
 	if !ev.NotRun {
-		m.unaccounted = append(m.unaccounted, unaccountedBytes{bytes: c.bytes, expires: now.Add(c.group.limits.KeepFor)})
+		m.unaccounted = append(m.unaccounted, unaccountedBytes{bytes: c.bytes, expires: now.Add(c.group.limits.ResultRetention)})
 	}
 	if c.suspected && m.consecutiveFailures == 0 {
 		// The server answered a later call, so it is alive and only this answer was lost.
@@ -155,18 +155,18 @@
 	}
 }
 
-func (b *Batcher) producer(s shed.Listing) *producer {
+func (b *Batcher) producer(s shed.ServerEntry) *producer {
 	m := b.producers[s.ID]
 	if m == nil {
-		m = &producer{born: s.Born, slowness: 1}
+		m = &producer{born: s.StartedMs, slowness: 1}
 		b.producers[s.ID] = m
 	}
 	if m.born == 0 {
-		m.born = s.Born
+		m.born = s.StartedMs
 	}
-	if m.born != s.Born {
+	if m.born != s.StartedMs {
 		// A restarted server holds no earlier results.
-		*m = producer{born: s.Born, slowness: 1, running: m.running, heldBytes: b.runningBytes(m.running)}
+		*m = producer{born: s.StartedMs, slowness: 1, running: m.running, heldBytes: b.runningBytes(m.running)}
 		for ref, h := range b.held {
 			if h.server == s.ID {
 				delete(b.held, ref)
@@ -184,7 +184,7 @@
 }
 
 // allowParallelCall lets a server have one call beside the suspect one.
-func (b *Batcher) allowParallelCall(s shed.Listing) {
+func (b *Batcher) allowParallelCall(s shed.ServerEntry) {
 	m := b.producers[s.ID]
 	if m.suspectedCalls++; m.suspectedCalls == 1 {
 		m.running = 0
--- a/internal/batch/reach_test.go
+++ b/internal/batch/reach_test.go
@@ -22,11 +22,11 @@
 		if s := tb.nextSend(); s.Server.Zone == "b" {
 			tb.handle(batch.CallEnded{Call: s.Call, NotRun: true})
 		} else {
-			tb.answer(s, shed.PieceMade)
+			tb.answer(s, shed.PieceComplete)
 		}
 	}
 	for len(tb.done) == 0 {
-		tb.answer(tb.nextSend(), shed.PieceMade)
+		tb.answer(tb.nextSend(), shed.PieceComplete)
 	}
 	tb.advance(2 * time.Second)
 	tb.addJob(2, 9, time.Second, small)
@@ -41,7 +41,7 @@
 			continue
 		}
 		made += len(s.Pieces)
-		tb.answer(s, shed.PieceMade)
+		tb.answer(s, shed.PieceComplete)
 	}
 	require.Equal(t, 9, made)
 	require.Positive(t, probes)
@@ -49,7 +49,7 @@
 	tb.advance(4 * time.Second)
 	tb.addJob(3, 1, time.Second, small)
 	for len(tb.sends) > 0 {
-		tb.answer(tb.nextSend(), shed.PieceMade)
+		tb.answer(tb.nextSend(), shed.PieceComplete)
 	}
 	tb.addJob(4, 16, time.Second, small)
 	require.GreaterOrEqual(t, len(tb.sends), 2, "a server that answered a probe gets full calls again")
@@ -73,6 +73,6 @@
 	tb.advance(time.Second)
 	require.Less(t, tb.b.PredictWait(tb.now, "p", limits).Timely, time.Second)
 	tb.addJob(2, 1, 5*time.Second, nil)
-	tb.answer(tb.nextSend(), shed.PieceMade)
-	require.Equal(t, shed.PieceMade, tb.done[2][0].End)
+	tb.answer(tb.nextSend(), shed.PieceComplete)
+	require.Equal(t, shed.PieceComplete, tb.done[2][0].End)
 }
--- a/internal/batch/wait.go
+++ b/internal/batch/wait.go
@@ -51,7 +51,7 @@
 		if m.isUnreachable(now) {
 			continue
 		}
-		rate += float64(limits.Most) / (float64(expectedTime(limits, limits.Most)) * m.slowness)
+		rate += float64(limits.MaxPieces) / (float64(expectedTime(limits, limits.MaxPieces)) * m.slowness)
 		left := time.Duration(0)
 		if c := b.calls[m.running]; c != nil {
 			left = max(c.sentAt.Add(scale(c.expected, m.slowness)).Sub(now), 0)
@@ -68,10 +68,10 @@
 	timely, all := b.backlog(now, pool)
 	wait := func(n int) time.Duration {
 		queue := time.Duration(0)
-		if n >= limits.Most {
+		if n >= limits.MaxPieces {
 			queue = time.Duration(float64(n) / rate)
 		}
-		return earliestFree + queue + scale(expectedTime(limits, min(n+1, limits.Most)), slow) + networkTime
+		return earliestFree + queue + scale(expectedTime(limits, min(n+1, limits.MaxPieces)), slow) + networkTime
 	}
 	return Forecast{Timely: wait(timely), Last: wait(all), Slow: slow, Rate: rate * float64(time.Second)}
 }
