--- a/internal/batch/crash_test.go
+++ b/internal/batch/crash_test.go
@@ -11,36 +11,36 @@
 	"jasmineshed/internal/batch"
 )
 
-// Pieces of eight requests go in one call, and one of them ends its server. Sent again as
-// a whole they ended one server after the other, and nobody's pieces were made.
+// Pieces of eight requests are in one call, and one of them crashes its server. Sent again as
+// a whole they crashed one server after the other, and no piece was made.
 func TestCallThatEndsItsServerIsSplit(t *testing.T) {
-	tb := newTable(t, "a")
+	tb := newHarness(t, "a")
 	const culprit = batch.JobID(5)
 	limits := limits
 	limits.MaxPieces = 8
 	for id := batch.JobID(1); id <= 8; id++ {
-		tb.handle(batch.Asked{Job: id, Pool: "p", Limits: limits, Pieces: []shed.Piece{{
+		tb.handle(batch.JobAdded{Job: id, Pool: "p", Limits: limits, Pieces: []shed.Piece{{
 			Request: requestOf(id), Bytes: 10, Budget: 20 * time.Second, Target: 10 * time.Second,
 		}}})
 	}
-	ended, innocent := 0, map[shed.RequestID]bool{}
+	crashes, completed := 0, map[shed.RequestID]bool{}
 	for range 60 {
 		for len(tb.sends) > 0 {
-			s := tb.take()
+			s := tb.nextSend()
 			if !slices.Contains(requests(s), requestOf(culprit)) {
 				for _, request := range requests(s) {
-					innocent[request] = true
+					completed[request] = true
 				}
 				tb.answer(s, shed.PieceComplete)
 				continue
 			}
-			ended++
+			crashes++
 			tb.servers = []shed.ServerEntry{{ID: s.Server.ID + "x", Pool: "p", Zone: "a", StartedMs: 1}}
 			tb.handle(batch.CallEnded{Call: s.Call, Crashed: true})
 		}
-		tb.pass(100 * time.Millisecond)
+		tb.advance(100 * time.Millisecond)
 	}
-	require.Len(t, innocent, 7)
+	require.Len(t, completed, 7)
 	for id := batch.JobID(1); id <= 8; id++ {
 		want := shed.PieceComplete
 		if id == culprit {
@@ -48,7 +48,7 @@
 		}
 		require.Equal(t, want, tb.done[id][0].End, "job %d", id)
 	}
-	require.LessOrEqual(t, ended, 4)
+	require.LessOrEqual(t, crashes, 4)
 }
 
 func requestOf(id batch.JobID) shed.RequestID { return shed.RequestID(string(rune('a' + id))) }
--- a/internal/batch/machine_test.go
+++ b/internal/batch/machine_test.go
@@ -11,17 +11,16 @@
 	"jasmineshed/internal/batch"
 )
 
-// Whatever happens to calls and servers, in any order: each job is answered at
-// most once, with a result for each piece; no call holds more than it may; a
-// result that nobody was given is given up; and once nothing goes wrong any
-// more, every job that was not dropped is answered.
+// Whatever happens to calls and servers, in any order: each job is answered at most once, with
+// a result for each piece; no call exceeds its limit; a result that was given to no job is
+// released; and once faults cease, every job that was not dropped is answered.
 func TestAnyOrder(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		tb := newTable(t, "a", "a", "b")
+		tb := newHarness(t, "a", "a", "b")
 		all := tb.servers
 		asked := map[batch.JobID]int{}
 		next := batch.JobID(0)
-		given := func() map[shed.ResultRef]int {
+		resultCounts := func() map[shed.ResultRef]int {
 			refs := map[shed.ResultRef]int{}
 			for _, results := range tb.done {
 				for _, r := range results {
@@ -39,7 +38,7 @@
 			if len(tb.sends) == 0 {
 				return
 			}
-			s := tb.take()
+			s := tb.nextSend()
 			require.LessOrEqual(t, len(s.Pieces), limits.MaxPieces)
 			switch rapid.IntRange(0, 7).Draw(rt, "end") {
 			case 0:
@@ -62,7 +61,7 @@
 				n := rapid.IntRange(1, 9).Draw(rt, "pieces")
 				asked[next] = n
 				aim := time.Duration(rapid.IntRange(100, 2000).Draw(rt, "aim")) * time.Millisecond
-				tb.ask(next, n, aim, func(p *shed.Piece) {
+				tb.addJob(next, n, aim, func(p *shed.Piece) {
 					p.SameZone = n%2 == 0
 					if n%3 == 0 {
 						p.PreferredZone = "b"
@@ -70,13 +69,13 @@
 				})
 			},
 			"end":  func(*rapid.T) { end() },
-			"pass": func(rt *rapid.T) { tb.pass(time.Duration(rapid.IntRange(1, 900).Draw(rt, "ms")) * time.Millisecond) },
+			"pass": func(rt *rapid.T) { tb.advance(time.Duration(rapid.IntRange(1, 900).Draw(rt, "ms")) * time.Millisecond) },
 			"drop": func(rt *rapid.T) {
 				if next == 0 {
 					return
 				}
 				id := batch.JobID(rapid.Uint64Range(1, uint64(next)).Draw(rt, "job"))
-				tb.handle(batch.Dropped{Job: id})
+				tb.handle(batch.JobDropped{Job: id})
 				if _, done := tb.done[id]; !done {
 					delete(asked, id)
 				}
@@ -97,17 +96,17 @@
 						require.Len(rt, results, n)
 					}
 				}
-				for ref, n := range given() {
-					require.Equal(rt, 1, n, "result %s was given or given up once", ref)
+				for ref, n := range resultCounts() {
+					require.Equal(rt, 1, n, "result %s was given to a job or released exactly once", ref)
 				}
 			},
 		})
 		tb.servers = all
 		for range 200 {
 			for len(tb.sends) > 0 {
-				tb.answer(tb.take(), shed.PieceComplete)
+				tb.answer(tb.nextSend(), shed.PieceComplete)
 			}
-			tb.pass(100 * time.Millisecond)
+			tb.advance(100 * time.Millisecond)
 		}
 		for id := range asked {
 			require.Contains(rt, tb.done, id)
--- /dev/null
+++ b/internal/batch/producer.go
@@ -0,0 +1,200 @@
+package batch
+
+import (
+	"slices"
+	"time"
+
+	shed "jasmineshed"
+)
+
+// producer is the state of one server as seen by this VM.
+type producer struct {
+	born int64
+	// running is the call in flight; 0 if none.
+	running CallID
+	// slowness is the ratio of actual to expected call time.
+	slowness float64
+	// backoffUntil is when the server may get calls again after consecutiveFailures.
+	backoffUntil        time.Time
+	consecutiveFailures int
+	// unreached is set if the last call did not reach the server.
+	unreached bool
+	// heldBytes is the size of results that it holds, or will hold once its call ends.
+	heldBytes int64
+	// unaccounted are results that it may hold without this VM knowing them: of calls whose
+	// answer was lost, or made through another VM.
+	unaccounted []unaccountedBytes
+	// suspectedCalls counts suspect calls in flight beside which the server may get another
+	// one.
+	suspectedCalls int
+	// heldForOthers is what it holds for other VMs that coordinate the pool or did so
+	// recently.
+	heldForOthers map[shed.VM]heldElsewhere
+}
+
+// isUnreachable reports whether the server could not be reached and its backoff has not ended.
+// Requests must not wait for it: when all servers of a pool were partitioned off, pieces went
+// from one to the next until their callers gave up.
+func (m *producer) isUnreachable(now time.Time) bool {
+	return m.unreached && now.Before(m.backoffUntil)
+}
+
+type heldElsewhere struct {
+	bytes      int64
+	reportedAt time.Time
+	retention  time.Duration
+}
+
+type unaccountedBytes struct {
+	bytes   int64
+	expires time.Time
+}
+
+// usedBytes is how much of the server's result capacity is used.
+func (m *producer) usedBytes(now time.Time) int64 {
+	m.unaccounted = slices.DeleteFunc(m.unaccounted, func(u unaccountedBytes) bool { return now.After(u.expires) })
+	used := m.heldBytes
+	for _, u := range m.unaccounted {
+		used += u.bytes
+	}
+	for _, o := range m.heldForOthers {
+		// What was held at the report expires or is released within the retention period.
+		left := 1 - float64(now.Sub(o.reportedAt))/float64(o.retention)
+		used += int64(float64(o.bytes) * max(left, 0))
+	}
+	return used
+}
+
+// freeBytes is the server's free result capacity.
+func (m *producer) freeBytes(now time.Time, l shed.BatchLimits) int64 {
+	return int64(float64(l.ResultCapacity)*usableCapacityShare) - m.usedBytes(now)
+}
+
+// canHold reports whether the server has capacity for one more result.
+func (m *producer) canHold(now time.Time, l shed.BatchLimits, bytes int64) bool {
+	return l.ResultCapacity == 0 || bytes <= m.freeBytes(now, l)
+}
+
+type heldResult struct {
+	server  shed.ServerID
+	bytes   int64
+	expires time.Time
+}
+
+// recordFailure backs off from the server for a while, so that the other servers, or another
+// zone, get the pieces. One that is just full is tried again when another VM's call may have
+// ended.
+func (b *Batcher) recordFailure(now time.Time, m *producer, c *call, ev CallEnded) {
+	if ev.Busy {
+		m.backoffUntil = now.Add(c.expected / 2)
+		return
+	}
+	if !ev.NotRun {
+		m.unaccounted = append(m.unaccounted, unaccountedBytes{bytes: c.bytes, expires: now.Add(c.group.limits.ResultRetention)})
+	}
+	if c.suspected && m.consecutiveFailures == 0 {
+		// The server answered a later call, so it is alive and only this answer was lost.
+		return
+	}
+	m.unreached = ev.NotRun
+	m.backoffUntil = now.Add(min(initialBackoff<<min(m.consecutiveFailures, 6), maxBackoff))
+	m.consecutiveFailures++
+}
+
+// freeResults releases results; those that this VM doesn't know may have been made through
+// another one. Their capacity counts as used until the server has been notified.
+func (b *Batcher) freeResults(out []Action, refs []shed.ResultRef) []Action {
+	if len(refs) == 0 {
+		return out
+	}
+	return append(out, Free{Refs: refs})
+}
+
+func (b *Batcher) forgetResult(ref shed.ResultRef) {
+	h, ok := b.held[ref]
+	if !ok {
+		return
+	}
+	delete(b.held, ref)
+	if m := b.producers[h.server]; m != nil {
+		m.heldBytes -= h.bytes
+	}
+}
+
+func (b *Batcher) recordHeldElsewhere(now time.Time, ev HeldElsewhere) {
+	for id, bytes := range ev.Held {
+		m := b.producers[id]
+		if m == nil {
+			m = &producer{slowness: 1}
+			b.producers[id] = m
+		}
+		if m.heldForOthers == nil {
+			m.heldForOthers = map[shed.VM]heldElsewhere{}
+		}
+		m.heldForOthers[ev.From] = heldElsewhere{bytes: bytes, reportedAt: now, retention: ev.Retention}
+	}
+}
+
+// HeldBytes returns the bytes that servers hold for this VM.
+func (b *Batcher) HeldBytes() map[shed.ServerID]int64 {
+	out := map[shed.ServerID]int64{}
+	for id, m := range b.producers {
+		if m.heldBytes > 0 {
+			out[id] = m.heldBytes
+		}
+	}
+	return out
+}
+
+// expireResults forgets results whose retention period at their server is over.
+func (b *Batcher) expireResults(now time.Time) {
+	for ref, h := range b.held {
+		if now.After(h.expires) {
+			b.forgetResult(ref)
+		}
+	}
+}
+
+func (b *Batcher) producer(s shed.ServerEntry) *producer {
+	m := b.producers[s.ID]
+	if m == nil {
+		m = &producer{born: s.StartedMs, slowness: 1}
+		b.producers[s.ID] = m
+	}
+	if m.born == 0 {
+		m.born = s.StartedMs
+	}
+	if m.born != s.StartedMs {
+		// A restarted server holds no earlier results.
+		*m = producer{born: s.StartedMs, slowness: 1, running: m.running, heldBytes: b.runningBytes(m.running)}
+		for ref, h := range b.held {
+			if h.server == s.ID {
+				delete(b.held, ref)
+			}
+		}
+	}
+	return m
+}
+
+func (b *Batcher) runningBytes(id CallID) int64 {
+	if c := b.calls[id]; c != nil {
+		return c.bytes
+	}
+	return 0
+}
+
+// allowParallelCall lets a server have one call beside the suspect one.
+func (b *Batcher) allowParallelCall(s shed.ServerEntry) {
+	m := b.producers[s.ID]
+	if m.suspectedCalls++; m.suspectedCalls == 1 {
+		m.running = 0
+	}
+}
+
+// countRetryableSoon is 1 if the server is only avoided briefly because it was full, else 0.
+func (b *Batcher) countRetryableSoon(now time.Time, m *producer) int {
+	if m.consecutiveFailures == 0 || m.backoffUntil.Sub(now) < initialBackoff/2 {
+		return 1
+	}
+	return 0
+}
--- a/internal/picker/fetch_test.go
+++ b/internal/picker/fetch_test.go
@@ -14,35 +14,35 @@
 	"jasmineshed/internal/roster"
 )
 
-// fetchRate is how many tokens of KV cache engines fetch from each other in a
-// millisecond, in these tests.
+// fetchRate is how many tokens of KV cache engines fetch from each other per millisecond in
+// these tests.
 const fetchRate = 250
 
-func fetching(shared string, own int) picker.Want {
+func fetching(shared string, own int) picker.Request {
 	w := prompt(shared, own)
 	w.FetchRate = fetchRate
 	return w
 }
 
-// The server that has a prefix is crowded. Another one is chosen, and fetches the
+// The server that has cached a prefix is overloaded. Another one must be chosen, and fetch the
 // prefix instead of reading it again.
 func TestPrefixIsFetchedFromACrowdedServer(t *testing.T) {
 	from := servers(12, nil)
 	p := picker.New(picker.Config{Zone: "a"})
 	home := p.Pick(start, fetching("x", 0), from)
-	require.Nil(t, home.Donor, "nobody has it yet")
-	p.Placed(start, fetching("x", 0), home)
-	p.PeerShares("vm2", map[shed.ServerID]shed.ServerShare{home.Server.ID: {Running: 20, Reading: 20000}})
+	require.Nil(t, home.Donor, "no server has cached it yet")
+	p.RecordPlacement(start, fetching("x", 0), home)
+	p.SetPeerShares("vm2", map[shed.ServerID]shed.ServerShare{home.Server.ID: {Running: 20, Reading: 20000}})
 	next := p.Pick(start, fetching("x", 1), from)
 	require.NotEqual(t, home.Server.ID, next.Server.ID)
 	require.Equal(t, home.Server.ID, next.Donor.ID)
 	require.Equal(t, shed.Tokens(13000), next.Fetched)
 	require.Equal(t, shed.Tokens(3000), next.Missing)
-	require.Less(t, next.Time, 200*time.Millisecond, "reading it again alone takes 260 ms")
+	require.Less(t, next.Time, 200*time.Millisecond, "reading it again takes 260 ms alone")
 }
 
-// Two servers have the prefix, one in each zone, and both are crowded. The transfer
-// within the zone is the faster one.
+// Servers in several zones have cached the prefix and are overloaded. The donor must be the
+// one in the same zone, since that transfer is faster.
 func TestPrefixIsFetchedWithinTheZone(t *testing.T) {
 	from := servers(6, nil)
 	p := picker.New(picker.Config{Zone: "a"})
@@ -52,24 +52,24 @@
 	}
 	p.Pick(start, fetching("x", 0), from)
 	for _, s := range from[:3] {
-		p.Seen(start, s.ID, picker.Chains(fetching("x", 0).Prompt))
+		p.RecordPeerPrefix(start, s.ID, picker.PrefixChains(fetching("x", 0).Prompt))
 	}
-	p.PeerShares("vm2", crowded)
+	p.SetPeerShares("vm2", crowded)
 	c := p.Pick(start, fetching("x", 1), from)
 	require.Equal(t, from[5].ID, c.Server.ID)
 	require.Equal(t, c.Server.Zone, c.Donor.Zone)
 }
 
-// Engines that don't fetch, or a donor that can't be reached, or that failed this
-// request: the prefix is read again, nobody waits for it.
+// Engines don't fetch, or the donor can't be reached or failed this request: the prefix must
+// be read again, and no request waits for it.
 func TestPrefixIsNotFetched(t *testing.T) {
 	from := servers(2, func(_ int, s *roster.Server) { s.Zone = "a" })
 	home, other := from[0], from[1]
 	seen := func() *picker.Picker {
 		p := picker.New(picker.Config{Zone: "a"})
 		p.Pick(start, fetching("x", 0), from)
-		p.Seen(start, home.ID, picker.Chains(fetching("x", 0).Prompt))
-		p.PeerShares("vm2", map[shed.ServerID]shed.ServerShare{home.ID: {Running: 90, Reading: 90000}})
+		p.RecordPeerPrefix(start, home.ID, picker.PrefixChains(fetching("x", 0).Prompt))
+		p.SetPeerShares("vm2", map[shed.ServerID]shed.ServerShare{home.ID: {Running: 90, Reading: 90000}})
 		return p
 	}
 	c := seen().Pick(start, fetching("x", 1), from)
@@ -83,29 +83,29 @@
 	w.Avoid = []shed.ServerID{home.ID}
 	require.Nil(t, seen().Pick(start, w, from).Donor)
 	p := seen()
-	p.Ended(start, picker.Choice{Server: home}, picker.End{Failed: true, Unreached: true})
+	p.RecordEnd(start, picker.Choice{Server: home}, picker.End{Failed: true, Unreached: true})
 	require.Nil(t, p.Pick(start, fetching("x", 1), from).Donor)
-	require.Nil(t, seen().Pick(start.Add(time.Minute), fetching("x", 1), from).Donor, "it is no longer taken to be in memory")
+	require.Nil(t, seen().Pick(start.Add(time.Minute), fetching("x", 1), from).Donor, "its retention period is over")
 }
 
-// Bursts come in prefixes that few servers have. Wherever the load went, engines read
-// them again, and first events came later for all.
+// Bursts bring prefixes that few servers have cached. Wherever the load went, engines read
+// them again, and first events were later for all requests.
 func TestHotPrefixInABurst(t *testing.T) {
-	without, with := hotPrefix(0), hotPrefix(fetchRate)
+	without, with := replayHotPrefixes(0), replayHotPrefixes(fetchRate)
 	t.Logf("read again: %+v; fetched: %+v", without, with)
 	require.Less(t, with.read, without.read)
-	require.Less(t, with.slow, without.slow)
+	require.Less(t, with.p90, without.p90)
 }
 
-// engineWork is what engines did in a replay: tokens read, and the time in which 90
-// of 100 first events came.
-type engineWork struct {
+// replayResult holds the prompt tokens that engines read in a replay, and the time by which 90
+// of 100 first events had arrived.
+type replayResult struct {
 	read shed.Tokens
-	slow time.Duration
+	p90  time.Duration
 }
 
-// hotPrefix plays a burst of requests with six prefixes at nine engines.
-func hotPrefix(rate float64) engineWork {
+// replayHotPrefixes replays a burst of requests with six prefixes on nine engines.
+func replayHotPrefixes(rate float64) replayResult {
 	const perSec, readRate, last = 25, 38, 10 * time.Second
 	rng := rand.New(rand.NewPCG(2, 2))
 	from := servers(9, nil)
@@ -118,22 +118,22 @@
 	}
 	var runs []running
 	var took []time.Duration
-	var work engineWork
+	var work replayResult
 	for now := start; now.Before(start.Add(last)); {
 		now = now.Add(time.Duration(rng.ExpFloat64() * float64(time.Second) / perSec))
 		runs = slices.DeleteFunc(runs, func(r running) bool {
 			if now.Before(r.at) {
 				return false
 			}
-			p.Began(r.c)
-			p.Ended(r.at, r.c, picker.End{})
+			p.RecordPromptRead(r.c)
+			p.RecordEnd(r.at, r.c, picker.End{})
 			return true
 		})
 		name := fmt.Sprint("hot", rng.IntN(6))
 		w := prompt(name, int(now.UnixNano()))
 		w.FetchRate = rate
 		c := p.Pick(now, w, from)
-		p.Placed(now, w, c)
+		p.RecordPlacement(now, w, c)
 		missing := shed.Tokens(3000)
 		if key := string(c.Server.ID) + name; !has[key] {
 			has[key] = true
@@ -149,6 +149,6 @@
 		runs = append(runs, running{c: c, at: ends})
 	}
 	slices.Sort(took)
-	work.slow = took[len(took)*9/10]
+	work.p90 = took[len(took)*9/10]
 	return work
 }
--- a/internal/picker/picker.go
+++ b/internal/picker/picker.go
@@ -1,6 +1,6 @@
-// Package picker chooses the backend server for one relayed request. It is
-// pure: it knows what this daemon has placed, what peers said that they have
-// placed, and what servers said with their answers.
+// Package picker chooses the backend server for one relayed request. It does no I/O and reads
+// no clock. It knows the requests that this VM has placed, the load that peers reported, and
+// what servers reported with their answers.
 package picker
 
 import (
@@ -10,138 +10,137 @@
 	"jasmineshed/internal/roster"
 )
 
-// Config sets up a Picker. Fields left at 0 get the Default of their name.
+// Config configures a Picker. Fields left at 0 get the default constant of their name.
 type Config struct {
-	// Zone of this VM.
+	// Zone is the zone of this VM.
 	Zone shed.ZoneID
-	// ReadRate is how many prompt tokens an engine reads in a millisecond.
+	// ReadRate is how many prompt tokens an engine reads per millisecond.
 	ReadRate float64
 }
 
 const (
-	// DefaultReadRate is in tokens a millisecond; it only weighs waiting against
+	// DefaultReadRate is in tokens per millisecond; it is only used to weigh queueing against
 	// reading a shared prefix again.
 	DefaultReadRate = 50.0
-	// farCost is what a hop to another zone costs in the choice: the round trip, and
-	// the bytes between zones, which users pay for.
-	farCost = 6 * time.Millisecond
-	// againCost is what each token of a shared part that the server would have
-	// to read adds in the choice, up to againMost, beside the time: users pay
-	// for parts that are read again, and the reading delays all others there.
-	againCost = 30 * time.Microsecond
-	againMost = 80 * time.Millisecond
-	// runCost is what each request that runs on an engine adds to the first
-	// token's delay: its share of the batch step and of prompts being read.
-	runCost = 4 * time.Millisecond
-	// isolateCost is what each request on a server adds in the choice for one under which
-	// the server may end.
-	isolateCost = time.Second
-	// usualTime is taken for a plain call while no server was called yet.
-	usualTime = 30 * time.Millisecond
-	// timeShare is the weight of the newest sample in a server's mean time.
-	timeShare = 0.2
-	// keepPrefix is how long a prefix is taken to stay in a server's memory.
-	keepPrefix = 30 * time.Second
-	// maxPrefixes bounds what is remembered of one server's memory.
+	// crossZoneCost is the cost of a hop to another zone: the round trip, and the bytes
+	// between zones, which users pay for.
+	crossZoneCost = 6 * time.Millisecond
+	// rereadCost is added for each token of a shared part that the server would have to read,
+	// up to maxRereadCost, in addition to the time: users pay for parts that are read again,
+	// and the reading delays all other requests there.
+	rereadCost    = 30 * time.Microsecond
+	maxRereadCost = 80 * time.Millisecond
+	// runningRequestCost is what each request running on an engine adds to the delay of the
+	// first token: its share of the batch step and of prompts being read.
+	runningRequestCost = 4 * time.Millisecond
+	// isolationCost is added for each request running on a server when a request is placed
+	// that may crash its server.
+	isolationCost = time.Second
+	// defaultCallTime is assumed for a plain call until a server has been called.
+	defaultCallTime = 30 * time.Millisecond
+	// callTimeWeight is the weight of the newest sample in a server's mean call time.
+	callTimeWeight = 0.2
+	// prefixRetention is how long a prefix is assumed to stay in a server's memory.
+	prefixRetention = 30 * time.Second
+	// maxPrefixes bounds the number of prefixes remembered per server.
 	maxPrefixes = 2048
 )
 
-// Picker is what is known of the servers' load. It is not safe for concurrent
-// use.
+// Picker tracks the servers' load and failures. It is not safe for concurrent use.
 type Picker struct {
 	cfg     Config
 	servers map[shed.ServerID]*state
-	// zones holds how often servers of a zone could not be reached lately.
-	zones   map[shed.ZoneID]*faults
-	overrun overrun
-	// told is what each peer last said, so that a choice need not look at each
-	// peer for each server.
-	told map[shed.VM]map[shed.ServerID]shed.ServerShare
+	// zoneFailures holds, per zone, the share of recent connections to servers that failed.
+	zoneFailures map[shed.ZoneID]*failureRate
+	overrun      overrun
+	// peerShares holds the last load report of each peer; the sums are kept in servers, so
+	// that a choice need not look at each peer for each server.
+	peerShares map[shed.VM]map[shed.ServerID]shed.ServerShare
 }
 
-// New returns a Picker that knows of no load.
+// New returns a Picker without any load.
 func New(cfg Config) *Picker {
 	if cfg.ReadRate == 0 {
 		cfg.ReadRate = DefaultReadRate
 	}
 	return &Picker{
-		cfg: cfg, servers: map[shed.ServerID]*state{}, zones: map[shed.ZoneID]*faults{},
-		told:    map[shed.VM]map[shed.ServerID]shed.ServerShare{},
-		overrun: overrun{mean: FirstOverrun},
+		cfg: cfg, servers: map[shed.ServerID]*state{}, zoneFailures: map[shed.ZoneID]*failureRate{},
+		peerShares: map[shed.VM]map[shed.ServerID]shed.ServerShare{},
+		overrun:    overrun{mean: DefaultOverrun},
 	}
 }
 
-// Want is what is to be placed.
-type Want struct {
+// Request describes the request to be placed.
+type Request struct {
 	Prompt []shed.PromptPart
 	Input  shed.Tokens
-	// Engine: the pool's servers are model engines.
+	// Engine is set if the pool's servers are model engines.
 	Engine bool
-	// FetchRate is how many tokens of KV cache they fetch from each other in a
-	// millisecond; 0 if they don't.
+	// FetchRate is how many tokens of KV cache engines fetch from each other per millisecond;
+	// 0 if they don't.
 	FetchRate float64
-	// Zone is where the request's inputs lie; empty if it has none or they are
-	// light.
+	// Zone is where the request's inputs are held; empty if it has none or they are small.
 	Zone shed.ZoneID
-	// ZoneCost is what it costs to choose another zone than Zone.
+	// ZoneCost is the cost of choosing another zone than Zone.
 	ZoneCost time.Duration
-	// Avoid are servers that failed this request before.
+	// Avoid lists servers that failed this request before.
 	Avoid []shed.ServerID
-	// Isolate: the server may end under the request, so it goes where few others run.
+	// Isolate is set if the request may crash its server, so it goes where few others run.
 	Isolate bool
-	// Access tells whether a server takes requests; nil if all do.
+	// Access returns whether a server accepts requests; nil if all do.
 	Access func(*roster.Server) Access
 }
 
-// Access is whether a server takes one more request. The set is closed.
+// Access is whether a server accepts one more request. The set is closed.
 type Access uint8
 
 const (
-	// Free means that it takes any number.
+	// Free means that the server accepts any number of requests.
 	Free Access = iota
-	// ByTurn means that it takes so many from all daemons together, so a turn is needed.
+	// ByTurn means that the server limits the requests of all daemons together, so a turn is
+	// needed.
 	ByTurn
-	// Held means that it has no turn for this daemon yet.
-	Held
+	// NoTurn means that this daemon has no turn for the server yet.
+	NoTurn
 )
 
-// Choice is a chosen server and why.
+// Choice is the chosen server, or the reason why there is none.
 type Choice struct {
 	Server *roster.Server
-	// Cost is the predicted time to the first token or the answer, and what else
-	// speaks against the server as a time.
+	// Cost is the predicted time to the first token or the answer, plus penalties expressed as
+	// a time.
 	Cost time.Duration
-	// Time is the same without what is added for what users pay.
+	// Time is the predicted time without the penalties.
 	Time time.Duration
-	// Missing are the tokens of the prompt that the server has to read, Fetched
-	// those that it fetches from Donor instead; Donor is nil if none.
+	// Missing counts the prompt tokens that the server has to read, Fetched those that it
+	// fetches from Donor instead; Donor is nil if there is none.
 	Missing, Fetched shed.Tokens
 	Donor            *roster.Server
-	// ByTurn: the server may be sent the request in its turn.
+	// ByTurn is set if sending the request to the server needs a turn.
 	ByTurn bool
-	// Held: all servers that could serve have no turn for this daemon.
-	Held bool
-	// Away: no server that could serve can be reached; one may be tried again after
-	// that time. 0 if that is not the reason.
-	Away time.Duration
+	// NoTurn is set if this daemon has no turn for any of the servers that could serve.
+	NoTurn bool
+	// UnreachableFor is the time until a server may be tried again if none that could serve is
+	// reachable; 0 if that is not the reason.
+	UnreachableFor time.Duration
 }
 
-// Pick returns the server with the least cost among from, which is sorted by
-// id; Server is nil if there is none.
-func (p *Picker) Pick(now time.Time, w Want, from []*roster.Server) Choice {
+// Pick returns the server with the least cost among servers, which are sorted by id; Server is
+// nil if there is none.
+func (p *Picker) Pick(now time.Time, w Request, servers []*roster.Server) Choice {
 	var best Choice
-	chain := chains(w.Prompt)
-	usual := p.usual(from)
-	donors := p.donors(now, &w, from, chain)
-	held, away := false, time.Duration(0)
-	for _, s := range from {
+	chain := prefixChains(w.Prompt)
+	usual := p.fastestCallTime(servers)
+	donors := p.findDonors(now, &w, servers, chain)
+	held, unreachableFor := false, time.Duration(0)
+	for _, s := range servers {
 		if avoided(w.Avoid, s.ID) {
 			continue
 		}
 		st := p.state(s)
-		if left := st.away.Sub(now); left > 0 {
-			if away == 0 || left < away {
-				away = left
+		if left := st.backoffUntil.Sub(now); left > 0 {
+			if unreachableFor == 0 || left < unreachableFor {
+				unreachableFor = left
 			}
 			continue
 		}
@@ -149,35 +148,35 @@
 		if w.Access != nil {
 			access = w.Access(s)
 		}
-		if access == Held {
+		if access == NoTurn {
 			held = true
 			continue
 		}
-		c := p.cost(now, &w, s, st, chain, usual, donors)
+		c := p.evaluate(now, &w, s, st, chain, usual, donors)
 		c.ByTurn = access == ByTurn
 		if best.Server == nil || c.Cost < best.Cost {
 			best = c
 		}
 	}
 	if best.Server == nil {
-		best.Held, best.Away = held, away
+		best.NoTurn, best.UnreachableFor = held, unreachableFor
 	}
 	return best
 }
 
-// usual is the time taken for a server not called yet: that of the fastest one,
-// so that a new or reopened server is tried.
-func (p *Picker) usual(from []*roster.Server) time.Duration {
-	least := time.Duration(0)
-	for _, s := range from {
-		if took := p.state(s).took; took > 0 && (least == 0 || took < least) {
-			least = took
+// fastestCallTime is the shortest mean call time of any server. It is assumed for a server
+// that has not been called yet, so that a new or reopened server is tried.
+func (p *Picker) fastestCallTime(servers []*roster.Server) time.Duration {
+	fastest := time.Duration(0)
+	for _, s := range servers {
+		if took := p.state(s).meanCallTime; took > 0 && (fastest == 0 || took < fastest) {
+			fastest = took
 		}
 	}
-	if least == 0 {
-		return usualTime
+	if fastest == 0 {
+		return defaultCallTime
 	}
-	return least
+	return fastest
 }
 
 func avoided(avoid []shed.ServerID, id shed.ServerID) bool {
@@ -189,21 +188,21 @@
 	return false
 }
 
-func (p *Picker) cost(
-	now time.Time, w *Want, s *roster.Server, st *state, chain []uint64, usual time.Duration, donors donors,
+func (p *Picker) evaluate(
+	now time.Time, w *Request, s *roster.Server, st *state, chain []uint64, usual time.Duration, donors donors,
 ) Choice {
-	running, reading := st.own+st.peers.Running, st.reading+st.peers.Reading
+	running, reading := st.ownRunning+st.peers.Running, st.ownReading+st.peers.Reading
 	c := Choice{Server: s}
 	if w.Engine {
-		var again shed.Tokens
-		c.Missing, again = st.missing(now, w, chain)
-		again -= donors.fetch(&c, s, again)
-		c.Time = p.readTime(c.Missing) + c.fetchTime(w.FetchRate) + p.readTime(reading) + time.Duration(running)*runCost
+		var reread shed.Tokens
+		c.Missing, reread = st.missingTokens(now, w, chain)
+		reread -= donors.planFetch(&c, s, reread)
+		c.Time = p.readTime(c.Missing) + c.fetchTime(w.FetchRate) + p.readTime(reading) + time.Duration(running)*runningRequestCost
 		c.Cost = c.Time
-		c.Cost += min(time.Duration(again)*againCost, againMost)
-		c.Cost += homeCost(s, chain, p.readTime(c.Missing))
+		c.Cost += min(time.Duration(reread)*rereadCost, maxRereadCost)
+		c.Cost += rendezvousCost(s, chain, p.readTime(c.Missing))
 	} else {
-		took := st.took
+		took := st.meanCallTime
 		if took == 0 {
 			took = usual
 		}
@@ -213,23 +212,23 @@
 		}
 	}
 	if s.Zone != p.cfg.Zone {
-		c.Cost += farCost
+		c.Cost += crossZoneCost
 	}
 	if w.Isolate {
-		c.Cost += time.Duration(running) * isolateCost
+		c.Cost += time.Duration(running) * isolationCost
 	}
 	if w.Zone != "" && s.Zone != w.Zone {
 		c.Cost += w.ZoneCost
 	}
-	c.Cost += st.faults.cost(now, faultCost) + p.zone(s.Zone).cost(now, zoneCost)
+	c.Cost += st.failures.cost(now, failureCost) + p.zoneFailureRate(s.Zone).cost(now, zoneFailureCost)
 	return c
 }
 
-func (p *Picker) zone(id shed.ZoneID) *faults {
-	f := p.zones[id]
+func (p *Picker) zoneFailureRate(id shed.ZoneID) *failureRate {
+	f := p.zoneFailures[id]
 	if f == nil {
-		f = &faults{}
-		p.zones[id] = f
+		f = &failureRate{}
+		p.zoneFailures[id] = f
 	}
 	return f
 }
--- a/internal/picker/picker_test.go
+++ b/internal/picker/picker_test.go
@@ -28,14 +28,14 @@
 	return out
 }
 
-func prompt(shared string, own int) picker.Want {
-	return picker.Want{Engine: true, Prompt: []shed.PromptPart{
+func prompt(shared string, own int) picker.Request {
+	return picker.Request{Engine: true, Prompt: []shed.PromptPart{
 		{ID: shared, Tokens: 13000}, {ID: fmt.Sprint("own", own), Tokens: 3000},
 	}}
 }
 
-// Two VMs that have told each other nothing yet place the first requests with a
-// prefix. They meet on one server, so that the prefix is read once.
+// Two VMs that have not exchanged reports yet place the first requests with a prefix. They
+// must choose the same server, so that the prefix is read once.
 func TestPrefixMeetsOnOneServer(t *testing.T) {
 	from := servers(12, nil)
 	one, two := picker.New(picker.Config{Zone: "a"}), picker.New(picker.Config{Zone: "a"})
@@ -49,110 +49,109 @@
 	from := servers(12, nil)
 	p := picker.New(picker.Config{Zone: "a"})
 	home := p.Pick(start, prompt("x", 0), from)
-	p.Placed(start, prompt("x", 0), home)
+	p.RecordPlacement(start, prompt("x", 0), home)
 	require.Equal(t, shed.Tokens(16000), home.Missing)
-	p.Began(home)
+	p.RecordPromptRead(home)
 	next := p.Pick(start, prompt("x", 1), from)
 	require.Equal(t, home.Server.ID, next.Server.ID)
 	require.Equal(t, shed.Tokens(3000), next.Missing)
-	// Peers have so many prompts waiting there that reading the prefix
-	// elsewhere is sooner done.
-	p.PeerShares("vm2", map[shed.ServerID]shed.ServerShare{home.Server.ID: {Running: 40, Reading: 40000}})
+	// Peers have so many prompts queued there that reading the prefix elsewhere ends sooner.
+	p.SetPeerShares("vm2", map[shed.ServerID]shed.ServerShare{home.Server.ID: {Running: 40, Reading: 40000}})
 	require.NotEqual(t, home.Server.ID, p.Pick(start, prompt("x", 2), from).Server.ID)
-	p.PeerShares("vm2", nil)
+	p.SetPeerShares("vm2", nil)
 	require.Equal(t, home.Server.ID, p.Pick(start, prompt("x", 2), from).Server.ID)
 }
 
-// A peer placed the prefix; this VM was told and follows it.
+// A peer placed the prefix and reported it; this VM must choose the same server.
 func TestPrefixSeenByAPeer(t *testing.T) {
 	from := servers(12, nil)
 	p := picker.New(picker.Config{Zone: "a"})
 	p.Pick(start, prompt("x", 0), from)
 	other := from[7]
-	p.Seen(start, other.ID, picker.Chains(prompt("x", 0).Prompt))
+	p.RecordPeerPrefix(start, other.ID, picker.PrefixChains(prompt("x", 0).Prompt))
 	require.Equal(t, other.ID, p.Pick(start, prompt("x", 1), from).Server.ID)
 }
 
-// One server has no turn, another one needs one: the first is not chosen, and the choice
-// says what the second needs.
+// There is no turn for one server, and another one needs a turn: the first must not be chosen,
+// and the choice must say that the second needs one.
 func TestServersThatTakeOnlySoMany(t *testing.T) {
 	from := servers(3, nil)
 	p := picker.New(picker.Config{Zone: "a"})
-	access := map[shed.ServerID]picker.Access{from[0].ID: picker.Held, from[1].ID: picker.ByTurn, from[2].ID: picker.Held}
-	w := picker.Want{Access: func(s *roster.Server) picker.Access { return access[s.ID] }}
+	access := map[shed.ServerID]picker.Access{from[0].ID: picker.NoTurn, from[1].ID: picker.ByTurn, from[2].ID: picker.NoTurn}
+	w := picker.Request{Access: func(s *roster.Server) picker.Access { return access[s.ID] }}
 	c := p.Pick(start, w, from)
 	require.Equal(t, from[1], c.Server)
 	require.True(t, c.ByTurn)
-	access[from[1].ID] = picker.Held
+	access[from[1].ID] = picker.NoTurn
 	c = p.Pick(start, w, from)
 	require.Nil(t, c.Server)
-	require.True(t, c.Held)
+	require.True(t, c.NoTurn)
 	access[from[2].ID] = picker.Free
 	require.False(t, p.Pick(start, w, from).ByTurn)
 }
 
-// A server answers with failures though its health check is good. It gets less
-// work for a while, and is tried again later.
+// A server fails requests though its health check passes. It must get less work for a while,
+// and be tried again later.
 func TestFailingServerIsAvoided(t *testing.T) {
 	from := servers(2, func(_ int, s *roster.Server) { s.Zone, s.Slots = "a", 6 })
 	p := picker.New(picker.Config{Zone: "a"})
-	first := p.Pick(start, picker.Want{}, from)
-	p.Placed(start, picker.Want{}, first)
-	p.Ended(start, first, picker.End{Failed: true})
-	require.NotEqual(t, first.Server.ID, p.Pick(start, picker.Want{}, from).Server.ID)
-	require.Equal(t, first.Server.ID, p.Pick(start.Add(time.Minute), picker.Want{}, from).Server.ID)
+	first := p.Pick(start, picker.Request{}, from)
+	p.RecordPlacement(start, picker.Request{}, first)
+	p.RecordEnd(start, first, picker.End{Failed: true})
+	require.NotEqual(t, first.Server.ID, p.Pick(start, picker.Request{}, from).Server.ID)
+	require.Equal(t, first.Server.ID, p.Pick(start.Add(time.Minute), picker.Request{}, from).Server.ID)
 }
 
 func TestAvoided(t *testing.T) {
 	from := servers(2, nil)
 	p := picker.New(picker.Config{Zone: "a"})
-	w := picker.Want{Avoid: []shed.ServerID{"s00"}}
+	w := picker.Request{Avoid: []shed.ServerID{"s00"}}
 	require.Equal(t, shed.ServerID("s01"), p.Pick(start, w, from).Server.ID)
 	w.Avoid = append(w.Avoid, "s01")
 	require.Nil(t, p.Pick(start, w, from).Server)
 }
 
-// A server starts again under its id: it has read nothing.
+// A server restarts under the same id: its earlier prefixes must not count as cached.
 func TestNewStartKnowsNothing(t *testing.T) {
 	from := servers(1, nil)
 	p := picker.New(picker.Config{Zone: "a"})
 	c := p.Pick(start, prompt("x", 0), from)
-	p.Placed(start, prompt("x", 0), c)
+	p.RecordPlacement(start, prompt("x", 0), c)
 	require.Equal(t, shed.Tokens(3000), p.Pick(start, prompt("x", 1), from).Missing)
 	from[0].StartedMs = 2
 	require.Equal(t, shed.Tokens(16000), p.Pick(start, prompt("x", 1), from).Missing)
 }
 
-// Large inputs lie in zone b: a server there is taken unless reading the prompt
+// Large inputs are held in zone b: a server there must be chosen unless reading the prompt
 // again costs more.
 func TestInputsPullTheirZone(t *testing.T) {
 	from := servers(3, nil)
 	p := picker.New(picker.Config{Zone: "a"})
-	w := picker.Want{Engine: true, Zone: "b", ZoneCost: 100 * time.Millisecond}
+	w := picker.Request{Engine: true, Zone: "b", ZoneCost: 100 * time.Millisecond}
 	require.Equal(t, shed.ZoneID("b"), p.Pick(start, w, from).Server.Zone)
 	w.Prompt = prompt("x", 0).Prompt
-	p.Seen(start, "s02", picker.Chains(w.Prompt))
+	p.RecordPeerPrefix(start, "s02", picker.PrefixChains(w.Prompt))
 	require.Equal(t, shed.ServerID("s02"), p.Pick(start, w, from).Server.ID)
 }
 
-// Peers tell their shares in any order, forget servers, and die. What is left is
-// what the living said last.
+// Peers report their shares in any order, drop servers from them, and die. Only the latest
+// reports of live peers must count.
 func TestPeerSharesAddUp(t *testing.T) {
 	from := servers(2, nil)
 	p := picker.New(picker.Config{Zone: "a"})
-	w := picker.Want{Engine: true}
+	w := picker.Request{Engine: true}
 	p.Pick(start, w, from)
 	busy := map[shed.ServerID]shed.ServerShare{"s00": {Running: 50, Reading: 9000}}
 	for range 3 {
-		p.PeerShares("vm2", busy)
-		p.PeerShares("vm3", busy)
+		p.SetPeerShares("vm2", busy)
+		p.SetPeerShares("vm3", busy)
 	}
 	require.Equal(t, shed.ServerID("s01"), p.Pick(start, w, from).Server.ID)
-	p.PeerShares("vm2", nil)
+	p.SetPeerShares("vm2", nil)
 	require.Equal(t, shed.ServerID("s01"), p.Pick(start, w, from).Server.ID)
-	p.PeerGone("vm3")
+	p.RemovePeer("vm3")
 	require.Equal(t, shed.ServerID("s00"), p.Pick(start, w, from).Server.ID)
-	p.PeerGone("vm3")
+	p.RemovePeer("vm3")
 	require.Equal(t, shed.ServerID("s00"), p.Pick(start, w, from).Server.ID)
 }
 
@@ -169,103 +168,102 @@
 		for _, s := range from {
 			shares[s.ID] = shed.ServerShare{Running: 1, Reading: 100}
 		}
-		p.PeerShares(shed.VM(fmt.Sprint("vm", vm)), shares)
+		p.SetPeerShares(shed.VM(fmt.Sprint("vm", vm)), shares)
 	}
 	for b.Loop() {
 		p.Pick(start, w, from)
 	}
 }
 
-// A zone is cut off. Each request that is sent to a server there waits for a
-// connection in vain, and a prefix that was read there draws requests to one such
-// server after the other. After two of them the zone is left alone, and tried
-// again a few seconds later.
+// A zone is partitioned off. Each request sent to a server there waits for a connection in
+// vain, and a prefix that was read there draws requests to one such server after the other.
+// After two of them the zone must be avoided, and be tried again a few seconds later.
 func TestZoneThatCannotBeReached(t *testing.T) {
 	from := servers(12, nil)
 	p := picker.New(picker.Config{Zone: "a"})
 	for _, s := range from {
 		if s.Zone == "b" {
 			p.Pick(start, prompt("x", 0), from)
-			p.Seen(start, s.ID, picker.Chains(prompt("x", 0).Prompt))
-			p.Seen(start, s.ID, picker.Chains(prompt("y", 0).Prompt))
+			p.RecordPeerPrefix(start, s.ID, picker.PrefixChains(prompt("x", 0).Prompt))
+			p.RecordPeerPrefix(start, s.ID, picker.PrefixChains(prompt("y", 0).Prompt))
 		}
 	}
 	now := start
-	lost := 0
+	unreached := 0
 	for i := range 20 {
 		w := prompt("x", i)
 		c := p.Pick(now, w, from)
-		p.Placed(now, w, c)
-		p.Began(c)
+		p.RecordPlacement(now, w, c)
+		p.RecordPromptRead(c)
 		if c.Server.Zone != "b" {
 			now = now.Add(20 * time.Millisecond)
-			p.Ended(now, c, picker.End{})
+			p.RecordEnd(now, c, picker.End{})
 			continue
 		}
-		lost++
+		unreached++
 		now = now.Add(200 * time.Millisecond)
-		p.Ended(now, c, picker.End{Failed: true, Unreached: true})
+		p.RecordEnd(now, c, picker.End{Failed: true, Unreached: true})
 	}
-	require.LessOrEqual(t, lost, 2)
+	require.LessOrEqual(t, unreached, 2)
 	now = now.Add(6 * time.Second)
 	require.EqualValues(t, "b", p.Pick(now, prompt("y", 99), from).Server.Zone)
 }
 
-// Servers of a loaded pool answer 0.2 s later than their prompts alone explain. Steps
-// were due too late by that much, and answers came just after their target.
+// Servers of a loaded pool answer 0.2 s later than their prompts alone explain. Steps were
+// scheduled too late by that much, and answers just missed their target.
 func TestFirstEventsAreForeseenAsTheyCame(t *testing.T) {
 	p := picker.New(picker.Config{Zone: "a"})
-	require.Equal(t, picker.FirstOverrun, p.Overrun())
+	require.Equal(t, picker.DefaultOverrun, p.Overrun())
 	c := picker.Choice{Time: 100 * time.Millisecond}
 	for range 100 {
-		p.First(c, 300*time.Millisecond)
+		p.RecordFirstEvent(c, 300*time.Millisecond)
 	}
 	require.InDelta(t, 0.2, p.Overrun().Seconds(), 0.01)
-	p.First(c, 20*time.Second)
-	require.Less(t, p.Overrun(), 300*time.Millisecond, "one server that is ill")
+	p.RecordFirstEvent(c, 20*time.Second)
+	require.Less(t, p.Overrun(), 300*time.Millisecond, "one unhealthy server")
 }
 
-// The only open server of a pool lies beyond a cut. Each caller waited for its
-// connection again and again, until its time was over. After two failures in a row
-// the server counts as away, and callers are told at once; later one tries again.
+// The only open server of a pool is partitioned off. Each caller retried its connection until
+// its deadline. After two consecutive failures the server must count as unreachable and
+// callers must be rejected at once; after the backoff one tries again.
 func TestOnlyServerBeyondACut(t *testing.T) {
 	from := servers(1, nil)
 	p := picker.New(picker.Config{Zone: "a"})
-	lost := func(now time.Time) {
-		c := p.Pick(now, picker.Want{}, from)
+	failToConnect := func(now time.Time) {
+		c := p.Pick(now, picker.Request{}, from)
 		require.NotNil(t, c.Server)
-		p.Placed(now, picker.Want{}, c)
-		p.Ended(now, c, picker.End{Failed: true, Unreached: true})
+		p.RecordPlacement(now, picker.Request{}, c)
+		p.RecordEnd(now, c, picker.End{Failed: true, Unreached: true})
 	}
-	lost(start)
-	lost(start.Add(200 * time.Millisecond))
+	failToConnect(start)
+	failToConnect(start.Add(200 * time.Millisecond))
 	now := start.Add(210 * time.Millisecond)
-	c := p.Pick(now, picker.Want{}, from)
+	c := p.Pick(now, picker.Request{}, from)
 	require.Nil(t, c.Server)
-	require.Positive(t, c.Away)
-	require.LessOrEqual(t, c.Away, time.Second)
-	require.False(t, c.Held)
-	now = now.Add(c.Away)
-	lost(now)
-	c = p.Pick(now, picker.Want{}, from)
-	require.Greater(t, c.Away, 500*time.Millisecond, "longer each time")
-	now = now.Add(c.Away)
-	c = p.Pick(now, picker.Want{}, from)
-	p.Placed(now, picker.Want{}, c)
-	p.Ended(now, c, picker.End{Took: time.Millisecond})
-	require.NotNil(t, p.Pick(now, picker.Want{}, from).Server, "it is back")
-	lost(now)
-	require.NotNil(t, p.Pick(now, picker.Want{}, from).Server, "one lost packet says little")
+	require.Positive(t, c.UnreachableFor)
+	require.LessOrEqual(t, c.UnreachableFor, time.Second)
+	require.False(t, c.NoTurn)
+	now = now.Add(c.UnreachableFor)
+	failToConnect(now)
+	c = p.Pick(now, picker.Request{}, from)
+	require.Greater(t, c.UnreachableFor, 500*time.Millisecond, "the backoff grows with each failure")
+	now = now.Add(c.UnreachableFor)
+	c = p.Pick(now, picker.Request{}, from)
+	p.RecordPlacement(now, picker.Request{}, c)
+	p.RecordEnd(now, c, picker.End{Took: time.Millisecond})
+	require.NotNil(t, p.Pick(now, picker.Request{}, from).Server, "the server is reachable again")
+	failToConnect(now)
+	require.NotNil(t, p.Pick(now, picker.Request{}, from).Server, "one lost packet does not make a server unreachable")
 }
 
-// A request under which a server may end goes where fewest run, though another server has
-// its prompt: what runs there would be broken off with it.
+// A request that may crash its server must go where the fewest requests run, even if another
+// server has cached its prompt: the other requests there would be broken off too.
 func TestSuspectRunsWhereFewestAre(t *testing.T) {
 	from := servers(2, nil)
 	p := picker.New(picker.Config{Zone: "a"})
 	w := prompt("shared", 1)
 	first := p.Pick(start, w, from)
-	p.Placed(start, w, first)
+	p.RecordPlacement(start, w, first)
 	require.Equal(t, first.Server, p.Pick(start, w, from).Server)
 	w.Isolate = true
 	require.NotEqual(t, first.Server, p.Pick(start, w, from).Server)
