--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -13,21 +13,21 @@
 )
 
 const (
-	// newsWait is how long a VM that lacks something waits for the peer that passes
+	// updateWait is how long a VM that lacks something waits for the peer that passes
 	// it on to all. Without it, the first load message of any peer that is a few
 	// milliseconds ahead would have it sent twice.
-	newsWait = 150 * time.Millisecond
-	// slowPull is how long a pull may take before another peer is asked beside it: one
+	updateWait = 150 * time.Millisecond
+	// hedgeAfter is how long a pull may take before another peer is asked beside it: one
 	// slow peer would hold the VM up for as long as it sends a little now and then.
-	slowPull = 700 * time.Millisecond
-	// pullsAtOnce bounds the pulls, which share this VM's link.
-	pullsAtOnce = 2
-	// avoidFor is how long a peer from which a pull failed is not asked again.
-	avoidFor = time.Second
-	// repairEvery is the least time between two pulls that look for a missed deletion.
+	hedgeAfter = 700 * time.Millisecond
+	// maxPulls bounds the pulls, which share this VM's link.
+	maxPulls = 2
+	// failureBackoff is how long a peer from which a pull failed is not asked again.
+	failureBackoff = time.Second
+	// repairInterval is the least time between two pulls that look for a missed deletion.
 	// For seconds after an outage of the store VMs hold different entries of servers,
 	// and would read all from each other without end.
-	repairEvery = 500 * time.Millisecond
+	repairInterval = 500 * time.Millisecond
 )
 
 // PullID names one pull.
@@ -53,8 +53,8 @@
 	Contact time.Time
 	// Power is how strong it is beside others.
 	Power float64
-	// read: a pull has brought what it tells. partial: only AsOf is known.
-	read, partial bool
+	// pulled: a pull has brought what it tells. partial: only AsOf is known.
+	pulled, partial bool
 }
 
 // Event is something that a Follower has to know. The set is closed.
@@ -115,40 +115,40 @@
 func (Confirm) action() {}
 func (Pull) action()    {}
 
-// running is a pull under way.
-type running struct {
+// activePull is a pull under way.
+type activePull struct {
 	Pull
-	began time.Time
+	startedAt time.Time
 }
 
 // Follower is one VM's view of its peers. It is not safe for concurrent use.
 type Follower struct {
-	self  shed.VM
-	words map[shed.VM]Word
-	// failed is when a pull from a peer last failed.
-	failed map[shed.VM]time.Time
-	pulls  []running
-	last   PullID
-	// behind is since when somebody knows more; zero: nobody does.
-	behind time.Time
-	// catalog is the newest configuration that a peer has told of.
-	catalog shed.Revision
-	// repaired is when a missed deletion was last looked for.
-	repaired time.Time
+	self   shed.VM
+	states map[shed.VM]Word
+	// failedAt is when a pull from a peer last failed.
+	failedAt map[shed.VM]time.Time
+	active   []activePull
+	lastID   PullID
+	// behindSince is since when somebody knows more; zero: nobody does.
+	behindSince time.Time
+	// newestCatalog is the newest configuration that a peer has told of.
+	newestCatalog shed.Revision
+	// lastRepair is when a missed deletion was last looked for.
+	lastRepair time.Time
 }
 
 // New returns a Follower that has heard nobody.
 func New(self shed.VM) *Follower {
-	return &Follower{self: self, words: map[shed.VM]Word{}, failed: map[shed.VM]time.Time{}}
+	return &Follower{self: self, states: map[shed.VM]Word{}, failedAt: map[shed.VM]time.Time{}}
 }
 
 // Contact is when the store last answered a peer, by the peer's word; zero if that
 // isn't known.
-func (f *Follower) Contact(vm shed.VM) time.Time { return f.words[vm].Contact }
+func (f *Follower) Contact(vm shed.VM) time.Time { return f.states[vm].Contact }
 
 // Behind tells whether a peer has a newer configuration in force than can be known to a
 // VM that knows the store up to a revision.
-func (f *Follower) Behind(asOf shed.Revision) bool { return f.catalog > asOf }
+func (f *Follower) Behind(asOf shed.Revision) bool { return f.newestCatalog > asOf }
 
 // Handle takes in an event; own is what this VM knows now.
 func (f *Follower) Handle(now time.Time, own Own, ev Event) []Action {
@@ -158,150 +158,150 @@
 			// Else a peer that tells nonsense would keep this VM from the store.
 			e.Word.Contact = now
 		}
-		f.words[e.From] = e.Word
-		f.catalog = max(f.catalog, e.Word.Catalog)
+		f.states[e.From] = e.Word
+		f.newestCatalog = max(f.newestCatalog, e.Word.Catalog)
 		if e.Word.AsOf == own.AsOf && e.Word.Digest == own.Digest {
-			return append(f.next(now, own, false), Confirm{At: e.Word.Contact})
+			return append(f.maybePull(now, own, false), Confirm{At: e.Word.Contact})
 		}
-		return f.next(now, own, false)
+		return f.maybePull(now, own, false)
 	case Missed:
-		if w := f.words[e.From]; e.AsOf > w.AsOf {
-			w.AsOf, w.read, w.partial = e.AsOf, false, true
-			f.words[e.From] = w
+		if state := f.states[e.From]; e.AsOf > state.AsOf {
+			state.AsOf, state.pulled, state.partial = e.AsOf, false, true
+			f.states[e.From] = state
 		}
-		return f.next(now, own, true)
+		return f.maybePull(now, own, true)
 	case StoreFailed:
-		return f.storeFailed(now, own, e.Peers)
+		return f.handleStoreFailure(now, own, e.Peers)
 	case Ended:
-		f.ended(now, e)
-		return f.next(now, own, true)
+		f.endPull(now, e)
+		return f.maybePull(now, own, true)
 	case Gone:
-		delete(f.words, e.VM)
-		delete(f.failed, e.VM)
+		delete(f.states, e.VM)
+		delete(f.failedAt, e.VM)
 		return nil
 	case Tick:
-		return f.next(now, own, false)
+		return f.maybePull(now, own, false)
 	}
 	return nil
 }
 
-// storeFailed asks a peer at once. A VM that knows nothing asks one that it hasn't
+// handleStoreFailure asks a peer at once. A VM that knows nothing asks one that it hasn't
 // heard if it must: it may have started a moment ago.
-func (f *Follower) storeFailed(now time.Time, own Own, peers []shed.VM) []Action {
-	if acts := f.next(now, own, true); len(acts) > 0 || own.AsOf > 0 {
+func (f *Follower) handleStoreFailure(now time.Time, own Own, peers []shed.VM) []Action {
+	if acts := f.maybePull(now, own, true); len(acts) > 0 || own.AsOf > 0 {
 		return acts
 	}
-	unheard := slices.DeleteFunc(slices.Clone(peers), func(vm shed.VM) bool {
-		_, heard := f.words[vm]
-		return heard
+	unknown := slices.DeleteFunc(slices.Clone(peers), func(vm shed.VM) bool {
+		_, reported := f.states[vm]
+		return reported
 	})
-	return f.pull(now, own, 0, unheard)
+	return f.startPull(now, own, 0, unknown)
 }
 
-// ended takes a pull off the list. What a peer told is not read from it again before it
+// endPull takes a pull off the list. What a peer told is not read from it again before it
 // tells something new.
-func (f *Follower) ended(now time.Time, e Ended) {
-	i := slices.IndexFunc(f.pulls, func(p running) bool { return p.ID == e.Pull })
+func (f *Follower) endPull(now time.Time, e Ended) {
+	i := slices.IndexFunc(f.active, func(p activePull) bool { return p.ID == e.Pull })
 	if i < 0 {
 		return
 	}
-	p := f.pulls[i]
-	f.pulls = slices.Delete(f.pulls, i, i+1)
+	p := f.active[i]
+	f.active = slices.Delete(f.active, i, i+1)
 	if e.Failed {
-		f.failed[p.From] = now
+		f.failedAt[p.From] = now
 		return
 	}
-	if w, ok := f.words[p.From]; ok && w.AsOf <= p.Wanted {
-		w.read = true
-		f.words[p.From] = w
+	if state, ok := f.states[p.From]; ok && state.AsOf <= p.Wanted {
+		state.pulled = true
+		f.states[p.From] = state
 	}
 }
 
-// next begins a pull if there is reason to; urgent doesn't wait for news.
-func (f *Follower) next(now time.Time, own Own, urgent bool) []Action {
-	if ahead := f.ahead(own); len(ahead) > 0 {
-		if f.behind.IsZero() {
-			f.behind = now
+// maybePull begins a pull if there is reason to; urgent doesn't wait for news.
+func (f *Follower) maybePull(now time.Time, own Own, urgent bool) []Action {
+	if ahead := f.peersAhead(own); len(ahead) > 0 {
+		if f.behindSince.IsZero() {
+			f.behindSince = now
 		}
-		if !urgent && own.AsOf > 0 && now.Sub(f.behind) < newsWait {
+		if !urgent && own.AsOf > 0 && now.Sub(f.behindSince) < updateWait {
 			return nil
 		}
-		return f.pull(now, own, own.AsOf, ahead)
+		return f.startPull(now, own, own.AsOf, ahead)
 	}
-	f.behind = time.Time{}
-	differing := f.differing(own)
-	if len(differing) == 0 || now.Sub(f.repaired) < repairEvery {
+	f.behindSince = time.Time{}
+	differing := f.peersDiffering(own)
+	if len(differing) == 0 || now.Sub(f.lastRepair) < repairInterval {
 		return nil
 	}
 	// Changes since then don't tell a deletion that was missed before.
-	acts := f.pull(now, own, 0, differing)
+	acts := f.startPull(now, own, 0, differing)
 	if len(acts) > 0 {
-		f.repaired = now
+		f.lastRepair = now
 	}
 	return acts
 }
 
-// pull begins a pull from one of the peers, if one may begin now. None does while
+// startPull begins a pull from one of the peers, if one may begin now. None does while
 // something is taken in: on a small VM a large configuration takes long to read, and
 // would come, and be read, once more for each peer that is ahead meanwhile.
-func (f *Follower) pull(now time.Time, own Own, after shed.Revision, peers []shed.VM) []Action {
+func (f *Follower) startPull(now time.Time, own Own, after shed.Revision, peers []shed.VM) []Action {
 	if own.Taking {
 		return nil
 	}
-	if n := len(f.pulls); n >= pullsAtOnce || n > 0 && now.Sub(f.pulls[n-1].began) < slowPull {
+	if n := len(f.active); n >= maxPulls || n > 0 && now.Sub(f.active[n-1].startedAt) < hedgeAfter {
 		return nil
 	}
-	from, ok := f.source(now, peers)
+	from, ok := f.pickSource(now, peers)
 	if !ok {
 		return nil
 	}
-	f.last++
-	p := Pull{ID: f.last, From: from, After: after, Known: own.AsOf, Wanted: f.words[from].AsOf}
-	f.pulls = append(f.pulls, running{Pull: p, began: now})
+	f.lastID++
+	p := Pull{ID: f.lastID, From: from, After: after, Known: own.AsOf, Wanted: f.states[from].AsOf}
+	f.active = append(f.active, activePull{Pull: p, startedAt: now})
 	return []Action{p}
 }
 
-// ahead are the peers that know of changes that this VM doesn't. A greater revision
+// peersAhead are the peers that know of changes that this VM doesn't. A greater revision
 // always tells so, however long ago the store answered that peer: held against the
 // time of an answer, a VM to which the store had just spoken ignored the only peers
 // that had a change.
-func (f *Follower) ahead(own Own) []shed.VM {
-	return f.peers(func(w Word) bool { return w.AsOf > own.AsOf })
+func (f *Follower) peersAhead(own Own) []shed.VM {
+	return f.selectPeers(func(w Word) bool { return w.AsOf > own.AsOf })
 }
 
-// differing are the peers that know the same revision but hold other items, and have
+// peersDiffering are the peers that know the same revision but hold other items, and have
 // heard the store later: a deletion was missed.
-func (f *Follower) differing(own Own) []shed.VM {
-	return f.peers(func(w Word) bool {
+func (f *Follower) peersDiffering(own Own) []shed.VM {
+	return f.selectPeers(func(w Word) bool {
 		return !w.partial && w.AsOf == own.AsOf && w.Digest != own.Digest && !w.Contact.Before(own.Contact)
 	})
 }
 
-func (f *Follower) peers(has func(Word) bool) []shed.VM {
+func (f *Follower) selectPeers(match func(Word) bool) []shed.VM {
 	var out []shed.VM
-	for vm, w := range f.words {
-		if !w.read && has(w) {
+	for vm, state := range f.states {
+		if !state.pulled && match(state) {
 			out = append(out, vm)
 		}
 	}
 	return out
 }
 
-// source picks the peer to read from: one of the strong ones, which bear many that
+// pickSource picks the peer to read from: one of the strong ones, which bear many that
 // ask at the same time, and not the same one for every VM.
-func (f *Follower) source(now time.Time, peers []shed.VM) (shed.VM, bool) {
-	fit := slices.DeleteFunc(peers, func(vm shed.VM) bool {
-		at, failed := f.failed[vm]
-		return failed && now.Sub(at) < avoidFor || f.asking(vm)
+func (f *Follower) pickSource(now time.Time, peers []shed.VM) (shed.VM, bool) {
+	available := slices.DeleteFunc(peers, func(vm shed.VM) bool {
+		at, failed := f.failedAt[vm]
+		return failed && now.Sub(at) < failureBackoff || f.pullingFrom(vm)
 	})
-	most := 0.0
-	for _, vm := range fit {
-		most = max(most, f.words[vm].Power)
+	maxPower := 0.0
+	for _, vm := range available {
+		maxPower = max(maxPower, f.states[vm].Power)
 	}
-	strong := slices.DeleteFunc(fit, func(vm shed.VM) bool { return f.words[vm].Power < most/2 })
-	return rank.Owner(fmt.Sprint(f.self, " ", f.last), strong)
+	highCapacity := slices.DeleteFunc(available, func(vm shed.VM) bool { return f.states[vm].Power < maxPower/2 })
+	return rank.Owner(fmt.Sprint(f.self, " ", f.lastID), highCapacity)
 }
 
-func (f *Follower) asking(vm shed.VM) bool {
-	return slices.ContainsFunc(f.pulls, func(p running) bool { return p.From == vm })
+func (f *Follower) pullingFrom(vm shed.VM) bool {
+	return slices.ContainsFunc(f.active, func(p activePull) bool { return p.From == vm })
 }
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -15,12 +15,12 @@
 // at is a time of a test, in milliseconds.
 func at(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 
-// knows is what a VM knows whose store answered at that time.
-func knows(asOf shed.Revision, contact time.Time) follow.Own {
+// localState is what a VM knows whose store answered at that time.
+func localState(asOf shed.Revision, contact time.Time) follow.Own {
 	return follow.Own{AsOf: asOf, Digest: uint64(asOf), Contact: contact}
 }
 
-func tells(vm shed.VM, asOf shed.Revision, contact time.Time) follow.Heard {
+func reportFrom(vm shed.VM, asOf shed.Revision, contact time.Time) follow.Heard {
 	return follow.Heard{From: vm, Word: follow.Word{AsOf: asOf, Digest: uint64(asOf), Contact: contact, Power: 1}}
 }
 
@@ -40,8 +40,8 @@
 // its callers would get answers by the old configuration.
 func TestNewerWordCountsThoughItsContactIsOlder(t *testing.T) {
 	f := follow.New("a")
-	own := knows(10, at(0))
-	require.Empty(t, f.Handle(at(0), own, tells("b", 12, at(-500))))
+	own := localState(10, at(0))
+	require.Empty(t, f.Handle(at(0), own, reportFrom("b", 12, at(-500))))
 	require.Len(t, pulls(f.Handle(at(200), own, follow.Tick{})), 1)
 }
 
@@ -50,24 +50,24 @@
 // comes once.
 func TestNewsAreAwaited(t *testing.T) {
 	f := follow.New("a")
-	own := knows(10, at(0))
-	require.Empty(t, f.Handle(at(0), own, tells("b", 12, at(0))))
+	own := localState(10, at(0))
+	require.Empty(t, f.Handle(at(0), own, reportFrom("b", 12, at(0))))
 	require.Empty(t, f.Handle(at(100), own, follow.Tick{}))
-	own = knows(12, at(0))
+	own = localState(12, at(0))
 	require.Empty(t, f.Handle(at(110), own, follow.Tick{}))
 	require.Empty(t, f.Handle(at(400), own, follow.Tick{}))
-	require.Equal(t, []follow.Action{follow.Confirm{At: at(300)}}, f.Handle(at(400), own, tells("c", 12, at(300))))
+	require.Equal(t, []follow.Action{follow.Confirm{At: at(300)}}, f.Handle(at(400), own, reportFrom("c", 12, at(300))))
 }
 
 // A change is too large to be passed on, or the one before it did not come. It is read
 // at once, from the peer that has it.
 func TestMissedChangeIsReadAtOnce(t *testing.T) {
 	f := follow.New("a")
-	got := pulls(f.Handle(at(0), knows(10, at(0)), follow.Missed{From: "b", AsOf: 12}))
+	got := pulls(f.Handle(at(0), localState(10, at(0)), follow.Missed{From: "b", AsOf: 12}))
 	require.Equal(t, []follow.Pull{{ID: 1, From: "b", After: 10, Known: 10, Wanted: 12}}, got)
 	// Another one came meanwhile.
-	require.Empty(t, f.Handle(at(10), knows(10, at(0)), follow.Missed{From: "b", AsOf: 13}))
-	got = pulls(f.Handle(at(50), knows(12, at(0)), follow.Ended{Pull: 1}))
+	require.Empty(t, f.Handle(at(10), localState(10, at(0)), follow.Missed{From: "b", AsOf: 13}))
+	got = pulls(f.Handle(at(50), localState(12, at(0)), follow.Ended{Pull: 1}))
 	require.Equal(t, []follow.Pull{{ID: 2, From: "b", After: 12, Known: 12, Wanted: 13}}, got)
 }
 
@@ -75,9 +75,9 @@
 // and no more than two share the link.
 func TestSlowPeerHoldsNobodyUp(t *testing.T) {
 	f := follow.New("a")
-	own := knows(10, at(0))
+	own := localState(10, at(0))
 	for _, vm := range []shed.VM{"b", "c", "d"} {
-		f.Handle(at(0), own, tells(vm, 12, at(0)))
+		f.Handle(at(0), own, reportFrom(vm, 12, at(0)))
 	}
 	first := pulls(f.Handle(at(200), own, follow.Tick{}))
 	require.Len(t, first, 1)
@@ -92,14 +92,14 @@
 // however many peers are ahead; what is lacking then is asked for at once.
 func TestNobodyIsAskedWhileSomethingIsTakenIn(t *testing.T) {
 	f := follow.New("a")
-	own := knows(10, at(0))
+	own := localState(10, at(0))
 	first := pulls(f.Handle(at(0), own, follow.Missed{From: "b", AsOf: 12}))[0]
 	own.Taking = true
 	for ms := 100; ms < 3000; ms += 100 {
-		require.Empty(t, f.Handle(at(ms), own, tells("c", 13, at(ms))))
+		require.Empty(t, f.Handle(at(ms), own, reportFrom("c", 13, at(ms))))
 		require.Empty(t, f.Handle(at(ms), own, follow.Missed{From: "c", AsOf: 14}))
 	}
-	got := pulls(f.Handle(at(3000), knows(12, at(0)), follow.Ended{Pull: first.ID}))
+	got := pulls(f.Handle(at(3000), localState(12, at(0)), follow.Ended{Pull: first.ID}))
 	require.Equal(t, []follow.Pull{{ID: 2, From: "c", After: 12, Known: 12, Wanted: 14}}, got)
 }
 
@@ -107,9 +107,9 @@
 // only when the others have failed, too, and a while has passed.
 func TestFailedPeerIsAvoided(t *testing.T) {
 	f := follow.New("a")
-	own := knows(10, at(0))
-	f.Handle(at(0), own, tells("b", 12, at(0)))
-	f.Handle(at(0), own, tells("c", 12, at(0)))
+	own := localState(10, at(0))
+	f.Handle(at(0), own, reportFrom("b", 12, at(0)))
+	f.Handle(at(0), own, reportFrom("c", 12, at(0)))
 	first := pulls(f.Handle(at(200), own, follow.Tick{}))[0]
 	second := pulls(f.Handle(at(1200), own, follow.Ended{Pull: first.ID, Failed: true}))[0]
 	require.NotEqual(t, first.From, second.From)
@@ -124,7 +124,7 @@
 	asked := map[shed.VM]int{}
 	for _, self := range []shed.VM{"a", "b", "c", "d", "e", "f", "g", "h"} {
 		f := follow.New(self)
-		own := knows(10, at(0))
+		own := localState(10, at(0))
 		for vm, power := range map[shed.VM]float64{"s1": 200, "s2": 200, "w1": 10, "w2": 10, "w3": 10} {
 			f.Handle(at(0), own, follow.Heard{From: vm, Word: follow.Word{AsOf: 12, Power: power}})
 		}
@@ -140,12 +140,12 @@
 // end.
 func TestRepairsAreSpaced(t *testing.T) {
 	f := follow.New("a")
-	own := knows(10, at(0))
+	own := localState(10, at(0))
 	n := 0
 	for ms := 0; ms < 2000; ms += 10 {
-		word := tells("b", 10, at(ms))
-		word.Word.Digest = 99
-		for _, p := range pulls(f.Handle(at(ms), own, word)) {
+		report := reportFrom("b", 10, at(ms))
+		report.Word.Digest = 99
+		for _, p := range pulls(f.Handle(at(ms), own, report)) {
 			require.Equal(t, shed.Revision(0), p.After)
 			n++
 			f.Handle(at(ms+5), own, follow.Ended{Pull: p.ID})
@@ -162,17 +162,17 @@
 	first := pulls(f.Handle(at(0), own, follow.StoreFailed{Peers: []shed.VM{"b"}}))
 	require.Equal(t, []follow.Pull{{ID: 1, From: "b"}}, first)
 	require.Empty(t, f.Handle(at(10), own, follow.Ended{Pull: 1}))
-	require.Empty(t, pulls(f.Handle(at(20), own, tells("b", 0, time.Time{}))))
+	require.Empty(t, pulls(f.Handle(at(20), own, reportFrom("b", 0, time.Time{}))))
 	require.Empty(t, f.Handle(at(250), own, follow.StoreFailed{Peers: []shed.VM{"b"}}))
-	got := pulls(f.Handle(at(300), own, tells("b", 12, at(290))))
+	got := pulls(f.Handle(at(300), own, reportFrom("b", 12, at(290))))
 	require.Equal(t, []follow.Pull{{ID: 2, From: "b", Wanted: 12}}, got)
 }
 
 // A dead peer's word is worth nothing: nobody can be read from it.
 func TestDeadPeerIsNotAsked(t *testing.T) {
 	f := follow.New("a")
-	own := knows(10, at(0))
-	f.Handle(at(0), own, tells("b", 12, at(0)))
+	own := localState(10, at(0))
+	f.Handle(at(0), own, reportFrom("b", 12, at(0)))
 	f.Handle(at(50), own, follow.Gone{VM: "b"})
 	require.Empty(t, f.Handle(at(200), own, follow.Tick{}))
 	require.True(t, f.Contact("b").IsZero())
@@ -183,10 +183,10 @@
 func TestBehind(t *testing.T) {
 	f := follow.New("a")
 	require.False(t, f.Behind(10))
-	f.Handle(at(0), knows(10, at(0)), follow.Heard{From: "b", Word: follow.Word{AsOf: 14, Catalog: 12}})
+	f.Handle(at(0), localState(10, at(0)), follow.Heard{From: "b", Word: follow.Word{AsOf: 14, Catalog: 12}})
 	require.True(t, f.Behind(10))
 	require.False(t, f.Behind(13))
-	f.Handle(at(0), knows(10, at(0)), follow.Heard{From: "c", Word: follow.Word{AsOf: 11, Catalog: 9}})
+	f.Handle(at(0), localState(10, at(0)), follow.Heard{From: "c", Word: follow.Word{AsOf: 11, Catalog: 9}})
 	require.True(t, f.Behind(10))
 }
 
@@ -194,7 +194,7 @@
 // reading the store by that.
 func TestWordFromTheFuture(t *testing.T) {
 	f := follow.New("self")
-	for _, act := range f.Handle(start, knows(5, start), tells("peer", 5, start.Add(time.Hour))) {
+	for _, act := range f.Handle(start, localState(5, start), reportFrom("peer", 5, start.Add(time.Hour))) {
 		if c, ok := act.(follow.Confirm); ok {
 			require.Equal(t, start, c.At)
 		}
--- a/internal/follow/sim_test.go
+++ b/internal/follow/sim_test.go
@@ -23,9 +23,9 @@
 	loadBytes            = 330
 	callBytes            = 60
 	entryBytes           = 300      // a change of one server's entry
-	pushMost             = 32 << 10 // above it, peers are told to read the change
-	pullLimit            = time.Second
-	watching             = 3
+	maxPush              = 32 << 10 // above it, peers are told to read the change
+	pullTimeout          = time.Second
+	watcherCount         = 3
 	tick                 = 100 * time.Millisecond
 )
 
@@ -33,45 +33,45 @@
 // large links hear the store and tell the others, each one its share.
 type sim struct {
 	vclock.Clock
-	rnd  *rand.Rand
-	vms  []*simVM
-	byID map[shed.VM]*simVM
-	tell []shed.VM
-	// size is how many bytes it takes to pass on the change at a revision.
-	size map[shed.Revision]int
-	// loss is the share of messages that don't arrive.
-	loss float64
+	rnd      *rand.Rand
+	vms      []*simVM
+	byID     map[shed.VM]*simVM
+	watchers []shed.VM
+	// sizes is how many bytes it takes to pass on the change at a revision.
+	sizes map[shed.Revision]int
+	// lossRate is the share of messages that don't arrive.
+	lossRate float64
 }
 
 type simVM struct {
-	id           shed.VM
-	rate         float64
-	follow       *follow.Follower
-	asOf         shed.Revision
-	contact      time.Time
-	upFree, down time.Time
-	// since is when each revision was known; sent are the bytes of changes.
-	since map[shed.Revision]time.Time
-	sent  int
+	id                       shed.VM
+	rate                     float64
+	follow                   *follow.Follower
+	asOf                     shed.Revision
+	contact                  time.Time
+	uplinkFree, downlinkFree time.Time
+	// knownAt is when each revision was known; sent are the bytes of changes.
+	knownAt   map[shed.Revision]time.Time
+	sentBytes int
 }
 
-func newSim(n int, loss float64) *sim {
-	s := &sim{rnd: rand.New(rand.NewPCG(1, uint64(n))), Clock: vclock.Clock{Now: start}, byID: map[shed.VM]*simVM{}, size: map[shed.Revision]int{}, loss: loss}
-	strong := max(watching, n/13)
+func newSim(n int, lossRate float64) *sim {
+	s := &sim{rnd: rand.New(rand.NewPCG(1, uint64(n))), Clock: vclock.Clock{Now: start}, byID: map[shed.VM]*simVM{}, sizes: map[shed.Revision]int{}, lossRate: lossRate}
+	highCapacity := max(watcherCount, n/13)
 	for i := range n {
-		vm := &simVM{id: shed.VM(fmt.Sprint("vm-", i)), rate: smallLink, asOf: 1, contact: start, since: map[shed.Revision]time.Time{}}
-		if i < strong {
+		vm := &simVM{id: shed.VM(fmt.Sprint("vm-", i)), rate: smallLink, asOf: 1, contact: start, knownAt: map[shed.Revision]time.Time{}}
+		if i < highCapacity {
 			vm.rate = largeLink
 		}
 		vm.follow = follow.New(vm.id)
 		s.vms, s.byID[vm.id] = append(s.vms, vm), vm
 		s.every(tick, func() { s.handle(vm, follow.Tick{}) })
-		s.every(tick*time.Duration(1+(n-1)/12), func() { s.load(vm) })
+		s.every(tick*time.Duration(1+(n-1)/12), func() { s.broadcastLoad(vm) })
 	}
-	for _, vm := range s.vms[:strong] {
-		s.tell = append(s.tell, vm.id)
+	for _, vm := range s.vms[:highCapacity] {
+		s.watchers = append(s.watchers, vm.id)
 	}
-	s.tell = rank.Owners("store", s.tell, watching)
+	s.watchers = rank.Owners("store", s.watchers, watcherCount)
 	return s
 }
 
@@ -81,21 +81,21 @@
 }
 
 // send takes a message over both links, behind what is on them.
-func (s *sim) send(from, to *simVM, size int, arrived func()) {
-	begin := shed.Later(s.Now, from.upFree)
-	from.upFree = begin.Add(time.Duration(float64(size) / from.rate * float64(time.Second)))
-	done := shed.Later(from.upFree, shed.Later(begin, to.down).Add(time.Duration(float64(size)/to.rate*float64(time.Second))))
-	to.down = done
-	if s.rnd.Float64() >= s.loss {
-		s.After(done.Sub(s.Now)+latency, arrived)
+func (s *sim) send(from, to *simVM, size int, deliver func()) {
+	begin := shed.Later(s.Now, from.uplinkFree)
+	from.uplinkFree = begin.Add(time.Duration(float64(size) / from.rate * float64(time.Second)))
+	done := shed.Later(from.uplinkFree, shed.Later(begin, to.downlinkFree).Add(time.Duration(float64(size)/to.rate*float64(time.Second))))
+	to.downlinkFree = done
+	if s.rnd.Float64() >= s.lossRate {
+		s.After(done.Sub(s.Now)+latency, deliver)
 	}
 }
 
-func (s *sim) load(vm *simVM) {
-	word := follow.Word{AsOf: vm.asOf, Digest: uint64(vm.asOf), Contact: vm.contact, Power: vm.rate}
+func (s *sim) broadcastLoad(vm *simVM) {
+	state := follow.Word{AsOf: vm.asOf, Digest: uint64(vm.asOf), Contact: vm.contact, Power: vm.rate}
 	for _, to := range s.vms {
 		if to != vm {
-			s.send(vm, to, loadBytes, func() { s.handle(to, follow.Heard{From: vm.id, Word: word}) })
+			s.send(vm, to, loadBytes, func() { s.handle(to, follow.Heard{From: vm.id, Word: state}) })
 		}
 	}
 }
@@ -120,46 +120,46 @@
 			s.handle(vm, follow.Ended{Pull: p.ID, Failed: failed})
 		}
 	}
-	s.After(pullLimit, func() { end(true) })
+	s.After(pullTimeout, func() { end(true) })
 	s.send(vm, peer, callBytes, func() {
-		asOf, size := peer.asOf, s.bytes(p.After, peer.asOf)
-		peer.sent += size
+		asOf, size := peer.asOf, s.changeBytes(p.After, peer.asOf)
+		peer.sentBytes += size
 		s.send(peer, vm, size, func() {
-			s.learn(vm, asOf)
+			s.advance(vm, asOf)
 			end(false)
 		})
 	})
 }
 
-// bytes is what it takes to pass on the changes between two revisions.
-func (s *sim) bytes(after, asOf shed.Revision) int {
-	all := callBytes
+// changeBytes is what it takes to pass on the changes between two revisions.
+func (s *sim) changeBytes(after, asOf shed.Revision) int {
+	total := callBytes
 	for rev := after + 1; rev <= asOf; rev++ {
-		all += s.size[rev]
+		total += s.sizes[rev]
 	}
-	return all
+	return total
 }
 
-func (s *sim) learn(vm *simVM, asOf shed.Revision) {
+func (s *sim) advance(vm *simVM, asOf shed.Revision) {
 	for vm.asOf < asOf {
 		vm.asOf++
-		vm.since[vm.asOf] = s.Now
+		vm.knownAt[vm.asOf] = s.Now
 	}
 }
 
 // write changes the store; those that watch hear it and tell the others.
 func (s *sim) write(size int) shed.Revision {
-	rev := shed.Revision(len(s.size) + 2)
-	s.size[rev] = size
-	for _, id := range s.tell {
+	rev := shed.Revision(len(s.sizes) + 2)
+	s.sizes[rev] = size
+	for _, id := range s.watchers {
 		vm := s.byID[id]
 		s.After(5*time.Millisecond, func() {
 			after := rev - 1
-			s.learn(vm, rev)
+			s.advance(vm, rev)
 			vm.contact = s.Now
 			for _, to := range s.vms {
-				if teller, _ := rank.Owner(string(to.id), s.tell); teller == id && to != vm {
-					s.news(vm, to, after, rev)
+				if watcher, _ := rank.Owner(string(to.id), s.watchers); watcher == id && to != vm {
+					s.sendUpdate(vm, to, after, rev)
 				}
 			}
 		})
@@ -167,29 +167,29 @@
 	return rev
 }
 
-func (s *sim) news(from, to *simVM, after, asOf shed.Revision) {
-	size := s.bytes(after, asOf)
-	unsent := size > pushMost
-	if unsent {
+func (s *sim) sendUpdate(from, to *simVM, after, asOf shed.Revision) {
+	size := s.changeBytes(after, asOf)
+	tooLarge := size > maxPush
+	if tooLarge {
 		size = callBytes
 	}
-	from.sent += size
+	from.sentBytes += size
 	s.send(from, to, size, func() {
 		switch {
 		case asOf <= to.asOf:
-		case unsent || after > to.asOf:
+		case tooLarge || after > to.asOf:
 			s.handle(to, follow.Missed{From: from.id, AsOf: asOf})
 		default:
-			s.learn(to, asOf)
+			s.advance(to, asOf)
 		}
 	})
 }
 
-// applied is when the last VM knew the revision, after the change was written.
-func (s *sim) applied(rev shed.Revision, written time.Time) time.Duration {
+// propagationDelay is when the last VM knew the revision, after the change was written.
+func (s *sim) propagationDelay(rev shed.Revision, written time.Time) time.Duration {
 	last := time.Duration(0)
 	for _, vm := range s.vms {
-		at, ok := vm.since[rev]
+		at, ok := vm.knownAt[rev]
 		if !ok {
 			return time.Hour
 		}
@@ -210,11 +210,11 @@
 	return out
 }
 
-// grown is one row of TestChangesAtSize: a fleet, how many routes its configuration
+// sizeCase is one row of TestChangesAtSize: a fleet, how many routes its configuration
 // gets, and the share of messages that are lost.
-type grown struct {
-	vms, more int
-	loss      float64
+type sizeCase struct {
+	vms, added int
+	lossRate   float64
 }
 
 // A configuration of 2,800 routes gets more, while servers are replaced: four changes of
@@ -222,21 +222,21 @@
 // within three seconds, also if one message in twenty is lost; what has to be sent
 // grows with the change.
 func TestChangesAtSize(t *testing.T) {
-	for _, c := range []grown{
+	for _, c := range []sizeCase{
 		{20, 100, 0}, {20, 1500, 0}, {20, 3000, 0},
 		{78, 100, 0}, {78, 1500, 0}, {78, 3000, 0}, {78, 1500, 0.05}, {78, 3000, 0.05},
 		{195, 100, 0}, {195, 1500, 0}, {195, 3000, 0}, {195, 1500, 0.05},
 	} {
-		packed, err := delta.Pack(routes(2800+c.more), routes(2800))
+		packed, err := delta.Pack(routes(2800+c.added), routes(2800))
 		require.NoError(t, err)
-		s := newSim(c.vms, c.loss)
+		s := newSim(c.vms, c.lossRate)
 		s.Run(time.Second)
 		for range 4 {
 			s.write(entryBytes)
 			s.Run(250 * time.Millisecond)
 		}
 		for _, vm := range s.vms {
-			vm.sent = 0
+			vm.sentBytes = 0
 		}
 		written := s.Now
 		rev := s.write(len(packed))
@@ -245,19 +245,19 @@
 			s.write(entryBytes)
 		}
 		s.Run(500 * time.Millisecond)
-		took := s.applied(rev, written)
+		took := s.propagationDelay(rev, written)
 		require.Less(t, took, 3*time.Second, "%+v", c)
-		mean, most := s.sent()
+		mean, most := s.sentPerVM()
 		t.Logf("%+v: %d bytes (%d whole); last VM after %v; sent in 3 s: mean %d bytes, most %d",
-			c, len(packed), len(routes(2800+c.more)), took.Round(time.Millisecond), mean, most)
+			c, len(packed), len(routes(2800+c.added)), took.Round(time.Millisecond), mean, most)
 	}
 }
 
-// sent are the bytes that VMs sent for changes.
-func (s *sim) sent() (mean, most int) {
-	all := 0
+// sentPerVM are the bytes that VMs sent for changes.
+func (s *sim) sentPerVM() (mean, peak int) {
+	total := 0
 	for _, vm := range s.vms {
-		most, all = max(most, vm.sent), all+vm.sent
+		peak, total = max(peak, vm.sentBytes), total+vm.sentBytes
 	}
-	return all / len(s.vms), most
+	return total / len(s.vms), peak
 }
