--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -1,6 +1,6 @@
-// Package follow decides how one VM keeps up with what its peers know of the store:
-// whose word confirms what it knows, when it lacks something, and from which peer it
-// reads that. It is pure: the driver feeds it what peers say and performs its actions.
+// Package follow keeps one VM's copy of the store in step with its peers: it decides which
+// peer reports confirm the local state, when changes are missing, and which peer to pull them
+// from. It does no I/O: the driver passes events to it and performs the actions it returns.
 package follow
 
 import (
@@ -13,79 +13,79 @@
 )
 
 const (
-	// updateWait is how long a VM that lacks something waits for the peer that passes
-	// it on to all. Without it, the first load message of any peer that is a few
-	// milliseconds ahead would have it sent twice.
+	// updateWait is how long a VM that is behind waits for a watcher to push the update.
+	// Without it, the first load report of a peer that is a few milliseconds ahead would
+	// start a pull, and the update would be sent twice.
 	updateWait = 150 * time.Millisecond
-	// hedgeAfter is how long a pull may take before another peer is asked beside it: one
-	// slow peer would hold the VM up for as long as it sends a little now and then.
+	// hedgeAfter is how long a pull may run before a second peer is asked in parallel. A slow
+	// peer that sends a few bytes now and then would otherwise delay the VM indefinitely.
 	hedgeAfter = 700 * time.Millisecond
-	// maxPulls bounds the pulls, which share this VM's link.
+	// maxPulls bounds concurrent pulls, which share this VM's link.
 	maxPulls = 2
-	// failureBackoff is how long a peer from which a pull failed is not asked again.
+	// failureBackoff is how long a peer is avoided after a pull from it failed.
 	failureBackoff = time.Second
-	// repairInterval is the least time between two pulls that look for a missed deletion.
-	// For seconds after an outage of the store VMs hold different entries of servers,
-	// and would read all from each other without end.
+	// repairInterval is the minimum time between two full pulls that look for a missed
+	// deletion. For seconds after an outage of the store, VMs hold different server entries
+	// and would otherwise read everything from each other continuously.
 	repairInterval = 500 * time.Millisecond
 )
 
-// PullID names one pull.
+// PullID identifies a pull.
 type PullID uint64
 
-// Own is what this VM knows of the store.
+// Own is this VM's state of the store.
 type Own struct {
 	AsOf   shed.Revision
 	Digest uint64
-	// Contact is when the store last answered, this VM or a peer that knew no more.
+	// Contact is when the store last answered this VM, or a peer with no newer state.
 	Contact time.Time
-	// Taking: something that has come is being taken in, so more will be known soon.
+	// Taking: received changes are being applied, so the state will advance soon.
 	Taking bool
 }
 
-// Word is what a peer told of what it knows of the store.
+// Word is a peer's state of the store, as it reported it.
 type Word struct {
 	AsOf   shed.Revision
 	Digest uint64
-	// Catalog is the revision of the configuration that it has in force.
+	// Catalog is the revision of its active configuration.
 	Catalog shed.Revision
-	// Contact is when the store last answered it.
+	// Contact is when the store last answered the peer.
 	Contact time.Time
-	// Power is how strong it is beside others.
+	// Power is the peer's capacity relative to other VMs.
 	Power float64
-	// pulled: a pull has brought what it tells. partial: only AsOf is known.
+	// pulled: a pull has fetched this state. partial: only AsOf is known.
 	pulled, partial bool
 }
 
-// Event is something that a Follower has to know. The set is closed.
+// Event is an input to a Follower. The set is closed.
 type Event interface{ event() }
 
-// Heard says that a peer told what it knows.
+// Heard says that a peer reported its state.
 type Heard struct {
 	From shed.VM
 	Word Word
 }
 
-// Missed says that a peer told of a change up to AsOf that it did not send along, or
-// that can't be applied to what is known here.
+// Missed says that a peer announced a change up to AsOf that it did not send, or that can't
+// be applied to the local state.
 type Missed struct {
 	From shed.VM
 	AsOf shed.Revision
 }
 
-// StoreFailed says that the store gave no answer. Peers are those that are alive.
+// StoreFailed says that the store did not answer. Peers are the live peers.
 type StoreFailed struct{ Peers []shed.VM }
 
-// Ended says that a pull has ended, and that what it brought is known.
+// Ended says that a pull has ended and what it fetched has been applied.
 type Ended struct {
 	Pull   PullID
 	Failed bool
 }
 
-// Tick comes regularly.
+// Tick is sent periodically.
 type Tick struct{}
 
-// Gone says that the peer is dead.
+// Gone says that a peer is dead.
 type Gone struct{ VM shed.VM }
 
 func (Heard) event()       {}
@@ -95,33 +95,33 @@
 func (Tick) event()        {}
 func (Gone) event()        {}
 
-// Action is something that the driver has to do. The set is closed.
+// Action is a request to the driver. The set is closed.
 type Action interface{ action() }
 
-// Confirm notes that the store had nothing newer at that time than is known here.
+// Confirm says that the store had nothing newer than the local state at that time.
 type Confirm struct{ At time.Time }
 
-// Pull reads from a peer what it knows more than this VM.
+// Pull reads from a peer the changes that this VM lacks.
 type Pull struct {
 	ID   PullID
 	From shed.VM
-	// After is the revision after which changes are read; 0 reads all. Known is the
-	// one up to which all is known here.
+	// After is the revision after which changes are read; 0 reads everything. Known is the
+	// revision up to which this VM's state is complete.
 	After, Known shed.Revision
-	// Wanted is the revision that the peer told.
+	// Wanted is the revision that the peer reported.
 	Wanted shed.Revision
 }
 
 func (Confirm) action() {}
 func (Pull) action()    {}
 
-// activePull is a pull under way.
+// activePull is a pull in flight.
 type activePull struct {
 	Pull
 	startedAt time.Time
 }
 
-// Follower is one VM's view of its peers. It is not safe for concurrent use.
+// Follower tracks the state of one VM's peers. It is not safe for concurrent use.
 type Follower struct {
 	self   shed.VM
 	states map[shed.VM]Word
@@ -129,33 +129,32 @@
 	failedAt map[shed.VM]time.Time
 	active   []activePull
 	lastID   PullID
-	// behindSince is since when somebody knows more; zero: nobody does.
+	// behindSince is since when a peer has been ahead; zero if none is.
 	behindSince time.Time
-	// newestCatalog is the newest configuration that a peer has told of.
+	// newestCatalog is the newest configuration that a peer has reported.
 	newestCatalog shed.Revision
-	// lastRepair is when a missed deletion was last looked for.
+	// lastRepair is when a pull last looked for a missed deletion.
 	lastRepair time.Time
 }
 
-// New returns a Follower that has heard nobody.
+// New returns a Follower without any peer reports.
 func New(self shed.VM) *Follower {
 	return &Follower{self: self, states: map[shed.VM]Word{}, failedAt: map[shed.VM]time.Time{}}
 }
 
-// Contact is when the store last answered a peer, by the peer's word; zero if that
-// isn't known.
+// Contact is when the store last answered a peer, as the peer reported it; zero if unknown.
 func (f *Follower) Contact(vm shed.VM) time.Time { return f.states[vm].Contact }
 
-// Behind tells whether a peer has a newer configuration in force than can be known to a
-// VM that knows the store up to a revision.
+// Behind reports whether a peer's active configuration is newer than asOf, so that a VM with
+// the store's state as of that revision can't have it.
 func (f *Follower) Behind(asOf shed.Revision) bool { return f.newestCatalog > asOf }
 
-// Handle takes in an event; own is what this VM knows now.
+// Handle processes an event; own is this VM's current state.
 func (f *Follower) Handle(now time.Time, own Own, ev Event) []Action {
 	switch e := ev.(type) {
 	case Heard:
 		if e.Word.Contact.After(now) {
-			// Else a peer that tells nonsense would keep this VM from the store.
+			// A bogus time in the future would keep this VM from reading the store.
 			e.Word.Contact = now
 		}
 		f.states[e.From] = e.Word
@@ -185,8 +184,8 @@
 	return nil
 }
 
-// handleStoreFailure asks a peer at once. A VM that knows nothing asks one that it hasn't
-// heard if it must: it may have started a moment ago.
+// handleStoreFailure pulls from a peer at once. A VM without any state falls back to peers that
+// have not reported yet: it may have started a moment ago.
 func (f *Follower) handleStoreFailure(now time.Time, own Own, peers []shed.VM) []Action {
 	if acts := f.maybePull(now, own, true); len(acts) > 0 || own.AsOf > 0 {
 		return acts
@@ -198,8 +197,8 @@
 	return f.startPull(now, own, 0, unknown)
 }
 
-// endPull takes a pull off the list. What a peer told is not read from it again before it
-// tells something new.
+// endPull removes a pull from the active ones. The peer's reported state is not pulled again
+// until its next report.
 func (f *Follower) endPull(now time.Time, e Ended) {
 	i := slices.IndexFunc(f.active, func(p activePull) bool { return p.ID == e.Pull })
 	if i < 0 {
@@ -217,7 +216,7 @@
 	}
 }
 
-// maybePull begins a pull if there is reason to; urgent doesn't wait for news.
+// maybePull starts a pull if one is needed; urgent skips the wait for a pushed update.
 func (f *Follower) maybePull(now time.Time, own Own, urgent bool) []Action {
 	if ahead := f.peersAhead(own); len(ahead) > 0 {
 		if f.behindSince.IsZero() {
@@ -233,7 +232,7 @@
 	if len(differing) == 0 || now.Sub(f.lastRepair) < repairInterval {
 		return nil
 	}
-	// Changes since then don't tell a deletion that was missed before.
+	// A list of later changes does not contain a deletion that was missed earlier.
 	acts := f.startPull(now, own, 0, differing)
 	if len(acts) > 0 {
 		f.lastRepair = now
@@ -241,9 +240,9 @@
 	return acts
 }
 
-// startPull begins a pull from one of the peers, if one may begin now. None does while
-// something is taken in: on a small VM a large configuration takes long to read, and
-// would come, and be read, once more for each peer that is ahead meanwhile.
+// startPull starts a pull from one of the peers, within the limits on concurrent pulls. None
+// starts while changes are being applied: a small VM takes long to parse a large configuration,
+// and would fetch and parse it again for every peer that is ahead meanwhile.
 func (f *Follower) startPull(now time.Time, own Own, after shed.Revision, peers []shed.VM) []Action {
 	if own.Taking {
 		return nil
@@ -261,16 +260,15 @@
 	return []Action{p}
 }
 
-// peersAhead are the peers that know of changes that this VM doesn't. A greater revision
-// always tells so, however long ago the store answered that peer: held against the
-// time of an answer, a VM to which the store had just spoken ignored the only peers
-// that had a change.
+// peersAhead returns the peers with a greater revision than this VM's. Last contact times are
+// not compared: a VM that the store had just answered would ignore the only peers that have a
+// change.
 func (f *Follower) peersAhead(own Own) []shed.VM {
 	return f.selectPeers(func(w Word) bool { return w.AsOf > own.AsOf })
 }
 
-// peersDiffering are the peers that know the same revision but hold other items, and have
-// heard the store later: a deletion was missed.
+// peersDiffering returns the peers at the same revision that hold other items and whose last
+// contact with the store is no older: this VM missed a deletion.
 func (f *Follower) peersDiffering(own Own) []shed.VM {
 	return f.selectPeers(func(w Word) bool {
 		return !w.partial && w.AsOf == own.AsOf && w.Digest != own.Digest && !w.Contact.Before(own.Contact)
@@ -287,8 +285,8 @@
 	return out
 }
 
-// pickSource picks the peer to read from: one of the strong ones, which bear many that
-// ask at the same time, and not the same one for every VM.
+// pickSource picks the peer to pull from: a high-capacity one, which can handle many pulls at
+// once, chosen by rendezvous hash so that VMs spread over these peers.
 func (f *Follower) pickSource(now time.Time, peers []shed.VM) (shed.VM, bool) {
 	available := slices.DeleteFunc(peers, func(vm shed.VM) bool {
 		at, failed := f.failedAt[vm]
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -12,10 +12,10 @@
 
 var start = time.Unix(1_700_000_000, 0)
 
-// at is a time of a test, in milliseconds.
+// at returns the time that many milliseconds into a test.
 func at(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 
-// localState is what a VM knows whose store answered at that time.
+// localState is the state of a VM whose last contact with the store was at that time.
 func localState(asOf shed.Revision, contact time.Time) follow.Own {
 	return follow.Own{AsOf: asOf, Digest: uint64(asOf), Contact: contact}
 }
@@ -24,7 +24,7 @@
 	return follow.Heard{From: vm, Word: follow.Word{AsOf: asOf, Digest: uint64(asOf), Contact: contact, Power: 1}}
 }
 
-// pulls are the pulls among actions.
+// pulls returns the pulls among actions.
 func pulls(acts []follow.Action) []follow.Pull {
 	var out []follow.Pull
 	for _, act := range acts {
@@ -35,9 +35,9 @@
 	return out
 }
 
-// The store has just answered this VM, and nothing was new. A peer knows a change, but
-// heard it from the store a moment earlier. The VM must not take itself for up to date:
-// its callers would get answers by the old configuration.
+// The store has just answered this VM without changes. A peer has a newer revision, but its
+// last contact with the store is older. The VM must not consider itself up to date, or callers
+// get answers based on the old configuration.
 func TestNewerWordCountsThoughItsContactIsOlder(t *testing.T) {
 	f := follow.New("a")
 	own := localState(10, at(0))
@@ -45,9 +45,8 @@
 	require.Len(t, pulls(f.Handle(at(200), own, follow.Tick{})), 1)
 }
 
-// A peer that watches the store passes a change on to all. Load messages of others
-// that have it already arrive a little before: no VM reads it from them, so that it
-// comes once.
+// A watcher pushes a change to all peers. Load reports of peers that already have it arrive
+// slightly earlier and must not start a pull, or the change is sent twice.
 func TestNewsAreAwaited(t *testing.T) {
 	f := follow.New("a")
 	own := localState(10, at(0))
@@ -59,20 +58,20 @@
 	require.Equal(t, []follow.Action{follow.Confirm{At: at(300)}}, f.Handle(at(400), own, reportFrom("c", 12, at(300))))
 }
 
-// A change is too large to be passed on, or the one before it did not come. It is read
-// at once, from the peer that has it.
+// A change is too large to be pushed, or the one before it was lost. It is pulled at once
+// from the peer that announced it.
 func TestMissedChangeIsReadAtOnce(t *testing.T) {
 	f := follow.New("a")
 	got := pulls(f.Handle(at(0), localState(10, at(0)), follow.Missed{From: "b", AsOf: 12}))
 	require.Equal(t, []follow.Pull{{ID: 1, From: "b", After: 10, Known: 10, Wanted: 12}}, got)
-	// Another one came meanwhile.
+	// Another change is announced during the pull.
 	require.Empty(t, f.Handle(at(10), localState(10, at(0)), follow.Missed{From: "b", AsOf: 13}))
 	got = pulls(f.Handle(at(50), localState(12, at(0)), follow.Ended{Pull: 1}))
 	require.Equal(t, []follow.Pull{{ID: 2, From: "b", After: 12, Known: 12, Wanted: 13}}, got)
 }
 
-// The peer that is asked sends a little now and then. Another one is asked beside it,
-// and no more than two share the link.
+// A pull is slow because the peer sends only a few bytes now and then. A second peer is asked
+// in parallel, but no more than two pulls share the link.
 func TestSlowPeerHoldsNobodyUp(t *testing.T) {
 	f := follow.New("a")
 	own := localState(10, at(0))
@@ -88,8 +87,8 @@
 	require.Empty(t, f.Handle(at(5000), own, follow.Tick{}))
 }
 
-// What a pull has brought takes long to read. Nobody is asked for it again meanwhile,
-// however many peers are ahead; what is lacking then is asked for at once.
+// Applying pulled changes takes long. No pull starts meanwhile, however many peers are ahead;
+// changes still missing afterwards are pulled at once.
 func TestNobodyIsAskedWhileSomethingIsTakenIn(t *testing.T) {
 	f := follow.New("a")
 	own := localState(10, at(0))
@@ -103,8 +102,8 @@
 	require.Equal(t, []follow.Pull{{ID: 2, From: "c", After: 12, Known: 12, Wanted: 14}}, got)
 }
 
-// The peer that is asked gives no answer. The next one is asked at once, and the first
-// only when the others have failed, too, and a while has passed.
+// A peer does not answer a pull. The next peer is asked at once, and the first one again only
+// after the others have failed, too, and the backoff has passed.
 func TestFailedPeerIsAvoided(t *testing.T) {
 	f := follow.New("a")
 	own := localState(10, at(0))
@@ -118,8 +117,8 @@
 	require.Equal(t, first.From, third.From)
 }
 
-// Most VMs have a link of 10 Mbit/s, a few a larger one. Those are read from; and not
-// all VMs read from the same.
+// Most VMs have a link of 10 Mbit/s, a few a larger one. Pulls go to the latter and are spread
+// over them.
 func TestStrongPeersAreRead(t *testing.T) {
 	asked := map[shed.VM]int{}
 	for _, self := range []shed.VM{"a", "b", "c", "d", "e", "f", "g", "h"} {
@@ -135,9 +134,8 @@
 	require.NotZero(t, asked["s2"])
 }
 
-// After an outage of the store, VMs that know the same revision hold different entries
-// of servers for two seconds. Each reads all from another now and then, not without
-// end.
+// After an outage of the store, VMs at the same revision hold different server entries for two
+// seconds. Full pulls are limited to one per repair interval.
 func TestRepairsAreSpaced(t *testing.T) {
 	f := follow.New("a")
 	own := localState(10, at(0))
@@ -154,8 +152,8 @@
 	require.Equal(t, 4, n)
 }
 
-// A VM starts while the store is down, and has heard no peer yet. It asks one that is
-// alive; one that knows nothing either is not asked again and again.
+// A VM starts while the store is down and has no peer report yet. It pulls from any live peer,
+// but not repeatedly from one that has no state either.
 func TestVMThatKnowsNothingAsksAnybody(t *testing.T) {
 	f := follow.New("a")
 	var own follow.Own
@@ -168,7 +166,7 @@
 	require.Equal(t, []follow.Pull{{ID: 2, From: "b", Wanted: 12}}, got)
 }
 
-// A dead peer's word is worth nothing: nobody can be read from it.
+// A dead peer's report is dropped, as nothing can be pulled from it.
 func TestDeadPeerIsNotAsked(t *testing.T) {
 	f := follow.New("a")
 	own := localState(10, at(0))
@@ -178,8 +176,8 @@
 	require.True(t, f.Contact("b").IsZero())
 }
 
-// A peer has a configuration that this VM can't know yet. Once it knows the store up to
-// that revision it is not behind, also if it could not read that configuration.
+// A peer's configuration is newer than this VM's state. Once the VM has the store's state up to
+// that revision it is not stale, even if it could not parse that configuration.
 func TestBehind(t *testing.T) {
 	f := follow.New("a")
 	require.False(t, f.Behind(10))
@@ -190,8 +188,8 @@
 	require.True(t, f.Behind(10))
 }
 
-// A peer says that the store answered it in the future. The VM must not be kept from
-// reading the store by that.
+// A peer reports a last contact in the future. That must not keep the VM from reading the
+// store.
 func TestWordFromTheFuture(t *testing.T) {
 	f := follow.New("self")
 	for _, act := range f.Handle(start, localState(5, start), reportFrom("peer", 5, start.Add(time.Hour))) {
--- a/internal/follow/sim_test.go
+++ b/internal/follow/sim_test.go
@@ -15,31 +15,31 @@
 	"jasmineshed/internal/vclock"
 )
 
-// Sizes on the wire and rates of the simulated fleet, as the relay and its users'
-// deployments have them.
+// Message sizes and link rates of the simulated fleet, as in the relay and its users'
+// deployments.
 const (
 	largeLink, smallLink = 200e6 / 8, 10e6 / 8 // bytes a second
 	latency              = time.Millisecond
 	loadBytes            = 330
 	callBytes            = 60
-	entryBytes           = 300      // a change of one server's entry
-	maxPush              = 32 << 10 // above it, peers are told to read the change
+	entryBytes           = 300      // an update of one server entry
+	maxPush              = 32 << 10 // a larger change is only announced, and pulled by peers
 	pullTimeout          = time.Second
 	watcherCount         = 3
 	tick                 = 100 * time.Millisecond
 )
 
-// sim is a fleet of VMs that follow each other, in virtual time. Three of those with
-// large links hear the store and tell the others, each one its share.
+// sim is a fleet of VMs that follow each other, in virtual time. Three VMs with large links
+// watch the store, and each pushes updates to its share of the others.
 type sim struct {
 	vclock.Clock
 	rnd      *rand.Rand
 	vms      []*simVM
 	byID     map[shed.VM]*simVM
 	watchers []shed.VM
-	// sizes is how many bytes it takes to pass on the change at a revision.
+	// sizes holds the bytes on the wire of the change at each revision.
 	sizes map[shed.Revision]int
-	// lossRate is the share of messages that don't arrive.
+	// lossRate is the fraction of messages that are lost.
 	lossRate float64
 }
 
@@ -50,7 +50,7 @@
 	asOf                     shed.Revision
 	contact                  time.Time
 	uplinkFree, downlinkFree time.Time
-	// knownAt is when each revision was known; sent are the bytes of changes.
+	// knownAt is when the VM reached each revision; sentBytes counts bytes of changes it sent.
 	knownAt   map[shed.Revision]time.Time
 	sentBytes int
 }
@@ -75,12 +75,12 @@
 	return s
 }
 
-// every repeats something from a random time on.
+// every runs do periodically, with a random phase.
 func (s *sim) every(period time.Duration, do func()) {
 	s.Every(time.Duration(s.rnd.Int64N(int64(period))), period, do)
 }
 
-// send takes a message over both links, behind what is on them.
+// send queues a message on the sender's uplink and the receiver's downlink.
 func (s *sim) send(from, to *simVM, size int, deliver func()) {
 	begin := shed.Later(s.Now, from.uplinkFree)
 	from.uplinkFree = begin.Add(time.Duration(float64(size) / from.rate * float64(time.Second)))
@@ -131,7 +131,7 @@
 	})
 }
 
-// changeBytes is what it takes to pass on the changes between two revisions.
+// changeBytes is the size on the wire of the changes between two revisions.
 func (s *sim) changeBytes(after, asOf shed.Revision) int {
 	total := callBytes
 	for rev := after + 1; rev <= asOf; rev++ {
@@ -147,7 +147,7 @@
 	}
 }
 
-// write changes the store; those that watch hear it and tell the others.
+// write changes the store; the watchers receive the change and push it to the others.
 func (s *sim) write(size int) shed.Revision {
 	rev := shed.Revision(len(s.sizes) + 2)
 	s.sizes[rev] = size
@@ -185,7 +185,7 @@
 	})
 }
 
-// propagationDelay is when the last VM knew the revision, after the change was written.
+// propagationDelay is the time from the write until the last VM has the revision.
 func (s *sim) propagationDelay(rev shed.Revision, written time.Time) time.Duration {
 	last := time.Duration(0)
 	for _, vm := range s.vms {
@@ -198,7 +198,7 @@
 	return last
 }
 
-// routes is the text of n routes whose names can't be guessed.
+// routes returns the text of n routes with random names.
 func routes(n int) []byte {
 	rnd := rand.New(rand.NewPCG(2, 2))
 	var out []byte
@@ -210,17 +210,16 @@
 	return out
 }
 
-// sizeCase is one row of TestChangesAtSize: a fleet, how many routes its configuration
-// gets, and the share of messages that are lost.
+// sizeCase is one row of TestChangesAtSize: the fleet size, the number of routes added to its
+// configuration, and the fraction of messages lost.
 type sizeCase struct {
 	vms, added int
 	lossRate   float64
 }
 
-// A configuration of 2,800 routes gets more, while servers are replaced: four changes of
-// entries a second. Most VMs have links of 10 Mbit/s. Each VM has to have it in force
-// within three seconds, also if one message in twenty is lost; what has to be sent
-// grows with the change.
+// Routes are added to a configuration of 2,800 while servers are replaced, with four entry
+// updates a second. Most VMs have links of 10 Mbit/s. Every VM must have the change within three
+// seconds, also if one message in twenty is lost; the bytes to send grow with the change.
 func TestChangesAtSize(t *testing.T) {
 	for _, c := range []sizeCase{
 		{20, 100, 0}, {20, 1500, 0}, {20, 3000, 0},
@@ -253,7 +252,7 @@
 	}
 }
 
-// sentPerVM are the bytes that VMs sent for changes.
+// sentPerVM returns the mean and the peak of the bytes of changes that a VM sent.
 func (s *sim) sentPerVM() (mean, peak int) {
 	total := 0
 	for _, vm := range s.vms {
--- a/internal/follow/store.go
+++ b/internal/follow/store.go
@@ -6,48 +6,47 @@
 	shed "jasmineshed"
 )
 
-// StaleAfter is how old the store's last answer may be, to this VM or to one that told
-// it, before this VM reads the store by itself. Changes have to be in force within two
-// seconds.
+// StaleAfter is the maximum age of the last contact with the store, direct or reported by a
+// peer, before this VM reads the store itself. Changes must take effect within two seconds.
 const StaleAfter = 1300 * time.Millisecond
 
-// StoreView is what decides whether this VM reads the store now.
+// StoreView is the input of NextCall.
 type StoreView struct {
-	// AsOf is the revision up to which this VM knows everything; 0 if it knows nothing.
+	// AsOf is the revision up to which this VM's state is complete; 0 if it has none.
 	AsOf shed.Revision
-	// Contact is when the store last answered, this VM or a peer that knew no more;
+	// Contact is when the store last answered this VM, or a peer with no newer state;
 	// zero if it never did.
 	Contact time.Time
-	// Watcher: this VM is one of those that watch the store for all.
+	// Watcher: this VM watches the store on behalf of all VMs.
 	Watcher bool
-	// Forgotten: the store no longer has the changes after AsOf.
+	// Forgotten: the store has compacted the changes after AsOf.
 	Forgotten bool
 }
 
-// StoreCall is what a VM asks of the store. The set is closed.
+// StoreCall is a call to the store. The set is closed.
 type StoreCall uint8
 
 // The calls to the store.
 const (
-	// NoCall: peers tell what the store says.
+	// NoCall: the VM gets changes from its peers.
 	NoCall StoreCall = iota
-	// ListCopy reads all items from any copy of the store, which may be behind.
+	// ListCopy reads all items from any replica of the store, which may lag.
 	ListCopy
-	// List reads all items as they are now.
+	// List reads the current state of all items.
 	List
-	// Changes reads what has changed, without waiting for a change.
+	// Changes reads the changes so far, without waiting for one.
 	Changes
 	// Watch waits for a change.
 	Watch
 )
 
-// NextCall decides what a VM asks of the store.
+// NextCall returns the call that a VM makes to the store next.
 //
-// Load pattern: hundreds of VMs start at the same moment, or all of them after a loss of
-// power. Each has to read everything, in many calls that all VMs share and pay for. A
-// copy of the store gives it for a fraction, and one call tells what the copy lacks. Where
-// the store is still being filled, each VM that watches it is answered once for each item,
-// so those that have no configuration yet leave it to the watchers, too.
+// Load pattern: hundreds of VMs start at the same moment, or all of them after a power loss.
+// Each has to read everything, in many calls whose cost all VMs share. A replica serves the same
+// for a fraction of the cost, and one more call returns what the replica lacks. While the store
+// is still being filled, each VM that watches it gets one answer per item, so VMs without a
+// configuration leave watching to the watchers, too.
 func NextCall(now time.Time, v StoreView) StoreCall {
 	switch {
 	case v.Forgotten:
