--- a/internal/fanout/fanout.go
+++ b/internal/fanout/fanout.go
@@ -22,23 +22,23 @@
 )
 
 const (
-	// direct is the most VMs in a fleet in which each one tells all others.
-	direct = 24
-	// leastHubs and usualHubs bound the hubs of a larger fleet. Strong VMs are taken up
+	// maxDirect is the most VMs in a fleet in which each one tells all others.
+	maxDirect = 24
+	// minHubs and usualHubs bound the hubs of a larger fleet. Strong VMs are taken up
 	// to usualHubs, or up to the square root of the fleet if that is more: then a hub
 	// carries about as many loads as there are hubs.
-	leastHubs, usualHubs = 3, 16
-	// turn is the shortest time between two messages to one peer.
-	turn = 100 * time.Millisecond
+	minHubs, usualMaxHubs = 3, 16
+	// roundInterval is the shortest time between two messages to one peer.
+	roundInterval = 100 * time.Millisecond
 	// How many peers a VM tells in a turn: one of a small fleet, a hub, and one at which
 	// pieces wait. Its forecast decides whom all others let in, so it tells all itself.
-	directPerTurn, hubPerTurn, gathersPerTurn = 12, 24, 60
-	// toHub is how often a VM tells its hub.
-	toHub = 300 * time.Millisecond
-	// idle is how often a VM tells its load though nothing is under way.
-	idle = 300 * time.Millisecond
-	// mostPlaced bounds the prompts that wait to be told.
-	mostPlaced = 4096
+	directPerRound, hubPerRound, coordinatorPerRound = 12, 24, 60
+	// hubInterval is how often a VM tells its hub.
+	hubInterval = 300 * time.Millisecond
+	// idleInterval is how often a VM tells its load though nothing is under way.
+	idleInterval = 300 * time.Millisecond
+	// maxPlaced bounds the prompts that wait to be told.
+	maxPlaced = 4096
 )
 
 // View is what a VM knows of its fleet and itself.
@@ -62,41 +62,41 @@
 	Placed []shed.PromptPlaced
 }
 
-// heard is a load that is to be passed on.
-type heard struct {
-	from shed.Peer
-	load shed.RelayLoad
-	at   time.Time
+// relayedLoad is a load that is to be passed on.
+type relayedLoad struct {
+	from       shed.Peer
+	load       shed.RelayLoad
+	receivedAt time.Time
 }
 
-type placed struct {
+type placedPrompt struct {
 	shed.PromptPlaced
-	at time.Time
+	placedAt time.Time
 }
 
 // Fanout is one VM's state. It is not safe for concurrent use.
 type Fanout struct {
 	self shed.VM
-	// last is the peer that was told last; the next ones follow it in their order.
-	last shed.VM
-	// at is when Due was asked last, owed how many peers are due since, in parts.
-	at   time.Time
-	owed float64
-	// busyAt is when there was last something to tell.
-	busyAt time.Time
-	carry  map[shed.VM]heard
-	placed []placed
+	// lastPeer is the peer that was told last; the next ones follow it in their order.
+	lastPeer shed.VM
+	// lastRound is when Due was asked last, owed how many peers are due since, in parts.
+	lastRound time.Time
+	credit    float64
+	// lastBusy is when there was last something to tell.
+	lastBusy time.Time
+	relayed  map[shed.VM]relayedLoad
+	placed   []placedPrompt
 }
 
 // New returns the state of a VM that has told nobody.
 func New(self shed.VM) *Fanout {
-	return &Fanout{self: self, last: self, carry: map[shed.VM]heard{}}
+	return &Fanout{self: self, lastPeer: self, relayed: map[shed.VM]relayedLoad{}}
 }
 
 // Placed notes that a prompt was placed.
 func (f *Fanout) Placed(now time.Time, p shed.PromptPlaced) {
-	if len(f.placed) < mostPlaced {
-		f.placed = append(f.placed, placed{p, now})
+	if len(f.placed) < maxPlaced {
+		f.placed = append(f.placed, placedPrompt{p, now})
 	}
 }
 
@@ -110,124 +110,124 @@
 	load.AsOf, load.Digest, load.Confirmed, load.Catalog = 0, 0, 0, 0
 	// So is what it knows of limits: the hub takes that in, and tells what it knows itself.
 	load.Limits = nil
-	f.carry[from.VM] = heard{from: from, load: load, at: now}
+	f.relayed[from.VM] = relayedLoad{from: from, load: load, receivedAt: now}
 }
 
 // Due is what this VM tells now. It is asked at each tick.
 func (f *Fanout) Due(now time.Time, v View) Turn {
-	busy := v.Busy || len(f.carry) > 0
+	busy := v.Busy || len(f.relayed) > 0
 	if busy {
-		f.busyAt = now
+		f.lastBusy = now
 	}
 	hubs := f.hubs(v)
-	to, every := v.Peers, period(len(v.Peers), perTurn(v))
-	passOn := len(hubs) > 0 && !v.Gathers && !slices.Contains(hubs, f.self)
-	if passOn {
+	to, interval := v.Peers, period(len(v.Peers), peersPerRound(v))
+	viaHub := len(hubs) > 0 && !v.Gathers && !slices.Contains(hubs, f.self)
+	if viaHub {
 		hub, _ := rank.Owner("hub "+string(f.self), hubs)
-		to, every = []shed.VM{hub}, toHub
+		to, interval = []shed.VM{hub}, hubInterval
 	}
 	// All are told once more that nothing is under way any more.
-	if !busy && now.Sub(f.busyAt) > every+turn {
-		every = max(every, idle)
+	if !busy && now.Sub(f.lastBusy) > interval+roundInterval {
+		interval = max(interval, idleInterval)
 	}
-	f.forget(now.Add(-every - 2*turn))
-	t := Turn{To: f.next(now, to, every), PassOn: passOn}
-	if len(t.To) == 0 {
+	f.dropSent(now.Add(-interval - 2*roundInterval))
+	round := Turn{To: f.nextPeers(now, to, interval), PassOn: viaHub}
+	if len(round.To) == 0 {
 		return Turn{}
 	}
 	for _, p := range f.placed {
-		t.Placed = append(t.Placed, p.PromptPlaced)
+		round.Placed = append(round.Placed, p.PromptPlaced)
 	}
-	if !passOn {
-		t.Carried = f.carried(now)
+	if !viaHub {
+		round.Carried = f.relayedLoads(now)
 	}
-	return t
+	return round
 }
 
-// forget drops what all peers have been told.
-func (f *Fanout) forget(before time.Time) {
-	f.placed = slices.DeleteFunc(f.placed, func(p placed) bool { return p.at.Before(before) })
-	for vm, h := range f.carry {
-		if h.at.Before(before) {
-			delete(f.carry, vm)
+// dropSent drops what all peers have been told.
+func (f *Fanout) dropSent(before time.Time) {
+	f.placed = slices.DeleteFunc(f.placed, func(p placedPrompt) bool { return p.placedAt.Before(before) })
+	for vm, h := range f.relayed {
+		if h.receivedAt.Before(before) {
+			delete(f.relayed, vm)
 		}
 	}
 }
 
-// carried are the loads to pass on, sorted by VM.
-func (f *Fanout) carried(now time.Time) []shed.CarriedLoad {
+// relayedLoads are the loads to pass on, sorted by VM.
+func (f *Fanout) relayedLoads(now time.Time) []shed.CarriedLoad {
 	var out []shed.CarriedLoad
-	for _, h := range f.carry {
-		out = append(out, shed.CarriedLoad{From: h.from, Age: now.Sub(h.at), Load: h.load})
+	for _, h := range f.relayed {
+		out = append(out, shed.CarriedLoad{From: h.from, Age: now.Sub(h.receivedAt), Load: h.load})
 	}
 	slices.SortFunc(out, func(a, b shed.CarriedLoad) int { return cmp.Compare(a.From.VM, b.From.VM) })
 	return out
 }
 
-// next are those of the VMs whose turn it is, if all are told once in a period.
-func (f *Fanout) next(now time.Time, to []shed.VM, every time.Duration) []shed.VM {
-	since := turn
-	if !f.at.IsZero() {
+// nextPeers are those of the VMs whose turn it is, if all are told once in a period.
+func (f *Fanout) nextPeers(now time.Time, to []shed.VM, interval time.Duration) []shed.VM {
+	elapsed := roundInterval
+	if !f.lastRound.IsZero() {
 		// A VM that was paused or is slow doesn't owe what it has missed.
-		since = min(max(now.Sub(f.at), 0), 2*turn)
+		elapsed = min(max(now.Sub(f.lastRound), 0), 2*roundInterval)
 	}
-	f.at = now
+	f.lastRound = now
 	n := len(to)
-	f.owed = min(f.owed+float64(n)*since.Seconds()/every.Seconds(), float64(n))
-	k := int(f.owed)
-	f.owed -= float64(k)
+	f.credit = min(f.credit+float64(n)*elapsed.Seconds()/interval.Seconds(), float64(n))
+	k := int(f.credit)
+	f.credit -= float64(k)
 	if k == 0 {
 		return nil
 	}
-	from, found := slices.BinarySearch(to, f.last)
+	first, found := slices.BinarySearch(to, f.lastPeer)
 	if found {
-		from++
+		first++
 	}
 	out := make([]shed.VM, k)
 	for i := range out {
-		out[i] = to[(from+i)%n]
+		out[i] = to[(first+i)%n]
 	}
-	f.last = out[k-1]
+	f.lastPeer = out[k-1]
 	return out
 }
 
 // hubs are the VMs that tell all others; none if each one does.
 func (f *Fanout) hubs(v View) []shed.VM {
 	n := len(v.Peers) + 1
-	if n <= direct {
+	if n <= maxDirect {
 		return nil
 	}
-	out := rank.Owners("load", v.Strong, max(usualHubs, int(math.Ceil(math.Sqrt(float64(n))))))
-	if len(out) < leastHubs {
+	out := rank.Owners("load", v.Strong, max(usualMaxHubs, int(math.Ceil(math.Sqrt(float64(n))))))
+	if len(out) < minHubs {
 		others := slices.DeleteFunc(slices.Concat(v.Peers, []shed.VM{f.self}), func(vm shed.VM) bool {
 			return slices.Contains(out, vm)
 		})
-		out = slices.Concat(out, rank.Owners("load", others, leastHubs-len(out)))
+		out = slices.Concat(out, rank.Owners("load", others, minHubs-len(out)))
 	}
 	return out
 }
 
-// perTurn is how many peers a VM that tells all of them tells in a turn.
-func perTurn(v View) int {
+// peersPerRound is how many peers a VM that tells all of them tells in a turn.
+func peersPerRound(v View) int {
 	switch {
-	case len(v.Peers) < direct:
-		return directPerTurn
+	case len(v.Peers) < maxDirect:
+		return directPerRound
 	case v.Gathers:
-		return gathersPerTurn
+		return coordinatorPerRound
 	}
-	return hubPerTurn
+	return hubPerRound
 }
 
 // period is the time in which so many peers are told once.
-func period(peers, perTurn int) time.Duration {
-	return turn * time.Duration(1+peers/perTurn)
+func period(peers, perRound int) time.Duration {
+	return roundInterval * time.Duration(1+peers/perRound)
 }
 
 // Silence is the longest time between two loads of a VM that lives, as its peers hear
 // them in a fleet with so many.
 func Silence(peers int) time.Duration {
-	if peers < direct {
-		return max(idle, period(peers, directPerTurn))
+	if peers < maxDirect {
+		return max(idleInterval, period(peers, directPerRound))
 	}
-	return max(idle, period(peers, hubPerTurn)) + toHub
+	return max(idleInterval, period(peers, hubPerRound)) + hubInterval
 }
--- a/internal/fanout/fanout_test.go
+++ b/internal/fanout/fanout_test.go
@@ -27,19 +27,19 @@
 
 // node is one VM of a simulated fleet.
 type node struct {
-	id     shed.VM
-	strong bool
-	// gathers: pieces wait at it.
-	gathers bool
-	side    int
-	dead    bool
-	fan     *fanout.Fanout
-	// knows is when the latest of what it knows of each VM was so.
-	knows map[shed.VM]time.Time
-	// sent counts its messages and bytes the bytes of these; most is the most messages
+	id           shed.VM
+	highCapacity bool
+	// coordinator: pieces wait at it.
+	coordinator bool
+	side        int
+	dead        bool
+	fanout      *fanout.Fanout
+	// known is when the latest of what it knows of each VM was so.
+	known map[shed.VM]time.Time
+	// sentMessages counts its messages and bytes the bytes of these; most is the most messages
 	// that it sent in a tick.
-	sent, bytes, most int
-	sequence          uint64
+	sentMessages, sentBytes, maxPerTick int
+	sequence                            uint64
 }
 
 // fleet is a simulated fleet, in virtual time.
@@ -48,35 +48,35 @@
 	now   time.Time
 	nodes []*node
 	byID  map[shed.VM]*node
-	// loss is the share of messages that don't arrive.
-	loss float64
-	// seen is what VMs believe of who is alive and on their side.
-	seen func(by, of *node) bool
+	// lossRate is the share of messages that don't arrive.
+	lossRate float64
+	// believedAlive is what VMs believe of who is alive and on their side.
+	believedAlive func(by, of *node) bool
 }
 
 // newFleet makes n VMs, of which some are strong, that start within 0.3 s of each other.
 // Pieces wait at the first three strong ones.
-func newFleet(n, strong int) *fleet {
+func newFleet(n, highCapacity int) *fleet {
 	f := &fleet{rnd: rand.New(rand.NewPCG(1, uint64(n))), now: start, byID: map[shed.VM]*node{}}
-	f.seen = func(_, of *node) bool { return !of.dead }
+	f.believedAlive = func(_, of *node) bool { return !of.dead }
 	for i := range n {
 		id := shed.VM(fmt.Sprintf("vm-%03d", i))
-		v := &node{id: id, strong: i < strong, gathers: i < min(strong, 3), fan: fanout.New(id), knows: map[shed.VM]time.Time{}}
+		v := &node{id: id, highCapacity: i < highCapacity, coordinator: i < min(highCapacity, 3), fanout: fanout.New(id), known: map[shed.VM]time.Time{}}
 		f.nodes, f.byID[id] = append(f.nodes, v), v
 	}
 	return f
 }
 
 func (f *fleet) view(v *node) fanout.View {
-	view := fanout.View{Busy: true, Gathers: v.gathers}
+	view := fanout.View{Busy: true, Gathers: v.coordinator}
 	for _, other := range f.nodes {
-		if other != v && !f.seen(v, other) {
+		if other != v && !f.believedAlive(v, other) {
 			continue
 		}
 		if other != v {
 			view.Peers = append(view.Peers, other.id)
 		}
-		if other.strong {
+		if other.highCapacity {
 			view.Strong = append(view.Strong, other.id)
 		}
 	}
@@ -96,24 +96,24 @@
 }
 
 func (f *fleet) tick(v *node) {
-	t := v.fan.Due(f.now, f.view(v))
+	t := v.fanout.Due(f.now, f.view(v))
 	if len(t.To) == 0 {
 		return
 	}
 	v.sequence++
-	v.sent, v.most = v.sent+len(t.To), max(v.most, len(t.To))
+	v.sentMessages, v.maxPerTick = v.sentMessages+len(t.To), max(v.maxPerTick, len(t.To))
 	load := v.load(t)
 	size, err := peers.Size(peerOf(v), load)
 	if err != nil {
 		panic(err) // The test made a load that has no encoding.
 	}
-	v.bytes += len(t.To) * size
+	v.sentBytes += len(t.To) * size
 	for _, id := range t.To {
 		to := f.byID[id]
-		if to.dead || to.side != v.side || f.rnd.Float64() < f.loss {
+		if to.dead || to.side != v.side || f.rnd.Float64() < f.lossRate {
 			continue
 		}
-		f.hear(to, v, load)
+		f.receive(to, v, load)
 	}
 }
 
@@ -126,7 +126,7 @@
 		Servers: map[shed.ServerID]shed.ServerShare{"i-0123456789": {Running: 1, Reading: 12000}, "i-1123456789": {Running: 1}},
 		Coming:  map[shed.PoolID]int{"pool-a": 16, "pool-b": 8},
 	}
-	if v.gathers {
+	if v.coordinator {
 		load.Waits = []shed.PieceWait{{Pool: "pool-a", Timely: time.Second, Last: time.Second, Slow: 1.5, Rate: 80.5}}
 	}
 	return load
@@ -135,38 +135,38 @@
 // peerOf is the process of a node.
 func peerOf(v *node) shed.Peer { return shed.Peer{VM: v.id, Incarnation: 1 << 60} }
 
-func (f *fleet) hear(to, from *node, load shed.RelayLoad) {
+func (f *fleet) receive(to, from *node, load shed.RelayLoad) {
 	at := f.now.Add(latency)
-	to.knows[from.id] = f.now
+	to.known[from.id] = f.now
 	if load.PassOn {
-		to.fan.PassOn(at, peerOf(from), load)
+		to.fanout.PassOn(at, peerOf(from), load)
 	}
 	for _, c := range load.Carried {
-		if told := f.now.Add(-c.Age); told.After(to.knows[c.From.VM]) {
-			to.knows[c.From.VM] = told
+		if reported := f.now.Add(-c.Age); reported.After(to.known[c.From.VM]) {
+			to.known[c.From.VM] = reported
 		}
 	}
 }
 
 // ages samples how old what VMs know of those that has picks is, for a second.
-func (f *fleet) ages(has func(*node) bool) (median, p99 time.Duration) {
-	var all []time.Duration
+func (f *fleet) ages(match func(*node) bool) (median, p99 time.Duration) {
+	var samples []time.Duration
 	for range 20 {
 		f.run(50 * time.Millisecond)
 		for _, v := range f.nodes {
 			for _, of := range f.nodes {
-				if v != of && !v.dead && !of.dead && v.side == of.side && has(of) {
-					all = append(all, f.now.Sub(v.knows[of.id]))
+				if v != of && !v.dead && !of.dead && v.side == of.side && match(of) {
+					samples = append(samples, f.now.Sub(v.known[of.id]))
 				}
 			}
 		}
 	}
-	slices.Sort(all)
-	return all[len(all)/2], all[len(all)*99/100]
+	slices.Sort(samples)
+	return samples[len(samples)/2], samples[len(samples)*99/100]
 }
 
-func gathers(v *node) bool { return v.gathers }
-func others(v *node) bool  { return !v.gathers }
+func isCoordinator(v *node) bool { return v.coordinator }
+func isOther(v *node) bool       { return !v.coordinator }
 
 // The table of how old loads are and what they cost, by the size of the fleet, while all
 // VMs are busy. Fleets are those of the users: one VM in 13 is strong in large ones.
@@ -174,24 +174,24 @@
 func TestAgesAndMessages(t *testing.T) {
 	var out bytes.Buffer
 	for _, c := range []struct {
-		vms, strong int
-		loss        float64
+		vms, highCapacity int
+		lossRate          float64
 	}{{9, 9, 0}, {24, 2, 0}, {78, 6, 0}, {195, 15, 0}, {195, 15, 0.05}, {195, 195, 0}, {670, 52, 0}} {
-		f := newFleet(c.vms, c.strong)
-		f.loss = c.loss
+		f := newFleet(c.vms, c.highCapacity)
+		f.lossRate = c.lossRate
 		f.run(3 * time.Second)
-		fg, fg99 := f.ages(gathers)
-		fo, fo99 := f.ages(others)
-		sent, most, busiest, allBytes, mostBytes := 0, 0, 0, 0, 0
+		forecast, forecast99 := f.ages(isCoordinator)
+		other, other99 := f.ages(isOther)
+		totalMessages, maxPerTick, maxMessages, totalBytes, maxBytes := 0, 0, 0, 0, 0
 		for _, v := range f.nodes {
-			sent, most, busiest = sent+v.sent, max(most, v.most), max(busiest, v.sent)
-			allBytes, mostBytes = allBytes+v.bytes, max(mostBytes, v.bytes)
+			totalMessages, maxPerTick, maxMessages = totalMessages+v.sentMessages, max(maxPerTick, v.maxPerTick), max(maxMessages, v.sentMessages)
+			totalBytes, maxBytes = totalBytes+v.sentBytes, max(maxBytes, v.sentBytes)
 		}
 		seconds := int(f.now.Sub(start) / time.Second)
 		fmt.Fprintf(&out, "%3d VMs, %3d strong, %2.0f%% lost: forecast %4d ms, p99 %4d; other load %4d ms, p99 %4d; "+
 			"messages a second %5d, of one VM at most %4d, in one tick %3d; KB a second of a VM on average %3d, at most %4d\n",
-			c.vms, c.strong, c.loss*100, fg.Milliseconds(), fg99.Milliseconds(), fo.Milliseconds(), fo99.Milliseconds(),
-			sent/seconds, busiest/seconds, most, allBytes/c.vms/seconds/1000, mostBytes/seconds/1000)
+			c.vms, c.highCapacity, c.lossRate*100, forecast.Milliseconds(), forecast99.Milliseconds(), other.Milliseconds(), other99.Milliseconds(),
+			totalMessages/seconds, maxMessages/seconds, maxPerTick, totalBytes/c.vms/seconds/1000, maxBytes/seconds/1000)
 	}
 	goldie.New(t).Assert(t, "ages", out.Bytes())
 }
@@ -206,9 +206,9 @@
 	hub := fanout.New(vms[0])
 	load := shed.RelayLoad{Sequence: 1, Limits: []shed.ServerLimit{{Start: shed.ServerStart{Server: "s"}, Rate: 1}}}
 	hub.PassOn(start, shed.Peer{VM: vms[1], Incarnation: 1}, load)
-	turn := hub.Due(start, fanout.View{Peers: vms[1:], Strong: vms[:1], Busy: true})
-	require.Len(t, turn.Carried, 1)
-	require.Empty(t, turn.Carried[0].Load.Limits)
+	round := hub.Due(start, fanout.View{Peers: vms[1:], Strong: vms[:1], Busy: true})
+	require.Len(t, round.Carried, 1)
+	require.Empty(t, round.Carried[0].Load.Limits)
 }
 
 // A hub dies. The VMs that it passed on must be known to all again soon after it is seen
@@ -216,13 +216,13 @@
 func TestMembersOfADeadHubAreHeardAgain(t *testing.T) {
 	f := newFleet(195, 15)
 	f.run(3 * time.Second)
-	died := f.now
+	diedAt := f.now
 	for _, v := range f.nodes[3:8] {
 		v.dead = true
 	}
-	f.seen = func(_, of *node) bool { return !of.dead || f.now.Sub(died) < deadAfter }
+	f.believedAlive = func(_, of *node) bool { return !of.dead || f.now.Sub(diedAt) < deadAfter }
 	f.run(deadAfter + 1500*time.Millisecond)
-	_, p99 := f.ages(others)
+	_, p99 := f.ages(isOther)
 	require.Less(t, p99, 2*time.Second)
 }
 
@@ -235,9 +235,9 @@
 			v.side = 1
 		}
 	}
-	f.seen = func(by, of *node) bool { return by.side == of.side }
+	f.believedAlive = func(by, of *node) bool { return by.side == of.side }
 	f.run(3 * time.Second)
-	_, p99 := f.ages(others)
+	_, p99 := f.ages(isOther)
 	require.Less(t, p99, 1500*time.Millisecond)
 }
 
@@ -246,40 +246,40 @@
 func TestPausedVMOwesNothing(t *testing.T) {
 	f := newFleet(195, 15)
 	v := f.nodes[0]
-	v.gathers = false
+	v.coordinator = false
 	for range 10 {
 		f.tick(v)
 		f.now = f.now.Add(tick)
 	}
-	require.LessOrEqual(t, v.most, 24)
+	require.LessOrEqual(t, v.maxPerTick, 24)
 	f.now = f.now.Add(time.Minute)
 	f.tick(v)
-	require.LessOrEqual(t, v.most, 2*24)
+	require.LessOrEqual(t, v.maxPerTick, 2*24)
 }
 
 // Prompts that were placed reach each peer once or twice, whoever passes them on.
 func TestPlacedPromptsReachAll(t *testing.T) {
 	f := newFleet(195, 15)
 	hub, member := f.nodes[0], f.nodes[100]
-	heard := map[shed.VM]int{}
+	received := map[shed.VM]int{}
 	f.run(time.Second)
-	member.fan.Placed(f.now, shed.PromptPlaced{Server: "i-1"})
-	for f.now = f.now.Add(tick); len(heard) == 0; f.now = f.now.Add(tick) {
-		if t := member.fan.Due(f.now, f.view(member)); len(t.Placed) > 0 {
-			hub.fan.PassOn(f.now, shed.Peer{VM: member.id}, shed.RelayLoad{Placed: t.Placed})
-			heard[hub.id] = 1
+	member.fanout.Placed(f.now, shed.PromptPlaced{Server: "i-1"})
+	for f.now = f.now.Add(tick); len(received) == 0; f.now = f.now.Add(tick) {
+		if t := member.fanout.Due(f.now, f.view(member)); len(t.Placed) > 0 {
+			hub.fanout.PassOn(f.now, shed.Peer{VM: member.id}, shed.RelayLoad{Placed: t.Placed})
+			received[hub.id] = 1
 		}
 	}
 	for range 20 {
 		f.now = f.now.Add(tick)
-		if t := hub.fan.Due(f.now, f.view(hub)); len(t.Placed) > 0 {
+		if t := hub.fanout.Due(f.now, f.view(hub)); len(t.Placed) > 0 {
 			for _, vm := range t.To {
-				heard[vm]++
+				received[vm]++
 			}
 		}
 	}
-	require.Len(t, heard, 195)
-	for vm, n := range heard {
+	require.Len(t, received, 195)
+	for vm, n := range received {
 		require.LessOrEqual(t, n, 2, vm)
 	}
 }
@@ -289,9 +289,9 @@
 	require.Empty(t, fanout.New("a").Due(start, fanout.View{Strong: []shed.VM{"a"}, Busy: true}).To)
 	f := newFleet(60, 1)
 	f.run(3 * time.Second)
-	_, p99 := f.ages(others)
+	_, p99 := f.ages(isOther)
 	require.Less(t, p99, 2*time.Second)
 	for _, v := range f.nodes {
-		require.LessOrEqual(t, v.most, 60)
+		require.LessOrEqual(t, v.maxPerTick, 60)
 	}
 }
