--- a/internal/fanout/fanout.go
+++ b/internal/fanout/fanout.go
@@ -1,13 +1,13 @@
-// Package fanout decides which peers a VM tells its load, how often, and what it passes
-// on of others' loads. It is pure.
+// Package fanout decides which peers a VM sends its load report to, how often, and which
+// reports of other VMs it relays. It does no I/O.
 //
-// Load pattern: hundreds of VMs, most of them small. If each told every other one, the
-// messages would take more of the processors than requests do, and would have to be so
-// rare that a forecast is older than a burst of requests is long.
+// Load pattern: hundreds of VMs, most of them small. If each reported to every other one, the
+// messages would use more CPU than requests do, and would have to be so rare that a forecast
+// is older than a burst of requests is long.
 //
-// In a small fleet each VM tells all others. In a larger one a few strong VMs do, the
-// hubs; each other VM tells one hub often, and that passes it on beside its own load.
-// Peers are told in turn, some at each tick: a message to all at once holds up the
+// In a small fleet each VM reports to all others. In a larger one only a few high-capacity VMs
+// do, the hubs; every other VM reports to one hub often, which relays the load with its own.
+// Each tick reports to some peers, in round-robin order: a message to all at once delays the
 // requests of a small VM.
 package fanout
 
@@ -22,47 +22,48 @@
 )
 
 const (
-	// maxDirect is the most VMs in a fleet in which each one tells all others.
+	// maxDirect is the largest fleet in which each VM reports to all others.
 	maxDirect = 24
-	// minHubs and usualHubs bound the hubs of a larger fleet. Strong VMs are taken up
-	// to usualHubs, or up to the square root of the fleet if that is more: then a hub
-	// carries about as many loads as there are hubs.
+	// minHubs and usualMaxHubs bound the hubs of a larger fleet. There are up to usualMaxHubs
+	// high-capacity ones, or up to the square root of the fleet size if that is more: then
+	// a hub relays about as many loads as there are hubs.
 	minHubs, usualMaxHubs = 3, 16
-	// roundInterval is the shortest time between two messages to one peer.
+	// roundInterval is the minimum time between two messages to one peer.
 	roundInterval = 100 * time.Millisecond
-	// How many peers a VM tells in a turn: one of a small fleet, a hub, and one at which
-	// pieces wait. Its forecast decides whom all others let in, so it tells all itself.
+	// Peers per round for a VM of a small fleet, a hub, and a coordinator, at which pieces
+	// wait. Admission on all VMs depends on a coordinator's forecast, so it reports directly.
 	directPerRound, hubPerRound, coordinatorPerRound = 12, 24, 60
-	// hubInterval is how often a VM tells its hub.
+	// hubInterval is how often a VM reports to its hub.
 	hubInterval = 300 * time.Millisecond
-	// idleInterval is how often a VM tells its load though nothing is under way.
+	// idleInterval is how often an idle VM reports its load.
 	idleInterval = 300 * time.Millisecond
-	// maxPlaced bounds the prompts that wait to be told.
+	// maxPlaced bounds the placed prompts that are queued for reporting.
 	maxPlaced = 4096
 )
 
-// View is what a VM knows of its fleet and itself.
+// View is a VM's view of its fleet and itself.
 type View struct {
-	// Peers are the other VMs that are alive, sorted.
+	// Peers are the other live VMs, sorted.
 	Peers []shed.VM
-	// Strong are the VMs of the fleet, this one among them, that do work for others.
+	// Strong are the high-capacity VMs of the fleet, which do work for others. They may
+	// include this VM.
 	Strong []shed.VM
-	// Busy: there is something to tell. Gathers: pieces wait here.
+	// Busy: there is load to report. Gathers: pieces wait here.
 	Busy, Gathers bool
 }
 
-// Turn is what a VM tells now.
+// Turn is the report that a VM sends in one round.
 type Turn struct {
 	To []shed.VM
-	// PassOn: the one that is told passes it on to all.
+	// PassOn: the receiver, a hub, relays the report to all.
 	PassOn bool
-	// Carried are the loads that this VM passes on.
+	// Carried are the loads of other VMs that this VM relays.
 	Carried []shed.CarriedLoad
-	// Placed are the prompts placed since the VMs in To were told last.
+	// Placed are the prompts placed since the last report to the VMs in To.
 	Placed []shed.PromptPlaced
 }
 
-// relayedLoad is a load that is to be passed on.
+// relayedLoad is another VM's load to relay.
 type relayedLoad struct {
 	from       shed.Peer
 	load       shed.RelayLoad
@@ -77,43 +78,44 @@
 // Fanout is one VM's state. It is not safe for concurrent use.
 type Fanout struct {
 	self shed.VM
-	// lastPeer is the peer that was told last; the next ones follow it in their order.
+	// lastPeer is the peer reported to last; the round robin continues after it.
 	lastPeer shed.VM
-	// lastRound is when Due was asked last, owed how many peers are due since, in parts.
+	// lastRound is when Due was last called; credit is the number of peers due since then,
+	// including a fraction.
 	lastRound time.Time
 	credit    float64
-	// lastBusy is when there was last something to tell.
+	// lastBusy is when there was last load to report.
 	lastBusy time.Time
 	relayed  map[shed.VM]relayedLoad
 	placed   []placedPrompt
 }
 
-// New returns the state of a VM that has told nobody.
+// New returns the state of a VM that has sent no report.
 func New(self shed.VM) *Fanout {
 	return &Fanout{self: self, lastPeer: self, relayed: map[shed.VM]relayedLoad{}}
 }
 
-// Placed notes that a prompt was placed.
+// Placed queues a placed prompt for reporting.
 func (f *Fanout) Placed(now time.Time, p shed.PromptPlaced) {
 	if len(f.placed) < maxPlaced {
 		f.placed = append(f.placed, placedPrompt{p, now})
 	}
 }
 
-// PassOn notes a load that this VM is asked to pass on.
+// PassOn queues a peer's load that this VM is to relay.
 func (f *Fanout) PassOn(now time.Time, from shed.Peer, load shed.RelayLoad) {
 	for _, p := range load.Placed {
 		f.Placed(now, p)
 	}
 	load.Placed, load.Carried, load.PassOn = nil, nil, false
-	// What the VM knows of the store is of use to its hub only.
+	// The VM's state of the store is of use to its hub only.
 	load.AsOf, load.Digest, load.Confirmed, load.Catalog = 0, 0, 0, 0
-	// So is what it knows of limits: the hub takes that in, and tells what it knows itself.
+	// So are its server limits: the hub merges them and reports its own.
 	load.Limits = nil
 	f.relayed[from.VM] = relayedLoad{from: from, load: load, receivedAt: now}
 }
 
-// Due is what this VM tells now. It is asked at each tick.
+// Due returns the report to send now; it is called at each tick.
 func (f *Fanout) Due(now time.Time, v View) Turn {
 	busy := v.Busy || len(f.relayed) > 0
 	if busy {
@@ -126,7 +128,7 @@
 		hub, _ := rank.Owner("hub "+string(f.self), hubs)
 		to, interval = []shed.VM{hub}, hubInterval
 	}
-	// All are told once more that nothing is under way any more.
+	// Peers still get one report that the VM is now idle, before the rate drops.
 	if !busy && now.Sub(f.lastBusy) > interval+roundInterval {
 		interval = max(interval, idleInterval)
 	}
@@ -144,7 +146,7 @@
 	return round
 }
 
-// dropSent drops what all peers have been told.
+// dropSent drops what has been reported to all peers.
 func (f *Fanout) dropSent(before time.Time) {
 	f.placed = slices.DeleteFunc(f.placed, func(p placedPrompt) bool { return p.placedAt.Before(before) })
 	for vm, h := range f.relayed {
@@ -154,7 +156,7 @@
 	}
 }
 
-// relayedLoads are the loads to pass on, sorted by VM.
+// relayedLoads returns the loads to relay, sorted by VM.
 func (f *Fanout) relayedLoads(now time.Time) []shed.CarriedLoad {
 	var out []shed.CarriedLoad
 	for _, h := range f.relayed {
@@ -164,11 +166,11 @@
 	return out
 }
 
-// nextPeers are those of the VMs whose turn it is, if all are told once in a period.
+// nextPeers returns the VMs that are next in the round robin, if each is due once per interval.
 func (f *Fanout) nextPeers(now time.Time, to []shed.VM, interval time.Duration) []shed.VM {
 	elapsed := roundInterval
 	if !f.lastRound.IsZero() {
-		// A VM that was paused or is slow doesn't owe what it has missed.
+		// A VM that was paused or is slow doesn't make up for missed rounds.
 		elapsed = min(max(now.Sub(f.lastRound), 0), 2*roundInterval)
 	}
 	f.lastRound = now
@@ -191,7 +193,7 @@
 	return out
 }
 
-// hubs are the VMs that tell all others; none if each one does.
+// hubs returns the VMs that report to all others; none in a small fleet, where each one does.
 func (f *Fanout) hubs(v View) []shed.VM {
 	n := len(v.Peers) + 1
 	if n <= maxDirect {
@@ -207,7 +209,7 @@
 	return out
 }
 
-// peersPerRound is how many peers a VM that tells all of them tells in a turn.
+// peersPerRound is how many peers per round a VM reports to if it reports to all of them.
 func peersPerRound(v View) int {
 	switch {
 	case len(v.Peers) < maxDirect:
@@ -218,13 +220,13 @@
 	return hubPerRound
 }
 
-// period is the time in which so many peers are told once.
+// period is the time in which each of so many peers gets one report.
 func period(peers, perRound int) time.Duration {
 	return roundInterval * time.Duration(1+peers/perRound)
 }
 
-// Silence is the longest time between two loads of a VM that lives, as its peers hear
-// them in a fleet with so many.
+// Silence is the maximum time between two load reports of a live VM at a peer, directly or
+// through a hub, in a fleet with so many peers.
 func Silence(peers int) time.Duration {
 	if peers < maxDirect {
 		return max(idleInterval, period(peers, directPerRound))
--- a/internal/fanout/fanout_test.go
+++ b/internal/fanout/fanout_test.go
@@ -21,7 +21,7 @@
 const (
 	tick    = 100 * time.Millisecond
 	latency = 2 * time.Millisecond
-	// deadAfter is how long peers take to see that a VM is dead.
+	// deadAfter is how long peers take to detect that a VM is dead.
 	deadAfter = 2200 * time.Millisecond
 )
 
@@ -29,15 +29,15 @@
 type node struct {
 	id           shed.VM
 	highCapacity bool
-	// coordinator: pieces wait at it.
+	// coordinator: pieces wait at this VM.
 	coordinator bool
 	side        int
 	dead        bool
 	fanout      *fanout.Fanout
-	// known is when the latest of what it knows of each VM was so.
+	// known is the time of the latest load received of each VM.
 	known map[shed.VM]time.Time
-	// sentMessages counts its messages and bytes the bytes of these; most is the most messages
-	// that it sent in a tick.
+	// sentMessages and sentBytes count what it sent; maxPerTick is its peak of messages per
+	// tick.
 	sentMessages, sentBytes, maxPerTick int
 	sequence                            uint64
 }
@@ -48,14 +48,14 @@
 	now   time.Time
 	nodes []*node
 	byID  map[shed.VM]*node
-	// lossRate is the share of messages that don't arrive.
+	// lossRate is the fraction of messages that are lost.
 	lossRate float64
-	// believedAlive is what VMs believe of who is alive and on their side.
+	// believedAlive tells whether by considers of alive and on its side of a partition.
 	believedAlive func(by, of *node) bool
 }
 
-// newFleet makes n VMs, of which some are strong, that start within 0.3 s of each other.
-// Pieces wait at the first three strong ones.
+// newFleet makes n VMs, of which the first highCapacity ones are high-capacity VMs. Pieces wait
+// at the first three of these.
 func newFleet(n, highCapacity int) *fleet {
 	f := &fleet{rnd: rand.New(rand.NewPCG(1, uint64(n))), now: start, byID: map[shed.VM]*node{}}
 	f.believedAlive = func(_, of *node) bool { return !of.dead }
@@ -83,7 +83,7 @@
 	return view
 }
 
-// run plays a time: each VM ticks at its own phase.
+// run advances the simulation: each VM ticks at its own phase.
 func (f *fleet) run(d time.Duration) {
 	const step = 10 * time.Millisecond
 	for end := f.now.Add(d); f.now.Before(end); f.now = f.now.Add(step) {
@@ -105,7 +105,7 @@
 	load := v.load(t)
 	size, err := peers.Size(peerOf(v), load)
 	if err != nil {
-		panic(err) // The test made a load that has no encoding.
+		panic(err) // The test built a load that can't be encoded.
 	}
 	v.sentBytes += len(t.To) * size
 	for _, id := range t.To {
@@ -117,8 +117,8 @@
 	}
 }
 
-// load is what a VM tells: some requests on servers, pieces that will come, and at those
-// that gather what they foresee.
+// load is a VM's report: some requests on servers, expected pieces, and, from a coordinator, its
+// forecast.
 func (v *node) load(t fanout.Turn) shed.RelayLoad {
 	load := shed.RelayLoad{
 		Sequence: v.sequence, PassOn: t.PassOn, Carried: t.Carried, Placed: t.Placed,
@@ -148,7 +148,7 @@
 	}
 }
 
-// ages samples how old what VMs know of those that has picks is, for a second.
+// ages samples for a second how old the known loads of the VMs that match are.
 func (f *fleet) ages(match func(*node) bool) (median, p99 time.Duration) {
 	var samples []time.Duration
 	for range 20 {
@@ -168,9 +168,9 @@
 func isCoordinator(v *node) bool { return v.coordinator }
 func isOther(v *node) bool       { return !v.coordinator }
 
-// The table of how old loads are and what they cost, by the size of the fleet, while all
-// VMs are busy. Fleets are those of the users: one VM in 13 is strong in large ones.
-// Prompts that were placed come on top.
+// Records how old known loads are and what reports cost, by fleet size, while all VMs are busy.
+// Fleets are as users have them: in large ones one VM in 13 is a high-capacity VM. The cost does
+// not include placed prompts.
 func TestAgesAndMessages(t *testing.T) {
 	var out bytes.Buffer
 	for _, c := range []struct {
@@ -196,8 +196,8 @@
 	goldie.New(t).Assert(t, "ages", out.Bytes())
 }
 
-// Each VM of a large fleet knows the same limits of servers. A hub that passed them on with
-// each load that it carries would tell them as often as there are VMs.
+// All VMs of a large fleet know the same server limits. A hub that relayed them with each load
+// would send them once per VM.
 func TestLimitsAreNotCarried(t *testing.T) {
 	var vms []shed.VM
 	for i := range 40 {
@@ -211,8 +211,8 @@
 	require.Empty(t, round.Carried[0].Load.Limits)
 }
 
-// A hub dies. The VMs that it passed on must be known to all again soon after it is seen
-// to be dead: their shares of servers would be taken for what they were.
+// Hubs die. Loads of the VMs that they relayed must reach all peers again soon after the hubs
+// are detected dead, or peers go on with outdated shares of servers.
 func TestMembersOfADeadHubAreHeardAgain(t *testing.T) {
 	f := newFleet(195, 15)
 	f.run(3 * time.Second)
@@ -226,8 +226,8 @@
 	require.Less(t, p99, 2*time.Second)
 }
 
-// A zone is cut off from the others. Each side must go on with hubs of its own, also one
-// that has no strong VM.
+// A partition cuts a zone off from the others. Each side must go on with its own hubs, even one
+// without a high-capacity VM.
 func TestEachSideOfACutHasHubs(t *testing.T) {
 	f := newFleet(195, 15)
 	for i, v := range f.nodes {
@@ -241,8 +241,8 @@
 	require.Less(t, p99, 1500*time.Millisecond)
 }
 
-// A VM that was paused for a minute tells in turn as before: a message to each peer at
-// once would hold up the requests that wait there.
+// A VM that was paused for a minute must not make up for missed reports: a message to each peer
+// at once would delay the requests that wait there.
 func TestPausedVMOwesNothing(t *testing.T) {
 	f := newFleet(195, 15)
 	v := f.nodes[0]
@@ -257,7 +257,7 @@
 	require.LessOrEqual(t, v.maxPerTick, 2*24)
 }
 
-// Prompts that were placed reach each peer once or twice, whoever passes them on.
+// A placed prompt that a hub relays reaches each peer once or twice.
 func TestPlacedPromptsReachAll(t *testing.T) {
 	f := newFleet(195, 15)
 	hub, member := f.nodes[0], f.nodes[100]
@@ -284,7 +284,7 @@
 	}
 }
 
-// Nobody else is known, or one alone is strong.
+// Edge cases: a VM without peers, and a fleet with a single high-capacity VM.
 func TestFewPeers(t *testing.T) {
 	require.Empty(t, fanout.New("a").Due(start, fanout.View{Strong: []shed.VM{"a"}, Busy: true}).To)
 	f := newFleet(60, 1)
