--- a/internal/roster/learn.go
+++ b/internal/roster/learn.go
@@ -38,43 +38,43 @@
 }
 
 // Learn takes in what the store or a peer said.
-func (r *Roster) Learn(now time.Time, l Learned) []Change {
+func (r *Roster) Learn(now time.Time, update Learned) []Change {
 	var out []Change
-	from := l.Source
-	if from == FromStore {
-		if r.copied && r.contact.IsZero() && !r.lost {
+	source := update.Source
+	if source == FromStore {
+		if r.hasReplicaData && r.lastContact.IsZero() && !r.storeLost {
 			// No outage was seen: what a copy still had is gone.
-			from = FromCopy
+			source = FromCopy
 		}
-		out = r.heardStore(now, out)
+		out = r.recordStoreAnswer(now, out)
 	}
-	r.copied = r.copied || l.Source == FromCopy
-	for _, e := range l.Items {
+	r.hasReplicaData = r.hasReplicaData || update.Source == FromCopy
+	for _, e := range update.Items {
 		if e.Gone {
-			out = r.remove(now, out, from, e.Key, e.Revision)
+			out = r.removeItem(now, out, source, e.Key, e.Revision)
 		} else {
-			out = r.put(now, out, e)
+			out = r.putItem(now, out, e)
 		}
 	}
-	if l.Whole {
-		out = r.removeOthers(now, out, l)
+	if update.Whole {
+		out = r.removeUnlisted(now, out, update)
 	}
-	r.asOf = max(r.asOf, l.AsOf)
-	if len(l.Items) > 0 || l.Whole {
+	r.asOf = max(r.asOf, update.AsOf)
+	if len(update.Items) > 0 || update.Whole {
 		r.rebuild()
 	}
 	return out
 }
 
-// heardStore notes an answer of the store. After a gap the store counts as
+// recordStoreAnswer notes an answer of the store. After a gap the store counts as
 // back: what vanished meanwhile gets its grace from now.
-func (r *Roster) heardStore(now time.Time, out []Change) []Change {
-	if r.contact.IsZero() || now.Sub(r.contact) > r.cfg.contactGap() {
-		r.backAt = now
+func (r *Roster) recordStoreAnswer(now time.Time, out []Change) []Change {
+	if r.lastContact.IsZero() || now.Sub(r.lastContact) > r.cfg.maxContactGap() {
+		r.contactSince = now
 	}
-	r.contact = now
-	if r.lost {
-		r.lost = false
+	r.lastContact = now
+	if r.storeLost {
+		r.storeLost = false
 		out = append(out, Change{What: StoreRegained, Revision: r.asOf})
 	}
 	return out
@@ -82,14 +82,14 @@
 
 // StoreFailed notes that the store gave no answer.
 func (r *Roster) StoreFailed(time.Time) []Change {
-	if r.lost {
+	if r.storeLost {
 		return nil
 	}
-	r.lost = true
+	r.storeLost = true
 	return []Change{{What: StoreLost, Revision: r.asOf}}
 }
 
-func (r *Roster) put(now time.Time, out []Change, e Entry) []Change {
+func (r *Roster) putItem(now time.Time, out []Change, e Entry) []Change {
 	if old := r.items[e.Key]; old != nil {
 		if e.Revision < old.Revision || e.Revision == old.Revision && old.lapsedAt.IsZero() {
 			return out
@@ -112,65 +112,65 @@
 	case shed.ZoneClosed:
 		out = append(out, Change{What: ZoneClosed, Key: e.Key, Revision: e.Revision, Zone: f.Zone})
 	case shed.Listing:
-		out = r.listed(now, out, e, f)
+		out = r.putServer(now, out, e, f)
 	default:
 		if old := r.items[e.Key]; old != nil && old.Fact != nil {
-			if l, ok := old.Fact.(shed.Listing); ok {
+			if server, ok := old.Fact.(shed.Listing); ok {
 				// The entry names no server any more.
-				delete(r.servers, l.ID)
+				delete(r.servers, server.ID)
 				delete(r.items, e.Key)
-				return append(out, Change{What: ServerUnread, Key: e.Key, Revision: e.Revision, Server: l.ID})
+				return append(out, Change{What: ServerUnread, Key: e.Key, Revision: e.Revision, Server: server.ID})
 			}
 			// The last configuration that could be read stays in force.
 			return append(out, Change{What: CatalogUnread, Key: e.Key, Revision: e.Revision})
 		}
 		return append(out, Change{What: ItemUnreadable, Key: e.Key, Revision: e.Revision})
 	}
-	r.remember(r.Item(e.Key))
-	r.items[e.Key] = &held{Entry: e}
+	r.savePast(r.Item(e.Key))
+	r.items[e.Key] = &heldItem{Entry: e}
 	return out
 }
 
-// listed takes in a server's entry. It was written a while ago, so the server
+// putServer takes in a server's entry. It was written a while ago, so the server
 // is cold for less than it says; until ColdUntil is surely over it counts as
 // cold.
-func (r *Roster) listed(now time.Time, out []Change, e Entry, l shed.Listing) []Change {
-	old := r.servers[l.ID]
-	s := &Server{Listing: l}
-	if old != nil && old.Born == l.Born {
+func (r *Roster) putServer(now time.Time, out []Change, e Entry, server shed.Listing) []Change {
+	old := r.servers[server.ID]
+	s := &Server{Listing: server}
+	if old != nil && old.Born == server.Born {
 		s.ColdUntil = old.ColdUntil
 	}
-	if until := now.Add(l.Cold); l.Cold > 0 && until.After(s.ColdUntil) {
+	if until := now.Add(server.Cold); server.Cold > 0 && until.After(s.ColdUntil) {
 		s.ColdUntil = until
 	}
-	r.servers[l.ID] = s
-	change := Change{What: ServerListed, Key: e.Key, Revision: e.Revision, Server: l.ID, Zone: l.Zone}
-	if l.Leaving {
+	r.servers[server.ID] = s
+	change := Change{What: ServerListed, Key: e.Key, Revision: e.Revision, Server: server.ID, Zone: server.Zone}
+	if server.Leaving {
 		change.What = ServerLeaving
 	}
 	return append(out, change)
 }
 
-// remove takes an item away. An entry of a server that vanished while the store
+// removeItem takes an item away. An entry of a server that vanished while the store
 // was away is kept for a grace: the store drops entries that were not renewed,
 // though it was itself that could not be reached. A peer has waited already.
-func (r *Roster) remove(now time.Time, out []Change, from Source, key string, rev shed.Revision) []Change {
+func (r *Roster) removeItem(now time.Time, out []Change, source Source, key string, rev shed.Revision) []Change {
 	old := r.items[key]
 	if old == nil || rev != 0 && rev < old.Revision {
 		return out
 	}
-	if l, ok := old.Fact.(shed.Listing); ok && from == FromStore && !l.Leaving && now.Before(r.backAt.Add(r.cfg.LapseGrace)) {
+	if entry, ok := old.Fact.(shed.Listing); ok && source == FromStore && !entry.Leaving && now.Before(r.contactSince.Add(r.cfg.LapseGrace)) {
 		if old.lapsedAt.IsZero() {
 			old.lapsedAt = now
-			out = append(out, Change{What: ServerLapsed, Key: key, Revision: rev, Server: l.ID, Zone: l.Zone})
+			out = append(out, Change{What: ServerLapsed, Key: key, Revision: rev, Server: entry.ID, Zone: entry.Zone})
 		}
 		return out
 	}
 	r.deleted[key] = max(rev, old.Revision)
-	return r.drop(now, out, key)
+	return r.dropItem(now, out, key)
 }
 
-func (r *Roster) drop(now time.Time, out []Change, key string) []Change {
+func (r *Roster) dropItem(now time.Time, out []Change, key string) []Change {
 	old := r.items[key]
 	delete(r.items, key)
 	switch f := old.Fact.(type) {
@@ -178,15 +178,15 @@
 		delete(r.servers, f.ID)
 		out = append(out, Change{What: ServerGone, Key: key, Revision: old.Revision, Server: f.ID, Zone: f.Zone})
 	case shed.ZoneClosed:
-		r.reopened(now, f.Zone)
+		r.markZoneCold(now, f.Zone)
 		out = append(out, Change{What: ZoneReopened, Key: key, Revision: old.Revision, Zone: f.Zone})
 	}
 	return out
 }
 
-// reopened takes the zone's servers for cold: they had no work for a while, and
+// markZoneCold takes the zone's servers for cold: they had no work for a while, and
 // full load at once would fell a server that turned cold meanwhile.
-func (r *Roster) reopened(now time.Time, zone shed.ZoneID) {
+func (r *Roster) markZoneCold(now time.Time, zone shed.ZoneID) {
 	for _, s := range r.servers {
 		pool := r.pool(s.Pool)
 		if s.Zone == zone && pool != nil && pool.ColdFor > 0 {
@@ -195,22 +195,22 @@
 	}
 }
 
-// removeOthers takes away what a whole list doesn't have. An item that is newer
+// removeUnlisted takes away what a whole list doesn't have. An item that is newer
 // than the list stays.
-func (r *Roster) removeOthers(now time.Time, out []Change, l Learned) []Change {
-	have := make(map[string]bool, len(l.Items))
-	for _, e := range l.Items {
-		have[e.Key] = true
-	}
-	for _, key := range r.keys() {
-		if !have[key] && r.items[key].Revision <= l.AsOf {
-			out = r.remove(now, out, l.Source, key, 0)
+func (r *Roster) removeUnlisted(now time.Time, out []Change, update Learned) []Change {
+	listed := make(map[string]bool, len(update.Items))
+	for _, e := range update.Items {
+		listed[e.Key] = true
+	}
+	for _, key := range r.sortedKeys() {
+		if !listed[key] && r.items[key].Revision <= update.AsOf {
+			out = r.removeItem(now, out, update.Source, key, 0)
 		}
 	}
 	return out
 }
 
-func (r *Roster) keys() []string {
+func (r *Roster) sortedKeys() []string {
 	keys := make([]string, 0, len(r.items))
 	for key := range r.items {
 		keys = append(keys, key)
@@ -221,14 +221,14 @@
 
 // Tick ends the grace of entries that lapsed.
 func (r *Roster) Tick(now time.Time) []Change {
-	if now.Before(r.backAt.Add(r.cfg.LapseGrace)) || now.Sub(r.contact) > r.cfg.contactGap() {
+	if now.Before(r.contactSince.Add(r.cfg.LapseGrace)) || now.Sub(r.lastContact) > r.cfg.maxContactGap() {
 		return nil
 	}
 	var out []Change
-	for _, key := range r.keys() {
+	for _, key := range r.sortedKeys() {
 		if !r.items[key].lapsedAt.IsZero() {
 			r.deleted[key] = r.items[key].Revision
-			out = r.drop(now, out, key)
+			out = r.dropItem(now, out, key)
 		}
 	}
 	if len(out) > 0 {
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -31,10 +31,10 @@
 	DefaultHeartbeat = 1200 * time.Millisecond
 )
 
-// contactGap is the longest gap between two answers of the store in which no entry
+// maxContactGap is the longest gap between two answers of the store in which no entry
 // can lapse: of the three heartbeats, the last one is at most one old when an
 // outage begins.
-func (c Config) contactGap() time.Duration { return 2 * c.Heartbeat }
+func (c Config) maxContactGap() time.Duration { return 2 * c.Heartbeat }
 
 // The sources.
 const (
@@ -73,8 +73,8 @@
 	ItemUnreadable shed.Reason = "item_unreadable"
 )
 
-// held is an item that the roster holds.
-type held struct {
+// heldItem is an item that the roster holds.
+type heldItem struct {
 	Entry
 	// lapsedAt is when it vanished during an outage; zero: it hasn't.
 	lapsedAt time.Time
@@ -83,13 +83,13 @@
 // Roster is the belief. It is not safe for concurrent use.
 type Roster struct {
 	cfg   Config
-	items map[string]*held
+	items map[string]*heldItem
 	// deleted holds the revision of deletions, so that an older item from a
 	// peer doesn't come back.
 	deleted map[string]shed.Revision
-	// past holds the last few earlier items of keys with large values, the oldest
+	// pastItems holds the last few earlier items of keys with large values, the oldest
 	// first.
-	past map[string][]shed.Item
+	pastItems map[string][]shed.Item
 	// asOf is the revision up to which the items are whole; digest is a hash of
 	// them.
 	asOf   shed.Revision
@@ -101,12 +101,12 @@
 	closed     map[shed.ZoneID]bool
 	pools      map[shed.PoolID][]*Server
 
-	// contact is when the store last answered, and since when it answers
+	// lastContact is when the store last answered, and since when it answers
 	// without a gap.
-	contact, backAt time.Time
-	lost            bool
-	// copied: some of what is known is from a copy of the store.
-	copied bool
+	lastContact, contactSince time.Time
+	storeLost                 bool
+	// hasReplicaData: some of what is known is from a copy of the store.
+	hasReplicaData bool
 }
 
 // New returns a Roster that knows nothing.
@@ -118,12 +118,12 @@
 		cfg.Heartbeat = DefaultHeartbeat
 	}
 	return &Roster{
-		cfg:     cfg,
-		items:   map[string]*held{},
-		deleted: map[string]shed.Revision{},
-		past:    map[string][]shed.Item{},
-		servers: map[shed.ServerID]*Server{},
-		closed:  map[shed.ZoneID]bool{},
+		cfg:       cfg,
+		items:     map[string]*heldItem{},
+		deleted:   map[string]shed.Revision{},
+		pastItems: map[string][]shed.Item{},
+		servers:   map[shed.ServerID]*Server{},
+		closed:    map[shed.ZoneID]bool{},
 	}
 }
 
@@ -143,10 +143,10 @@
 
 // rebuild works out what the items say.
 func (r *Roster) rebuild() {
-	r.digest = r.digestItems()
+	r.digest = r.computeDigest()
 	clear(r.closed)
 	r.pools = map[shed.PoolID][]*Server{}
-	for _, key := range r.keys() {
+	for _, key := range r.sortedKeys() {
 		switch f := r.items[key].Fact.(type) {
 		case shed.ZoneClosed:
 			r.closed[f.Zone] = true
@@ -163,11 +163,11 @@
 
 // Sure tells whether the store, or a peer that it answered, has confirmed what is
 // known. What a copy of the store said may be seconds old.
-func (r *Roster) Sure() bool { return !r.copied || !r.contact.IsZero() }
+func (r *Roster) Sure() bool { return !r.hasReplicaData || !r.lastContact.IsZero() }
 
 // Usable tells whether requests may be served by what is known. If the store gives no
 // answer, an old configuration is better than none.
-func (r *Roster) Usable() bool { return r.catalog != nil && (r.Sure() || r.lost) }
+func (r *Roster) Usable() bool { return r.catalog != nil && (r.Sure() || r.storeLost) }
 
 // CatalogRevision is the revision of the configuration in force; 0 before the first.
 func (r *Roster) CatalogRevision() shed.Revision { return r.catalogRev }
@@ -177,7 +177,7 @@
 
 // Contact tells when the store last answered this daemon, or a peer that knew no
 // more; zero if it never did.
-func (r *Roster) Contact() time.Time { return r.contact }
+func (r *Roster) Contact() time.Time { return r.lastContact }
 
 // Open returns the pool's servers that may have new work, sorted by id.
 func (r *Roster) Open(pool shed.PoolID) []*Server {
--- a/internal/roster/roster_test.go
+++ b/internal/roster/roster_test.go
@@ -14,10 +14,10 @@
 
 var start = time.Unix(1_700_000_000, 0)
 
-func server(id string, rev shed.Revision, change func(*shed.Listing)) roster.Entry {
+func server(id string, rev shed.Revision, edit func(*shed.Listing)) roster.Entry {
 	l := shed.Listing{ID: shed.ServerID(id), Pool: "lm", Addr: id + ":1", Zone: "a", Born: 1}
-	if change != nil {
-		change(&l)
+	if edit != nil {
+		edit(&l)
 	}
 	return roster.Entry{Item: shed.Item{Key: "s/" + id, Revision: rev}, Fact: l}
 }
@@ -44,12 +44,12 @@
 	return roster.Learned{Source: roster.FromStore, AsOf: asOf, Items: entries}
 }
 
-// healthy is a roster whose store has answered for a while.
-func healthy(entries ...roster.Entry) (*roster.Roster, time.Time) {
+// healthyRoster is a roster whose store has answered for a while.
+func healthyRoster(entries ...roster.Entry) (*roster.Roster, time.Time) {
 	r := roster.New(roster.Config{})
-	l := store(10, entries...)
-	l.Whole = true
-	r.Learn(start, l)
+	update := store(10, entries...)
+	update.Whole = true
+	r.Learn(start, update)
 	now := start
 	for range 5 {
 		now = now.Add(time.Second)
@@ -68,7 +68,7 @@
 }
 
 func TestLeavingServersGetNoNewWork(t *testing.T) {
-	r, now := healthy(catalog("1", 1), server("x", 2, nil), server("y", 3, nil))
+	r, now := healthyRoster(catalog("1", 1), server("x", 2, nil), server("y", 3, nil))
 	require.Equal(t, []shed.ServerID{"x", "y"}, open(r))
 	r.Learn(now, store(11, server("x", 11, func(l *shed.Listing) { l.Leaving = true })))
 	require.Equal(t, []shed.ServerID{"y"}, open(r))
@@ -97,7 +97,7 @@
 // They vanish at its return and are back a moment later. Callers must be served
 // meanwhile; a server that stays away is dropped after the grace.
 func TestEntriesThatLapseInAnOutage(t *testing.T) {
-	r, now := healthy(catalog("1", 1), server("x", 2, nil), server("y", 3, nil))
+	r, now := healthyRoster(catalog("1", 1), server("x", 2, nil), server("y", 3, nil))
 	for range 4 {
 		now = now.Add(time.Second)
 		r.StoreFailed(now)
@@ -118,7 +118,7 @@
 // in so short a time: a deletion counts at once, else new work would go to a
 // server that has left for longer than allowed.
 func TestShortGapGivesNoGrace(t *testing.T) {
-	r, now := healthy(catalog("1", 1), server("x", 2, nil))
+	r, now := healthyRoster(catalog("1", 1), server("x", 2, nil))
 	now = now.Add(1800 * time.Millisecond)
 	r.StoreFailed(now)
 	r.Learn(now, store(11, gone("x", 11)))
@@ -128,7 +128,7 @@
 // Operators take a zone out and back. Its servers had no work for a while and
 // may have turned cold: full load at once would fell them.
 func TestReopenedZoneIsCold(t *testing.T) {
-	r, now := healthy(catalog("1", 1), server("x", 2, nil))
+	r, now := healthyRoster(catalog("1", 1), server("x", 2, nil))
 	r.Learn(now, store(11, closed("a", 11, false)))
 	require.Empty(t, open(r))
 	now = now.Add(10 * time.Second)
@@ -139,7 +139,7 @@
 }
 
 func TestNewServerIsColdForAsLongAsItSays(t *testing.T) {
-	r, now := healthy(catalog("1", 1))
+	r, now := healthyRoster(catalog("1", 1))
 	r.Learn(now, store(11, server("x", 11, func(l *shed.Listing) { l.Cold = time.Second })))
 	require.True(t, r.Open("lm")[0].Cold(now))
 	r.TurnedCold(now, "x", 2*time.Second)
@@ -149,7 +149,7 @@
 // Another writer spoils an entry, and the configuration. The entry names no
 // server any more; the last configuration that could be read stays in force.
 func TestUnreadableItems(t *testing.T) {
-	r, now := healthy(catalog("1", 1), server("x", 2, nil), server("y", 3, nil))
+	r, now := healthyRoster(catalog("1", 1), server("x", 2, nil), server("y", 3, nil))
 	r.Learn(now, store(12,
 		roster.Entry{Item: shed.Item{Key: "s/x", Revision: 11}}, roster.Entry{Item: shed.Item{Key: "c", Revision: 12}}))
 	require.Equal(t, []shed.ServerID{"y"}, open(r))
@@ -159,7 +159,7 @@
 // A peer that lags tells of a server that is deleted, and of an old
 // configuration. Neither may come back.
 func TestNeverOlder(t *testing.T) {
-	r, now := healthy(catalog("2", 5), server("x", 2, nil))
+	r, now := healthyRoster(catalog("2", 5), server("x", 2, nil))
 	r.Learn(now, store(11, gone("x", 11)))
 	r.Learn(now, roster.Learned{
 		Source: roster.FromPeer, AsOf: 10, Whole: true, Items: []roster.Entry{catalog("1", 1), server("x", 2, nil)},
--- a/internal/roster/share.go
+++ b/internal/roster/share.go
@@ -16,7 +16,7 @@
 // is 0.
 func (r *Roster) Since(after shed.Revision) []shed.Item {
 	var out []shed.Item
-	for _, key := range r.keys() {
+	for _, key := range r.sortedKeys() {
 		if h := r.items[key]; h.Revision > after {
 			out = append(out, h.Item)
 		}
@@ -52,7 +52,7 @@
 	if h := r.items[key]; h != nil && h.Revision <= asOf {
 		return h.Item
 	}
-	past := r.past[key]
+	past := r.pastItems[key]
 	for i := len(past) - 1; i >= 0; i-- {
 		if past[i].Revision <= asOf {
 			return past[i]
@@ -63,26 +63,26 @@
 
 // keepPast is how many earlier items of a key with a large value are kept: peers that
 // lag lack the last few versions, not more.
-const keepPast = 3
+const maxPast = 3
 
-// remember keeps an item that is about to be replaced.
-func (r *Roster) remember(old shed.Item) {
+// savePast keeps an item that is about to be replaced.
+func (r *Roster) savePast(old shed.Item) {
 	if !delta.Large(old) {
 		return
 	}
-	past := slices.Concat(r.past[old.Key], []shed.Item{old})
-	r.past[old.Key] = past[max(0, len(past)-keepPast):]
+	past := slices.Concat(r.pastItems[old.Key], []shed.Item{old})
+	r.pastItems[old.Key] = past[max(0, len(past)-maxPast):]
 }
 
 // Digest is a hash of all items that are held, the same on all daemons that hold
 // the same.
 func (r *Roster) Digest() uint64 { return r.digest }
 
-func (r *Roster) digestItems() uint64 {
+func (r *Roster) computeDigest() uint64 {
 	var d xxhash.Digest
 	d.Reset()
 	var num [8]byte
-	for _, key := range r.keys() {
+	for _, key := range r.sortedKeys() {
 		// A write to a digest can't fail.
 		_, _ = d.WriteString(key)
 		binary.LittleEndian.PutUint64(num[:], uint64(r.items[key].Revision))
@@ -94,7 +94,7 @@
 // Confirmed notes that the store answered a peer at that time, and that this
 // daemon knows all that the peer knows of it.
 func (r *Roster) Confirmed(at time.Time) {
-	if at.After(r.contact) {
-		r.contact = at
+	if at.After(r.lastContact) {
+		r.lastContact = at
 	}
 }
