--- a/internal/roster/learn.go
+++ b/internal/roster/learn.go
@@ -7,10 +7,10 @@
 	shed "jasmineshed"
 )
 
-// Source tells who said what the roster learns.
+// Source is where an update comes from.
 type Source uint8
 
-// Learned is what the store or a peer said: changes up to AsOf, or all items if
+// Learned is an update from the store or a peer: the changes up to AsOf, or all items if
 // Whole.
 type Learned struct {
 	Source Source
@@ -19,31 +19,32 @@
 	Whole  bool
 }
 
-// Entry is an item with what it says; Fact is nil if that is nothing known.
+// Entry is an item with its decoded content; Fact is nil if it could not be decoded.
 type Entry struct {
 	shed.Item
 	Fact shed.Fact
 }
 
-// Change is one change of belief, for the log.
+// Change is one change of the roster, for the log.
 type Change struct {
 	What shed.Reason
-	// Key of the item that caused it, and its revision.
+	// Key and Revision are those of the item that caused the change.
 	Key      string
 	Revision shed.Revision
 	Server   shed.ServerID
 	Zone     shed.ZoneID
-	// Version of the configuration in force.
+	// Version is that of the active configuration.
 	Version string
 }
 
-// Learn takes in what the store or a peer said.
+// Learn applies an update from the store or a peer.
 func (r *Roster) Learn(now time.Time, update Learned) []Change {
 	var out []Change
 	source := update.Source
 	if source == FromStore {
 		if r.hasReplicaData && r.lastContact.IsZero() && !r.storeLost {
-			// No outage was seen: what a copy still had is gone.
+			// There was no outage: what only the replica still had has been deleted, and
+			// gets no grace.
 			source = FromCopy
 		}
 		out = r.recordStoreAnswer(now, out)
@@ -66,8 +67,8 @@
 	return out
 }
 
-// recordStoreAnswer notes an answer of the store. After a gap the store counts as
-// back: what vanished meanwhile gets its grace from now.
+// recordStoreAnswer records an answer of the store. After a gap in contact, entries that
+// vanished during the gap get a grace period from now on.
 func (r *Roster) recordStoreAnswer(now time.Time, out []Change) []Change {
 	if r.lastContact.IsZero() || now.Sub(r.lastContact) > r.cfg.maxContactGap() {
 		r.contactSince = now
@@ -80,7 +81,7 @@
 	return out
 }
 
-// StoreFailed notes that the store gave no answer.
+// StoreFailed records that the store did not answer.
 func (r *Roster) StoreFailed(time.Time) []Change {
 	if r.storeLost {
 		return nil
@@ -116,12 +117,12 @@
 	default:
 		if old := r.items[e.Key]; old != nil && old.Fact != nil {
 			if server, ok := old.Fact.(shed.Listing); ok {
-				// The entry names no server any more.
+				// The entry no longer describes a server.
 				delete(r.servers, server.ID)
 				delete(r.items, e.Key)
 				return append(out, Change{What: ServerUnread, Key: e.Key, Revision: e.Revision, Server: server.ID})
 			}
-			// The last configuration that could be read stays in force.
+			// The last readable configuration stays active.
 			return append(out, Change{What: CatalogUnread, Key: e.Key, Revision: e.Revision})
 		}
 		return append(out, Change{What: ItemUnreadable, Key: e.Key, Revision: e.Revision})
@@ -131,9 +132,8 @@
 	return out
 }
 
-// putServer takes in a server's entry. It was written a while ago, so the server
-// is cold for less than it says; until ColdUntil is surely over it counts as
-// cold.
+// putServer stores a server entry. The entry was written a while ago, so its cold period ends
+// earlier than computed here; the server counts as cold until that upper bound, ColdUntil.
 func (r *Roster) putServer(now time.Time, out []Change, e Entry, server shed.Listing) []Change {
 	old := r.servers[server.ID]
 	s := &Server{Listing: server}
@@ -151,9 +151,9 @@
 	return append(out, change)
 }
 
-// removeItem takes an item away. An entry of a server that vanished while the store
-// was away is kept for a grace: the store drops entries that were not renewed,
-// though it was itself that could not be reached. A peer has waited already.
+// removeItem removes an item. A server entry that vanished during a store outage is kept for a
+// grace period: the store drops entries that were not renewed, even if the store itself was
+// unreachable. Deletions from a peer apply at once, as the peer has waited already.
 func (r *Roster) removeItem(now time.Time, out []Change, source Source, key string, rev shed.Revision) []Change {
 	old := r.items[key]
 	if old == nil || rev != 0 && rev < old.Revision {
@@ -184,8 +184,8 @@
 	return out
 }
 
-// markZoneCold takes the zone's servers for cold: they had no work for a while, and
-// full load at once would fell a server that turned cold meanwhile.
+// markZoneCold marks the zone's servers as cold when it reopens: they had no work for a while,
+// and full load at once would overload a server that turned cold meanwhile.
 func (r *Roster) markZoneCold(now time.Time, zone shed.ZoneID) {
 	for _, s := range r.servers {
 		pool := r.pool(s.Pool)
@@ -195,8 +195,8 @@
 	}
 }
 
-// removeUnlisted takes away what a whole list doesn't have. An item that is newer
-// than the list stays.
+// removeUnlisted removes the items that a complete list doesn't contain. Items that are newer
+// than the list stay.
 func (r *Roster) removeUnlisted(now time.Time, out []Change, update Learned) []Change {
 	listed := make(map[string]bool, len(update.Items))
 	for _, e := range update.Items {
@@ -219,7 +219,7 @@
 	return keys
 }
 
-// Tick ends the grace of entries that lapsed.
+// Tick drops lapsed entries once the grace period is over.
 func (r *Roster) Tick(now time.Time) []Change {
 	if now.Before(r.contactSince.Add(r.cfg.LapseGrace)) || now.Sub(r.lastContact) > r.cfg.maxContactGap() {
 		return nil
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -1,7 +1,6 @@
-// Package roster keeps what one daemon believes of the relay's configuration
-// and of the backend servers: which are listed, which are leaving, cold or in
-// a zone that was taken out. It is pure: the driver feeds it what the store or
-// a peer said.
+// Package roster holds one daemon's view of the relay's configuration and of the backend
+// servers: which are listed, leaving, cold or in a closed zone. It does no I/O: the driver
+// passes updates from the store and from peers to it.
 package roster
 
 import (
@@ -12,52 +11,52 @@
 	shed "jasmineshed"
 )
 
-// Config sets up a Roster. Fields left at 0 get the Default of their name.
+// Config configures a Roster. Fields left at 0 get the default of their name.
 type Config struct {
-	// LapseGrace is how long after the store's return an entry that lapsed
-	// meanwhile is still used: its server may live and be about to renew it.
+	// LapseGrace is how long an entry that lapsed during a store outage is still used once the
+	// store is back: its server may be alive and about to renew it.
 	LapseGrace time.Duration
-	// Heartbeat is how often a server renews its entry, which lapses after three
-	// of them.
+	// Heartbeat is how often a server renews its entry, which lapses after three missed
+	// heartbeats.
 	Heartbeat time.Duration
 }
 
-// Defaults for what a Config leaves at 0.
+// Defaults of Config.
 const (
-	// DefaultLapseGrace: servers renew a lapsed entry within about two seconds
-	// of the store's return, as the platform promises.
+	// DefaultLapseGrace covers the about two seconds after the store's return within which
+	// the platform guarantees that servers renew a lapsed entry.
 	DefaultLapseGrace = 2200 * time.Millisecond
-	// DefaultHeartbeat is what the platform's deployments have.
+	// DefaultHeartbeat is the setting of the platform's deployments.
 	DefaultHeartbeat = 1200 * time.Millisecond
 )
 
-// maxContactGap is the longest gap between two answers of the store in which no entry
-// can lapse: of the three heartbeats, the last one is at most one old when an
-// outage begins.
+// maxContactGap is the longest gap between two answers of the store in which no entry can
+// lapse: entries lapse after three heartbeats, and the last one is at most one heartbeat old
+// when an outage begins.
 func (c Config) maxContactGap() time.Duration { return 2 * c.Heartbeat }
 
 // The sources.
 const (
 	FromStore Source = iota + 1
 	FromPeer
-	// FromCopy is a copy of the store that may be behind.
+	// FromCopy is a replica of the store, which may lag.
 	FromCopy
 )
 
-// Server is one backend server as the roster believes it to be.
+// Server is the roster's view of one backend server.
 type Server struct {
 	shed.Listing
-	// ColdUntil is when it will be warm by what is known; zero: it is.
+	// ColdUntil is when the server is expected to be warm; zero if it is warm.
 	ColdUntil time.Time
-	// Lapsed: its entry vanished while the store was away; it is used until
-	// the store has been back for a while.
+	// Lapsed: its entry vanished during a store outage; it is used until the grace period
+	// after the store's return is over.
 	Lapsed bool
 }
 
-// Cold tells whether the server is cold.
+// Cold reports whether the server is cold.
 func (s *Server) Cold(now time.Time) bool { return now.Before(s.ColdUntil) }
 
-// What a Change says.
+// Reasons of a Change.
 const (
 	CatalogInForce shed.Reason = "configuration_in_force"
 	ServerListed   shed.Reason = "server_listed"
@@ -73,25 +72,23 @@
 	ItemUnreadable shed.Reason = "item_unreadable"
 )
 
-// heldItem is an item that the roster holds.
+// heldItem is an item in the roster.
 type heldItem struct {
 	Entry
-	// lapsedAt is when it vanished during an outage; zero: it hasn't.
+	// lapsedAt is when it vanished during an outage; zero if it hasn't.
 	lapsedAt time.Time
 }
 
-// Roster is the belief. It is not safe for concurrent use.
+// Roster is one daemon's view. It is not safe for concurrent use.
 type Roster struct {
 	cfg   Config
 	items map[string]*heldItem
-	// deleted holds the revision of deletions, so that an older item from a
-	// peer doesn't come back.
+	// deleted holds the revisions of deletions, so that an older item from a peer doesn't
+	// restore what was deleted.
 	deleted map[string]shed.Revision
-	// pastItems holds the last few earlier items of keys with large values, the oldest
-	// first.
+	// pastItems holds the last few replaced items of keys with large values, oldest first.
 	pastItems map[string][]shed.Item
-	// asOf is the revision up to which the items are whole; digest is a hash of
-	// them.
+	// asOf is the revision up to which the items are complete; digest is a hash of them.
 	asOf   shed.Revision
 	digest uint64
 
@@ -101,15 +98,15 @@
 	closed     map[shed.ZoneID]bool
 	pools      map[shed.PoolID][]*Server
 
-	// lastContact is when the store last answered, and since when it answers
+	// lastContact is when the store last answered; contactSince is since when it has answered
 	// without a gap.
 	lastContact, contactSince time.Time
 	storeLost                 bool
-	// hasReplicaData: some of what is known is from a copy of the store.
+	// hasReplicaData: some items come from a replica of the store.
 	hasReplicaData bool
 }
 
-// New returns a Roster that knows nothing.
+// New returns an empty Roster.
 func New(cfg Config) *Roster {
 	if cfg.LapseGrace == 0 {
 		cfg.LapseGrace = DefaultLapseGrace
@@ -134,14 +131,14 @@
 	return r.catalog.Pools[id]
 }
 
-// TurnedCold notes that a server said that it is cold for left.
+// TurnedCold records that a server reported that it stays cold for left.
 func (r *Roster) TurnedCold(now time.Time, id shed.ServerID, left time.Duration) {
 	if s := r.servers[id]; s != nil {
 		s.ColdUntil = shed.Later(s.ColdUntil, now.Add(left))
 	}
 }
 
-// rebuild works out what the items say.
+// rebuild derives the digest, the closed zones and the pools from the items.
 func (r *Roster) rebuild() {
 	r.digest = r.computeDigest()
 	clear(r.closed)
@@ -158,28 +155,28 @@
 	}
 }
 
-// Catalog returns the configuration in force; nil before the first.
+// Catalog returns the active configuration; nil before the first.
 func (r *Roster) Catalog() *shed.Catalog { return r.catalog }
 
-// Sure tells whether the store, or a peer that it answered, has confirmed what is
-// known. What a copy of the store said may be seconds old.
+// Sure reports whether the store, or a peer in contact with it, has confirmed the roster. Data
+// from a replica of the store may be seconds old.
 func (r *Roster) Sure() bool { return !r.hasReplicaData || !r.lastContact.IsZero() }
 
-// Usable tells whether requests may be served by what is known. If the store gives no
+// Usable reports whether requests may be served with the roster. While the store does not
 // answer, an old configuration is better than none.
 func (r *Roster) Usable() bool { return r.catalog != nil && (r.Sure() || r.storeLost) }
 
-// CatalogRevision is the revision of the configuration in force; 0 before the first.
+// CatalogRevision is the revision of the active configuration; 0 before the first.
 func (r *Roster) CatalogRevision() shed.Revision { return r.catalogRev }
 
-// AsOf is the revision up to which everything is known.
+// AsOf is the revision up to which the roster is complete.
 func (r *Roster) AsOf() shed.Revision { return r.asOf }
 
-// Contact tells when the store last answered this daemon, or a peer that knew no
-// more; zero if it never did.
+// Contact is when the store last answered this daemon, or a peer with no newer state; zero if
+// it never did.
 func (r *Roster) Contact() time.Time { return r.lastContact }
 
-// Open returns the pool's servers that may have new work, sorted by id.
+// Open returns the pool's servers that may get new work, sorted by id.
 func (r *Roster) Open(pool shed.PoolID) []*Server {
 	var out []*Server
 	for _, s := range r.pools[pool] {
@@ -190,7 +187,7 @@
 	return out
 }
 
-// Server returns what is known of a server.
+// Server returns the roster's view of a server.
 func (r *Roster) Server(id shed.ServerID) (Server, bool) {
 	s := r.servers[id]
 	if s == nil {
@@ -199,16 +196,16 @@
 	return *s, true
 }
 
-// Listed tells whether the server is known, open or not.
+// Listed reports whether the roster has the server, open or not.
 func (r *Roster) Listed(id shed.ServerID) bool { return r.servers[id] != nil }
 
-// HasRoute tells whether the configuration has the route.
+// HasRoute reports whether the active configuration has the route.
 func (r *Roster) HasRoute(id shed.RouteID) bool {
 	c := r.catalog
 	return c != nil && slices.ContainsFunc(c.Routes, func(route shed.Route) bool { return route.ID == id })
 }
 
-// Route finds the route of a request: that of its host with the longest prefix.
+// Route returns the route of a request: the one of its host with the longest matching prefix.
 func Route(c *shed.Catalog, host, target string) *shed.Route {
 	path, _, _ := strings.Cut(target, "?")
 	var best *shed.Route
--- a/internal/roster/roster_test.go
+++ b/internal/roster/roster_test.go
@@ -44,7 +44,7 @@
 	return roster.Learned{Source: roster.FromStore, AsOf: asOf, Items: entries}
 }
 
-// healthyRoster is a roster whose store has answered for a while.
+// healthyRoster returns a roster whose store has answered for a while.
 func healthyRoster(entries ...roster.Entry) (*roster.Roster, time.Time) {
 	r := roster.New(roster.Config{})
 	update := store(10, entries...)
@@ -77,8 +77,8 @@
 	require.False(t, r.Listed("y"))
 }
 
-// Servers that renew their entries every 0.4 s lose them in an outage of one second.
-// Callers lost good servers then, since the gap was held against heartbeats of 1.2 s.
+// Servers that renew their entries every 0.4 s lose them in an outage of one second. Checked
+// against the default heartbeat of 1.2 s, the gap gives no grace, and callers lose good servers.
 func TestEntriesLapseByTheHeartbeat(t *testing.T) {
 	r := roster.New(roster.Config{Heartbeat: 400 * time.Millisecond})
 	now := time.Unix(1_700_000_000, 0)
@@ -93,9 +93,9 @@
 	require.Equal(t, []shed.ServerID{"x"}, open(r))
 }
 
-// The store was away for so long that servers could not renew their entries.
-// They vanish at its return and are back a moment later. Callers must be served
-// meanwhile; a server that stays away is dropped after the grace.
+// In a long outage of the store servers can't renew their entries. These are gone at its return
+// and are renewed shortly after. Callers must be served meanwhile; a server that does not renew
+// its entry is dropped after the grace period.
 func TestEntriesThatLapseInAnOutage(t *testing.T) {
 	r, now := healthyRoster(catalog("1", 1), server("x", 2, nil), server("y", 3, nil))
 	for range 4 {
@@ -114,9 +114,9 @@
 	require.Equal(t, []shed.ServerID{"x"}, open(r))
 }
 
-// One call to the store failed, as when a watch is cut. No entry can have lapsed
-// in so short a time: a deletion counts at once, else new work would go to a
-// server that has left for longer than allowed.
+// A single call to the store fails, as when a watch is disconnected. No entry can lapse in so
+// short a time, so a deletion applies at once; else new work would go to a server that has left
+// for longer than allowed.
 func TestShortGapGivesNoGrace(t *testing.T) {
 	r, now := healthyRoster(catalog("1", 1), server("x", 2, nil))
 	now = now.Add(1800 * time.Millisecond)
@@ -125,8 +125,8 @@
 	require.Empty(t, open(r))
 }
 
-// Operators take a zone out and back. Its servers had no work for a while and
-// may have turned cold: full load at once would fell them.
+// Operators close and reopen a zone. Its servers had no work for a while and may have turned
+// cold: full load at once would overload them.
 func TestReopenedZoneIsCold(t *testing.T) {
 	r, now := healthyRoster(catalog("1", 1), server("x", 2, nil))
 	r.Learn(now, store(11, closed("a", 11, false)))
@@ -146,8 +146,8 @@
 	require.True(t, r.Open("lm")[0].Cold(now.Add(1900*time.Millisecond)))
 }
 
-// Another writer spoils an entry, and the configuration. The entry names no
-// server any more; the last configuration that could be read stays in force.
+// Another writer corrupts a server entry and the configuration. The server is removed; the last
+// readable configuration stays active.
 func TestUnreadableItems(t *testing.T) {
 	r, now := healthyRoster(catalog("1", 1), server("x", 2, nil), server("y", 3, nil))
 	r.Learn(now, store(12,
@@ -156,8 +156,7 @@
 	require.Equal(t, "1", r.Catalog().Version)
 }
 
-// A peer that lags tells of a server that is deleted, and of an old
-// configuration. Neither may come back.
+// A lagging peer sends a deleted server and an old configuration. Neither may be restored.
 func TestNeverOlder(t *testing.T) {
 	r, now := healthyRoster(catalog("2", 5), server("x", 2, nil))
 	r.Learn(now, store(11, gone("x", 11)))
@@ -186,9 +185,9 @@
 	require.Nil(t, roster.Route(c, "nowhere", "/a/x"))
 }
 
-// One VM watches the store, the other hears it from the first, with messages
-// lost: by the changes since what it has, and all of it when hashes differ. In
-// the end both hold the same.
+// One VM watches the store and sends changes to a second one, with message loss. The second then
+// pulls the changes since its revision, or everything if digests differ. Both end in the same
+// state.
 func TestPeersAgree(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		first, second := roster.New(roster.Config{}), roster.New(roster.Config{})
@@ -213,7 +212,7 @@
 			before := first.AsOf()
 			first.Learn(now, store(rev, e))
 			first.Tick(now)
-			if rapid.Bool().Draw(rt, "arrives") && before > 0 && second.AsOf() >= before {
+			if rapid.Bool().Draw(rt, "delivered") && before > 0 && second.AsOf() >= before {
 				second.Learn(now, roster.Learned{Source: roster.FromPeer, AsOf: rev, Items: entries(first.Since(before))})
 			}
 		}
--- a/internal/roster/share.go
+++ b/internal/roster/share.go
@@ -11,9 +11,8 @@
 	"jasmineshed/internal/delta"
 )
 
-// Since returns what has changed after a revision, for a peer that doesn't read
-// the store by itself: items sorted by key, then deletions. All of it if after
-// is 0.
+// Since returns the changes after a revision, for a peer that doesn't read the store itself:
+// items sorted by key, then deletions. If after is 0, it returns all items.
 func (r *Roster) Since(after shed.Revision) []shed.Item {
 	var out []shed.Item
 	for _, key := range r.sortedKeys() {
@@ -37,7 +36,7 @@
 	return out
 }
 
-// Item returns what is held of a key; its zero value if nothing.
+// Item returns the item of a key; the zero value if there is none.
 func (r *Roster) Item(key string) shed.Item {
 	if h := r.items[key]; h != nil {
 		return h.Item
@@ -45,9 +44,9 @@
 	return shed.Item{}
 }
 
-// ItemAt returns the item that a key had as of a revision, if it is held or was held
-// lately; else its zero value. It is what a peer has that knows all up to then, so
-// that a large value can be passed on as the difference to it.
+// ItemAt returns the item that a key had as of a revision, if the roster has it or recently
+// replaced it; else the zero value. A peer whose state is complete up to that revision has the
+// same item, so a large value can be sent as the difference to it.
 func (r *Roster) ItemAt(key string, asOf shed.Revision) shed.Item {
 	if h := r.items[key]; h != nil && h.Revision <= asOf {
 		return h.Item
@@ -61,11 +60,11 @@
 	return shed.Item{}
 }
 
-// keepPast is how many earlier items of a key with a large value are kept: peers that
-// lag lack the last few versions, not more.
+// maxPast is how many replaced items of a key with a large value are kept: lagging peers miss
+// only the last few versions.
 const maxPast = 3
 
-// savePast keeps an item that is about to be replaced.
+// savePast keeps an item that is about to be replaced, if its value is large.
 func (r *Roster) savePast(old shed.Item) {
 	if !delta.Large(old) {
 		return
@@ -74,8 +73,7 @@
 	r.pastItems[old.Key] = past[max(0, len(past)-maxPast):]
 }
 
-// Digest is a hash of all items that are held, the same on all daemons that hold
-// the same.
+// Digest is a hash of all items, equal on all daemons that hold the same items.
 func (r *Roster) Digest() uint64 { return r.digest }
 
 func (r *Roster) computeDigest() uint64 {
@@ -91,8 +89,8 @@
 	return d.Sum64()
 }
 
-// Confirmed notes that the store answered a peer at that time, and that this
-// daemon knows all that the peer knows of it.
+// Confirmed records that the store answered a peer at that time, and that this daemon's state
+// equals the peer's.
 func (r *Roster) Confirmed(at time.Time) {
 	if at.After(r.lastContact) {
 		r.lastContact = at
