--- a/internal/fanout/fanout.go
+++ b/internal/fanout/fanout.go
@@ -63,8 +63,8 @@
 	Placed []shed.PromptPlaced
 }
 
-// relayedLoad is another VM's load to relay.
-type relayedLoad struct {
+// forwardedLoad is another VM's load to relay.
+type forwardedLoad struct {
 	from       shed.Peer
 	load       shed.RelayLoad
 	receivedAt time.Time
@@ -85,14 +85,14 @@
 	lastRound time.Time
 	credit    float64
 	// lastBusy is when there was last load to report.
-	lastBusy time.Time
-	relayed  map[shed.VM]relayedLoad
-	placed   []placedPrompt
+	lastBusy  time.Time
+	forwarded map[shed.VM]forwardedLoad
+	placed    []placedPrompt
 }
 
 // New returns the state of a VM that has sent no report.
 func New(self shed.VM) *Fanout {
-	return &Fanout{self: self, lastPeer: self, relayed: map[shed.VM]relayedLoad{}}
+	return &Fanout{self: self, lastPeer: self, forwarded: map[shed.VM]forwardedLoad{}}
 }
 
 // Placed queues a placed prompt for reporting.
@@ -112,12 +112,12 @@
 	load.AsOf, load.Digest, load.Confirmed, load.Catalog = 0, 0, 0, 0
 	// So are its server limits: the hub merges them and reports its own.
 	load.Limits = nil
-	f.relayed[from.VM] = relayedLoad{from: from, load: load, receivedAt: now}
+	f.forwarded[from.VM] = forwardedLoad{from: from, load: load, receivedAt: now}
 }
 
 // Due returns the report to send now; it is called at each tick.
 func (f *Fanout) Due(now time.Time, v View) Turn {
-	busy := v.Busy || len(f.relayed) > 0
+	busy := v.Busy || len(f.forwarded) > 0
 	if busy {
 		f.lastBusy = now
 	}
@@ -141,7 +141,7 @@
 		round.Placed = append(round.Placed, p.PromptPlaced)
 	}
 	if !viaHub {
-		round.Carried = f.relayedLoads(now)
+		round.Carried = f.forwardedLoads(now)
 	}
 	return round
 }
@@ -149,17 +149,17 @@
 // dropSent drops what has been reported to all peers.
 func (f *Fanout) dropSent(before time.Time) {
 	f.placed = slices.DeleteFunc(f.placed, func(p placedPrompt) bool { return p.placedAt.Before(before) })
-	for vm, h := range f.relayed {
-		if h.receivedAt.Before(before) {
-			delete(f.relayed, vm)
+	for vm, load := range f.forwarded {
+		if load.receivedAt.Before(before) {
+			delete(f.forwarded, vm)
 		}
 	}
 }
 
-// relayedLoads returns the loads to relay, sorted by VM.
-func (f *Fanout) relayedLoads(now time.Time) []shed.CarriedLoad {
+// forwardedLoads returns the loads to relay, sorted by VM.
+func (f *Fanout) forwardedLoads(now time.Time) []shed.CarriedLoad {
 	var out []shed.CarriedLoad
-	for _, h := range f.relayed {
+	for _, h := range f.forwarded {
 		out = append(out, shed.CarriedLoad{From: h.from, Age: now.Sub(h.receivedAt), Load: h.load})
 	}
 	slices.SortFunc(out, func(a, b shed.CarriedLoad) int { return cmp.Compare(a.From.VM, b.From.VM) })
