--- a/internal/delta/delta.go
+++ b/internal/delta/delta.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	// maxValue bounds an unpacked value, in bytes: a packed one may claim any size.
-	maxValue = 16 << 20
-	// window is how far back a difference may refer, in bytes: a base and a value of
+	// maxValueSize bounds an unpacked value, in bytes: a packed one may claim any size.
+	maxValueSize = 16 << 20
+	// windowSize is how far back a difference may refer, in bytes: a base and a value of
 	// the largest size that the store takes, and more.
-	window = 4 << 20
-	// dictionary is the number that a base is known by in the packed form.
-	dictionary = 1
+	windowSize = 4 << 20
+	// dictionaryID is the number that a base is known by in the packed form.
+	dictionaryID = 1
 )
 
 // ErrPacked is returned for what can't be unpacked with the base given.
@@ -26,12 +26,12 @@
 // Pack packs a value as its difference to base, which may be empty.
 func Pack(value, base []byte) ([]byte, error) {
 	opts := []zstd.EOption{
-		zstd.WithEncoderConcurrency(1), zstd.WithWindowSize(window), zstd.WithLowerEncoderMem(true),
+		zstd.WithEncoderConcurrency(1), zstd.WithWindowSize(windowSize), zstd.WithLowerEncoderMem(true),
 		// The checksum finds a base that isn't the sender's.
 		zstd.WithEncoderCRC(true),
 	}
 	if len(base) > 0 {
-		opts = append(opts, zstd.WithEncoderDictRaw(dictionary, base))
+		opts = append(opts, zstd.WithEncoderDictRaw(dictionaryID, base))
 	}
 	enc, err := zstd.NewWriter(nil, opts...)
 	if err != nil {
@@ -46,9 +46,9 @@
 
 // Unpack undoes Pack with the same base.
 func Unpack(packed, base []byte) ([]byte, error) {
-	opts := []zstd.DOption{zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxValue)}
+	opts := []zstd.DOption{zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxValueSize)}
 	if len(base) > 0 {
-		opts = append(opts, zstd.WithDecoderDictRaw(dictionary, base))
+		opts = append(opts, zstd.WithDecoderDictRaw(dictionaryID, base))
 	}
 	dec, err := zstd.NewReader(nil, opts...)
 	if err != nil {
--- a/internal/delta/delta_test.go
+++ b/internal/delta/delta_test.go
@@ -28,14 +28,14 @@
 // change; else links of 10 Mbit/s are full for a second with each.
 func TestChangeCostsWhatHasChanged(t *testing.T) {
 	small, large := routes(2800), routes(4200)
-	more, err := delta.Pack(large, small)
+	packedMore, err := delta.Pack(large, small)
 	require.NoError(t, err)
-	require.Less(t, len(more), 1400*40, "1,400 routes more, with 16 random digits each")
+	require.Less(t, len(packedMore), 1400*40, "1,400 routes more, with 16 random digits each")
 	next := append([]byte("version 18 "), large...)
-	tiny, err := delta.Pack(next, large)
+	packedNext, err := delta.Pack(next, large)
 	require.NoError(t, err)
-	require.Less(t, len(tiny), 1000)
-	got, err := delta.Unpack(tiny, large)
+	require.Less(t, len(packedNext), 1000)
+	got, err := delta.Unpack(packedNext, large)
 	require.NoError(t, err)
 	require.Equal(t, next, got)
 }
--- a/internal/delta/packer.go
+++ b/internal/delta/packer.go
@@ -8,30 +8,30 @@
 
 // packFrom is the size from which a value is packed, in bytes. Smaller ones, such as
 // entries of servers, go as they are.
-const packFrom = 4 << 10
+const minPackSize = 4 << 10
 
 // packedMost is how many packed values a Packer keeps. Peers that ask have one of the
 // last few versions.
-const packedMost = 8
+const maxPacked = 8
 
 // Packer packs items for many peers, each difference once: on a small VM packing a
 // large value for every peer anew would take longer than sending it. It is safe for
 // concurrent use.
 type Packer struct {
 	mu     sync.Mutex
-	packed map[difference][]byte
+	packed map[packedKey][]byte
 	// order has the differences that are kept, the oldest first.
-	order []difference
+	order []packedKey
 }
 
-// difference names what was packed.
-type difference struct {
+// packedKey names what was packed.
+type packedKey struct {
 	key            string
 	revision, base shed.Revision
 }
 
 // Large tells whether an item's value is packed.
-func Large(item shed.Item) bool { return !item.Gone && len(item.Value) >= packFrom }
+func Large(item shed.Item) bool { return !item.Gone && len(item.Value) >= minPackSize }
 
 // Pack puts an item into the form in which VMs pass it on; base is the same key's
 // item that the receiver has, its zero value if it has none.
@@ -41,28 +41,28 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	d := difference{key: item.Key, revision: item.Revision, base: base.Revision}
-	packed, ok := p.packed[d]
+	key := packedKey{key: item.Key, revision: item.Revision, base: base.Revision}
+	packed, ok := p.packed[key]
 	if !ok {
 		var err error
 		if packed, err = Pack(item.Value, base.Value); err != nil {
 			// It is only longer as it is.
 			return shed.ItemChange{Item: item}
 		}
-		p.keep(d, packed)
+		p.cache(key, packed)
 	}
 	item.Value = packed
 	return shed.ItemChange{Item: item, Packed: true, Base: base.Revision}
 }
 
-// keep remembers a packed value. The caller holds mu.
-func (p *Packer) keep(d difference, packed []byte) {
+// cache remembers a packed value. The caller holds mu.
+func (p *Packer) cache(key packedKey, packed []byte) {
 	if p.packed == nil {
-		p.packed = map[difference][]byte{}
+		p.packed = map[packedKey][]byte{}
 	}
-	p.packed[d] = packed
-	p.order = append(p.order, d)
-	if len(p.order) > packedMost {
+	p.packed[key] = packed
+	p.order = append(p.order, key)
+	if len(p.order) > maxPacked {
 		delete(p.packed, p.order[0])
 		p.order = p.order[1:]
 	}
