--- a/internal/fanout/fanout.go
+++ b/internal/fanout/fanout.go
@@ -1,12 +1,12 @@
 // Package fanout decides which peers a VM sends its load report to, how often, and which
-// reports of other VMs it relays. It does no I/O.
+// reports of other VMs it forwards. It does no I/O.
 //
 // Load pattern: hundreds of VMs, most of them small. If each reported to every other one, the
 // messages would use more CPU than requests do, and would have to be so rare that a forecast
 // is older than a burst of requests is long.
 //
 // In a small fleet each VM reports to all others. In a larger one only a few high-capacity VMs
-// do, the hubs; every other VM reports to one hub often, which relays the load with its own.
+// do, the hubs; every other VM reports to one hub often, which forwards the load with its own.
 // Each tick reports to some peers, in round-robin order: a message to all at once delays the
 // requests of a small VM.
 package fanout
@@ -26,7 +26,7 @@
 	maxDirect = 24
 	// minHubs and usualMaxHubs bound the hubs of a larger fleet. There are up to usualMaxHubs
 	// high-capacity ones, or up to the square root of the fleet size if that is more: then
-	// a hub relays about as many loads as there are hubs.
+	// a hub forwards about as many loads as there are hubs.
 	minHubs, usualMaxHubs = 3, 16
 	// roundInterval is the minimum time between two messages to one peer.
 	roundInterval = 100 * time.Millisecond
@@ -55,15 +55,15 @@
 // Turn is the report that a VM sends in one round.
 type Turn struct {
 	To []shed.VM
-	// PassOn: the receiver, a hub, relays the report to all.
+	// PassOn: the receiver, a hub, forwards the report to all.
 	PassOn bool
-	// Carried are the loads of other VMs that this VM relays.
+	// Carried are the loads of other VMs that this VM forwards.
 	Carried []shed.CarriedLoad
 	// Placed are the prompts placed since the last report to the VMs in To.
 	Placed []shed.PromptPlaced
 }
 
-// forwardedLoad is another VM's load to relay.
+// forwardedLoad is another VM's load to forward.
 type forwardedLoad struct {
 	from       shed.Peer
 	load       shed.RelayLoad
@@ -102,7 +102,7 @@
 	}
 }
 
-// PassOn queues a peer's load that this VM is to relay.
+// PassOn queues a peer's load that this VM is to forward.
 func (f *Fanout) PassOn(now time.Time, from shed.Peer, load shed.RelayLoad) {
 	for _, p := range load.Placed {
 		f.Placed(now, p)
@@ -156,7 +156,7 @@
 	}
 }
 
-// forwardedLoads returns the loads to relay, sorted by VM.
+// forwardedLoads returns the loads to forward, sorted by VM.
 func (f *Fanout) forwardedLoads(now time.Time) []shed.CarriedLoad {
 	var out []shed.CarriedLoad
 	for _, h := range f.forwarded {
--- a/internal/fanout/fanout_test.go
+++ b/internal/fanout/fanout_test.go
@@ -196,7 +196,7 @@
 	goldie.New(t).Assert(t, "ages", out.Bytes())
 }
 
-// All VMs of a large fleet know the same server limits. A hub that relayed them with each load
+// All VMs of a large fleet know the same server limits. A hub that forwarded them with each load
 // would send them once per VM.
 func TestLimitsAreNotCarried(t *testing.T) {
 	var vms []shed.VM
@@ -211,7 +211,7 @@
 	require.Empty(t, round.Carried[0].Load.Limits)
 }
 
-// Hubs die. Loads of the VMs that they relayed must reach all peers again soon after the hubs
+// Hubs die. Loads of the VMs that they forwarded must reach all peers again soon after the hubs
 // are detected dead, or peers go on with outdated shares of servers.
 func TestMembersOfADeadHubAreHeardAgain(t *testing.T) {
 	f := newFleet(195, 15)
@@ -257,7 +257,7 @@
 	require.LessOrEqual(t, v.maxPerTick, 2*24)
 }
 
-// A placed prompt that a hub relays reaches each peer once or twice.
+// A placed prompt that a hub forwards reaches each peer once or twice.
 func TestPlacedPromptsReachAll(t *testing.T) {
 	f := newFleet(195, 15)
 	hub, member := f.nodes[0], f.nodes[100]
