--- a/internal/delta/delta.go
+++ b/internal/delta/delta.go
@@ -1,6 +1,5 @@
-// Package delta packs large values as the difference to a value that the receiver
-// has already, so that passing on a change costs what has changed, not what the whole
-// value holds.
+// Package delta compresses large values as the difference to a value that the receiver already
+// has, so that the cost of sending a change depends on the size of the change, not of the value.
 package delta
 
 import (
@@ -13,21 +12,21 @@
 const (
 	// maxValueSize bounds an unpacked value, in bytes: a packed one may claim any size.
 	maxValueSize = 16 << 20
-	// windowSize is how far back a difference may refer, in bytes: a base and a value of
-	// the largest size that the store takes, and more.
+	// windowSize is the zstd window, in bytes: it exceeds a base plus a value of the largest
+	// size that the store accepts.
 	windowSize = 4 << 20
-	// dictionaryID is the number that a base is known by in the packed form.
+	// dictionaryID identifies the base as the dictionary of the packed form.
 	dictionaryID = 1
 )
 
-// ErrPacked is returned for what can't be unpacked with the base given.
-var ErrPacked = errors.New("value can't be unpacked")
+// ErrPacked is returned for a value that can't be unpacked with the given base.
+var ErrPacked = errors.New("cannot unpack value with the given base")
 
 // Pack packs a value as its difference to base, which may be empty.
 func Pack(value, base []byte) ([]byte, error) {
 	opts := []zstd.EOption{
 		zstd.WithEncoderConcurrency(1), zstd.WithWindowSize(windowSize), zstd.WithLowerEncoderMem(true),
-		// The checksum finds a base that isn't the sender's.
+		// The checksum detects a base that differs from the sender's.
 		zstd.WithEncoderCRC(true),
 	}
 	if len(base) > 0 {
@@ -44,7 +43,7 @@
 	return packed, nil
 }
 
-// Unpack undoes Pack with the same base.
+// Unpack reverses Pack, given the same base.
 func Unpack(packed, base []byte) ([]byte, error) {
 	opts := []zstd.DOption{zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxValueSize)}
 	if len(base) > 0 {
--- a/internal/delta/delta_test.go
+++ b/internal/delta/delta_test.go
@@ -13,7 +13,7 @@
 	"jasmineshed/internal/delta"
 )
 
-// routes is a configuration's text with n routes whose names can't be guessed.
+// routes returns a configuration's text with n routes with random names.
 func routes(n int) []byte {
 	rnd := rand.New(rand.NewPCG(1, 1))
 	var b strings.Builder
@@ -24,8 +24,8 @@
 	return []byte(b.String())
 }
 
-// A small change of a large value is passed on to every VM. Its cost is that of the
-// change; else links of 10 Mbit/s are full for a second with each.
+// A small change of a large value is sent to every VM. Its size must depend on the change only,
+// or each one saturates links of 10 Mbit/s for a second.
 func TestChangeCostsWhatHasChanged(t *testing.T) {
 	small, large := routes(2800), routes(4200)
 	packedMore, err := delta.Pack(large, small)
@@ -53,8 +53,8 @@
 	})
 }
 
-// A peer sends the difference to a value that this VM doesn't hold, or bytes that are
-// none. The item is refused; half a configuration must never be read.
+// A peer sends the difference to a value that this VM doesn't have, or invalid bytes. The item is
+// rejected, as a partial configuration must never be read.
 func TestOtherBaseIsRefused(t *testing.T) {
 	var p delta.Packer
 	old, item := shed.Item{Key: "c", Revision: 5, Value: routes(100)}, shed.Item{Key: "c", Revision: 9, Value: routes(200)}
@@ -76,8 +76,8 @@
 	require.ErrorIs(t, err, delta.ErrPacked)
 }
 
-// BenchmarkPack gives what it takes to pack a configuration of 4,200 routes, and to
-// unpack it: whole, with 1,400 of them new, and with a small change.
+// BenchmarkPack measures packing and unpacking a configuration of 4,200 routes: whole, with
+// 1,400 of them new, and with a small change.
 //
 //	go test ./internal/delta -run xxx -bench Pack -benchmem -cpu 1
 func BenchmarkPack(b *testing.B) {
--- a/internal/delta/packer.go
+++ b/internal/delta/packer.go
@@ -6,35 +6,34 @@
 	shed "jasmineshed"
 )
 
-// packFrom is the size from which a value is packed, in bytes. Smaller ones, such as
-// entries of servers, go as they are.
+// minPackSize is the minimum size of a value to be packed, in bytes. Smaller ones, such as
+// server entries, are sent unpacked.
 const minPackSize = 4 << 10
 
-// packedMost is how many packed values a Packer keeps. Peers that ask have one of the
-// last few versions.
+// maxPacked is how many packed values a Packer caches. Peers that ask have one of the last few
+// versions.
 const maxPacked = 8
 
-// Packer packs items for many peers, each difference once: on a small VM packing a
-// large value for every peer anew would take longer than sending it. It is safe for
-// concurrent use.
+// Packer packs items for many peers and caches the results: on a small VM, packing a large value
+// again for every peer would take longer than sending it. It is safe for concurrent use.
 type Packer struct {
 	mu     sync.Mutex
 	packed map[packedKey][]byte
-	// order has the differences that are kept, the oldest first.
+	// order holds the cached keys, oldest first.
 	order []packedKey
 }
 
-// packedKey names what was packed.
+// packedKey identifies a packed value.
 type packedKey struct {
 	key            string
 	revision, base shed.Revision
 }
 
-// Large tells whether an item's value is packed.
+// Large reports whether an item's value is large enough to be packed.
 func Large(item shed.Item) bool { return !item.Gone && len(item.Value) >= minPackSize }
 
-// Pack puts an item into the form in which VMs pass it on; base is the same key's
-// item that the receiver has, its zero value if it has none.
+// Pack converts an item to the form sent between VMs; base is the receiver's item of the same
+// key, the zero value if it has none.
 func (p *Packer) Pack(item, base shed.Item) shed.ItemChange {
 	if !Large(item) {
 		return shed.ItemChange{Item: item}
@@ -46,7 +45,7 @@
 	if !ok {
 		var err error
 		if packed, err = Pack(item.Value, base.Value); err != nil {
-			// It is only longer as it is.
+			// Sending the value unpacked only takes more bytes.
 			return shed.ItemChange{Item: item}
 		}
 		p.cache(key, packed)
@@ -55,7 +54,7 @@
 	return shed.ItemChange{Item: item, Packed: true, Base: base.Revision}
 }
 
-// cache remembers a packed value. The caller holds mu.
+// cache stores a packed value, and drops the oldest one beyond maxPacked. The caller holds mu.
 func (p *Packer) cache(key packedKey, packed []byte) {
 	if p.packed == nil {
 		p.packed = map[packedKey][]byte{}
@@ -68,8 +67,8 @@
 	}
 }
 
-// Restore undoes Pack; held is the same key's item that the receiver has. It is
-// ErrPacked if that isn't the base.
+// Restore reverses Pack; held is the receiver's item of the same key. It returns ErrPacked if
+// held is not the base.
 func Restore(c shed.ItemChange, held shed.Item) (shed.Item, error) {
 	if !c.Packed {
 		return c.Item, nil
