--- a/internal/delta/delta.go
+++ b/internal/delta/delta.go
@@ -20,7 +20,7 @@
 )
 
 // ErrPacked is returned for a value that can't be unpacked with the given base.
-var ErrPacked = errors.New("cannot unpack value with the given base")
+var ErrUnpack = errors.New("cannot unpack value with the given base")
 
 // Pack packs a value as its difference to base, which may be empty.
 func Pack(value, base []byte) ([]byte, error) {
@@ -51,12 +51,12 @@
 	}
 	dec, err := zstd.NewReader(nil, opts...)
 	if err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrPacked, err)
+		return nil, fmt.Errorf("%w: %w", ErrUnpack, err)
 	}
 	defer dec.Close()
 	value, err := dec.DecodeAll(packed, nil)
 	if err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrPacked, err)
+		return nil, fmt.Errorf("%w: %w", ErrUnpack, err)
 	}
 	return value, nil
 }
--- a/internal/delta/packer.go
+++ b/internal/delta/packer.go
@@ -29,13 +29,13 @@
 	revision, base shed.Revision
 }
 
-// Large reports whether an item's value is large enough to be packed.
-func Large(item shed.Item) bool { return !item.Gone && len(item.Value) >= minPackSize }
+// IsLarge reports whether an item's value is large enough to be packed.
+func IsLarge(item shed.Item) bool { return !item.Gone && len(item.Value) >= minPackSize }
 
 // Pack converts an item to the form sent between VMs; base is the receiver's item of the same
 // key, the zero value if it has none.
 func (p *Packer) Pack(item, base shed.Item) shed.ItemChange {
-	if !Large(item) {
+	if !IsLarge(item) {
 		return shed.ItemChange{Item: item}
 	}
 	p.mu.Lock()
@@ -77,7 +77,7 @@
 		held = shed.Item{}
 	}
 	if held.Revision != c.Base {
-		return shed.Item{}, ErrPacked
+		return shed.Item{}, ErrUnpack
 	}
 	value, err := Unpack(c.Value, held.Value)
 	if err != nil {
--- a/internal/fanout/fanout.go
+++ b/internal/fanout/fanout.go
@@ -45,20 +45,20 @@
 type View struct {
 	// Peers are the other live VMs, sorted.
 	Peers []shed.VM
-	// Strong are the high-capacity VMs of the fleet, which do work for others. They may
+	// HighCapacity are the high-capacity VMs of the fleet, which do work for others. They may
 	// include this VM.
-	Strong []shed.VM
-	// Busy: there is load to report. Gathers: pieces wait here.
-	Busy, Gathers bool
+	HighCapacity []shed.VM
+	// Busy: there is load to report. Coordinator: pieces wait here.
+	Busy, Coordinator bool
 }
 
-// Turn is the report that a VM sends in one round.
-type Turn struct {
+// Round is the report that a VM sends in one round.
+type Round struct {
 	To []shed.VM
-	// PassOn: the receiver, a hub, forwards the report to all.
-	PassOn bool
-	// Carried are the loads of other VMs that this VM forwards.
-	Carried []shed.CarriedLoad
+	// ForwardToAll: the receiver, a hub, forwards the report to all.
+	ForwardToAll bool
+	// Forwarded are the loads of other VMs that this VM forwards.
+	Forwarded []shed.CarriedLoad
 	// Placed are the prompts placed since the last report to the VMs in To.
 	Placed []shed.PromptPlaced
 }
@@ -95,17 +95,17 @@
 	return &Fanout{self: self, lastPeer: self, forwarded: map[shed.VM]forwardedLoad{}}
 }
 
-// Placed queues a placed prompt for reporting.
-func (f *Fanout) Placed(now time.Time, p shed.PromptPlaced) {
+// RecordPlacement queues a placed prompt for reporting.
+func (f *Fanout) RecordPlacement(now time.Time, p shed.PromptPlaced) {
 	if len(f.placed) < maxPlaced {
 		f.placed = append(f.placed, placedPrompt{p, now})
 	}
 }
 
-// PassOn queues a peer's load that this VM is to forward.
-func (f *Fanout) PassOn(now time.Time, from shed.Peer, load shed.RelayLoad) {
+// Forward queues a peer's load that this VM is to forward.
+func (f *Fanout) Forward(now time.Time, from shed.Peer, load shed.RelayLoad) {
 	for _, p := range load.Placed {
-		f.Placed(now, p)
+		f.RecordPlacement(now, p)
 	}
 	load.Placed, load.Carried, load.PassOn = nil, nil, false
 	// The VM's state of the store is of use to its hub only.
@@ -115,15 +115,15 @@
 	f.forwarded[from.VM] = forwardedLoad{from: from, load: load, receivedAt: now}
 }
 
-// Due returns the report to send now; it is called at each tick.
-func (f *Fanout) Due(now time.Time, v View) Turn {
+// NextRound returns the report to send now; it is called at each tick.
+func (f *Fanout) NextRound(now time.Time, v View) Round {
 	busy := v.Busy || len(f.forwarded) > 0
 	if busy {
 		f.lastBusy = now
 	}
 	hubs := f.hubs(v)
 	to, interval := v.Peers, period(len(v.Peers), peersPerRound(v))
-	viaHub := len(hubs) > 0 && !v.Gathers && !slices.Contains(hubs, f.self)
+	viaHub := len(hubs) > 0 && !v.Coordinator && !slices.Contains(hubs, f.self)
 	if viaHub {
 		hub, _ := rank.Owner("hub "+string(f.self), hubs)
 		to, interval = []shed.VM{hub}, hubInterval
@@ -133,15 +133,15 @@
 		interval = max(interval, idleInterval)
 	}
 	f.dropSent(now.Add(-interval - 2*roundInterval))
-	round := Turn{To: f.nextPeers(now, to, interval), PassOn: viaHub}
+	round := Round{To: f.nextPeers(now, to, interval), ForwardToAll: viaHub}
 	if len(round.To) == 0 {
-		return Turn{}
+		return Round{}
 	}
 	for _, p := range f.placed {
 		round.Placed = append(round.Placed, p.PromptPlaced)
 	}
 	if !viaHub {
-		round.Carried = f.forwardedLoads(now)
+		round.Forwarded = f.forwardedLoads(now)
 	}
 	return round
 }
@@ -199,7 +199,7 @@
 	if n <= maxDirect {
 		return nil
 	}
-	out := rank.Owners("load", v.Strong, max(usualMaxHubs, int(math.Ceil(math.Sqrt(float64(n))))))
+	out := rank.Owners("load", v.HighCapacity, max(usualMaxHubs, int(math.Ceil(math.Sqrt(float64(n))))))
 	if len(out) < minHubs {
 		others := slices.DeleteFunc(slices.Concat(v.Peers, []shed.VM{f.self}), func(vm shed.VM) bool {
 			return slices.Contains(out, vm)
@@ -214,7 +214,7 @@
 	switch {
 	case len(v.Peers) < maxDirect:
 		return directPerRound
-	case v.Gathers:
+	case v.Coordinator:
 		return coordinatorPerRound
 	}
 	return hubPerRound
@@ -225,9 +225,9 @@
 	return roundInterval * time.Duration(1+peers/perRound)
 }
 
-// Silence is the maximum time between two load reports of a live VM at a peer, directly or
+// MaxSilence is the maximum time between two load reports of a live VM at a peer, directly or
 // through a hub, in a fleet with so many peers.
-func Silence(peers int) time.Duration {
+func MaxSilence(peers int) time.Duration {
 	if peers < maxDirect {
 		return max(idleInterval, period(peers, directPerRound))
 	}
--- a/internal/fanout/fanout_test.go
+++ b/internal/fanout/fanout_test.go
@@ -68,7 +68,7 @@
 }
 
 func (f *fleet) view(v *node) fanout.View {
-	view := fanout.View{Busy: true, Gathers: v.coordinator}
+	view := fanout.View{Busy: true, Coordinator: v.coordinator}
 	for _, other := range f.nodes {
 		if other != v && !f.believedAlive(v, other) {
 			continue
@@ -77,7 +77,7 @@
 			view.Peers = append(view.Peers, other.id)
 		}
 		if other.highCapacity {
-			view.Strong = append(view.Strong, other.id)
+			view.HighCapacity = append(view.HighCapacity, other.id)
 		}
 	}
 	return view
@@ -96,7 +96,7 @@
 }
 
 func (f *fleet) tick(v *node) {
-	t := v.fanout.Due(f.now, f.view(v))
+	t := v.fanout.NextRound(f.now, f.view(v))
 	if len(t.To) == 0 {
 		return
 	}
@@ -119,9 +119,9 @@
 
 // load is a VM's report: some requests on servers, expected pieces, and, from a coordinator, its
 // forecast.
-func (v *node) load(t fanout.Turn) shed.RelayLoad {
+func (v *node) load(t fanout.Round) shed.RelayLoad {
 	load := shed.RelayLoad{
-		Sequence: v.sequence, PassOn: t.PassOn, Carried: t.Carried, Placed: t.Placed,
+		Sequence: v.sequence, PassOn: t.ForwardToAll, Carried: t.Forwarded, Placed: t.Placed,
 		AsOf: 1 << 20, Digest: 1 << 60, Confirmed: time.Second, Catalog: 1 << 20,
 		Servers: map[shed.ServerID]shed.ServerShare{"i-0123456789": {Running: 1, Reading: 12000}, "i-1123456789": {Running: 1}},
 		Coming:  map[shed.PoolID]int{"pool-a": 16, "pool-b": 8},
@@ -139,7 +139,7 @@
 	at := f.now.Add(latency)
 	to.known[from.id] = f.now
 	if load.PassOn {
-		to.fanout.PassOn(at, peerOf(from), load)
+		to.fanout.Forward(at, peerOf(from), load)
 	}
 	for _, c := range load.Carried {
 		if reported := f.now.Add(-c.Age); reported.After(to.known[c.From.VM]) {
@@ -205,10 +205,10 @@
 	}
 	hub := fanout.New(vms[0])
 	load := shed.RelayLoad{Sequence: 1, Limits: []shed.ServerLimit{{Start: shed.ServerStart{Server: "s"}, Rate: 1}}}
-	hub.PassOn(start, shed.Peer{VM: vms[1], Incarnation: 1}, load)
-	round := hub.Due(start, fanout.View{Peers: vms[1:], Strong: vms[:1], Busy: true})
-	require.Len(t, round.Carried, 1)
-	require.Empty(t, round.Carried[0].Load.Limits)
+	hub.Forward(start, shed.Peer{VM: vms[1], Incarnation: 1}, load)
+	round := hub.NextRound(start, fanout.View{Peers: vms[1:], HighCapacity: vms[:1], Busy: true})
+	require.Len(t, round.Forwarded, 1)
+	require.Empty(t, round.Forwarded[0].Load.Limits)
 }
 
 // Hubs die. Loads of the VMs that they forwarded must reach all peers again soon after the hubs
@@ -263,16 +263,16 @@
 	hub, member := f.nodes[0], f.nodes[100]
 	received := map[shed.VM]int{}
 	f.run(time.Second)
-	member.fanout.Placed(f.now, shed.PromptPlaced{Server: "i-1"})
+	member.fanout.RecordPlacement(f.now, shed.PromptPlaced{Server: "i-1"})
 	for f.now = f.now.Add(tick); len(received) == 0; f.now = f.now.Add(tick) {
-		if t := member.fanout.Due(f.now, f.view(member)); len(t.Placed) > 0 {
-			hub.fanout.PassOn(f.now, shed.Peer{VM: member.id}, shed.RelayLoad{Placed: t.Placed})
+		if t := member.fanout.NextRound(f.now, f.view(member)); len(t.Placed) > 0 {
+			hub.fanout.Forward(f.now, shed.Peer{VM: member.id}, shed.RelayLoad{Placed: t.Placed})
 			received[hub.id] = 1
 		}
 	}
 	for range 20 {
 		f.now = f.now.Add(tick)
-		if t := hub.fanout.Due(f.now, f.view(hub)); len(t.Placed) > 0 {
+		if t := hub.fanout.NextRound(f.now, f.view(hub)); len(t.Placed) > 0 {
 			for _, vm := range t.To {
 				received[vm]++
 			}
@@ -286,7 +286,7 @@
 
 // Edge cases: a VM without peers, and a fleet with a single high-capacity VM.
 func TestFewPeers(t *testing.T) {
-	require.Empty(t, fanout.New("a").Due(start, fanout.View{Strong: []shed.VM{"a"}, Busy: true}).To)
+	require.Empty(t, fanout.New("a").NextRound(start, fanout.View{HighCapacity: []shed.VM{"a"}, Busy: true}).To)
 	f := newFleet(60, 1)
 	f.run(3 * time.Second)
 	_, p99 := f.ages(isOther)
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -33,24 +33,24 @@
 // PullID identifies a pull.
 type PullID uint64
 
-// Own is this VM's state of the store.
-type Own struct {
+// LocalState is this VM's state of the store.
+type LocalState struct {
 	AsOf   shed.Revision
 	Digest uint64
-	// Contact is when the store last answered this VM, or a peer with no newer state.
-	Contact time.Time
-	// Taking: received changes are being applied, so the state will advance soon.
-	Taking bool
+	// LastContact is when the store last answered this VM, or a peer with no newer state.
+	LastContact time.Time
+	// Applying: received changes are being applied, so the state will advance soon.
+	Applying bool
 }
 
-// Word is a peer's state of the store, as it reported it.
-type Word struct {
+// PeerState is a peer's state of the store, as it reported it.
+type PeerState struct {
 	AsOf   shed.Revision
 	Digest uint64
 	// Catalog is the revision of its active configuration.
 	Catalog shed.Revision
-	// Contact is when the store last answered the peer.
-	Contact time.Time
+	// LastContact is when the store last answered the peer.
+	LastContact time.Time
 	// Power is the peer's capacity relative to other VMs.
 	Power float64
 	// pulled: a pull has fetched this state. partial: only AsOf is known.
@@ -60,15 +60,15 @@
 // Event is an input to a Follower. The set is closed.
 type Event interface{ event() }
 
-// Heard says that a peer reported its state.
-type Heard struct {
-	From shed.VM
-	Word Word
+// PeerReported says that a peer reported its state.
+type PeerReported struct {
+	From  shed.VM
+	State PeerState
 }
 
-// Missed says that a peer announced a change up to AsOf that it did not send, or that can't
+// UpdateMissed says that a peer announced a change up to AsOf that it did not send, or that can't
 // be applied to the local state.
-type Missed struct {
+type UpdateMissed struct {
 	From shed.VM
 	AsOf shed.Revision
 }
@@ -76,8 +76,8 @@
 // StoreFailed says that the store did not answer. Peers are the live peers.
 type StoreFailed struct{ Peers []shed.VM }
 
-// Ended says that a pull has ended and what it fetched has been applied.
-type Ended struct {
+// PullEnded says that a pull has ended and what it fetched has been applied.
+type PullEnded struct {
 	Pull   PullID
 	Failed bool
 }
@@ -85,15 +85,15 @@
 // Tick is sent periodically.
 type Tick struct{}
 
-// Gone says that a peer is dead.
-type Gone struct{ VM shed.VM }
+// PeerDied says that a peer is dead.
+type PeerDied struct{ VM shed.VM }
 
-func (Heard) event()       {}
-func (Missed) event()      {}
-func (StoreFailed) event() {}
-func (Ended) event()       {}
-func (Tick) event()        {}
-func (Gone) event()        {}
+func (PeerReported) event() {}
+func (UpdateMissed) event() {}
+func (StoreFailed) event()  {}
+func (PullEnded) event()    {}
+func (Tick) event()         {}
+func (PeerDied) event()     {}
 
 // Action is a request to the driver. The set is closed.
 type Action interface{ action() }
@@ -108,8 +108,8 @@
 	// After is the revision after which changes are read; 0 reads everything. Known is the
 	// revision up to which this VM's state is complete.
 	After, Known shed.Revision
-	// Wanted is the revision that the peer reported.
-	Wanted shed.Revision
+	// Reported is the revision that the peer reported.
+	Reported shed.Revision
 }
 
 func (Confirm) action() {}
@@ -124,7 +124,7 @@
 // Follower tracks the state of one VM's peers. It is not safe for concurrent use.
 type Follower struct {
 	self   shed.VM
-	states map[shed.VM]Word
+	states map[shed.VM]PeerState
 	// failedAt is when a pull from a peer last failed.
 	failedAt map[shed.VM]time.Time
 	active   []activePull
@@ -139,31 +139,31 @@
 
 // New returns a Follower without any peer reports.
 func New(self shed.VM) *Follower {
-	return &Follower{self: self, states: map[shed.VM]Word{}, failedAt: map[shed.VM]time.Time{}}
+	return &Follower{self: self, states: map[shed.VM]PeerState{}, failedAt: map[shed.VM]time.Time{}}
 }
 
-// Contact is when the store last answered a peer, as the peer reported it; zero if unknown.
-func (f *Follower) Contact(vm shed.VM) time.Time { return f.states[vm].Contact }
+// LastContact is when the store last answered a peer, as the peer reported it; zero if unknown.
+func (f *Follower) LastContact(vm shed.VM) time.Time { return f.states[vm].LastContact }
 
-// Behind reports whether a peer's active configuration is newer than asOf, so that a VM with
+// CatalogIsStale reports whether a peer's active configuration is newer than asOf, so that a VM with
 // the store's state as of that revision can't have it.
-func (f *Follower) Behind(asOf shed.Revision) bool { return f.newestCatalog > asOf }
+func (f *Follower) CatalogIsStale(asOf shed.Revision) bool { return f.newestCatalog > asOf }
 
 // Handle processes an event; own is this VM's current state.
-func (f *Follower) Handle(now time.Time, own Own, ev Event) []Action {
+func (f *Follower) Handle(now time.Time, own LocalState, ev Event) []Action {
 	switch e := ev.(type) {
-	case Heard:
-		if e.Word.Contact.After(now) {
+	case PeerReported:
+		if e.State.LastContact.After(now) {
 			// A bogus time in the future would keep this VM from reading the store.
-			e.Word.Contact = now
+			e.State.LastContact = now
 		}
-		f.states[e.From] = e.Word
-		f.newestCatalog = max(f.newestCatalog, e.Word.Catalog)
-		if e.Word.AsOf == own.AsOf && e.Word.Digest == own.Digest {
-			return append(f.maybePull(now, own, false), Confirm{At: e.Word.Contact})
+		f.states[e.From] = e.State
+		f.newestCatalog = max(f.newestCatalog, e.State.Catalog)
+		if e.State.AsOf == own.AsOf && e.State.Digest == own.Digest {
+			return append(f.maybePull(now, own, false), Confirm{At: e.State.LastContact})
 		}
 		return f.maybePull(now, own, false)
-	case Missed:
+	case UpdateMissed:
 		if state := f.states[e.From]; e.AsOf > state.AsOf {
 			state.AsOf, state.pulled, state.partial = e.AsOf, false, true
 			f.states[e.From] = state
@@ -171,10 +171,10 @@
 		return f.maybePull(now, own, true)
 	case StoreFailed:
 		return f.handleStoreFailure(now, own, e.Peers)
-	case Ended:
+	case PullEnded:
 		f.endPull(now, e)
 		return f.maybePull(now, own, true)
-	case Gone:
+	case PeerDied:
 		delete(f.states, e.VM)
 		delete(f.failedAt, e.VM)
 		return nil
@@ -186,7 +186,7 @@
 
 // handleStoreFailure pulls from a peer at once. A VM without any state falls back to peers that
 // have not reported yet: it may have started a moment ago.
-func (f *Follower) handleStoreFailure(now time.Time, own Own, peers []shed.VM) []Action {
+func (f *Follower) handleStoreFailure(now time.Time, own LocalState, peers []shed.VM) []Action {
 	if acts := f.maybePull(now, own, true); len(acts) > 0 || own.AsOf > 0 {
 		return acts
 	}
@@ -199,7 +199,7 @@
 
 // endPull removes a pull from the active ones. The peer's reported state is not pulled again
 // until its next report.
-func (f *Follower) endPull(now time.Time, e Ended) {
+func (f *Follower) endPull(now time.Time, e PullEnded) {
 	i := slices.IndexFunc(f.active, func(p activePull) bool { return p.ID == e.Pull })
 	if i < 0 {
 		return
@@ -210,14 +210,14 @@
 		f.failedAt[p.From] = now
 		return
 	}
-	if state, ok := f.states[p.From]; ok && state.AsOf <= p.Wanted {
+	if state, ok := f.states[p.From]; ok && state.AsOf <= p.Reported {
 		state.pulled = true
 		f.states[p.From] = state
 	}
 }
 
 // maybePull starts a pull if one is needed; urgent skips the wait for a pushed update.
-func (f *Follower) maybePull(now time.Time, own Own, urgent bool) []Action {
+func (f *Follower) maybePull(now time.Time, own LocalState, urgent bool) []Action {
 	if ahead := f.peersAhead(own); len(ahead) > 0 {
 		if f.behindSince.IsZero() {
 			f.behindSince = now
@@ -243,8 +243,8 @@
 // startPull starts a pull from one of the peers, within the limits on concurrent pulls. None
 // starts while changes are being applied: a small VM takes long to parse a large configuration,
 // and would fetch and parse it again for every peer that is ahead meanwhile.
-func (f *Follower) startPull(now time.Time, own Own, after shed.Revision, peers []shed.VM) []Action {
-	if own.Taking {
+func (f *Follower) startPull(now time.Time, own LocalState, after shed.Revision, peers []shed.VM) []Action {
+	if own.Applying {
 		return nil
 	}
 	if n := len(f.active); n >= maxPulls || n > 0 && now.Sub(f.active[n-1].startedAt) < hedgeAfter {
@@ -255,7 +255,7 @@
 		return nil
 	}
 	f.lastID++
-	p := Pull{ID: f.lastID, From: from, After: after, Known: own.AsOf, Wanted: f.states[from].AsOf}
+	p := Pull{ID: f.lastID, From: from, After: after, Known: own.AsOf, Reported: f.states[from].AsOf}
 	f.active = append(f.active, activePull{Pull: p, startedAt: now})
 	return []Action{p}
 }
@@ -263,19 +263,19 @@
 // peersAhead returns the peers with a greater revision than this VM's. Last contact times are
 // not compared: a VM that the store had just answered would ignore the only peers that have a
 // change.
-func (f *Follower) peersAhead(own Own) []shed.VM {
-	return f.selectPeers(func(w Word) bool { return w.AsOf > own.AsOf })
+func (f *Follower) peersAhead(own LocalState) []shed.VM {
+	return f.selectPeers(func(w PeerState) bool { return w.AsOf > own.AsOf })
 }
 
 // peersDiffering returns the peers at the same revision that hold other items and whose last
 // contact with the store is no older: this VM missed a deletion.
-func (f *Follower) peersDiffering(own Own) []shed.VM {
-	return f.selectPeers(func(w Word) bool {
-		return !w.partial && w.AsOf == own.AsOf && w.Digest != own.Digest && !w.Contact.Before(own.Contact)
+func (f *Follower) peersDiffering(own LocalState) []shed.VM {
+	return f.selectPeers(func(w PeerState) bool {
+		return !w.partial && w.AsOf == own.AsOf && w.Digest != own.Digest && !w.LastContact.Before(own.LastContact)
 	})
 }
 
-func (f *Follower) selectPeers(match func(Word) bool) []shed.VM {
+func (f *Follower) selectPeers(match func(PeerState) bool) []shed.VM {
 	var out []shed.VM
 	for vm, state := range f.states {
 		if !state.pulled && match(state) {
--- a/internal/follow/store.go
+++ b/internal/follow/store.go
@@ -14,13 +14,13 @@
 type StoreView struct {
 	// AsOf is the revision up to which this VM's state is complete; 0 if it has none.
 	AsOf shed.Revision
-	// Contact is when the store last answered this VM, or a peer with no newer state;
+	// LastContact is when the store last answered this VM, or a peer with no newer state;
 	// zero if it never did.
-	Contact time.Time
+	LastContact time.Time
 	// Watcher: this VM watches the store on behalf of all VMs.
 	Watcher bool
-	// Forgotten: the store has compacted the changes after AsOf.
-	Forgotten bool
+	// Compacted: the store has compacted the changes after AsOf.
+	Compacted bool
 }
 
 // StoreCall is a call to the store. The set is closed.
@@ -30,12 +30,12 @@
 const (
 	// NoCall: the VM gets changes from its peers.
 	NoCall StoreCall = iota
-	// ListCopy reads all items from any replica of the store, which may lag.
-	ListCopy
+	// ListReplica reads all items from any replica of the store, which may lag.
+	ListReplica
 	// List reads the current state of all items.
 	List
-	// Changes reads the changes so far, without waiting for one.
-	Changes
+	// ReadChanges reads the changes so far, without waiting for one.
+	ReadChanges
 	// Watch waits for a change.
 	Watch
 )
@@ -49,13 +49,13 @@
 // configuration leave watching to the watchers, too.
 func NextCall(now time.Time, v StoreView) StoreCall {
 	switch {
-	case v.Forgotten:
+	case v.Compacted:
 		return List
 	case v.AsOf == 0:
-		return ListCopy
-	case v.Contact.IsZero():
-		return Changes
-	case v.Watcher || now.Sub(v.Contact) > StaleAfter:
+		return ListReplica
+	case v.LastContact.IsZero():
+		return ReadChanges
+	case v.Watcher || now.Sub(v.LastContact) > StaleAfter:
 		return Watch
 	}
 	return NoCall
--- a/internal/roster/learn.go
+++ b/internal/roster/learn.go
@@ -10,24 +10,24 @@
 // Source is where an update comes from.
 type Source uint8
 
-// Learned is an update from the store or a peer: the changes up to AsOf, or all items if
+// Update is an update from the store or a peer: the changes up to AsOf, or all items if
 // Whole.
-type Learned struct {
-	Source Source
-	Items  []Entry
-	AsOf   shed.Revision
-	Whole  bool
+type Update struct {
+	Source   Source
+	Items    []Entry
+	AsOf     shed.Revision
+	Complete bool
 }
 
 // Entry is an item with its decoded content; Fact is nil if it could not be decoded.
 type Entry struct {
 	shed.Item
-	Fact shed.Fact
+	Record shed.Fact
 }
 
 // Change is one change of the roster, for the log.
 type Change struct {
-	What shed.Reason
+	Reason shed.Reason
 	// Key and Revision are those of the item that caused the change.
 	Key      string
 	Revision shed.Revision
@@ -37,19 +37,19 @@
 	Version string
 }
 
-// Learn applies an update from the store or a peer.
-func (r *Roster) Learn(now time.Time, update Learned) []Change {
+// Apply applies an update from the store or a peer.
+func (r *Roster) Apply(now time.Time, update Update) []Change {
 	var out []Change
 	source := update.Source
 	if source == FromStore {
 		if r.hasReplicaData && r.lastContact.IsZero() && !r.storeLost {
 			// There was no outage: what only the replica still had has been deleted, and
 			// gets no grace.
-			source = FromCopy
+			source = FromReplica
 		}
 		out = r.recordStoreAnswer(now, out)
 	}
-	r.hasReplicaData = r.hasReplicaData || update.Source == FromCopy
+	r.hasReplicaData = r.hasReplicaData || update.Source == FromReplica
 	for _, e := range update.Items {
 		if e.Gone {
 			out = r.removeItem(now, out, source, e.Key, e.Revision)
@@ -57,11 +57,11 @@
 			out = r.putItem(now, out, e)
 		}
 	}
-	if update.Whole {
+	if update.Complete {
 		out = r.removeUnlisted(now, out, update)
 	}
 	r.asOf = max(r.asOf, update.AsOf)
-	if len(update.Items) > 0 || update.Whole {
+	if len(update.Items) > 0 || update.Complete {
 		r.rebuild()
 	}
 	return out
@@ -76,7 +76,7 @@
 	r.lastContact = now
 	if r.storeLost {
 		r.storeLost = false
-		out = append(out, Change{What: StoreRegained, Revision: r.asOf})
+		out = append(out, Change{Reason: StoreRegained, Revision: r.asOf})
 	}
 	return out
 }
@@ -87,7 +87,7 @@
 		return nil
 	}
 	r.storeLost = true
-	return []Change{{What: StoreLost, Revision: r.asOf}}
+	return []Change{{Reason: StoreLost, Revision: r.asOf}}
 }
 
 func (r *Roster) putItem(now time.Time, out []Change, e Entry) []Change {
@@ -103,29 +103,29 @@
 	if e.Revision <= r.deleted[e.Key] {
 		return out
 	}
-	switch f := e.Fact.(type) {
+	switch f := e.Record.(type) {
 	case *shed.Catalog:
 		if e.Revision < r.catalogRev {
 			return out
 		}
 		r.catalog, r.catalogRev = f, e.Revision
-		out = append(out, Change{What: CatalogInForce, Key: e.Key, Revision: e.Revision, Version: f.Version})
+		out = append(out, Change{Reason: CatalogInForce, Key: e.Key, Revision: e.Revision, Version: f.Version})
 	case shed.ZoneClosed:
-		out = append(out, Change{What: ZoneClosed, Key: e.Key, Revision: e.Revision, Zone: f.Zone})
+		out = append(out, Change{Reason: ZoneClosed, Key: e.Key, Revision: e.Revision, Zone: f.Zone})
 	case shed.Listing:
 		out = r.putServer(now, out, e, f)
 	default:
-		if old := r.items[e.Key]; old != nil && old.Fact != nil {
-			if server, ok := old.Fact.(shed.Listing); ok {
+		if old := r.items[e.Key]; old != nil && old.Record != nil {
+			if server, ok := old.Record.(shed.Listing); ok {
 				// The entry no longer describes a server.
 				delete(r.servers, server.ID)
 				delete(r.items, e.Key)
-				return append(out, Change{What: ServerUnread, Key: e.Key, Revision: e.Revision, Server: server.ID})
+				return append(out, Change{Reason: ServerUnreadable, Key: e.Key, Revision: e.Revision, Server: server.ID})
 			}
 			// The last readable configuration stays active.
-			return append(out, Change{What: CatalogUnread, Key: e.Key, Revision: e.Revision})
+			return append(out, Change{Reason: CatalogUnreadable, Key: e.Key, Revision: e.Revision})
 		}
-		return append(out, Change{What: ItemUnreadable, Key: e.Key, Revision: e.Revision})
+		return append(out, Change{Reason: ItemUnreadable, Key: e.Key, Revision: e.Revision})
 	}
 	r.savePast(r.Item(e.Key))
 	r.items[e.Key] = &heldItem{Entry: e}
@@ -144,9 +144,9 @@
 		s.ColdUntil = until
 	}
 	r.servers[server.ID] = s
-	change := Change{What: ServerListed, Key: e.Key, Revision: e.Revision, Server: server.ID, Zone: server.Zone}
+	change := Change{Reason: ServerListed, Key: e.Key, Revision: e.Revision, Server: server.ID, Zone: server.Zone}
 	if server.Leaving {
-		change.What = ServerLeaving
+		change.Reason = ServerLeaving
 	}
 	return append(out, change)
 }
@@ -159,10 +159,10 @@
 	if old == nil || rev != 0 && rev < old.Revision {
 		return out
 	}
-	if entry, ok := old.Fact.(shed.Listing); ok && source == FromStore && !entry.Leaving && now.Before(r.contactSince.Add(r.cfg.LapseGrace)) {
+	if entry, ok := old.Record.(shed.Listing); ok && source == FromStore && !entry.Leaving && now.Before(r.contactSince.Add(r.cfg.LapseGrace)) {
 		if old.lapsedAt.IsZero() {
 			old.lapsedAt = now
-			out = append(out, Change{What: ServerLapsed, Key: key, Revision: rev, Server: entry.ID, Zone: entry.Zone})
+			out = append(out, Change{Reason: ServerLapsed, Key: key, Revision: rev, Server: entry.ID, Zone: entry.Zone})
 		}
 		return out
 	}
@@ -173,13 +173,13 @@
 func (r *Roster) dropItem(now time.Time, out []Change, key string) []Change {
 	old := r.items[key]
 	delete(r.items, key)
-	switch f := old.Fact.(type) {
+	switch f := old.Record.(type) {
 	case shed.Listing:
 		delete(r.servers, f.ID)
-		out = append(out, Change{What: ServerGone, Key: key, Revision: old.Revision, Server: f.ID, Zone: f.Zone})
+		out = append(out, Change{Reason: ServerGone, Key: key, Revision: old.Revision, Server: f.ID, Zone: f.Zone})
 	case shed.ZoneClosed:
 		r.markZoneCold(now, f.Zone)
-		out = append(out, Change{What: ZoneReopened, Key: key, Revision: old.Revision, Zone: f.Zone})
+		out = append(out, Change{Reason: ZoneReopened, Key: key, Revision: old.Revision, Zone: f.Zone})
 	}
 	return out
 }
@@ -197,7 +197,7 @@
 
 // removeUnlisted removes the items that a complete list doesn't contain. Items that are newer
 // than the list stay.
-func (r *Roster) removeUnlisted(now time.Time, out []Change, update Learned) []Change {
+func (r *Roster) removeUnlisted(now time.Time, out []Change, update Update) []Change {
 	listed := make(map[string]bool, len(update.Items))
 	for _, e := range update.Items {
 		listed[e.Key] = true
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -39,8 +39,8 @@
 const (
 	FromStore Source = iota + 1
 	FromPeer
-	// FromCopy is a replica of the store, which may lag.
-	FromCopy
+	// FromReplica is a replica of the store, which may lag.
+	FromReplica
 )
 
 // Server is the roster's view of one backend server.
@@ -58,18 +58,18 @@
 
 // Reasons of a Change.
 const (
-	CatalogInForce shed.Reason = "configuration_in_force"
-	ServerListed   shed.Reason = "server_listed"
-	ServerLeaving  shed.Reason = "server_leaving"
-	ServerGone     shed.Reason = "server_gone"
-	ServerLapsed   shed.Reason = "server_entry_lapsed"
-	ServerUnread   shed.Reason = "server_entry_unreadable"
-	ZoneClosed     shed.Reason = "zone_closed"
-	ZoneReopened   shed.Reason = "zone_reopened"
-	StoreRegained  shed.Reason = "store_regained"
-	StoreLost      shed.Reason = "store_lost"
-	CatalogUnread  shed.Reason = "configuration_unreadable"
-	ItemUnreadable shed.Reason = "item_unreadable"
+	CatalogInForce    shed.Reason = "configuration_in_force"
+	ServerListed      shed.Reason = "server_listed"
+	ServerLeaving     shed.Reason = "server_leaving"
+	ServerGone        shed.Reason = "server_gone"
+	ServerLapsed      shed.Reason = "server_entry_lapsed"
+	ServerUnreadable  shed.Reason = "server_entry_unreadable"
+	ZoneClosed        shed.Reason = "zone_closed"
+	ZoneReopened      shed.Reason = "zone_reopened"
+	StoreRegained     shed.Reason = "store_regained"
+	StoreLost         shed.Reason = "store_lost"
+	CatalogUnreadable shed.Reason = "configuration_unreadable"
+	ItemUnreadable    shed.Reason = "item_unreadable"
 )
 
 // heldItem is an item in the roster.
@@ -131,8 +131,8 @@
 	return r.catalog.Pools[id]
 }
 
-// TurnedCold records that a server reported that it stays cold for left.
-func (r *Roster) TurnedCold(now time.Time, id shed.ServerID, left time.Duration) {
+// MarkCold records that a server reported that it stays cold for left.
+func (r *Roster) MarkCold(now time.Time, id shed.ServerID, left time.Duration) {
 	if s := r.servers[id]; s != nil {
 		s.ColdUntil = shed.Later(s.ColdUntil, now.Add(left))
 	}
@@ -144,7 +144,7 @@
 	clear(r.closed)
 	r.pools = map[shed.PoolID][]*Server{}
 	for _, key := range r.sortedKeys() {
-		switch f := r.items[key].Fact.(type) {
+		switch f := r.items[key].Record.(type) {
 		case shed.ZoneClosed:
 			r.closed[f.Zone] = true
 		case shed.Listing:
@@ -158,13 +158,13 @@
 // Catalog returns the active configuration; nil before the first.
 func (r *Roster) Catalog() *shed.Catalog { return r.catalog }
 
-// Sure reports whether the store, or a peer in contact with it, has confirmed the roster. Data
+// IsConfirmed reports whether the store, or a peer in contact with it, has confirmed the roster. Data
 // from a replica of the store may be seconds old.
-func (r *Roster) Sure() bool { return !r.hasReplicaData || !r.lastContact.IsZero() }
+func (r *Roster) IsConfirmed() bool { return !r.hasReplicaData || !r.lastContact.IsZero() }
 
 // Usable reports whether requests may be served with the roster. While the store does not
 // answer, an old configuration is better than none.
-func (r *Roster) Usable() bool { return r.catalog != nil && (r.Sure() || r.storeLost) }
+func (r *Roster) Usable() bool { return r.catalog != nil && (r.IsConfirmed() || r.storeLost) }
 
 // CatalogRevision is the revision of the active configuration; 0 before the first.
 func (r *Roster) CatalogRevision() shed.Revision { return r.catalogRev }
@@ -172,12 +172,12 @@
 // AsOf is the revision up to which the roster is complete.
 func (r *Roster) AsOf() shed.Revision { return r.asOf }
 
-// Contact is when the store last answered this daemon, or a peer with no newer state; zero if
+// LastContact is when the store last answered this daemon, or a peer with no newer state; zero if
 // it never did.
-func (r *Roster) Contact() time.Time { return r.lastContact }
+func (r *Roster) LastContact() time.Time { return r.lastContact }
 
-// Open returns the pool's servers that may get new work, sorted by id.
-func (r *Roster) Open(pool shed.PoolID) []*Server {
+// OpenServers returns the pool's servers that may get new work, sorted by id.
+func (r *Roster) OpenServers(pool shed.PoolID) []*Server {
 	var out []*Server
 	for _, s := range r.pools[pool] {
 		if !s.Leaving && !r.closed[s.Zone] {
@@ -196,8 +196,8 @@
 	return *s, true
 }
 
-// Listed reports whether the roster has the server, open or not.
-func (r *Roster) Listed(id shed.ServerID) bool { return r.servers[id] != nil }
+// HasServer reports whether the roster has the server, open or not.
+func (r *Roster) HasServer(id shed.ServerID) bool { return r.servers[id] != nil }
 
 // HasRoute reports whether the active configuration has the route.
 func (r *Roster) HasRoute(id shed.RouteID) bool {
--- a/internal/roster/share.go
+++ b/internal/roster/share.go
@@ -11,9 +11,9 @@
 	"jasmineshed/internal/delta"
 )
 
-// Since returns the changes after a revision, for a peer that doesn't read the store itself:
+// ChangesSince returns the changes after a revision, for a peer that doesn't read the store itself:
 // items sorted by key, then deletions. If after is 0, it returns all items.
-func (r *Roster) Since(after shed.Revision) []shed.Item {
+func (r *Roster) ChangesSince(after shed.Revision) []shed.Item {
 	var out []shed.Item
 	for _, key := range r.sortedKeys() {
 		if h := r.items[key]; h.Revision > after {
@@ -66,7 +66,7 @@
 
 // savePast keeps an item that is about to be replaced, if its value is large.
 func (r *Roster) savePast(old shed.Item) {
-	if !delta.Large(old) {
+	if !delta.IsLarge(old) {
 		return
 	}
 	past := slices.Concat(r.pastItems[old.Key], []shed.Item{old})
@@ -89,9 +89,9 @@
 	return d.Sum64()
 }
 
-// Confirmed records that the store answered a peer at that time, and that this daemon's state
+// Confirm records that the store answered a peer at that time, and that this daemon's state
 // equals the peer's.
-func (r *Roster) Confirmed(at time.Time) {
+func (r *Roster) Confirm(at time.Time) {
 	if at.After(r.lastContact) {
 		r.lastContact = at
 	}
