--- a/internal/delta/delta.go
+++ b/internal/delta/delta.go
@@ -19,7 +19,7 @@
 	dictionaryID = 1
 )
 
-// ErrPacked is returned for a value that can't be unpacked with the given base.
+// ErrUnpack is returned for a value that can't be unpacked with the given base.
 var ErrUnpack = errors.New("cannot unpack value with the given base")
 
 // Pack packs a value as its difference to base, which may be empty.
--- a/internal/delta/packer.go
+++ b/internal/delta/packer.go
@@ -67,7 +67,7 @@
 	}
 }
 
-// Restore reverses Pack; held is the receiver's item of the same key. It returns ErrPacked if
+// Restore reverses Pack; held is the receiver's item of the same key. It returns ErrUnpack if
 // held is not the base.
 func Restore(c shed.ItemChange, held shed.Item) (shed.Item, error) {
 	if !c.Packed {
--- a/internal/fanout/fanout.go
+++ b/internal/fanout/fanout.go
@@ -52,7 +52,7 @@
 	Busy, Coordinator bool
 }
 
-// Round is the report that a VM sends in one round.
+// Round is what a VM reports in one round, and to which peers.
 type Round struct {
 	To []shed.VM
 	// ForwardToAll: the receiver, a hub, forwards the report to all.
@@ -80,8 +80,8 @@
 	self shed.VM
 	// lastPeer is the peer reported to last; the round robin continues after it.
 	lastPeer shed.VM
-	// lastRound is when Due was last called; credit is the number of peers due since then,
-	// including a fraction.
+	// lastRound is when NextRound was last called; credit is the number of peers due since
+	// then, including a fraction.
 	lastRound time.Time
 	credit    float64
 	// lastBusy is when there was last load to report.
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -66,8 +66,8 @@
 	State PeerState
 }
 
-// UpdateMissed says that a peer announced a change up to AsOf that it did not send, or that can't
-// be applied to the local state.
+// UpdateMissed says that a peer announced a change up to AsOf that it did not send, or that
+// can't be applied to the local state.
 type UpdateMissed struct {
 	From shed.VM
 	AsOf shed.Revision
@@ -145,8 +145,8 @@
 // LastContact is when the store last answered a peer, as the peer reported it; zero if unknown.
 func (f *Follower) LastContact(vm shed.VM) time.Time { return f.states[vm].LastContact }
 
-// CatalogIsStale reports whether a peer's active configuration is newer than asOf, so that a VM with
-// the store's state as of that revision can't have it.
+// CatalogIsStale reports whether a peer's active configuration is newer than asOf, so that a VM
+// with the store's state as of that revision can't have it.
 func (f *Follower) CatalogIsStale(asOf shed.Revision) bool { return f.newestCatalog > asOf }
 
 // Handle processes an event; own is this VM's current state.
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -158,8 +158,8 @@
 // Catalog returns the active configuration; nil before the first.
 func (r *Roster) Catalog() *shed.Catalog { return r.catalog }
 
-// IsConfirmed reports whether the store, or a peer in contact with it, has confirmed the roster. Data
-// from a replica of the store may be seconds old.
+// IsConfirmed reports whether the store, or a peer in contact with it, has confirmed the roster.
+// Data from a replica of the store may be seconds old.
 func (r *Roster) IsConfirmed() bool { return !r.hasReplicaData || !r.lastContact.IsZero() }
 
 // Usable reports whether requests may be served with the roster. While the store does not
--- a/internal/roster/share.go
+++ b/internal/roster/share.go
@@ -11,8 +11,8 @@
 	"jasmineshed/internal/delta"
 )
 
-// ChangesSince returns the changes after a revision, for a peer that doesn't read the store itself:
-// items sorted by key, then deletions. If after is 0, it returns all items.
+// ChangesSince returns the changes after a revision, for a peer that doesn't read the store
+// itself: items sorted by key, then deletions. If after is 0, it returns all items.
 func (r *Roster) ChangesSince(after shed.Revision) []shed.Item {
 	var out []shed.Item
 	for _, key := range r.sortedKeys() {
--- a/internal/roster/learn.go
+++ b/internal/roster/update.go
@@ -11,7 +11,7 @@
 type Source uint8
 
 // Update is an update from the store or a peer: the changes up to AsOf, or all items if
-// Whole.
+// Complete.
 type Update struct {
 	Source   Source
 	Items    []Entry
@@ -19,7 +19,7 @@
 	Complete bool
 }
 
-// Entry is an item with its decoded content; Fact is nil if it could not be decoded.
+// Entry is an item with its decoded content; Record is nil if it could not be decoded.
 type Entry struct {
 	shed.Item
 	Record shed.Fact
