--- a/internal/delta/packer.go
+++ b/internal/delta/packer.go
@@ -30,7 +30,7 @@
 }
 
 // IsLarge reports whether an item's value is large enough to be packed.
-func IsLarge(item shed.Item) bool { return !item.Gone && len(item.Value) >= minPackSize }
+func IsLarge(item shed.Item) bool { return !item.Deleted && len(item.Value) >= minPackSize }
 
 // Pack converts an item to the form sent between VMs; base is the receiver's item of the same
 // key, the zero value if it has none.
--- a/internal/fanout/fanout.go
+++ b/internal/fanout/fanout.go
@@ -58,7 +58,7 @@
 	// ForwardToAll: the receiver, a hub, forwards the report to all.
 	ForwardToAll bool
 	// Forwarded are the loads of other VMs that this VM forwards.
-	Forwarded []shed.CarriedLoad
+	Forwarded []shed.ForwardedLoad
 	// Placed are the prompts placed since the last report to the VMs in To.
 	Placed []shed.PromptPlaced
 }
@@ -107,9 +107,9 @@
 	for _, p := range load.Placed {
 		f.RecordPlacement(now, p)
 	}
-	load.Placed, load.Carried, load.PassOn = nil, nil, false
+	load.Placed, load.Forwarded, load.ForwardToAll = nil, nil, false
 	// The VM's state of the store is of use to its hub only.
-	load.AsOf, load.Digest, load.Confirmed, load.Catalog = 0, 0, 0, 0
+	load.AsOf, load.Digest, load.ConfirmedAgo, load.Catalog = 0, 0, 0, 0
 	// So are its server limits: the hub merges them and reports its own.
 	load.Limits = nil
 	f.forwarded[from.VM] = forwardedLoad{from: from, load: load, receivedAt: now}
@@ -157,12 +157,12 @@
 }
 
 // forwardedLoads returns the loads to forward, sorted by VM.
-func (f *Fanout) forwardedLoads(now time.Time) []shed.CarriedLoad {
-	var out []shed.CarriedLoad
+func (f *Fanout) forwardedLoads(now time.Time) []shed.ForwardedLoad {
+	var out []shed.ForwardedLoad
 	for _, h := range f.forwarded {
-		out = append(out, shed.CarriedLoad{From: h.from, Age: now.Sub(h.receivedAt), Load: h.load})
+		out = append(out, shed.ForwardedLoad{From: h.from, Age: now.Sub(h.receivedAt), Load: h.load})
 	}
-	slices.SortFunc(out, func(a, b shed.CarriedLoad) int { return cmp.Compare(a.From.VM, b.From.VM) })
+	slices.SortFunc(out, func(a, b shed.ForwardedLoad) int { return cmp.Compare(a.From.VM, b.From.VM) })
 	return out
 }
 
--- a/internal/fanout/fanout_test.go
+++ b/internal/fanout/fanout_test.go
@@ -121,10 +121,10 @@
 // forecast.
 func (v *node) load(t fanout.Round) shed.RelayLoad {
 	load := shed.RelayLoad{
-		Sequence: v.sequence, PassOn: t.ForwardToAll, Carried: t.Forwarded, Placed: t.Placed,
-		AsOf: 1 << 20, Digest: 1 << 60, Confirmed: time.Second, Catalog: 1 << 20,
-		Servers: map[shed.ServerID]shed.ServerShare{"i-0123456789": {Running: 1, Reading: 12000}, "i-1123456789": {Running: 1}},
-		Coming:  map[shed.PoolID]int{"pool-a": 16, "pool-b": 8},
+		Sequence: v.sequence, ForwardToAll: t.ForwardToAll, Forwarded: t.Forwarded, Placed: t.Placed,
+		AsOf: 1 << 20, Digest: 1 << 60, ConfirmedAgo: time.Second, Catalog: 1 << 20,
+		Servers:        map[shed.ServerID]shed.ServerShare{"i-0123456789": {Running: 1, Reading: 12000}, "i-1123456789": {Running: 1}},
+		ExpectedPieces: map[shed.PoolID]int{"pool-a": 16, "pool-b": 8},
 	}
 	if v.coordinator {
 		load.Waits = []shed.PieceWait{{Pool: "pool-a", Timely: time.Second, Last: time.Second, Slow: 1.5, Rate: 80.5}}
@@ -138,10 +138,10 @@
 func (f *fleet) receive(to, from *node, load shed.RelayLoad) {
 	at := f.now.Add(latency)
 	to.known[from.id] = f.now
-	if load.PassOn {
+	if load.ForwardToAll {
 		to.fanout.Forward(at, peerOf(from), load)
 	}
-	for _, c := range load.Carried {
+	for _, c := range load.Forwarded {
 		if reported := f.now.Add(-c.Age); reported.After(to.known[c.From.VM]) {
 			to.known[c.From.VM] = reported
 		}
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -45,7 +45,7 @@
 
 // Server is the roster's view of one backend server.
 type Server struct {
-	shed.Listing
+	shed.ServerEntry
 	// ColdUntil is when the server is expected to be warm; zero if it is warm.
 	ColdUntil time.Time
 	// Lapsed: its entry vanished during a store outage; it is used until the grace period
@@ -147,7 +147,7 @@
 		switch f := r.items[key].Record.(type) {
 		case shed.ZoneClosed:
 			r.closed[f.Zone] = true
-		case shed.Listing:
+		case shed.ServerEntry:
 			s := r.servers[f.ID]
 			s.Lapsed = !r.items[key].lapsedAt.IsZero()
 			r.pools[f.Pool] = append(r.pools[f.Pool], s)
--- a/internal/roster/update.go
+++ b/internal/roster/update.go
@@ -22,7 +22,7 @@
 // Entry is an item with its decoded content; Record is nil if it could not be decoded.
 type Entry struct {
 	shed.Item
-	Record shed.Fact
+	Record shed.Record
 }
 
 // Change is one change of the roster, for the log.
@@ -51,7 +51,7 @@
 	}
 	r.hasReplicaData = r.hasReplicaData || update.Source == FromReplica
 	for _, e := range update.Items {
-		if e.Gone {
+		if e.Deleted {
 			out = r.removeItem(now, out, source, e.Key, e.Revision)
 		} else {
 			out = r.putItem(now, out, e)
@@ -112,11 +112,11 @@
 		out = append(out, Change{Reason: CatalogInForce, Key: e.Key, Revision: e.Revision, Version: f.Version})
 	case shed.ZoneClosed:
 		out = append(out, Change{Reason: ZoneClosed, Key: e.Key, Revision: e.Revision, Zone: f.Zone})
-	case shed.Listing:
+	case shed.ServerEntry:
 		out = r.putServer(now, out, e, f)
 	default:
 		if old := r.items[e.Key]; old != nil && old.Record != nil {
-			if server, ok := old.Record.(shed.Listing); ok {
+			if server, ok := old.Record.(shed.ServerEntry); ok {
 				// The entry no longer describes a server.
 				delete(r.servers, server.ID)
 				delete(r.items, e.Key)
@@ -134,13 +134,13 @@
 
 // putServer stores a server entry. The entry was written a while ago, so its cold period ends
 // earlier than computed here; the server counts as cold until that upper bound, ColdUntil.
-func (r *Roster) putServer(now time.Time, out []Change, e Entry, server shed.Listing) []Change {
+func (r *Roster) putServer(now time.Time, out []Change, e Entry, server shed.ServerEntry) []Change {
 	old := r.servers[server.ID]
-	s := &Server{Listing: server}
-	if old != nil && old.Born == server.Born {
+	s := &Server{ServerEntry: server}
+	if old != nil && old.StartedMs == server.StartedMs {
 		s.ColdUntil = old.ColdUntil
 	}
-	if until := now.Add(server.Cold); server.Cold > 0 && until.After(s.ColdUntil) {
+	if until := now.Add(server.ColdRemaining); server.ColdRemaining > 0 && until.After(s.ColdUntil) {
 		s.ColdUntil = until
 	}
 	r.servers[server.ID] = s
@@ -159,7 +159,7 @@
 	if old == nil || rev != 0 && rev < old.Revision {
 		return out
 	}
-	if entry, ok := old.Record.(shed.Listing); ok && source == FromStore && !entry.Leaving && now.Before(r.contactSince.Add(r.cfg.LapseGrace)) {
+	if entry, ok := old.Record.(shed.ServerEntry); ok && source == FromStore && !entry.Leaving && now.Before(r.contactSince.Add(r.cfg.LapseGrace)) {
 		if old.lapsedAt.IsZero() {
 			old.lapsedAt = now
 			out = append(out, Change{Reason: ServerLapsed, Key: key, Revision: rev, Server: entry.ID, Zone: entry.Zone})
@@ -174,7 +174,7 @@
 	old := r.items[key]
 	delete(r.items, key)
 	switch f := old.Record.(type) {
-	case shed.Listing:
+	case shed.ServerEntry:
 		delete(r.servers, f.ID)
 		out = append(out, Change{Reason: ServerGone, Key: key, Revision: old.Revision, Server: f.ID, Zone: f.Zone})
 	case shed.ZoneClosed:
@@ -189,8 +189,8 @@
 func (r *Roster) markZoneCold(now time.Time, zone shed.ZoneID) {
 	for _, s := range r.servers {
 		pool := r.pool(s.Pool)
-		if s.Zone == zone && pool != nil && pool.ColdFor > 0 {
-			s.ColdUntil = shed.Later(s.ColdUntil, now.Add(pool.ColdFor))
+		if s.Zone == zone && pool != nil && pool.ColdDuration > 0 {
+			s.ColdUntil = shed.Later(s.ColdUntil, now.Add(pool.ColdDuration))
 		}
 	}
 }
