--- a/internal/relay/sync.go
+++ b/internal/relay/sync.go
@@ -169,7 +169,7 @@
 		tellers = r.standing(now)
 	}
 	r.tellChanges(r.roster.Apply(now, l))
-	r.picker.Keep(r.roster.HasServer)
+	r.picker.RetainServers(r.roster.HasServer)
 	r.accept.Keep(r.roster.HasRoute)
 	r.limits.Keep(now, r.roster.HasServer)
 	r.book.Keep(now)
