--- a/internal/delta/delta.go
+++ b/internal/delta/delta.go
@@ -1,6 +1,5 @@
-// Package delta packs large values as the difference to a value that the receiver
-// has already, so that passing on a change costs what has changed, not what the whole
-// value holds.
+// Package delta compresses large values as the difference to a value that the receiver already
+// has, so that the cost of sending a change depends on the size of the change, not of the value.
 package delta
 
 import (
@@ -11,27 +10,27 @@
 )
 
 const (
-	// maxValue bounds an unpacked value, in bytes: a packed one may claim any size.
-	maxValue = 16 << 20
-	// window is how far back a difference may refer, in bytes: a base and a value of
-	// the largest size that the store takes, and more.
-	window = 4 << 20
-	// dictionary is the number that a base is known by in the packed form.
-	dictionary = 1
+	// maxValueSize bounds an unpacked value, in bytes: a packed one may claim any size.
+	maxValueSize = 16 << 20
+	// windowSize is the zstd window, in bytes: it exceeds a base plus a value of the largest
+	// size that the store accepts.
+	windowSize = 4 << 20
+	// dictionaryID identifies the base as the dictionary of the packed form.
+	dictionaryID = 1
 )
 
-// ErrPacked is returned for what can't be unpacked with the base given.
-var ErrPacked = errors.New("value can't be unpacked")
+// ErrUnpack is returned for a value that can't be unpacked with the given base.
+var ErrUnpack = errors.New("cannot unpack value with the given base")
 
 // Pack packs a value as its difference to base, which may be empty.
 func Pack(value, base []byte) ([]byte, error) {
 	opts := []zstd.EOption{
-		zstd.WithEncoderConcurrency(1), zstd.WithWindowSize(window), zstd.WithLowerEncoderMem(true),
-		// The checksum finds a base that isn't the sender's.
+		zstd.WithEncoderConcurrency(1), zstd.WithWindowSize(windowSize), zstd.WithLowerEncoderMem(true),
+		// The checksum detects a base that differs from the sender's.
 		zstd.WithEncoderCRC(true),
 	}
 	if len(base) > 0 {
-		opts = append(opts, zstd.WithEncoderDictRaw(dictionary, base))
+		opts = append(opts, zstd.WithEncoderDictRaw(dictionaryID, base))
 	}
 	enc, err := zstd.NewWriter(nil, opts...)
 	if err != nil {
@@ -44,20 +43,20 @@
 	return packed, nil
 }
 
-// Unpack undoes Pack with the same base.
+// Unpack reverses Pack, given the same base.
 func Unpack(packed, base []byte) ([]byte, error) {
-	opts := []zstd.DOption{zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxValue)}
+	opts := []zstd.DOption{zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxValueSize)}
 	if len(base) > 0 {
-		opts = append(opts, zstd.WithDecoderDictRaw(dictionary, base))
+		opts = append(opts, zstd.WithDecoderDictRaw(dictionaryID, base))
 	}
 	dec, err := zstd.NewReader(nil, opts...)
 	if err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrPacked, err)
+		return nil, fmt.Errorf("%w: %w", ErrUnpack, err)
 	}
 	defer dec.Close()
 	value, err := dec.DecodeAll(packed, nil)
 	if err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrPacked, err)
+		return nil, fmt.Errorf("%w: %w", ErrUnpack, err)
 	}
 	return value, nil
 }
--- a/internal/delta/packer.go
+++ b/internal/delta/packer.go
@@ -6,70 +6,69 @@
 	shed "jasmineshed"
 )
 
-// packFrom is the size from which a value is packed, in bytes. Smaller ones, such as
-// entries of servers, go as they are.
-const packFrom = 4 << 10
+// minPackSize is the minimum size of a value to be packed, in bytes. Smaller ones, such as
+// server entries, are sent unpacked.
+const minPackSize = 4 << 10
 
-// packedMost is how many packed values a Packer keeps. Peers that ask have one of the
-// last few versions.
-const packedMost = 8
+// maxPacked is how many packed values a Packer caches. Peers that ask have one of the last few
+// versions.
+const maxPacked = 8
 
-// Packer packs items for many peers, each difference once: on a small VM packing a
-// large value for every peer anew would take longer than sending it. It is safe for
-// concurrent use.
+// Packer packs items for many peers and caches the results: on a small VM, packing a large value
+// again for every peer would take longer than sending it. It is safe for concurrent use.
 type Packer struct {
 	mu     sync.Mutex
-	packed map[difference][]byte
-	// order has the differences that are kept, the oldest first.
-	order []difference
+	packed map[packedKey][]byte
+	// order holds the cached keys, oldest first.
+	order []packedKey
 }
 
-// difference names what was packed.
-type difference struct {
+// packedKey identifies a packed value.
+type packedKey struct {
 	key            string
 	revision, base shed.Revision
 }
 
-// Large tells whether an item's value is packed.
-func Large(item shed.Item) bool { return !item.Deleted && len(item.Value) >= packFrom }
+// IsLarge reports whether an item's value is large enough to be packed.
+func IsLarge(item shed.Item) bool { return !item.Deleted && len(item.Value) >= minPackSize }
 
-// Pack puts an item into the form in which VMs pass it on; base is the same key's
-// item that the receiver has, its zero value if it has none.
+// Pack converts an item to the form sent between VMs; base is the receiver's item of the same
+// key, the zero value if it has none.
 func (p *Packer) Pack(item, base shed.Item) shed.ItemChange {
-	if !Large(item) {
+	if !IsLarge(item) {
 		return shed.ItemChange{Item: item}
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	d := difference{key: item.Key, revision: item.Revision, base: base.Revision}
-	packed, ok := p.packed[d]
+	key := packedKey{key: item.Key, revision: item.Revision, base: base.Revision}
+	packed, ok := p.packed[key]
 	if !ok {
 		var err error
 		if packed, err = Pack(item.Value, base.Value); err != nil {
-			// It is only longer as it is.
+			// Sending the value unpacked only takes more bytes.
 			return shed.ItemChange{Item: item}
 		}
-		p.keep(d, packed)
+		p.cache(key, packed)
 	}
 	item.Value = packed
 	return shed.ItemChange{Item: item, Packed: true, Base: base.Revision}
 }
 
-// keep remembers a packed value. The caller holds mu.
-func (p *Packer) keep(d difference, packed []byte) {
+// cache stores a packed value, and drops the oldest one beyond maxPacked. The caller holds mu.
+func (p *Packer) cache(key packedKey, packed []byte) {
 	if p.packed == nil {
-		p.packed = map[difference][]byte{}
+		p.packed = map[packedKey][]byte{}
 	}
-	p.packed[d] = packed
-	p.order = append(p.order, d)
-	if len(p.order) > packedMost {
+	p.packed[key] = packed
+	p.order = append(p.order, key)
+	if len(p.order) > maxPacked {
 		delete(p.packed, p.order[0])
 		p.order = p.order[1:]
 	}
 }
 
-// Restore undoes Pack; held is the same key's item that the receiver has. It is
-// ErrPacked if that isn't the base.
+// Restore reverses Pack; held is the receiver's item of the same key. It returns ErrUnpack if
+// held is not the base.
 func Restore(c shed.ItemChange, held shed.Item) (shed.Item, error) {
 	if !c.Packed {
 		return c.Item, nil
@@ -78,7 +77,7 @@
 		held = shed.Item{}
 	}
 	if held.Revision != c.Base {
-		return shed.Item{}, ErrPacked
+		return shed.Item{}, ErrUnpack
 	}
 	value, err := Unpack(c.Value, held.Value)
 	if err != nil {
--- a/internal/fanout/fanout.go
+++ b/internal/fanout/fanout.go
@@ -1,13 +1,13 @@
-// Package fanout decides which peers a VM tells its load, how often, and what it passes
-// on of others' loads. It is pure.
+// Package fanout decides which peers a VM sends its load report to, how often, and which
+// reports of other VMs it forwards. It does no I/O.
 //
-// Load pattern: hundreds of VMs, most of them small. If each told every other one, the
-// messages would take more of the processors than requests do, and would have to be so
-// rare that a forecast is older than a burst of requests is long.
+// Load pattern: hundreds of VMs, most of them small. If each reported to every other one, the
+// messages would use more CPU than requests do, and would have to be so rare that a forecast
+// is older than a burst of requests is long.
 //
-// In a small fleet each VM tells all others. In a larger one a few strong VMs do, the
-// hubs; each other VM tells one hub often, and that passes it on beside its own load.
-// Peers are told in turn, some at each tick: a message to all at once holds up the
+// In a small fleet each VM reports to all others. In a larger one only a few high-capacity VMs
+// do, the hubs; every other VM reports to one hub often, which forwards the load with its own.
+// Each tick reports to some peers, in round-robin order: a message to all at once delays the
 // requests of a small VM.
 package fanout
 
@@ -22,212 +22,214 @@
 )
 
 const (
-	// direct is the most VMs in a fleet in which each one tells all others.
-	direct = 24
-	// leastHubs and usualHubs bound the hubs of a larger fleet. Strong VMs are taken up
-	// to usualHubs, or up to the square root of the fleet if that is more: then a hub
-	// carries about as many loads as there are hubs.
-	leastHubs, usualHubs = 3, 16
-	// turn is the shortest time between two messages to one peer.
-	turn = 100 * time.Millisecond
-	// How many peers a VM tells in a turn: one of a small fleet, a hub, and one at which
-	// pieces wait. Its forecast decides whom all others let in, so it tells all itself.
-	directPerTurn, hubPerTurn, gathersPerTurn = 12, 24, 60
-	// toHub is how often a VM tells its hub.
-	toHub = 300 * time.Millisecond
-	// idle is how often a VM tells its load though nothing is under way.
-	idle = 300 * time.Millisecond
-	// mostPlaced bounds the prompts that wait to be told.
-	mostPlaced = 4096
+	// maxDirect is the largest fleet in which each VM reports to all others.
+	maxDirect = 24
+	// minHubs and usualMaxHubs bound the hubs of a larger fleet. There are up to usualMaxHubs
+	// high-capacity ones, or up to the square root of the fleet size if that is more: then
+	// a hub forwards about as many loads as there are hubs.
+	minHubs, usualMaxHubs = 3, 16
+	// roundInterval is the minimum time between two messages to one peer.
+	roundInterval = 100 * time.Millisecond
+	// Peers per round for a VM of a small fleet, a hub, and a coordinator, at which pieces
+	// wait. Admission on all VMs depends on a coordinator's forecast, so it reports directly.
+	directPerRound, hubPerRound, coordinatorPerRound = 12, 24, 60
+	// hubInterval is how often a VM reports to its hub.
+	hubInterval = 300 * time.Millisecond
+	// idleInterval is how often an idle VM reports its load.
+	idleInterval = 300 * time.Millisecond
+	// maxPlaced bounds the placed prompts that are queued for reporting.
+	maxPlaced = 4096
 )
 
-// View is what a VM knows of its fleet and itself.
+// View is a VM's view of its fleet and itself.
 type View struct {
-	// Peers are the other VMs that are alive, sorted.
+	// Peers are the other live VMs, sorted.
 	Peers []shed.VM
-	// Strong are the VMs of the fleet, this one among them, that do work for others.
-	Strong []shed.VM
-	// Busy: there is something to tell. Gathers: pieces wait here.
-	Busy, Gathers bool
+	// HighCapacity are the high-capacity VMs of the fleet, which do work for others. They may
+	// include this VM.
+	HighCapacity []shed.VM
+	// Busy: there is load to report. Coordinator: pieces wait here.
+	Busy, Coordinator bool
 }
 
-// Turn is what a VM tells now.
-type Turn struct {
+// Round is what a VM reports in one round, and to which peers.
+type Round struct {
 	To []shed.VM
-	// ForwardToAll: the one that is told passes it on to all.
-	PassOn bool
-	// Carried are the loads that this VM passes on.
-	Carried []shed.ForwardedLoad
-	// Placed are the prompts placed since the VMs in To were told last.
+	// ForwardToAll: the receiver, a hub, forwards the report to all.
+	ForwardToAll bool
+	// Forwarded are the loads of other VMs that this VM forwards.
+	Forwarded []shed.ForwardedLoad
+	// Placed are the prompts placed since the last report to the VMs in To.
 	Placed []shed.PromptPlaced
 }
 
-// heard is a load that is to be passed on.
-type heard struct {
-	from shed.Peer
-	load shed.RelayLoad
-	at   time.Time
+// forwardedLoad is another VM's load to forward.
+type forwardedLoad struct {
+	from       shed.Peer
+	load       shed.RelayLoad
+	receivedAt time.Time
 }
 
-type placed struct {
+type placedPrompt struct {
 	shed.PromptPlaced
-	at time.Time
+	placedAt time.Time
 }
 
 // Fanout is one VM's state. It is not safe for concurrent use.
 type Fanout struct {
 	self shed.VM
-	// last is the peer that was told last; the next ones follow it in their order.
-	last shed.VM
-	// at is when Due was asked last, owed how many peers are due since, in parts.
-	at   time.Time
-	owed float64
-	// busyAt is when there was last something to tell.
-	busyAt time.Time
-	carry  map[shed.VM]heard
-	placed []placed
-}
-
-// New returns the state of a VM that has told nobody.
+	// lastPeer is the peer reported to last; the round robin continues after it.
+	lastPeer shed.VM
+	// lastRound is when NextRound was last called; credit is the number of peers due since
+	// then, including a fraction.
+	lastRound time.Time
+	credit    float64
+	// lastBusy is when there was last load to report.
+	lastBusy  time.Time
+	forwarded map[shed.VM]forwardedLoad
+	placed    []placedPrompt
+}
+
+// New returns the state of a VM that has sent no report.
 func New(self shed.VM) *Fanout {
-	return &Fanout{self: self, last: self, carry: map[shed.VM]heard{}}
+	return &Fanout{self: self, lastPeer: self, forwarded: map[shed.VM]forwardedLoad{}}
 }
 
-// Placed notes that a prompt was placed.
-func (f *Fanout) Placed(now time.Time, p shed.PromptPlaced) {
-	if len(f.placed) < mostPlaced {
-		f.placed = append(f.placed, placed{p, now})
+// RecordPlacement queues a placed prompt for reporting.
+func (f *Fanout) RecordPlacement(now time.Time, p shed.PromptPlaced) {
+	if len(f.placed) < maxPlaced {
+		f.placed = append(f.placed, placedPrompt{p, now})
 	}
 }
 
-// ForwardToAll notes a load that this VM is asked to pass on.
-func (f *Fanout) PassOn(now time.Time, from shed.Peer, load shed.RelayLoad) {
+// Forward queues a peer's load that this VM is to forward.
+func (f *Fanout) Forward(now time.Time, from shed.Peer, load shed.RelayLoad) {
 	for _, p := range load.Placed {
-		f.Placed(now, p)
+		f.RecordPlacement(now, p)
 	}
 	load.Placed, load.Forwarded, load.ForwardToAll = nil, nil, false
-	// What the VM knows of the store is of use to its hub only.
+	// The VM's state of the store is of use to its hub only.
 	load.AsOf, load.Digest, load.ConfirmedAgo, load.Catalog = 0, 0, 0, 0
-	// So is what it knows of limits: the hub takes that in, and tells what it knows itself.
+	// So are its server limits: the hub merges them and reports its own.
 	load.Limits = nil
-	f.carry[from.VM] = heard{from: from, load: load, at: now}
+	f.forwarded[from.VM] = forwardedLoad{from: from, load: load, receivedAt: now}
 }
 
-// Due is what this VM tells now. It is asked at each tick.
-func (f *Fanout) Due(now time.Time, v View) Turn {
-	busy := v.Busy || len(f.carry) > 0
+// NextRound returns the report to send now; it is called at each tick.
+func (f *Fanout) NextRound(now time.Time, v View) Round {
+	busy := v.Busy || len(f.forwarded) > 0
 	if busy {
-		f.busyAt = now
+		f.lastBusy = now
 	}
 	hubs := f.hubs(v)
-	to, every := v.Peers, period(len(v.Peers), perTurn(v))
-	passOn := len(hubs) > 0 && !v.Gathers && !slices.Contains(hubs, f.self)
-	if passOn {
+	to, interval := v.Peers, period(len(v.Peers), peersPerRound(v))
+	viaHub := len(hubs) > 0 && !v.Coordinator && !slices.Contains(hubs, f.self)
+	if viaHub {
 		hub, _ := rank.Owner("hub "+string(f.self), hubs)
-		to, every = []shed.VM{hub}, toHub
+		to, interval = []shed.VM{hub}, hubInterval
 	}
-	// All are told once more that nothing is under way any more.
-	if !busy && now.Sub(f.busyAt) > every+turn {
-		every = max(every, idle)
+	// Peers still get one report that the VM is now idle, before the rate drops.
+	if !busy && now.Sub(f.lastBusy) > interval+roundInterval {
+		interval = max(interval, idleInterval)
 	}
-	f.forget(now.Add(-every - 2*turn))
-	t := Turn{To: f.next(now, to, every), PassOn: passOn}
-	if len(t.To) == 0 {
-		return Turn{}
+	f.dropSent(now.Add(-interval - 2*roundInterval))
+	round := Round{To: f.nextPeers(now, to, interval), ForwardToAll: viaHub}
+	if len(round.To) == 0 {
+		return Round{}
 	}
 	for _, p := range f.placed {
-		t.Placed = append(t.Placed, p.PromptPlaced)
+		round.Placed = append(round.Placed, p.PromptPlaced)
 	}
-	if !passOn {
-		t.Carried = f.carried(now)
+	if !viaHub {
+		round.Forwarded = f.forwardedLoads(now)
 	}
-	return t
+	return round
 }
 
-// forget drops what all peers have been told.
-func (f *Fanout) forget(before time.Time) {
-	f.placed = slices.DeleteFunc(f.placed, func(p placed) bool { return p.at.Before(before) })
-	for vm, h := range f.carry {
-		if h.at.Before(before) {
-			delete(f.carry, vm)
+// dropSent drops what has been reported to all peers.
+func (f *Fanout) dropSent(before time.Time) {
+	f.placed = slices.DeleteFunc(f.placed, func(p placedPrompt) bool { return p.placedAt.Before(before) })
+	for vm, load := range f.forwarded {
+		if load.receivedAt.Before(before) {
+			delete(f.forwarded, vm)
 		}
 	}
 }
 
-// carried are the loads to pass on, sorted by VM.
-func (f *Fanout) carried(now time.Time) []shed.ForwardedLoad {
+// forwardedLoads returns the loads to forward, sorted by VM.
+func (f *Fanout) forwardedLoads(now time.Time) []shed.ForwardedLoad {
 	var out []shed.ForwardedLoad
-	for _, h := range f.carry {
-		out = append(out, shed.ForwardedLoad{From: h.from, Age: now.Sub(h.at), Load: h.load})
+	for _, h := range f.forwarded {
+		out = append(out, shed.ForwardedLoad{From: h.from, Age: now.Sub(h.receivedAt), Load: h.load})
 	}
 	slices.SortFunc(out, func(a, b shed.ForwardedLoad) int { return cmp.Compare(a.From.VM, b.From.VM) })
 	return out
 }
 
-// next are those of the VMs whose turn it is, if all are told once in a period.
-func (f *Fanout) next(now time.Time, to []shed.VM, every time.Duration) []shed.VM {
-	since := turn
-	if !f.at.IsZero() {
-		// A VM that was paused or is slow doesn't owe what it has missed.
-		since = min(max(now.Sub(f.at), 0), 2*turn)
+// nextPeers returns the VMs that are next in the round robin, if each is due once per interval.
+func (f *Fanout) nextPeers(now time.Time, to []shed.VM, interval time.Duration) []shed.VM {
+	elapsed := roundInterval
+	if !f.lastRound.IsZero() {
+		// A VM that was paused or is slow doesn't make up for missed rounds.
+		elapsed = min(max(now.Sub(f.lastRound), 0), 2*roundInterval)
 	}
-	f.at = now
+	f.lastRound = now
 	n := len(to)
-	f.owed = min(f.owed+float64(n)*since.Seconds()/every.Seconds(), float64(n))
-	k := int(f.owed)
-	f.owed -= float64(k)
+	f.credit = min(f.credit+float64(n)*elapsed.Seconds()/interval.Seconds(), float64(n))
+	k := int(f.credit)
+	f.credit -= float64(k)
 	if k == 0 {
 		return nil
 	}
-	from, found := slices.BinarySearch(to, f.last)
+	first, found := slices.BinarySearch(to, f.lastPeer)
 	if found {
-		from++
+		first++
 	}
 	out := make([]shed.VM, k)
 	for i := range out {
-		out[i] = to[(from+i)%n]
+		out[i] = to[(first+i)%n]
 	}
-	f.last = out[k-1]
+	f.lastPeer = out[k-1]
 	return out
 }
 
-// hubs are the VMs that tell all others; none if each one does.
+// hubs returns the VMs that report to all others; none in a small fleet, where each one does.
 func (f *Fanout) hubs(v View) []shed.VM {
 	n := len(v.Peers) + 1
-	if n <= direct {
+	if n <= maxDirect {
 		return nil
 	}
-	out := rank.Owners("load", v.Strong, max(usualHubs, int(math.Ceil(math.Sqrt(float64(n))))))
-	if len(out) < leastHubs {
+	out := rank.Owners("load", v.HighCapacity, max(usualMaxHubs, int(math.Ceil(math.Sqrt(float64(n))))))
+	if len(out) < minHubs {
 		others := slices.DeleteFunc(slices.Concat(v.Peers, []shed.VM{f.self}), func(vm shed.VM) bool {
 			return slices.Contains(out, vm)
 		})
-		out = slices.Concat(out, rank.Owners("load", others, leastHubs-len(out)))
+		out = slices.Concat(out, rank.Owners("load", others, minHubs-len(out)))
 	}
 	return out
 }
 
-// perTurn is how many peers a VM that tells all of them tells in a turn.
-func perTurn(v View) int {
+// peersPerRound is how many peers per round a VM reports to if it reports to all of them.
+func peersPerRound(v View) int {
 	switch {
-	case len(v.Peers) < direct:
-		return directPerTurn
-	case v.Gathers:
-		return gathersPerTurn
+	case len(v.Peers) < maxDirect:
+		return directPerRound
+	case v.Coordinator:
+		return coordinatorPerRound
 	}
-	return hubPerTurn
+	return hubPerRound
 }
 
-// period is the time in which so many peers are told once.
-func period(peers, perTurn int) time.Duration {
-	return turn * time.Duration(1+peers/perTurn)
+// period is the time in which each of so many peers gets one report.
+func period(peers, perRound int) time.Duration {
+	return roundInterval * time.Duration(1+peers/perRound)
 }
 
-// Silence is the longest time between two loads of a VM that lives, as its peers hear
-// them in a fleet with so many.
-func Silence(peers int) time.Duration {
-	if peers < direct {
-		return max(idle, period(peers, directPerTurn))
+// MaxSilence is the maximum time between two load reports of a live VM at a peer, directly or
+// through a hub, in a fleet with so many peers.
+func MaxSilence(peers int) time.Duration {
+	if peers < maxDirect {
+		return max(idleInterval, period(peers, directPerRound))
 	}
-	return max(idle, period(peers, hubPerTurn)) + toHub
+	return max(idleInterval, period(peers, hubPerRound)) + hubInterval
 }
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -1,6 +1,6 @@
-// Package follow decides how one VM keeps up with what its peers know of the store:
-// whose word confirms what it knows, when it lacks something, and from which peer it
-// reads that. It is pure: the driver feeds it what peers say and performs its actions.
+// Package follow keeps one VM's copy of the store in step with its peers: it decides which
+// peer reports confirm the local state, when changes are missing, and which peer to pull them
+// from. It does no I/O: the driver passes events to it and performs the actions it returns.
 package follow
 
 import (
@@ -13,295 +13,293 @@
 )
 
 const (
-	// newsWait is how long a VM that lacks something waits for the peer that passes
-	// it on to all. Without it, the first load message of any peer that is a few
-	// milliseconds ahead would have it sent twice.
-	newsWait = 150 * time.Millisecond
-	// slowPull is how long a pull may take before another peer is asked beside it: one
-	// slow peer would hold the VM up for as long as it sends a little now and then.
-	slowPull = 700 * time.Millisecond
-	// pullsAtOnce bounds the pulls, which share this VM's link.
-	pullsAtOnce = 2
-	// avoidFor is how long a peer from which a pull failed is not asked again.
-	avoidFor = time.Second
-	// repairEvery is the least time between two pulls that look for a missed deletion.
-	// For seconds after an outage of the store VMs hold different entries of servers,
-	// and would read all from each other without end.
-	repairEvery = 500 * time.Millisecond
+	// updateWait is how long a VM that is behind waits for a watcher to push the update.
+	// Without it, the first load report of a peer that is a few milliseconds ahead would
+	// start a pull, and the update would be sent twice.
+	updateWait = 150 * time.Millisecond
+	// hedgeAfter is how long a pull may run before a second peer is asked in parallel. A slow
+	// peer that sends a few bytes now and then would otherwise delay the VM indefinitely.
+	hedgeAfter = 700 * time.Millisecond
+	// maxPulls bounds concurrent pulls, which share this VM's link.
+	maxPulls = 2
+	// failureBackoff is how long a peer is avoided after a pull from it failed.
+	failureBackoff = time.Second
+	// repairInterval is the minimum time between two full pulls that look for a missed
+	// deletion. For seconds after an outage of the store, VMs hold different server entries
+	// and would otherwise read everything from each other continuously.
+	repairInterval = 500 * time.Millisecond
 )
 
-// PullID names one pull.
+// PullID identifies a pull.
 type PullID uint64
 
-// Own is what this VM knows of the store.
-type Own struct {
+// LocalState is this VM's state of the store.
+type LocalState struct {
 	AsOf   shed.Revision
 	Digest uint64
-	// Contact is when the store last answered, this VM or a peer that knew no more.
-	Contact time.Time
-	// Taking: something that has come is being taken in, so more will be known soon.
-	Taking bool
+	// LastContact is when the store last answered this VM, or a peer with no newer state.
+	LastContact time.Time
+	// Applying: received changes are being applied, so the state will advance soon.
+	Applying bool
 }
 
-// Word is what a peer told of what it knows of the store.
-type Word struct {
+// PeerState is a peer's state of the store, as it reported it.
+type PeerState struct {
 	AsOf   shed.Revision
 	Digest uint64
-	// Catalog is the revision of the configuration that it has in force.
+	// Catalog is the revision of its active configuration.
 	Catalog shed.Revision
-	// Contact is when the store last answered it.
-	Contact time.Time
-	// Power is how strong it is beside others.
+	// LastContact is when the store last answered the peer.
+	LastContact time.Time
+	// Power is the peer's capacity relative to other VMs.
 	Power float64
-	// read: a pull has brought what it tells. partial: only AsOf is known.
-	read, partial bool
+	// pulled: a pull has fetched this state. partial: only AsOf is known.
+	pulled, partial bool
 }
 
-// Event is something that a Follower has to know. The set is closed.
+// Event is an input to a Follower. The set is closed.
 type Event interface{ event() }
 
-// Heard says that a peer told what it knows.
-type Heard struct {
-	From shed.VM
-	Word Word
+// PeerReported says that a peer reported its state.
+type PeerReported struct {
+	From  shed.VM
+	State PeerState
 }
 
-// Missed says that a peer told of a change up to AsOf that it did not send along, or
-// that can't be applied to what is known here.
-type Missed struct {
+// UpdateMissed says that a peer announced a change up to AsOf that it did not send, or that
+// can't be applied to the local state.
+type UpdateMissed struct {
 	From shed.VM
 	AsOf shed.Revision
 }
 
-// StoreFailed says that the store gave no answer. Peers are those that are alive.
+// StoreFailed says that the store did not answer. Peers are the live peers.
 type StoreFailed struct{ Peers []shed.VM }
 
-// Ended says that a pull has ended, and that what it brought is known.
-type Ended struct {
+// PullEnded says that a pull has ended and what it fetched has been applied.
+type PullEnded struct {
 	Pull   PullID
 	Failed bool
 }
 
-// Tick comes regularly.
+// Tick is sent periodically.
 type Tick struct{}
 
-// Gone says that the peer is dead.
-type Gone struct{ VM shed.VM }
+// PeerDied says that a peer is dead.
+type PeerDied struct{ VM shed.VM }
 
-func (Heard) event()       {}
-func (Missed) event()      {}
-func (StoreFailed) event() {}
-func (Ended) event()       {}
-func (Tick) event()        {}
-func (Gone) event()        {}
+func (PeerReported) event() {}
+func (UpdateMissed) event() {}
+func (StoreFailed) event()  {}
+func (PullEnded) event()    {}
+func (Tick) event()         {}
+func (PeerDied) event()     {}
 
-// Action is something that the driver has to do. The set is closed.
+// Action is a request to the driver. The set is closed.
 type Action interface{ action() }
 
-// Confirm notes that the store had nothing newer at that time than is known here.
+// Confirm says that the store had nothing newer than the local state at that time.
 type Confirm struct{ At time.Time }
 
-// Pull reads from a peer what it knows more than this VM.
+// Pull reads from a peer the changes that this VM lacks.
 type Pull struct {
 	ID   PullID
 	From shed.VM
-	// After is the revision after which changes are read; 0 reads all. Known is the
-	// one up to which all is known here.
+	// After is the revision after which changes are read; 0 reads everything. Known is the
+	// revision up to which this VM's state is complete.
 	After, Known shed.Revision
-	// Wanted is the revision that the peer told.
-	Wanted shed.Revision
+	// Reported is the revision that the peer reported.
+	Reported shed.Revision
 }
 
 func (Confirm) action() {}
 func (Pull) action()    {}
 
-// running is a pull under way.
-type running struct {
+// activePull is a pull in flight.
+type activePull struct {
 	Pull
-	began time.Time
+	startedAt time.Time
 }
 
-// Follower is one VM's view of its peers. It is not safe for concurrent use.
+// Follower tracks the state of one VM's peers. It is not safe for concurrent use.
 type Follower struct {
-	self  shed.VM
-	words map[shed.VM]Word
-	// failed is when a pull from a peer last failed.
-	failed map[shed.VM]time.Time
-	pulls  []running
-	last   PullID
-	// behind is since when somebody knows more; zero: nobody does.
-	behind time.Time
-	// catalog is the newest configuration that a peer has told of.
-	catalog shed.Revision
-	// repaired is when a missed deletion was last looked for.
-	repaired time.Time
+	self   shed.VM
+	states map[shed.VM]PeerState
+	// failedAt is when a pull from a peer last failed.
+	failedAt map[shed.VM]time.Time
+	active   []activePull
+	lastID   PullID
+	// behindSince is since when a peer has been ahead; zero if none is.
+	behindSince time.Time
+	// newestCatalog is the newest configuration that a peer has reported.
+	newestCatalog shed.Revision
+	// lastRepair is when a pull last looked for a missed deletion.
+	lastRepair time.Time
 }
 
-// New returns a Follower that has heard nobody.
+// New returns a Follower without any peer reports.
 func New(self shed.VM) *Follower {
-	return &Follower{self: self, words: map[shed.VM]Word{}, failed: map[shed.VM]time.Time{}}
+	return &Follower{self: self, states: map[shed.VM]PeerState{}, failedAt: map[shed.VM]time.Time{}}
 }
 
-// Contact is when the store last answered a peer, by the peer's word; zero if that
-// isn't known.
-func (f *Follower) Contact(vm shed.VM) time.Time { return f.words[vm].Contact }
+// LastContact is when the store last answered a peer, as the peer reported it; zero if unknown.
+func (f *Follower) LastContact(vm shed.VM) time.Time { return f.states[vm].LastContact }
 
-// Behind tells whether a peer has a newer configuration in force than can be known to a
-// VM that knows the store up to a revision.
-func (f *Follower) Behind(asOf shed.Revision) bool { return f.catalog > asOf }
+// CatalogIsStale reports whether a peer's active configuration is newer than asOf, so that a VM
+// with the store's state as of that revision can't have it.
+func (f *Follower) CatalogIsStale(asOf shed.Revision) bool { return f.newestCatalog > asOf }
 
-// Handle takes in an event; own is what this VM knows now.
-func (f *Follower) Handle(now time.Time, own Own, ev Event) []Action {
+// Handle processes an event; own is this VM's current state.
+func (f *Follower) Handle(now time.Time, own LocalState, ev Event) []Action {
 	switch e := ev.(type) {
-	case Heard:
-		if e.Word.Contact.After(now) {
-			// Else a peer that tells nonsense would keep this VM from the store.
-			e.Word.Contact = now
+	case PeerReported:
+		if e.State.LastContact.After(now) {
+			// A bogus time in the future would keep this VM from reading the store.
+			e.State.LastContact = now
 		}
-		f.words[e.From] = e.Word
-		f.catalog = max(f.catalog, e.Word.Catalog)
-		if e.Word.AsOf == own.AsOf && e.Word.Digest == own.Digest {
-			return append(f.next(now, own, false), Confirm{At: e.Word.Contact})
+		f.states[e.From] = e.State
+		f.newestCatalog = max(f.newestCatalog, e.State.Catalog)
+		if e.State.AsOf == own.AsOf && e.State.Digest == own.Digest {
+			return append(f.maybePull(now, own, false), Confirm{At: e.State.LastContact})
 		}
-		return f.next(now, own, false)
-	case Missed:
-		if w := f.words[e.From]; e.AsOf > w.AsOf {
-			w.AsOf, w.read, w.partial = e.AsOf, false, true
-			f.words[e.From] = w
+		return f.maybePull(now, own, false)
+	case UpdateMissed:
+		if state := f.states[e.From]; e.AsOf > state.AsOf {
+			state.AsOf, state.pulled, state.partial = e.AsOf, false, true
+			f.states[e.From] = state
 		}
-		return f.next(now, own, true)
+		return f.maybePull(now, own, true)
 	case StoreFailed:
-		return f.storeFailed(now, own, e.Peers)
-	case Ended:
-		f.ended(now, e)
-		return f.next(now, own, true)
-	case Gone:
-		delete(f.words, e.VM)
-		delete(f.failed, e.VM)
+		return f.handleStoreFailure(now, own, e.Peers)
+	case PullEnded:
+		f.endPull(now, e)
+		return f.maybePull(now, own, true)
+	case PeerDied:
+		delete(f.states, e.VM)
+		delete(f.failedAt, e.VM)
 		return nil
 	case Tick:
-		return f.next(now, own, false)
+		return f.maybePull(now, own, false)
 	}
 	return nil
 }
 
-// storeFailed asks a peer at once. A VM that knows nothing asks one that it hasn't
-// heard if it must: it may have started a moment ago.
-func (f *Follower) storeFailed(now time.Time, own Own, peers []shed.VM) []Action {
-	if acts := f.next(now, own, true); len(acts) > 0 || own.AsOf > 0 {
+// handleStoreFailure pulls from a peer at once. A VM without any state falls back to peers that
+// have not reported yet: it may have started a moment ago.
+func (f *Follower) handleStoreFailure(now time.Time, own LocalState, peers []shed.VM) []Action {
+	if acts := f.maybePull(now, own, true); len(acts) > 0 || own.AsOf > 0 {
 		return acts
 	}
-	unheard := slices.DeleteFunc(slices.Clone(peers), func(vm shed.VM) bool {
-		_, heard := f.words[vm]
-		return heard
+	unknown := slices.DeleteFunc(slices.Clone(peers), func(vm shed.VM) bool {
+		_, reported := f.states[vm]
+		return reported
 	})
-	return f.pull(now, own, 0, unheard)
+	return f.startPull(now, own, 0, unknown)
 }
 
-// ended takes a pull off the list. What a peer told is not read from it again before it
-// tells something new.
-func (f *Follower) ended(now time.Time, e Ended) {
-	i := slices.IndexFunc(f.pulls, func(p running) bool { return p.ID == e.Pull })
+// endPull removes a pull from the active ones. The peer's reported state is not pulled again
+// until its next report.
+func (f *Follower) endPull(now time.Time, e PullEnded) {
+	i := slices.IndexFunc(f.active, func(p activePull) bool { return p.ID == e.Pull })
 	if i < 0 {
 		return
 	}
-	p := f.pulls[i]
-	f.pulls = slices.Delete(f.pulls, i, i+1)
+	p := f.active[i]
+	f.active = slices.Delete(f.active, i, i+1)
 	if e.Failed {
-		f.failed[p.From] = now
+		f.failedAt[p.From] = now
 		return
 	}
-	if w, ok := f.words[p.From]; ok && w.AsOf <= p.Wanted {
-		w.read = true
-		f.words[p.From] = w
+	if state, ok := f.states[p.From]; ok && state.AsOf <= p.Reported {
+		state.pulled = true
+		f.states[p.From] = state
 	}
 }
 
-// next begins a pull if there is reason to; urgent doesn't wait for news.
-func (f *Follower) next(now time.Time, own Own, urgent bool) []Action {
-	if ahead := f.ahead(own); len(ahead) > 0 {
-		if f.behind.IsZero() {
-			f.behind = now
+// maybePull starts a pull if one is needed; urgent skips the wait for a pushed update.
+func (f *Follower) maybePull(now time.Time, own LocalState, urgent bool) []Action {
+	if ahead := f.peersAhead(own); len(ahead) > 0 {
+		if f.behindSince.IsZero() {
+			f.behindSince = now
 		}
-		if !urgent && own.AsOf > 0 && now.Sub(f.behind) < newsWait {
+		if !urgent && own.AsOf > 0 && now.Sub(f.behindSince) < updateWait {
 			return nil
 		}
-		return f.pull(now, own, own.AsOf, ahead)
+		return f.startPull(now, own, own.AsOf, ahead)
 	}
-	f.behind = time.Time{}
-	differing := f.differing(own)
-	if len(differing) == 0 || now.Sub(f.repaired) < repairEvery {
+	f.behindSince = time.Time{}
+	differing := f.peersDiffering(own)
+	if len(differing) == 0 || now.Sub(f.lastRepair) < repairInterval {
 		return nil
 	}
-	// Changes since then don't tell a deletion that was missed before.
-	acts := f.pull(now, own, 0, differing)
+	// A list of later changes does not contain a deletion that was missed earlier.
+	acts := f.startPull(now, own, 0, differing)
 	if len(acts) > 0 {
-		f.repaired = now
+		f.lastRepair = now
 	}
 	return acts
 }
 
-// pull begins a pull from one of the peers, if one may begin now. None does while
-// something is taken in: on a small VM a large configuration takes long to read, and
-// would come, and be read, once more for each peer that is ahead meanwhile.
-func (f *Follower) pull(now time.Time, own Own, after shed.Revision, peers []shed.VM) []Action {
-	if own.Taking {
+// startPull starts a pull from one of the peers, within the limits on concurrent pulls. None
+// starts while changes are being applied: a small VM takes long to parse a large configuration,
+// and would fetch and parse it again for every peer that is ahead meanwhile.
+func (f *Follower) startPull(now time.Time, own LocalState, after shed.Revision, peers []shed.VM) []Action {
+	if own.Applying {
 		return nil
 	}
-	if n := len(f.pulls); n >= pullsAtOnce || n > 0 && now.Sub(f.pulls[n-1].began) < slowPull {
+	if n := len(f.active); n >= maxPulls || n > 0 && now.Sub(f.active[n-1].startedAt) < hedgeAfter {
 		return nil
 	}
-	from, ok := f.source(now, peers)
+	from, ok := f.pickSource(now, peers)
 	if !ok {
 		return nil
 	}
-	f.last++
-	p := Pull{ID: f.last, From: from, After: after, Known: own.AsOf, Wanted: f.words[from].AsOf}
-	f.pulls = append(f.pulls, running{Pull: p, began: now})
+	f.lastID++
+	p := Pull{ID: f.lastID, From: from, After: after, Known: own.AsOf, Reported: f.states[from].AsOf}
+	f.active = append(f.active, activePull{Pull: p, startedAt: now})
 	return []Action{p}
 }
 
-// ahead are the peers that know of changes that this VM doesn't. A greater revision
-// always tells so, however long ago the store answered that peer: held against the
-// time of an answer, a VM to which the store had just spoken ignored the only peers
-// that had a change.
-func (f *Follower) ahead(own Own) []shed.VM {
-	return f.peers(func(w Word) bool { return w.AsOf > own.AsOf })
+// peersAhead returns the peers with a greater revision than this VM's. Last contact times are
+// not compared: a VM that the store had just answered would ignore the only peers that have a
+// change.
+func (f *Follower) peersAhead(own LocalState) []shed.VM {
+	return f.selectPeers(func(w PeerState) bool { return w.AsOf > own.AsOf })
 }
 
-// differing are the peers that know the same revision but hold other items, and have
-// heard the store later: a deletion was missed.
-func (f *Follower) differing(own Own) []shed.VM {
-	return f.peers(func(w Word) bool {
-		return !w.partial && w.AsOf == own.AsOf && w.Digest != own.Digest && !w.Contact.Before(own.Contact)
+// peersDiffering returns the peers at the same revision that hold other items and whose last
+// contact with the store is no older: this VM missed a deletion.
+func (f *Follower) peersDiffering(own LocalState) []shed.VM {
+	return f.selectPeers(func(w PeerState) bool {
+		return !w.partial && w.AsOf == own.AsOf && w.Digest != own.Digest && !w.LastContact.Before(own.LastContact)
 	})
 }
 
-func (f *Follower) peers(has func(Word) bool) []shed.VM {
+func (f *Follower) selectPeers(match func(PeerState) bool) []shed.VM {
 	var out []shed.VM
-	for vm, w := range f.words {
-		if !w.read && has(w) {
+	for vm, state := range f.states {
+		if !state.pulled && match(state) {
 			out = append(out, vm)
 		}
 	}
 	return out
 }
 
-// source picks the peer to read from: one of the strong ones, which bear many that
-// ask at the same time, and not the same one for every VM.
-func (f *Follower) source(now time.Time, peers []shed.VM) (shed.VM, bool) {
-	fit := slices.DeleteFunc(peers, func(vm shed.VM) bool {
-		at, failed := f.failed[vm]
-		return failed && now.Sub(at) < avoidFor || f.asking(vm)
+// pickSource picks the peer to pull from: a high-capacity one, which can handle many pulls at
+// once, chosen by rendezvous hash so that VMs spread over these peers.
+func (f *Follower) pickSource(now time.Time, peers []shed.VM) (shed.VM, bool) {
+	available := slices.DeleteFunc(peers, func(vm shed.VM) bool {
+		at, failed := f.failedAt[vm]
+		return failed && now.Sub(at) < failureBackoff || f.pullingFrom(vm)
 	})
-	most := 0.0
-	for _, vm := range fit {
-		most = max(most, f.words[vm].Power)
+	maxPower := 0.0
+	for _, vm := range available {
+		maxPower = max(maxPower, f.states[vm].Power)
 	}
-	strong := slices.DeleteFunc(fit, func(vm shed.VM) bool { return f.words[vm].Power < most/2 })
-	return rank.Owner(fmt.Sprint(f.self, " ", f.last), strong)
+	highCapacity := slices.DeleteFunc(available, func(vm shed.VM) bool { return f.states[vm].Power < maxPower/2 })
+	return rank.Owner(fmt.Sprint(f.self, " ", f.lastID), highCapacity)
 }
 
-func (f *Follower) asking(vm shed.VM) bool {
-	return slices.ContainsFunc(f.pulls, func(p running) bool { return p.From == vm })
+func (f *Follower) pullingFrom(vm shed.VM) bool {
+	return slices.ContainsFunc(f.active, func(p activePull) bool { return p.From == vm })
 }
--- /dev/null
+++ b/internal/roster/update.go
@@ -0,0 +1,238 @@
+package roster
+
+import (
+	"slices"
+	"time"
+
+	shed "jasmineshed"
+)
+
+// Source is where an update comes from.
+type Source uint8
+
+// Update is an update from the store or a peer: the changes up to AsOf, or all items if
+// Complete.
+type Update struct {
+	Source   Source
+	Items    []Entry
+	AsOf     shed.Revision
+	Complete bool
+}
+
+// Entry is an item with its decoded content; Record is nil if it could not be decoded.
+type Entry struct {
+	shed.Item
+	Record shed.Record
+}
+
+// Change is one change of the roster, for the log.
+type Change struct {
+	Reason shed.Reason
+	// Key and Revision are those of the item that caused the change.
+	Key      string
+	Revision shed.Revision
+	Server   shed.ServerID
+	Zone     shed.ZoneID
+	// Version is that of the active configuration.
+	Version string
+}
+
+// Apply applies an update from the store or a peer.
+func (r *Roster) Apply(now time.Time, update Update) []Change {
+	var out []Change
+	source := update.Source
+	if source == FromStore {
+		if r.hasReplicaData && r.lastContact.IsZero() && !r.storeLost {
+			// There was no outage: what only the replica still had has been deleted, and
+			// gets no grace.
+			source = FromReplica
+		}
+		out = r.recordStoreAnswer(now, out)
+	}
+	r.hasReplicaData = r.hasReplicaData || update.Source == FromReplica
+	for _, e := range update.Items {
+		if e.Deleted {
+			out = r.removeItem(now, out, source, e.Key, e.Revision)
+		} else {
+			out = r.putItem(now, out, e)
+		}
+	}
+	if update.Complete {
+		out = r.removeUnlisted(now, out, update)
+	}
+	r.asOf = max(r.asOf, update.AsOf)
+	if len(update.Items) > 0 || update.Complete {
+		r.rebuild()
+	}
+	return out
+}
+
+// recordStoreAnswer records an answer of the store. After a gap in contact, entries that
+// vanished during the gap get a grace period from now on.
+func (r *Roster) recordStoreAnswer(now time.Time, out []Change) []Change {
+	if r.lastContact.IsZero() || now.Sub(r.lastContact) > r.cfg.maxContactGap() {
+		r.contactSince = now
+	}
+	r.lastContact = now
+	if r.storeLost {
+		r.storeLost = false
+		out = append(out, Change{Reason: StoreRegained, Revision: r.asOf})
+	}
+	return out
+}
+
+// StoreFailed records that the store did not answer.
+func (r *Roster) StoreFailed(time.Time) []Change {
+	if r.storeLost {
+		return nil
+	}
+	r.storeLost = true
+	return []Change{{Reason: StoreLost, Revision: r.asOf}}
+}
+
+func (r *Roster) putItem(now time.Time, out []Change, e Entry) []Change {
+	if old := r.items[e.Key]; old != nil {
+		if e.Revision < old.Revision || e.Revision == old.Revision && old.lapsedAt.IsZero() {
+			return out
+		}
+		if e.Revision == old.Revision {
+			old.lapsedAt = time.Time{}
+			return out
+		}
+	}
+	if e.Revision <= r.deleted[e.Key] {
+		return out
+	}
+	switch f := e.Record.(type) {
+	case *shed.Catalog:
+		if e.Revision < r.catalogRev {
+			return out
+		}
+		r.catalog, r.catalogRev = f, e.Revision
+		out = append(out, Change{Reason: CatalogInForce, Key: e.Key, Revision: e.Revision, Version: f.Version})
+	case shed.ZoneClosed:
+		out = append(out, Change{Reason: ZoneClosed, Key: e.Key, Revision: e.Revision, Zone: f.Zone})
+	case shed.ServerEntry:
+		out = r.putServer(now, out, e, f)
+	default:
+		if old := r.items[e.Key]; old != nil && old.Record != nil {
+			if server, ok := old.Record.(shed.ServerEntry); ok {
+				// The entry no longer describes a server.
+				delete(r.servers, server.ID)
+				delete(r.items, e.Key)
+				return append(out, Change{Reason: ServerUnreadable, Key: e.Key, Revision: e.Revision, Server: server.ID})
+			}
+			// The last readable configuration stays active.
+			return append(out, Change{Reason: CatalogUnreadable, Key: e.Key, Revision: e.Revision})
+		}
+		return append(out, Change{Reason: ItemUnreadable, Key: e.Key, Revision: e.Revision})
+	}
+	r.savePast(r.Item(e.Key))
+	r.items[e.Key] = &heldItem{Entry: e}
+	return out
+}
+
+// putServer stores a server entry. The entry was written a while ago, so its cold period ends
+// earlier than computed here; the server counts as cold until that upper bound, ColdUntil.
+func (r *Roster) putServer(now time.Time, out []Change, e Entry, server shed.ServerEntry) []Change {
+	old := r.servers[server.ID]
+	s := &Server{ServerEntry: server}
+	if old != nil && old.StartedMs == server.StartedMs {
+		s.ColdUntil = old.ColdUntil
+	}
+	if until := now.Add(server.ColdRemaining); server.ColdRemaining > 0 && until.After(s.ColdUntil) {
+		s.ColdUntil = until
+	}
+	r.servers[server.ID] = s
+	change := Change{Reason: ServerListed, Key: e.Key, Revision: e.Revision, Server: server.ID, Zone: server.Zone}
+	if server.Leaving {
+		change.Reason = ServerLeaving
+	}
+	return append(out, change)
+}
+
+// removeItem removes an item. A server entry that vanished during a store outage is kept for a
+// grace period: the store drops entries that were not renewed, even if the store itself was
+// unreachable. Deletions from a peer apply at once, as the peer has waited already.
+func (r *Roster) removeItem(now time.Time, out []Change, source Source, key string, rev shed.Revision) []Change {
+	old := r.items[key]
+	if old == nil || rev != 0 && rev < old.Revision {
+		return out
+	}
+	if entry, ok := old.Record.(shed.ServerEntry); ok && source == FromStore && !entry.Leaving && now.Before(r.contactSince.Add(r.cfg.LapseGrace)) {
+		if old.lapsedAt.IsZero() {
+			old.lapsedAt = now
+			out = append(out, Change{Reason: ServerLapsed, Key: key, Revision: rev, Server: entry.ID, Zone: entry.Zone})
+		}
+		return out
+	}
+	r.deleted[key] = max(rev, old.Revision)
+	return r.dropItem(now, out, key)
+}
+
+func (r *Roster) dropItem(now time.Time, out []Change, key string) []Change {
+	old := r.items[key]
+	delete(r.items, key)
+	switch f := old.Record.(type) {
+	case shed.ServerEntry:
+		delete(r.servers, f.ID)
+		out = append(out, Change{Reason: ServerGone, Key: key, Revision: old.Revision, Server: f.ID, Zone: f.Zone})
+	case shed.ZoneClosed:
+		r.markZoneCold(now, f.Zone)
+		out = append(out, Change{Reason: ZoneReopened, Key: key, Revision: old.Revision, Zone: f.Zone})
+	}
+	return out
+}
+
+// markZoneCold marks the zone's servers as cold when it reopens: they had no work for a while,
+// and full load at once would overload a server that turned cold meanwhile.
+func (r *Roster) markZoneCold(now time.Time, zone shed.ZoneID) {
+	for _, s := range r.servers {
+		pool := r.pool(s.Pool)
+		if s.Zone == zone && pool != nil && pool.ColdDuration > 0 {
+			s.ColdUntil = shed.Later(s.ColdUntil, now.Add(pool.ColdDuration))
+		}
+	}
+}
+
+// removeUnlisted removes the items that a complete list doesn't contain. Items that are newer
+// than the list stay.
+func (r *Roster) removeUnlisted(now time.Time, out []Change, update Update) []Change {
+	listed := make(map[string]bool, len(update.Items))
+	for _, e := range update.Items {
+		listed[e.Key] = true
+	}
+	for _, key := range r.sortedKeys() {
+		if !listed[key] && r.items[key].Revision <= update.AsOf {
+			out = r.removeItem(now, out, update.Source, key, 0)
+		}
+	}
+	return out
+}
+
+func (r *Roster) sortedKeys() []string {
+	keys := make([]string, 0, len(r.items))
+	for key := range r.items {
+		keys = append(keys, key)
+	}
+	slices.Sort(keys)
+	return keys
+}
+
+// Tick drops lapsed entries once the grace period is over.
+func (r *Roster) Tick(now time.Time) []Change {
+	if now.Before(r.contactSince.Add(r.cfg.LapseGrace)) || now.Sub(r.lastContact) > r.cfg.maxContactGap() {
+		return nil
+	}
+	var out []Change
+	for _, key := range r.sortedKeys() {
+		if !r.items[key].lapsedAt.IsZero() {
+			r.deleted[key] = r.items[key].Revision
+			out = r.dropItem(now, out, key)
+		}
+	}
+	if len(out) > 0 {
+		r.rebuild()
+	}
+	return out
+}
