--- a/internal/poison/sim_test.go
+++ b/internal/poison/sim_test.go
@@ -16,16 +16,16 @@
 	limit, quarantine = 3, 15 * time.Second
 	tick              = 100 * time.Millisecond
 	latency           = 2 * time.Millisecond
-	// runFor is how long servers run a request, crashAfter how long one that ends them.
-	runFor, crashAfter = 400 * time.Millisecond, 100 * time.Millisecond
-	// downFor is how long a server is down after it has ended.
-	downFor = 2 * time.Second
-	// mostSends is how many servers one attempt of a caller may reach.
-	mostSends = 2
-	// deadAfter is how long VMs take to see that others can't be reached.
-	deadAfter = 2200 * time.Millisecond
-	// contact is how long a VM has to be out of trouble for bounds to hold.
-	contact = 3 * time.Second
+	// runTime is how long servers run a request, crashAfter how long one that ends them.
+	runTime, crashDelay = 400 * time.Millisecond, 100 * time.Millisecond
+	// downTime is how long a server is down after it has ended.
+	downTime = 2 * time.Second
+	// maxSends is how many servers one attempt of a caller may reach.
+	maxSends = 2
+	// detectionDelay is how long VMs take to see that others can't be reached.
+	detectionDelay = 2200 * time.Millisecond
+	// settleTime is how long a VM has to be out of trouble for bounds to hold.
+	settleTime = 3 * time.Second
 )
 
 var start = time.Unix(1_700_000_000, 0)
@@ -37,8 +37,8 @@
 	vms     []*simVM
 	servers []*simServer
 	loss    float64
-	// poison are the requests that end servers.
-	poison map[shed.Fingerprint]*culprit
+	// culprits are the requests that end servers.
+	culprits map[shed.Fingerprint]*culprit
 	// served, refused and failed count the attempts of other requests.
 	served, refused, failed int
 }
@@ -46,12 +46,12 @@
 type simVM struct {
 	id    shed.VM
 	table *poison.Table
-	// side is on which side of a cut it is, since cutAt.
-	side  int
-	cutAt time.Time
-	// troubled is when it was last started anew, cut off or joined again.
-	troubled time.Time
-	bytes    int
+	// partition is on which side of a cut it is, since cutAt.
+	partition     int
+	partitionedAt time.Time
+	// disturbedAt is when it was last started anew, cut off or joined again.
+	disturbedAt time.Time
+	bytes       int
 }
 
 type simServer struct {
@@ -62,28 +62,28 @@
 
 // simRun is one request on a server.
 type simRun struct {
-	vm    *simVM
-	what  shed.Fingerprint
-	ended bool
-	// over is called with whether the server ended under it.
-	over func(crashed bool)
+	vm      *simVM
+	request shed.Fingerprint
+	ended   bool
+	// onEnd is called with whether the server ended under it.
+	onEnd func(crashed bool)
 }
 
 // culprit is what a request has done that ends servers.
 type culprit struct {
 	crashes int
-	// thirdAt is when the third server ended, lateSends counts what VMs in touch sent
+	// limitReachedAt is when the third server ended, lateSends counts what VMs in touch sent
 	// longer than contact after it.
-	thirdAt   time.Time
-	lateSends int
-	// lastAt is when it was last sent on.
-	lastAt time.Time
+	limitReachedAt time.Time
+	lateSends      int
+	// lastSentAt is when it was last sent on.
+	lastSentAt time.Time
 }
 
 func newSim(seed uint64, vms, servers int) *sim {
-	s := &sim{rnd: rand.New(rand.NewPCG(seed, uint64(vms))), Clock: vclock.Clock{Now: start}, poison: map[shed.Fingerprint]*culprit{}}
+	s := &sim{rnd: rand.New(rand.NewPCG(seed, uint64(vms))), Clock: vclock.Clock{Now: start}, culprits: map[shed.Fingerprint]*culprit{}}
 	for i := range vms {
-		v := &simVM{id: shed.VM(fmt.Sprintf("vm-%03d", i)), troubled: start.Add(-time.Hour)}
+		v := &simVM{id: shed.VM(fmt.Sprintf("vm-%03d", i)), disturbedAt: start.Add(-time.Hour)}
 		s.vms = append(s.vms, v)
 		s.startVM(v)
 		s.every(tick, func() { s.tick(v) })
@@ -104,14 +104,14 @@
 	s.Every(time.Duration(s.rnd.Int64N(int64(period))), period, do)
 }
 
-// reaches tells whether messages of one VM come to another.
-func reaches(a, b *simVM) bool { return a.side == b.side }
+// canReach tells whether messages of one VM come to another.
+func canReach(a, b *simVM) bool { return a.partition == b.partition }
 
 // peersOf are the VMs that one holds alive.
 func (s *sim) peersOf(v *simVM) []shed.VM {
 	var out []shed.VM
 	for _, other := range s.vms {
-		seen := reaches(v, other) || s.Now.Sub(shed.Later(v.cutAt, other.cutAt)) < deadAfter
+		seen := canReach(v, other) || s.Now.Sub(shed.Later(v.partitionedAt, other.partitionedAt)) < detectionDelay
 		if other != v && seen {
 			out = append(out, other.id)
 		}
@@ -119,7 +119,7 @@
 	return out
 }
 
-func (s *sim) byID(id shed.VM) *simVM {
+func (s *sim) vmByID(id shed.VM) *simVM {
 	at, _ := slices.BinarySearchFunc(s.vms, id, func(v *simVM, id shed.VM) int { return compareVM(v.id, id) })
 	return s.vms[at]
 }
@@ -141,9 +141,9 @@
 			panic(err) // The table made news that have no encoding.
 		}
 		for _, id := range t.To {
-			to := s.byID(id)
+			to := s.vmByID(id)
 			v.bytes += size
-			if !reaches(v, to) || s.rnd.Float64() < s.loss {
+			if !canReach(v, to) || s.rnd.Float64() < s.loss {
 				continue
 			}
 			s.After(latency, func() {
@@ -161,60 +161,60 @@
 	return max(at, 0)
 }
 
-// ask is one attempt of a caller at a VM; done is called with whether it was served.
-func (s *sim) ask(v *simVM, what shed.Fingerprint, sends int, done func(served, refused bool)) {
+// attempt is one attempt of a caller at a VM; done is called with whether it was served.
+func (s *sim) attempt(v *simVM, request shed.Fingerprint, sends int, done func(served, refused bool)) {
 	table := v.table
-	if table.Decide(s.Now, what, func() int { return s.turn(v) }).Refused {
+	if table.Decide(s.Now, request, func() int { return s.turn(v) }).Refused {
 		done(false, true)
 		return
 	}
-	server := s.pick()
+	server := s.randomServer()
 	if server == nil {
 		done(false, false)
 		return
 	}
-	if c := s.poison[what]; c != nil {
-		s.noteSend(v, c)
+	if c := s.culprits[request]; c != nil {
+		s.recordSend(v, c)
 	}
-	r := &simRun{vm: v, what: what}
-	r.over = func(crashed bool) {
+	r := &simRun{vm: v, request: request}
+	r.onEnd = func(crashed bool) {
 		if !crashed {
-			table.Ran(s.Now, what)
+			table.Ran(s.Now, request)
 			done(true, false)
 			return
 		}
-		if len(table.Crashed(s.Now, what, "w", server.start)) > 0 && table == v.table {
+		if len(table.Crashed(s.Now, request, "w", server.start)) > 0 && table == v.table {
 			s.tick(v)
 		}
-		if sends+1 < mostSends {
-			s.ask(v, what, sends+1, done)
+		if sends+1 < maxSends {
+			s.attempt(v, request, sends+1, done)
 			return
 		}
 		done(false, false)
 	}
 	server.runs = append(server.runs, r)
-	if s.poison[what] != nil {
-		s.After(crashAfter, func() { s.endBy(server, r) })
+	if s.culprits[request] != nil {
+		s.After(crashDelay, func() { s.crashBy(server, r) })
 		return
 	}
-	s.After(runFor, func() {
+	s.After(runTime, func() {
 		if !r.ended {
 			r.ended = true
 			server.runs = slices.DeleteFunc(server.runs, func(x *simRun) bool { return x == r })
-			r.over(false)
+			r.onEnd(false)
 		}
 	})
 }
 
-func (s *sim) noteSend(v *simVM, c *culprit) {
-	c.lastAt = s.Now
-	if !c.thirdAt.IsZero() && s.Now.Sub(c.thirdAt) > contact && s.Now.Sub(v.troubled) > contact {
+func (s *sim) recordSend(v *simVM, c *culprit) {
+	c.lastSentAt = s.Now
+	if !c.limitReachedAt.IsZero() && s.Now.Sub(c.limitReachedAt) > settleTime && s.Now.Sub(v.disturbedAt) > settleTime {
 		c.lateSends++
 	}
 }
 
-// pick picks a server that is up; nil if none is.
-func (s *sim) pick() *simServer {
+// randomServer picks a server that is up; nil if none is.
+func (s *sim) randomServer() *simServer {
 	var up []*simServer
 	for _, x := range s.servers {
 		if !x.down {
@@ -227,20 +227,20 @@
 	return up[s.rnd.IntN(len(up))]
 }
 
-// endBy ends a server by a request that runs on it.
-func (s *sim) endBy(server *simServer, r *simRun) {
+// crashBy ends a server by a request that runs on it.
+func (s *sim) crashBy(server *simServer, r *simRun) {
 	if r.ended {
 		return
 	}
-	c := s.poison[r.what]
+	c := s.culprits[r.request]
 	if c.crashes++; c.crashes == limit {
-		c.thirdAt = s.Now
+		c.limitReachedAt = s.Now
 	}
-	s.end(server)
+	s.crash(server)
 }
 
-// end ends a server, and with it all that runs there.
-func (s *sim) end(server *simServer) {
+// crash ends a server, and with it all that runs there.
+func (s *sim) crash(server *simServer) {
 	if server.down {
 		return
 	}
@@ -250,47 +250,47 @@
 	for _, r := range runs {
 		r.ended = true
 		// VMs see it one after the other.
-		s.After(time.Duration(s.rnd.Int64N(int64(5*time.Millisecond))), func() { r.over(true) })
+		s.After(time.Duration(s.rnd.Int64N(int64(5*time.Millisecond))), func() { r.onEnd(true) })
 	}
-	s.After(downFor, func() {
+	s.After(downTime, func() {
 		server.down = false
 		server.start.Born++
 	})
 }
 
-// culpritEvery sends a request that ends servers, at random VMs.
-func (s *sim) culpritEvery(n int, period time.Duration) *culprit {
-	what := print("culprit", n)
+// startCulprit sends a request that ends servers, at random VMs.
+func (s *sim) startCulprit(n int, period time.Duration) *culprit {
+	request := fingerprintOf("culprit", n)
 	c := &culprit{}
-	s.poison[what] = c
-	s.every(period, func() { s.ask(s.anyVM(), what, 0, func(bool, bool) {}) })
+	s.culprits[request] = c
+	s.every(period, func() { s.attempt(s.randomVM(), request, 0, func(bool, bool) {}) })
 	return c
 }
 
-// load sends other requests: each is another one, and comes once more at another VM if it
+// startLoad sends other requests: each is another one, and comes once more at another VM if it
 // fails.
-func (s *sim) load(perSecond int) {
+func (s *sim) startLoad(perSecond int) {
 	n := 0
 	s.every(time.Second/time.Duration(perSecond), func() {
 		n++
-		what := print("other", n)
-		s.ask(s.anyVM(), what, 0, func(served, refused bool) {
+		request := fingerprintOf("other", n)
+		s.attempt(s.randomVM(), request, 0, func(served, refused bool) {
 			if served || refused {
-				s.count(served, refused)
+				s.countOutcome(served, refused)
 				return
 			}
-			s.After(50*time.Millisecond, func() { s.ask(s.anyVM(), what, 0, s.count) })
+			s.After(50*time.Millisecond, func() { s.attempt(s.randomVM(), request, 0, s.countOutcome) })
 		})
 	})
 }
 
-// repeaters send the same request over and over, each its own.
-func (s *sim) repeaters(n int) {
+// startRepeaters send the same request over and over, each its own.
+func (s *sim) startRepeaters(n int) {
 	for i := range n {
 		var again func()
 		again = func() {
-			s.ask(s.anyVM(), print("repeated", i), 0, func(served, refused bool) {
-				s.count(served, refused)
+			s.attempt(s.randomVM(), fingerprintOf("repeated", i), 0, func(served, refused bool) {
+				s.countOutcome(served, refused)
 				pause := 20 * time.Millisecond
 				if refused {
 					pause = time.Second
@@ -302,7 +302,7 @@
 	}
 }
 
-func (s *sim) count(served, refused bool) {
+func (s *sim) countOutcome(served, refused bool) {
 	switch {
 	case served:
 		s.served++
@@ -313,19 +313,19 @@
 	}
 }
 
-func (s *sim) anyVM() *simVM { return s.vms[s.rnd.IntN(len(s.vms))] }
+func (s *sim) randomVM() *simVM { return s.vms[s.rnd.IntN(len(s.vms))] }
 
-// cut cuts every third VM off from the others for a time.
-func (s *sim) cut(d time.Duration) {
+// partition cuts every third VM off from the others for a time.
+func (s *sim) partition(d time.Duration) {
 	for i, v := range s.vms {
 		if i%3 == 0 {
-			v.side, v.cutAt, v.troubled = 1, s.Now, s.Now
+			v.partition, v.partitionedAt, v.disturbedAt = 1, s.Now, s.Now
 		}
 	}
 	s.After(d, func() {
 		for _, v := range s.vms {
-			if v.side != 0 {
-				v.side, v.cutAt, v.troubled = 0, time.Time{}, s.Now
+			if v.partition != 0 {
+				v.partition, v.partitionedAt, v.disturbedAt = 0, time.Time{}, s.Now
 			}
 		}
 	})
@@ -333,11 +333,11 @@
 
 // restart starts a VM anew.
 func (s *sim) restart(v *simVM) {
-	v.troubled = s.Now
+	v.disturbedAt = s.Now
 	s.startVM(v)
 }
 
-// print makes up a fingerprint.
-func print(kind string, n int) shed.Fingerprint {
+// fingerprintOf makes up a fingerprint.
+func fingerprintOf(kind string, n int) shed.Fingerprint {
 	return poison.Fingerprint("w", &shed.Ask{Target: fmt.Sprintf("/%s/%d", kind, n)}, nil)
 }
--- a/internal/poison/table.go
+++ b/internal/poison/table.go
@@ -10,17 +10,17 @@
 )
 
 const (
-	// keepFor is how long a crash is remembered at least.
-	keepFor = 10 * time.Minute
-	// knowsFor is how long the end of a server explains connections to it that break.
-	knowsFor = 2 * time.Second
-	// trialFor bounds the time in which a VM awaits the end of a trial.
-	trialFor = 5 * time.Second
-	// turnEvery is how long the VMs before it in turn have for a trial.
-	turnEvery = 2 * time.Second
+	// retention is how long a crash is remembered at least.
+	retention = 10 * time.Minute
+	// explanationWindow is how long the end of a server explains connections to it that break.
+	explanationWindow = 2 * time.Second
+	// trialTimeout bounds the time in which a VM awaits the end of a trial.
+	trialTimeout = 5 * time.Second
+	// trialStagger is how long the VMs before it in turn have for a trial.
+	trialStagger = 2 * time.Second
 	// Bounds on what is kept: requests, crashes of one request, and half of the requests
 	// that ran well.
-	mostSuspects, mostCrashes, mostRan = 1024, 16, 4096
+	maxSuspects, maxCrashes, maxRuns = 1024, 16, 4096
 )
 
 // Config sets up a Table.
@@ -40,17 +40,17 @@
 	suspects map[shed.Fingerprint]*suspect
 	// perWorkspace counts the suspects of each workspace; no entry is 0.
 	perWorkspace map[shed.WorkspaceID]int
-	// ended are the servers' starts that are known to have ended, with when.
-	ended map[shed.ServerStart]time.Time
-	// ran and ranBefore are when requests last ran well here: the newest of them, and
+	// endedAt are the servers' starts that are known to have ended, with when.
+	endedAt map[shed.ServerStart]time.Time
+	// recentRuns and ranBefore are when requests last ran well here: the newest of them, and
 	// those before.
-	ran, ranBefore map[shed.Fingerprint]time.Time
+	recentRuns, olderRuns map[shed.Fingerprint]time.Time
 	// sweptAt is when what is too old was last looked for, toldAt when peers were last
 	// told what they may have missed.
-	sweptAt, toldAt time.Time
-	// last is the peer that was told last so; the next ones follow it in their order, so
+	sweptAt, remindedAt time.Time
+	// lastReminded is the peer that was told last so; the next ones follow it in their order, so
 	// that VMs don't all tell the same ones.
-	last shed.VM
+	lastReminded shed.VM
 }
 
 // suspect is a request under which servers ended.
@@ -60,24 +60,24 @@
 	// crashes are the ends of servers under it. Only those after ran are held against it;
 	// the others stay, so that it doesn't matter what is heard first.
 	crashes map[shed.ServerStart]time.Time
-	// ran is when a server last ran it and did not end; zero if never.
-	ran time.Time
-	// trial is until when a trial is under way here.
-	trial time.Time
+	// lastRun is when a server last ran it and did not end; zero if never.
+	lastRun time.Time
+	// trialUntil is until when a trial is under way here.
+	trialUntil time.Time
 	// quarantined: it was found to be to blame.
 	quarantined bool
-	// tell is how often peers are still to be told what is known here; wide: all of them
+	// pendingReports is how often peers are still to be told what is known here; wide: all of them
 	// know of the request.
-	tell int
-	wide bool
+	pendingReports int
+	knownToAll     bool
 }
 
 // New returns a Table that knows of no request.
 func New(cfg Config) *Table {
 	return &Table{
 		cfg: cfg, suspects: map[shed.Fingerprint]*suspect{},
-		perWorkspace: map[shed.WorkspaceID]int{}, ended: map[shed.ServerStart]time.Time{},
-		ran: map[shed.Fingerprint]time.Time{}, last: cfg.Self,
+		perWorkspace: map[shed.WorkspaceID]int{}, endedAt: map[shed.ServerStart]time.Time{},
+		recentRuns: map[shed.Fingerprint]time.Time{}, lastReminded: cfg.Self,
 	}
 }
 
@@ -117,62 +117,64 @@
 func (t *Table) Suspects(f shed.Fingerprint) bool { return t.suspects[f] != nil }
 
 // Knows tells whether this start of a server is known to have ended just now.
-func (t *Table) Knows(now time.Time, s shed.ServerStart) bool { return now.Sub(t.ended[s]) < knowsFor }
+func (t *Table) Knows(now time.Time, s shed.ServerStart) bool {
+	return now.Sub(t.endedAt[s]) < explanationWindow
+}
 
 // Decide tells whether a request may run now. turn is this VM's place among those that may try
 // it after its quarantine, 0 for the first.
 func (t *Table) Decide(now time.Time, f shed.Fingerprint, turn func() int) Verdict {
 	s := t.suspects[f]
-	if s == nil || s.count() < suspectFrom {
+	if s == nil || s.crashCount() < suspectThreshold {
 		return Verdict{}
 	}
-	quarantine := t.quarantine(now, s)
+	quarantine := t.quarantineTime(now, s)
 	if quarantine == 0 {
 		return Verdict{Isolate: true}
 	}
-	free := s.last().Add(quarantine + time.Duration(turn())*turnEvery)
-	if left := shed.Later(free, s.trial).Sub(now); left > 0 {
+	trialAt := s.lastCrash().Add(quarantine + time.Duration(turn())*trialStagger)
+	if left := shed.Later(trialAt, s.trialUntil).Sub(now); left > 0 {
 		return Verdict{Refused: true, After: left}
 	}
-	s.trial = now.Add(trialFor)
+	s.trialUntil = now.Add(trialTimeout)
 	return Verdict{Isolate: true, Trial: true}
 }
 
 // Crashed notes that a server ended while it ran a request of this VM.
 func (t *Table) Crashed(now time.Time, f shed.Fingerprint, ws shed.WorkspaceID, server shed.ServerStart) []Change {
-	return t.merge(now, shed.Suspect{Request: f, Workspace: ws, Crashes: []shed.ServerCrash{{Start: server}}}, fromHere)
+	return t.merge(now, shed.Suspect{Request: f, Workspace: ws, Crashes: []shed.ServerCrash{{Start: server}}}, fromLocal)
 }
 
 // Ran notes that a server ran a request and did not end.
 func (t *Table) Ran(now time.Time, f shed.Fingerprint) []Change {
-	if len(t.ran) >= mostRan {
-		t.ran, t.ranBefore = map[shed.Fingerprint]time.Time{}, t.ran
+	if len(t.recentRuns) >= maxRuns {
+		t.recentRuns, t.olderRuns = map[shed.Fingerprint]time.Time{}, t.recentRuns
 	}
-	t.ran[f] = now
+	t.recentRuns[f] = now
 	if t.suspects[f] == nil {
 		return nil
 	}
-	return t.merge(now, shed.Suspect{Request: f}, fromHere)
+	return t.merge(now, shed.Suspect{Request: f}, fromLocal)
 }
 
 // source is who else knows of something that is taken in.
 type source uint8
 
 const (
-	// fromHere: nobody else; fromPeer: some peers; fromAll: all peers.
-	fromHere source = iota + 1
+	// fromLocal: nobody else; fromPeer: some peers; fromAll: all peers.
+	fromLocal source = iota + 1
 	fromPeer
-	fromAll
+	fromAllPeers
 )
 
 // Heard takes in what a peer tells.
 func (t *Table) Heard(now time.Time, m shed.CrashNews) []Change {
 	from := fromPeer
 	if m.All {
-		from = fromAll
+		from = fromAllPeers
 	}
 	for _, e := range m.Ended {
-		t.noteEnd(e.Start, now.Add(-max(e.Age, 0)))
+		t.recordEnd(e.Start, now.Add(-max(e.Age, 0)))
 	}
 	var out []Change
 	for _, s := range m.Suspects {
@@ -192,48 +194,48 @@
 		t.suspects[in.Request] = s
 		t.perWorkspace[in.Workspace]++
 	}
-	before := s.count()
+	before := s.crashCount()
 	changed := false
 	for _, c := range in.Crashes {
-		changed = t.takeCrash(s, c.Start, now.Add(-max(c.Age, 0))) || changed
+		changed = t.recordCrash(s, c.Start, now.Add(-max(c.Age, 0))) || changed
 	}
 	if in.Ran != nil {
-		changed = s.takeRan(now.Add(-max(*in.Ran, 0))) || changed
+		changed = s.recordRun(now.Add(-max(*in.Ran, 0))) || changed
 	}
-	if s.takeRan(t.ranHere(in.Request)) {
-		changed, from = true, fromHere
+	if s.recordRun(t.localRun(in.Request)) {
+		changed, from = true, fromLocal
 	}
-	s.wide = s.wide || s.count() >= suspectFrom
+	s.knownToAll = s.knownToAll || s.crashCount() >= suspectThreshold
 	if !changed {
 		return nil
 	}
-	if from == fromHere || from == fromPeer && s.wide {
-		s.tell = tellTimes
+	if from == fromLocal || from == fromPeer && s.knownToAll {
+		s.pendingReports = reportRepeats
 	}
-	return t.believe(now, s, before)
+	return t.reassess(now, s, before)
 }
 
-// ranHere is when a request last ran well at this VM; zero if it isn't known to.
-func (t *Table) ranHere(f shed.Fingerprint) time.Time {
-	if at, ok := t.ran[f]; ok {
+// localRun is when a request last ran well at this VM; zero if it isn't known to.
+func (t *Table) localRun(f shed.Fingerprint) time.Time {
+	if at, ok := t.recentRuns[f]; ok {
 		return at
 	}
-	return t.ranBefore[f]
+	return t.olderRuns[f]
 }
 
-// takeRan notes that a request ran well: what ended before is no longer held against it.
+// recordRun notes that a request ran well: what ended before is no longer held against it.
 // It tells whether something was, or it is not known to have run well before.
-func (s *suspect) takeRan(at time.Time) bool {
-	if !at.After(s.ran) {
+func (s *suspect) recordRun(at time.Time) bool {
+	if !at.After(s.lastRun) {
 		return false
 	}
-	before, first := s.count(), s.ran.IsZero()
-	s.ran, s.trial = at, time.Time{}
-	return first || s.count() < before
+	before, first := s.crashCount(), s.lastRun.IsZero()
+	s.lastRun, s.trialUntil = at, time.Time{}
+	return first || s.crashCount() < before
 }
 
-func (t *Table) takeCrash(s *suspect, start shed.ServerStart, at time.Time) bool {
-	t.noteEnd(start, at)
+func (t *Table) recordCrash(s *suspect, start shed.ServerStart, at time.Time) bool {
+	t.recordEnd(start, at)
 	old, known := s.crashes[start]
 	if known && !at.Before(old) {
 		return false
@@ -242,35 +244,37 @@
 	if known {
 		return false
 	}
-	s.trial = time.Time{}
-	if len(s.crashes) > mostCrashes {
-		delete(s.crashes, s.oldest())
+	s.trialUntil = time.Time{}
+	if len(s.crashes) > maxCrashes {
+		delete(s.crashes, s.oldestCrash())
 	}
-	return at.After(s.ran)
+	return at.After(s.lastRun)
 }
 
-func (t *Table) noteEnd(start shed.ServerStart, at time.Time) {
-	if old, known := t.ended[start]; !known || at.Before(old) {
-		t.ended[start] = at
+func (t *Table) recordEnd(start shed.ServerStart, at time.Time) {
+	if old, known := t.endedAt[start]; !known || at.Before(old) {
+		t.endedAt[start] = at
 	}
 }
 
-// count is how many crashes are held against the request.
-func (s *suspect) count() int {
+// crashCount is how many crashes are held against the request.
+func (s *suspect) crashCount() int {
 	n := 0
 	for _, at := range s.crashes {
-		if at.After(s.ran) {
+		if at.After(s.lastRun) {
 			n++
 		}
 	}
 	return n
 }
 
-// blamable tells whether a crash of a server may be held against the request.
-func (s *suspect) blamable(start shed.ServerStart) bool { return s.crashes[start].After(s.ran) }
+// isAttributable tells whether a crash of a server may be held against the request.
+func (s *suspect) isAttributable(start shed.ServerStart) bool {
+	return s.crashes[start].After(s.lastRun)
+}
 
-// last is when a server last ended under the request.
-func (s *suspect) last() time.Time {
+// lastCrash is when a server last ended under the request.
+func (s *suspect) lastCrash() time.Time {
 	var out time.Time
 	for _, at := range s.crashes {
 		out = shed.Later(out, at)
@@ -278,7 +282,7 @@
 	return out
 }
 
-func (s *suspect) oldest() shed.ServerStart {
+func (s *suspect) oldestCrash() shed.ServerStart {
 	return slices.MinFunc(slices.Collect(maps.Keys(s.crashes)), func(a, b shed.ServerStart) int {
 		return cmp.Or(s.crashes[a].Compare(s.crashes[b]), cmp.Compare(a.Server, b.Server), cmp.Compare(a.Born, b.Born))
 	})
@@ -287,12 +291,12 @@
 // sweep forgets what is too old.
 func (t *Table) sweep(now time.Time) {
 	for f, s := range t.suspects {
-		keep := max(keepFor, 2*t.quarantine(now, s))
-		if now.Sub(shed.Later(s.last(), s.ran)) > keep {
+		keep := max(retention, 2*t.quarantineTime(now, s))
+		if now.Sub(shed.Later(s.lastCrash(), s.lastRun)) > keep {
 			t.forget(f)
 		}
 	}
-	maps.DeleteFunc(t.ended, func(_ shed.ServerStart, at time.Time) bool { return now.Sub(at) > keepFor })
+	maps.DeleteFunc(t.endedAt, func(_ shed.ServerStart, at time.Time) bool { return now.Sub(at) > retention })
 }
 
 func (t *Table) forget(f shed.Fingerprint) {
@@ -306,32 +310,32 @@
 // makeRoom makes room for one more request of a workspace: a full table loses one of the
 // workspace that has most, so that no workspace takes others' room.
 func (t *Table) makeRoom(ws shed.WorkspaceID) bool {
-	if len(t.suspects) < mostSuspects {
+	if len(t.suspects) < maxSuspects {
 		return true
 	}
-	from := ws
+	largest := ws
 	for other, n := range t.perWorkspace {
-		if top := t.perWorkspace[from]; n > top || n == top && other < from {
-			from = other
+		if top := t.perWorkspace[largest]; n > top || n == top && other < largest {
+			largest = other
 		}
 	}
-	var least *suspect
+	var victim *suspect
 	for _, s := range t.suspects {
-		if s.workspace == from && (least == nil || s.lesser(least)) {
-			least = s
+		if s.workspace == largest && (victim == nil || s.lessRelevant(victim)) {
+			victim = s
 		}
 	}
-	if least == nil || least.count() >= t.limit(least) && from != ws {
+	if victim == nil || victim.crashCount() >= t.crashLimit(victim) && largest != ws {
 		return false
 	}
-	t.forget(least.request)
+	t.forget(victim.request)
 	return true
 }
 
-// lesser tells whether a request is to be forgotten before another one.
-func (s *suspect) lesser(other *suspect) bool {
+// lessRelevant tells whether a request is to be forgotten before another one.
+func (s *suspect) lessRelevant(other *suspect) bool {
 	return cmp.Or(
-		cmp.Compare(s.count(), other.count()), s.last().Compare(other.last()),
+		cmp.Compare(s.crashCount(), other.crashCount()), s.lastCrash().Compare(other.lastCrash()),
 		slices.Compare(s.request[:], other.request[:]),
 	) < 0
 }
--- a/internal/poison/table_test.go
+++ b/internal/poison/table_test.go
@@ -23,8 +23,8 @@
 		for _, loss := range []float64{0, 0.05} {
 			s := newSim(1, n, 18)
 			s.loss = loss
-			s.load(40)
-			c := s.culpritEvery(1, 250*time.Millisecond)
+			s.startLoad(40)
+			c := s.startCulprit(1, 250*time.Millisecond)
 			s.Run(12 * time.Second)
 			bytes := 0
 			for _, v := range s.vms {
@@ -44,11 +44,11 @@
 // requests. None of these may be refused.
 func TestStormsBlameNobody(t *testing.T) {
 	storms := map[string]func(*sim){
-		"one server each second": func(s *sim) { s.every(700*time.Millisecond, func() { s.end(s.pick()) }) },
+		"one server each second": func(s *sim) { s.every(700*time.Millisecond, func() { s.crash(s.randomServer()) }) },
 		"a release: one after the other": func(s *sim) {
 			n := 0
 			s.every(time.Second, func() {
-				s.end(s.servers[n%len(s.servers)])
+				s.crash(s.servers[n%len(s.servers)])
 				n++
 			})
 		},
@@ -56,7 +56,7 @@
 			s.every(4*time.Second, func() {
 				for i, x := range s.servers {
 					if i%3 == 0 {
-						s.end(x)
+						s.crash(x)
 					}
 				}
 			})
@@ -67,8 +67,8 @@
 			for seed := range uint64(10) {
 				s := newSim(seed, 7, 9)
 				s.loss = 0.05
-				s.load(40)
-				s.repeaters(5)
+				s.startLoad(40)
+				s.startRepeaters(5)
 				storm(s)
 				s.Run(30 * time.Second)
 				require.Zero(t, s.refused, "seed %d: served %d, failed %d", seed, s.served, s.failed)
@@ -84,34 +84,34 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		s := newSim(rapid.Uint64().Draw(rt, "seed"), rapid.SampledFrom([]int{3, 7, 16}).Draw(rt, "vms"), 18)
 		s.loss = rapid.SampledFrom([]float64{0, 0.05, 0.2}).Draw(rt, "loss")
-		s.load(20)
-		s.repeaters(3)
+		s.startLoad(20)
+		s.startRepeaters(3)
 		var culprits []*culprit
 		for i := range rapid.IntRange(1, 2).Draw(rt, "culprits") {
 			period := rapid.SampledFrom([]time.Duration{100 * time.Millisecond, 250 * time.Millisecond, 2 * time.Second}).Draw(rt, "period")
-			culprits = append(culprits, s.culpritEvery(i, period))
+			culprits = append(culprits, s.startCulprit(i, period))
 		}
-		deaf := s.loss > 0
+		lossy := s.loss > 0
 		for range rapid.IntRange(0, 6).Draw(rt, "troubles") {
 			at := time.Duration(rapid.IntRange(0, 12_000).Draw(rt, "at_ms")) * time.Millisecond
-			for1 := time.Duration(rapid.IntRange(200, 5000).Draw(rt, "for_ms")) * time.Millisecond
+			duration := time.Duration(rapid.IntRange(200, 5000).Draw(rt, "for_ms")) * time.Millisecond
 			switch rapid.IntRange(0, 2).Draw(rt, "trouble") {
 			case 0:
-				deaf = true
-				s.After(at, func() { s.cut(for1) })
+				lossy = true
+				s.After(at, func() { s.partition(duration) })
 			case 1:
-				deaf = true
-				s.After(at, func() { s.restart(s.anyVM()) })
+				lossy = true
+				s.After(at, func() { s.restart(s.randomVM()) })
 			default:
 				s.After(at, func() {
-					if x := s.pick(); x != nil {
-						s.end(x)
+					if x := s.randomServer(); x != nil {
+						s.crash(x)
 					}
 				})
 			}
 		}
 		s.Run(16 * time.Second)
-		if deaf {
+		if lossy {
 			require.LessOrEqual(rt, float64(s.refused), 0.02*float64(s.served))
 		} else {
 			require.Zero(rt, s.refused)
@@ -125,7 +125,7 @@
 // at is a time of the tests that follow.
 func at(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 
-func first() int { return 0 }
+func firstTurn() int { return 0 }
 
 func newTable() *poison.Table {
 	return poison.New(poison.Config{Limit: limit, Quarantine: quarantine})
@@ -139,31 +139,31 @@
 // A request is refused from the third server on, tried once after its quarantine, and
 // refused for longer if it ends a fourth one.
 func TestQuarantineAndTrial(t *testing.T) {
-	tb, f := newTable(), print("culprit", 1)
+	tb, f := newTable(), fingerprintOf("culprit", 1)
 	crash(tb, at(0), f, 1)
-	require.Equal(t, poison.Verdict{}, tb.Decide(at(1), f, first))
+	require.Equal(t, poison.Verdict{}, tb.Decide(at(1), f, firstTurn))
 	crash(tb, at(10), f, 2)
-	require.Equal(t, poison.Verdict{Isolate: true}, tb.Decide(at(11), f, first))
+	require.Equal(t, poison.Verdict{Isolate: true}, tb.Decide(at(11), f, firstTurn))
 	crash(tb, at(20), f, 3)
-	require.Equal(t, poison.Verdict{Refused: true, After: quarantine}, tb.Decide(at(20), f, first))
-	free := at(20).Add(quarantine)
-	require.True(t, tb.Decide(free, f, func() int { return 1 }).Refused, "another VM goes first")
-	require.Equal(t, poison.Verdict{Isolate: true, Trial: true}, tb.Decide(free, f, first))
-	require.True(t, tb.Decide(free.Add(time.Millisecond), f, first).Refused, "one at a time")
-	changes := crash(tb, free.Add(time.Second), f, 4)
+	require.Equal(t, poison.Verdict{Refused: true, After: quarantine}, tb.Decide(at(20), f, firstTurn))
+	trialAt := at(20).Add(quarantine)
+	require.True(t, tb.Decide(trialAt, f, func() int { return 1 }).Refused, "another VM goes first")
+	require.Equal(t, poison.Verdict{Isolate: true, Trial: true}, tb.Decide(trialAt, f, firstTurn))
+	require.True(t, tb.Decide(trialAt.Add(time.Millisecond), f, firstTurn).Refused, "one at a time")
+	changes := crash(tb, trialAt.Add(time.Second), f, 4)
 	require.Equal(t, 6*quarantine, changes[0].For)
-	again := tb.Decide(free.Add(time.Second), f, first)
+	again := tb.Decide(trialAt.Add(time.Second), f, firstTurn)
 	require.Equal(t, poison.Verdict{Refused: true, After: 6 * quarantine}, again)
 }
 
 // A request that runs well again is cleared, at all VMs, also if one of them has heard of
 // its crashes later than of the run.
 func TestRunClears(t *testing.T) {
-	one, other, f := newTable(), newTable(), print("r", 1)
+	one, other, f := newTable(), newTable(), fingerprintOf("r", 1)
 	for i := range 3 {
 		crash(one, at(i), f, i)
 	}
-	require.True(t, one.Decide(at(5), f, first).Refused)
+	require.True(t, one.Decide(at(5), f, firstTurn).Refused)
 	other.Ran(at(50), f)
 	peers := []shed.VM{"vm"}
 	exchange := func(now time.Time, from, to *poison.Table) {
@@ -172,70 +172,70 @@
 		}
 	}
 	exchange(at(60), one, other)
-	require.False(t, other.Decide(at(60), f, first).Refused)
+	require.False(t, other.Decide(at(60), f, firstTurn).Refused)
 	exchange(at(70), other, one)
-	require.Equal(t, poison.Verdict{}, one.Decide(at(70), f, first))
+	require.Equal(t, poison.Verdict{}, one.Decide(at(70), f, firstTurn))
 }
 
 // Two requests go along from server to server. Once one of them has ended one more, the
 // other is not to blame; as long as neither has, neither is refused, up to a bound.
 func TestBystandersAreNotBlamed(t *testing.T) {
-	tb, culprit, bystander := newTable(), print("culprit", 1), print("other", 1)
+	tb, culprit, bystander := newTable(), fingerprintOf("culprit", 1), fingerprintOf("other", 1)
 	for i := range 3 {
 		crash(tb, at(i), culprit, i)
 		crash(tb, at(i), bystander, i)
 	}
-	require.Equal(t, poison.Verdict{Isolate: true}, tb.Decide(at(5), culprit, first))
-	require.Equal(t, poison.Verdict{Isolate: true}, tb.Decide(at(5), bystander, first))
+	require.Equal(t, poison.Verdict{Isolate: true}, tb.Decide(at(5), culprit, firstTurn))
+	require.Equal(t, poison.Verdict{Isolate: true}, tb.Decide(at(5), bystander, firstTurn))
 	crash(tb, at(6), culprit, 3)
-	require.True(t, tb.Decide(at(7), culprit, first).Refused)
-	require.False(t, tb.Decide(at(7), bystander, first).Refused)
+	require.True(t, tb.Decide(at(7), culprit, firstTurn).Refused)
+	require.False(t, tb.Decide(at(7), bystander, firstTurn).Refused)
 	for i := range 2 {
 		crash(tb, at(8), culprit, 4+i)
 		crash(tb, at(8), bystander, 3+i)
 	}
-	require.Equal(t, poison.Verdict{Refused: true, After: quarantine/5 - time.Millisecond}, tb.Decide(at(9), bystander, first),
+	require.Equal(t, poison.Verdict{Refused: true, After: quarantine/5 - time.Millisecond}, tb.Decide(at(9), bystander, firstTurn),
 		"five servers are hardly chance")
 }
 
 // A request that has run well is on many servers that end, as it comes again and again: it
 // takes more of them to blame it.
 func TestRequestThatRanWellNeedsMore(t *testing.T) {
-	tb, f := newTable(), print("r", 1)
+	tb, f := newTable(), fingerprintOf("r", 1)
 	tb.Ran(at(0), f)
 	for i := range 5 {
 		crash(tb, at(10+i), f, i)
-		require.False(t, tb.Decide(at(10+i), f, first).Refused, "%d servers", i+1)
+		require.False(t, tb.Decide(at(10+i), f, firstTurn).Refused, "%d servers", i+1)
 	}
 	crash(tb, at(20), f, 5)
-	require.True(t, tb.Decide(at(20), f, first).Refused)
+	require.True(t, tb.Decide(at(20), f, firstTurn).Refused)
 }
 
 // Servers end by themselves, one after the other: three of them under one request say
 // nothing.
 func TestStormSpeaksForRequests(t *testing.T) {
-	tb, f := newTable(), print("r", 1)
+	tb, f := newTable(), fingerprintOf("r", 1)
 	for i := range 4 {
-		crash(tb, at(i), print("other", i), 10+i)
+		crash(tb, at(i), fingerprintOf("other", i), 10+i)
 	}
 	for i := range 3 {
 		crash(tb, at(10+i), f, i)
 	}
-	require.Equal(t, poison.Verdict{Isolate: true}, tb.Decide(at(20), f, first))
-	require.True(t, tb.Decide(at(10_500), f, first).Refused, "the storm is over")
+	require.Equal(t, poison.Verdict{Isolate: true}, tb.Decide(at(20), f, firstTurn))
+	require.True(t, tb.Decide(at(10_500), f, firstTurn).Refused, "the storm is over")
 }
 
 // A caller sends many different requests that end servers. What is kept of it is bounded,
 // and what is known of others' requests stays.
 func TestOneWorkspaceForgetsItsOwn(t *testing.T) {
-	tb, other := newTable(), print("other", 1)
+	tb, other := newTable(), fingerprintOf("other", 1)
 	for i := range 3 {
 		tb.Crashed(at(i), other, "quiet", shed.ServerStart{Server: shed.ServerID(fmt.Sprint(i))})
 	}
 	for i := range 5000 {
-		tb.Crashed(at(10+i), print("flood", i), "greedy", shed.ServerStart{Server: "s"})
+		tb.Crashed(at(10+i), fingerprintOf("flood", i), "greedy", shed.ServerStart{Server: "s"})
 	}
-	require.True(t, tb.Decide(at(6000), other, first).Refused)
+	require.True(t, tb.Decide(at(6000), other, firstTurn).Refused)
 	told := 0
 	for _, tell := range tb.Due(at(7000), []shed.VM{"a", "b"}) {
 		told += len(tell.News.Suspects)
@@ -245,7 +245,7 @@
 
 // A VM that knows no peer forgets, too.
 func TestOldCrashesAreForgotten(t *testing.T) {
-	tb, f := newTable(), print("r", 1)
+	tb, f := newTable(), fingerprintOf("r", 1)
 	crash(tb, at(0), f, 1)
 	tb.Due(at(0).Add(9*time.Minute), nil)
 	require.True(t, tb.Suspects(f))
@@ -260,7 +260,7 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		var news []shed.CrashNews
 		for i := range rapid.IntRange(1, 12).Draw(rt, "news") {
-			s := shed.Suspect{Request: print("r", rapid.IntRange(0, 2).Draw(rt, "request")), Workspace: "w"}
+			s := shed.Suspect{Request: fingerprintOf("r", rapid.IntRange(0, 2).Draw(rt, "request")), Workspace: "w"}
 			for range rapid.IntRange(0, 3).Draw(rt, "crashes") {
 				s.Crashes = append(s.Crashes, shed.ServerCrash{
 					Start: shed.ServerStart{Server: shed.ServerID(fmt.Sprint(rapid.IntRange(0, 5).Draw(rt, "server")))},
@@ -281,8 +281,8 @@
 			other.Heard(at(0), n)
 		}
 		for i := range 3 {
-			f := print("r", i)
-			require.Equal(rt, one.Decide(at(1), f, first).Refused, other.Decide(at(1), f, first).Refused, "request %d", i)
+			f := fingerprintOf("r", i)
+			require.Equal(rt, one.Decide(at(1), f, firstTurn).Refused, other.Decide(at(1), f, firstTurn).Refused, "request %d", i)
 		}
 	})
 }
