--- a/internal/poison/attribution.go
+++ b/internal/poison/attribution.go
@@ -8,26 +8,25 @@
 )
 
 const (
-	// suspectThreshold is the number of crashes from which a request is a suspect: it runs
-	// where it harms least, and all peers know of it.
+	// suspectThreshold is the number of crashes from which a request is a suspect: it is
+	// isolated on the server where a crash does least harm, and is reported to all peers.
 	suspectThreshold = 2
-	// ranWellFactor is how many times as many servers have to end under a request that has
-	// run well: in a storm, requests that come again and again are on many of them.
+	// ranWellFactor multiplies the crash limit of a request that has run without a crash:
+	// in a crash storm, frequently repeated requests run on many of the crashing servers.
 	ranWellFactor = 2
-	// stormWindow is the span in which servers that ended under none of the requests that are
-	// beyond their limit speak for others: there, servers end by themselves.
+	// stormWindow is the period in which crashes under none of the requests at their limit
+	// count as evidence that servers crash for another reason.
 	stormWindow = 10 * time.Second
-	// ambiguousMargin is how many crashes beyond the limit need no other sign that the request
-	// is to blame. It is then refused for a part of the quarantine, since others on the same
-	// servers may be to blame.
+	// With ambiguousMargin crashes beyond the limit, a request is refused without further
+	// evidence. Since another request on the same servers may be the cause, its quarantine
+	// is then divided by ambiguousDivisor.
 	ambiguousMargin, ambiguousDivisor = 2, 5
-	// quarantineGrowth is how much longer each further crash keeps a request away, up to
-	// quarantineMost.
+	// quarantineGrowth multiplies the quarantine with each further crash, up to maxQuarantine.
 	quarantineGrowth = 6
 	maxQuarantine    = time.Hour
 )
 
-// reassess tells what is believed anew of a request that had so many crashes before.
+// reassess returns the change in a request's state, if any, given its previous crash count.
 func (t *Table) reassess(now time.Time, s *suspect, before int) []Change {
 	n := s.crashCount()
 	change := Change{Request: s.request, Workspace: s.workspace, Crashes: n}
@@ -46,8 +45,8 @@
 	return []Change{change}
 }
 
-// quarantineTime is how long the request is refused after its last crash; 0 if it is not to
-// blame.
+// quarantineTime is how long the request is refused after its last crash; 0 if the crashes
+// are not attributed to it.
 func (t *Table) quarantineTime(now time.Time, s *suspect) time.Duration {
 	beyond, d := s.crashCount()-t.crashLimit(s), t.cfg.Quarantine
 	if beyond < 0 {
@@ -65,10 +64,10 @@
 	return d
 }
 
-// isCulprit tells whether the servers ended by this request. Others that ran on them were
-// broken off as well, and come again: each crash is held against the request that most
-// servers have ended under, and against nobody where that is not clear. While servers end
-// by themselves, one after the other, nobody is to blame.
+// isCulprit reports whether this request caused its crashes. Other requests on the same
+// servers are interrupted as well and are retried, so each crash is attributed to the request
+// with the most crashes, and to none in case of a tie. While servers crash one after the other
+// for another reason, no request is a culprit.
 func (t *Table) isCulprit(now time.Time, s *suspect) bool {
 	n, attributed := s.crashCount(), 0
 	for start := range s.crashes {
@@ -79,8 +78,7 @@
 	return attributed >= t.crashLimit(s) && t.unexplainedCrashes(now) <= n
 }
 
-// unexplainedCrashes counts the servers that ended lately under no request that is beyond its
-// limit.
+// unexplainedCrashes counts the recent crashes under no request that has reached its limit.
 func (t *Table) unexplainedCrashes(now time.Time) int {
 	var culprits []*suspect
 	for _, s := range t.suspects {
@@ -98,7 +96,7 @@
 	return n
 }
 
-// crashLimit is how many servers may end under the request.
+// crashLimit is the number of crashes from which the request can be a culprit.
 func (t *Table) crashLimit(s *suspect) int {
 	if s.lastRun.IsZero() {
 		return t.cfg.Limit
@@ -106,7 +104,7 @@
 	return ranWellFactor * t.cfg.Limit
 }
 
-// isAmbiguous tells whether another request is as likely to have ended a server.
+// isAmbiguous reports whether another request is at least as likely to have crashed a server.
 func (t *Table) isAmbiguous(s *suspect, start shed.ServerStart) bool {
 	for _, other := range t.suspects {
 		if other != s && other.isAttributable(start) && other.crashCount() >= s.crashCount() {
--- a/internal/poison/fingerprint.go
+++ b/internal/poison/fingerprint.go
@@ -1,10 +1,10 @@
-// Package poison finds requests that crash the backend servers that run them, and
-// decides where a suspect may still run. It is pure.
+// Package poison detects requests that crash the backend servers that run them, and
+// decides where a suspect may still run. It does no I/O and reads no clock.
 //
-// Load pattern: a caller sends a request that ends each server that begins to run it.
-// Its connection breaks, and it comes again, with another id, at any VM, several times a
-// second. Servers take seconds to come back, so a few such requests leave none for
-// others; and each crash breaks off all that ran on the same server.
+// Load pattern: a caller sends a request that crashes each server that starts to run it.
+// The connection breaks, and the caller retries with another id, at any VM, several times a
+// second. Servers take seconds to restart, so a few such requests leave no server for
+// others; and each crash interrupts all requests that run on the same server.
 package poison
 
 import (
@@ -18,15 +18,15 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Fingerprint names a request by its workspace, method, host, path, query arguments and
-// body. The order of query arguments isn't compared, nor are the id, the deadline and
-// other headers. The workspace is a part of it, so that no caller can make another one's
-// request look like its own.
+// Fingerprint identifies a request by its workspace, method, host, path, query arguments and
+// body. The order of query arguments is ignored, as are the id, the deadline and other
+// headers. It includes the workspace so that no caller can get another workspace's
+// request suspected.
 func Fingerprint(workspace shed.WorkspaceID, ask *shed.Ask, body []byte) shed.Fingerprint {
 	path, query, _ := strings.Cut(ask.Target, "?")
 	h := sha256.New()
 	for _, field := range []string{string(workspace), ask.Method, ask.Host, path, sortedQuery(query)} {
-		// The length keeps fields apart: "a","bc" is not "ab","c".
+		// The length prefix makes "a","bc" differ from "ab","c".
 		h.Write(binary.BigEndian.AppendUint32(nil, uint32(len(field))))
 		h.Write([]byte(field))
 	}
@@ -34,15 +34,15 @@
 	return shed.Fingerprint(h.Sum(nil)[:len(shed.Fingerprint{})])
 }
 
-// InPool names the pieces of a request that a pool makes. They are judged apart from the
-// request: one that ends model engines has its pieces made well each time.
+// InPool returns the fingerprint of a request's pieces in a pool. They are tracked separately
+// from the request: the pieces of a request that crashes model engines succeed each time.
 func InPool(f shed.Fingerprint, pool shed.PoolID) shed.Fingerprint {
 	h := xxhash.Sum64String(string(pool))
 	binary.BigEndian.PutUint64(f[:8], binary.BigEndian.Uint64(f[:8])^h)
 	return f
 }
 
-// sortedQuery sorts the arguments of a query; one that can't be read stays as it is.
+// sortedQuery sorts the arguments of a query; one that can't be parsed is returned as it is.
 func sortedQuery(query string) string {
 	args, err := url.ParseQuery(query)
 	if err != nil {
--- a/internal/poison/fingerprint_test.go
+++ b/internal/poison/fingerprint_test.go
@@ -36,7 +36,7 @@
 	}
 }
 
-// BenchmarkFingerprint is what each request pays.
+// BenchmarkFingerprint measures the cost added to each request.
 func BenchmarkFingerprint(b *testing.B) {
 	ask := shed.Ask{Method: "POST", Host: "pule25.example", Target: "/puxa400/2f"}
 	body := make([]byte, 4<<10)
--- a/internal/poison/report.go
+++ b/internal/poison/report.go
@@ -10,29 +10,30 @@
 )
 
 const (
-	// firstCrashPeers is how many VMs are told of a request's first crash. When many servers end
-	// at once, as in a power cut, a VM may have thousands of requests that came to nothing
-	// with them; only those that come again, at any VM, matter to all.
+	// firstCrashPeers is the number of peers that receive a request's first crash. When many
+	// servers crash at once, as in a power cut, thousands of requests of a VM may be interrupted;
+	// only those that are retried, at any VM, matter to all peers.
 	firstCrashPeers = 2
-	// maxSuspectsPerMessage bounds the requests in one message, mostEnded the servers that have ended.
+	// maxSuspectsPerMessage and maxEndsPerMessage bound the suspects and the crashed servers in
+	// one message.
 	maxSuspectsPerMessage, maxEndsPerMessage = 32, 16
-	// reportRepeats is how often peers are told the same, since messages get lost.
+	// reportRepeats is how many times each change is sent, since messages get lost.
 	reportRepeats = 2
-	// reminderInterval is how often remindPeers peers are told of all suspects, for those that
-	// have started or missed a message.
+	// All suspects are sent to peersPerReminder peers every reminderInterval, for peers that have
+	// restarted or missed a message.
 	reminderInterval = time.Second
 	peersPerReminder = 2
-	// sweepInterval is how often what is too old is forgotten.
+	// sweepInterval is the interval at which expired entries are removed.
 	sweepInterval = time.Second
 )
 
-// Tell is a message and who gets it.
+// Tell is an update and its receivers.
 type Tell struct {
 	To   []shed.VM
 	News shed.CrashNews
 }
 
-// Due is what peers, sorted, are to be told now. It is asked at each tick.
+// Due returns the updates to send now to peers, which must be sorted. It is called at each tick.
 func (t *Table) Due(now time.Time, peers []shed.VM) []Tell {
 	if now.Sub(t.sweptAt) >= sweepInterval {
 		t.sweptAt = now
@@ -66,7 +67,7 @@
 	return append(out, t.remind(now, peers)...)
 }
 
-// remind tells a few peers, in turn, of all suspects.
+// remind sends all suspects to a few peers, in round-robin order.
 func (t *Table) remind(now time.Time, peers []shed.VM) []Tell {
 	if now.Sub(t.remindedAt) < reminderInterval {
 		return nil
@@ -88,7 +89,7 @@
 	return []Tell{{To: to, News: t.message(now, known, false)}}
 }
 
-// mostRelevant returns the requests that matter most of those wanted, as many as go in a message.
+// mostRelevant returns the most relevant of the matching suspects, as many as fit in a message.
 func (t *Table) mostRelevant(match func(*suspect) bool) []*suspect {
 	var out []*suspect
 	for _, s := range t.suspects {
@@ -123,7 +124,7 @@
 	return m
 }
 
-// crashesByAge are ends of servers, the newest first.
+// crashesByAge returns crashes, the newest first.
 func crashesByAge(now time.Time, endedAt map[shed.ServerStart]time.Time) []shed.ServerCrash {
 	var out []shed.ServerCrash
 	for start, at := range endedAt {
--- a/internal/poison/sim_test.go
+++ b/internal/poison/sim_test.go
@@ -16,28 +16,28 @@
 	limit, quarantine = 3, 15 * time.Second
 	tick              = 100 * time.Millisecond
 	latency           = 2 * time.Millisecond
-	// runTime is how long servers run a request, crashAfter how long one that ends them.
+	// runTime is how long a request runs, crashDelay how long a culprit runs until the crash.
 	runTime, crashDelay = 400 * time.Millisecond, 100 * time.Millisecond
-	// downTime is how long a server is down after it has ended.
+	// downTime is how long a server is down after a crash.
 	downTime = 2 * time.Second
-	// maxSends is how many servers one attempt of a caller may reach.
+	// maxSends is the number of servers to which one attempt of a caller may be sent.
 	maxSends = 2
-	// detectionDelay is how long VMs take to see that others can't be reached.
+	// detectionDelay is the time after which VMs see that peers can't be reached.
 	detectionDelay = 2200 * time.Millisecond
-	// settleTime is how long a VM has to be out of trouble for bounds to hold.
+	// settleTime is the time since a VM's last disturbance from which bounds hold for it.
 	settleTime = 3 * time.Second
 )
 
 var start = time.Unix(1_700_000_000, 0)
 
-// sim is a fleet of VMs before servers that end, in virtual time.
+// sim simulates VMs that send requests to crashing servers, in virtual time.
 type sim struct {
 	vclock.Clock
 	rnd     *rand.Rand
 	vms     []*simVM
 	servers []*simServer
 	loss    float64
-	// culprits are the requests that end servers.
+	// culprits are the requests that crash servers.
 	culprits map[shed.Fingerprint]*culprit
 	// served, refused and failed count the attempts of other requests.
 	served, refused, failed int
@@ -46,10 +46,10 @@
 type simVM struct {
 	id    shed.VM
 	table *poison.Table
-	// partition is on which side of a cut it is, since cutAt.
+	// partition is its side of a network partition, since partitionedAt.
 	partition     int
 	partitionedAt time.Time
-	// disturbedAt is when it was last started anew, cut off or joined again.
+	// disturbedAt is when it was last restarted, partitioned off or reconnected.
 	disturbedAt time.Time
 	bytes       int
 }
@@ -65,18 +65,18 @@
 	vm      *simVM
 	request shed.Fingerprint
 	ended   bool
-	// onEnd is called with whether the server ended under it.
+	// onEnd is called when the request ends, with whether the server crashed.
 	onEnd func(crashed bool)
 }
 
-// culprit is what a request has done that ends servers.
+// culprit counts the effects of a request that crashes servers.
 type culprit struct {
 	crashes int
-	// limitReachedAt is when the third server ended, lateSends counts what VMs in touch sent
-	// longer than contact after it.
+	// limitReachedAt is when the number of crashes reached the limit. lateSends counts sends
+	// more than settleTime later, by VMs that were not disturbed within settleTime.
 	limitReachedAt time.Time
 	lateSends      int
-	// lastSentAt is when it was last sent on.
+	// lastSentAt is when it was last sent to a server.
 	lastSentAt time.Time
 }
 
@@ -94,20 +94,20 @@
 	return s
 }
 
-// startVM starts a VM anew: it knows nothing.
+// startVM restarts a VM with an empty table.
 func (s *sim) startVM(v *simVM) {
 	v.table = poison.New(poison.Config{Self: v.id, Limit: limit, Quarantine: quarantine})
 }
 
-// every repeats something from a random time on.
+// every calls do periodically, with a random phase.
 func (s *sim) every(period time.Duration, do func()) {
 	s.Every(time.Duration(s.rnd.Int64N(int64(period))), period, do)
 }
 
-// canReach tells whether messages of one VM come to another.
+// canReach reports whether messages of one VM reach another.
 func canReach(a, b *simVM) bool { return a.partition == b.partition }
 
-// peersOf are the VMs that one holds alive.
+// peersOf returns the VMs that v takes for alive.
 func (s *sim) peersOf(v *simVM) []shed.VM {
 	var out []shed.VM
 	for _, other := range s.vms {
@@ -138,7 +138,7 @@
 	for _, t := range v.table.Due(s.Now, s.peersOf(v)) {
 		size, err := peers.Size(shed.Peer{VM: v.id, Incarnation: 1}, t.News)
 		if err != nil {
-			panic(err) // The table made news that have no encoding.
+			panic(err) // The table made an update that can't be encoded.
 		}
 		for _, id := range t.To {
 			to := s.vmByID(id)
@@ -155,13 +155,13 @@
 	}
 }
 
-// turn is a VM's place among those that may try a request after its quarantine.
+// turn is a VM's position in the order of VMs that may try a request after its quarantine.
 func (s *sim) turn(v *simVM) int {
 	at := slices.Index(s.peersOf(v), v.id)
 	return max(at, 0)
 }
 
-// attempt is one attempt of a caller at a VM; done is called with whether it was served.
+// attempt is one attempt of a caller at a VM; done is called with its result.
 func (s *sim) attempt(v *simVM, request shed.Fingerprint, sends int, done func(served, refused bool)) {
 	table := v.table
 	if table.Decide(s.Now, request, func() int { return s.turn(v) }).Refused {
@@ -213,7 +213,7 @@
 	}
 }
 
-// randomServer picks a server that is up; nil if none is.
+// randomServer returns a server that is up; nil if there is none.
 func (s *sim) randomServer() *simServer {
 	var up []*simServer
 	for _, x := range s.servers {
@@ -227,7 +227,7 @@
 	return up[s.rnd.IntN(len(up))]
 }
 
-// crashBy ends a server by a request that runs on it.
+// crashBy crashes a server by a request that runs on it.
 func (s *sim) crashBy(server *simServer, r *simRun) {
 	if r.ended {
 		return
@@ -239,7 +239,7 @@
 	s.crash(server)
 }
 
-// crash ends a server, and with it all that runs there.
+// crash crashes a server, and interrupts all requests on it.
 func (s *sim) crash(server *simServer) {
 	if server.down {
 		return
@@ -249,7 +249,7 @@
 	server.runs = nil
 	for _, r := range runs {
 		r.ended = true
-		// VMs see it one after the other.
+		// VMs notice the crash one after the other.
 		s.After(time.Duration(s.rnd.Int64N(int64(5*time.Millisecond))), func() { r.onEnd(true) })
 	}
 	s.After(downTime, func() {
@@ -258,7 +258,7 @@
 	})
 }
 
-// startCulprit sends a request that ends servers, at random VMs.
+// startCulprit periodically sends a request that crashes servers, at random VMs.
 func (s *sim) startCulprit(n int, period time.Duration) *culprit {
 	request := fingerprintOf("culprit", n)
 	c := &culprit{}
@@ -267,8 +267,7 @@
 	return c
 }
 
-// startLoad sends other requests: each is another one, and comes once more at another VM if it
-// fails.
+// startLoad sends distinct other requests; each that fails is retried once at another VM.
 func (s *sim) startLoad(perSecond int) {
 	n := 0
 	s.every(time.Second/time.Duration(perSecond), func() {
@@ -284,7 +283,7 @@
 	})
 }
 
-// startRepeaters send the same request over and over, each its own.
+// startRepeaters starts n callers, each of which keeps repeating its own request.
 func (s *sim) startRepeaters(n int) {
 	for i := range n {
 		var again func()
@@ -315,7 +314,7 @@
 
 func (s *sim) randomVM() *simVM { return s.vms[s.rnd.IntN(len(s.vms))] }
 
-// partition cuts every third VM off from the others for a time.
+// partition separates every third VM from the others for a time.
 func (s *sim) partition(d time.Duration) {
 	for i, v := range s.vms {
 		if i%3 == 0 {
@@ -331,13 +330,13 @@
 	})
 }
 
-// restart starts a VM anew.
+// restart restarts a VM, which loses its table.
 func (s *sim) restart(v *simVM) {
 	v.disturbedAt = s.Now
 	s.startVM(v)
 }
 
-// fingerprintOf makes up a fingerprint.
+// fingerprintOf returns the fingerprint of a made-up request.
 func fingerprintOf(kind string, n int) shed.Fingerprint {
 	return poison.Fingerprint("w", &shed.Ask{Target: fmt.Sprintf("/%s/%d", kind, n)}, nil)
 }
--- a/internal/poison/table.go
+++ b/internal/poison/table.go
@@ -10,69 +10,70 @@
 )
 
 const (
-	// retention is how long a crash is remembered at least.
+	// retention is the minimum time for which a crash is remembered.
 	retention = 10 * time.Minute
-	// explanationWindow is how long the end of a server explains connections to it that break.
+	// explanationWindow is how long after a server's crash broken connections to it are
+	// ascribed to that crash.
 	explanationWindow = 2 * time.Second
-	// trialTimeout bounds the time in which a VM awaits the end of a trial.
+	// trialTimeout is how long a VM waits for the result of a trial.
 	trialTimeout = 5 * time.Second
-	// trialStagger is how long the VMs before it in turn have for a trial.
+	// trialStagger is the delay of a trial for each VM that comes before this one in order.
 	trialStagger = 2 * time.Second
-	// Bounds on what is kept: requests, crashes of one request, and half of the requests
-	// that ran well.
+	// Bounds on the suspects, on the crashes kept per suspect, and on each of the two
+	// generations of requests that ran without a crash.
 	maxSuspects, maxCrashes, maxRuns = 1024, 16, 4096
 )
 
-// Config sets up a Table.
+// Config configures a Table.
 type Config struct {
 	// Self is this VM.
 	Self shed.VM
-	// Limit is how many servers may end under a request before it is refused.
+	// Limit is the number of crashes under a request from which it is refused.
 	Limit int
-	// Quarantine is how long it is refused then.
+	// Quarantine is how long a request is refused after reaching the limit.
 	Quarantine time.Duration
 }
 
-// Table is what one VM knows of requests that crash servers. It is not safe for
+// Table holds what one VM knows of requests that crash servers. It is not safe for
 // concurrent use.
 type Table struct {
 	cfg      Config
 	suspects map[shed.Fingerprint]*suspect
-	// perWorkspace counts the suspects of each workspace; no entry is 0.
+	// perWorkspace counts the suspects of each workspace; entries are never 0.
 	perWorkspace map[shed.WorkspaceID]int
-	// endedAt are the servers' starts that are known to have ended, with when.
+	// endedAt holds the server starts known to have crashed, with the time of the crash.
 	endedAt map[shed.ServerStart]time.Time
-	// recentRuns and ranBefore are when requests last ran well here: the newest of them, and
-	// those before.
+	// recentRuns and olderRuns are two generations of the times at which requests last ran
+	// here without a crash.
 	recentRuns, olderRuns map[shed.Fingerprint]time.Time
-	// sweptAt is when what is too old was last looked for, toldAt when peers were last
-	// told what they may have missed.
+	// sweptAt is when expired entries were last removed, remindedAt when the last reminder
+	// was sent to peers.
 	sweptAt, remindedAt time.Time
-	// lastReminded is the peer that was told last so; the next ones follow it in their order, so
-	// that VMs don't all tell the same ones.
+	// lastReminded is the last peer of the latest reminder. The next reminder goes to the
+	// peers after it in order; it starts at this VM, so that VMs don't all remind the same peers.
 	lastReminded shed.VM
 }
 
-// suspect is a request under which servers ended.
+// suspect is a request under which servers crashed.
 type suspect struct {
 	request   shed.Fingerprint
 	workspace shed.WorkspaceID
-	// crashes are the ends of servers under it. Only those after ran are held against it;
-	// the others stay, so that it doesn't matter what is heard first.
+	// crashes are the server crashes under it. Only those after lastRun count; the others
+	// are kept so that the order in which updates are received doesn't matter.
 	crashes map[shed.ServerStart]time.Time
-	// lastRun is when a server last ran it and did not end; zero if never.
+	// lastRun is when a server last ran it without crashing; zero if never.
 	lastRun time.Time
-	// trialUntil is until when a trial is under way here.
+	// trialUntil is when the current trial on this VM times out.
 	trialUntil time.Time
-	// quarantined: it was found to be to blame.
+	// quarantined is whether the latest change reported for it was Quarantined.
 	quarantined bool
-	// pendingReports is how often peers are still to be told what is known here; wide: all of them
-	// know of the request.
+	// pendingReports is how many more times to report it to peers; knownToAll is whether
+	// it is reported to all of them.
 	pendingReports int
 	knownToAll     bool
 }
 
-// New returns a Table that knows of no request.
+// New returns a Table without suspects.
 func New(cfg Config) *Table {
 	return &Table{
 		cfg: cfg, suspects: map[shed.Fingerprint]*suspect{},
@@ -81,48 +82,49 @@
 	}
 }
 
-// What a Change says.
+// Kinds of Change.
 const (
 	Suspected   shed.Reason = "request_suspected"
 	Quarantined shed.Reason = "request_quarantined"
 	Cleared     shed.Reason = "request_cleared"
 )
 
-// Change is something that is believed anew of a request.
+// Change is a change in the state of a suspect.
 type Change struct {
 	What      shed.Reason
 	Request   shed.Fingerprint
 	Workspace shed.WorkspaceID
-	// Crashes is how many servers have ended under it.
+	// Crashes is the number of crashes counted against it.
 	Crashes int
-	// For is how long it is refused.
+	// For is how long it is refused, if quarantined.
 	For time.Duration
 }
 
-// Verdict is what may be done with a request.
+// Verdict says whether and how a request may run.
 type Verdict struct {
-	// Refused: no server may get it; After is when one might.
+	// Refused: it may not be sent to any server; After is when to retry.
 	Refused bool
 	After   time.Duration
-	// Isolate: it may run, at the server where a crash harms least.
+	// Isolate: it may run, on the server where a crash does least harm.
 	Isolate bool
-	// Trial: it may run once, to see whether it still crashes servers.
+	// Trial: it may run once, as a probe of whether it still crashes servers.
 	Trial bool
 }
 
-// Empty tells whether no request is known.
+// Empty reports whether there are no suspects.
 func (t *Table) Empty() bool { return len(t.suspects) == 0 }
 
-// Suspects tells whether servers ended under a request.
+// Suspects reports whether crashes under a request are recorded.
 func (t *Table) Suspects(f shed.Fingerprint) bool { return t.suspects[f] != nil }
 
-// Knows tells whether this start of a server is known to have ended just now.
+// Knows reports whether this start of a server is known to have crashed within the
+// explanation window.
 func (t *Table) Knows(now time.Time, s shed.ServerStart) bool {
 	return now.Sub(t.endedAt[s]) < explanationWindow
 }
 
-// Decide tells whether a request may run now. turn is this VM's place among those that may try
-// it after its quarantine, 0 for the first.
+// Decide returns whether and how a request may run now. turn is this VM's position in the order
+// of VMs that may try it after its quarantine, 0 for the first.
 func (t *Table) Decide(now time.Time, f shed.Fingerprint, turn func() int) Verdict {
 	s := t.suspects[f]
 	if s == nil || s.crashCount() < suspectThreshold {
@@ -140,12 +142,12 @@
 	return Verdict{Isolate: true, Trial: true}
 }
 
-// Crashed notes that a server ended while it ran a request of this VM.
+// Crashed records that a server crashed while it ran a request of this VM.
 func (t *Table) Crashed(now time.Time, f shed.Fingerprint, ws shed.WorkspaceID, server shed.ServerStart) []Change {
 	return t.merge(now, shed.Suspect{Request: f, Workspace: ws, Crashes: []shed.ServerCrash{{Start: server}}}, fromLocal)
 }
 
-// Ran notes that a server ran a request and did not end.
+// Ran records that a server ran a request of this VM without crashing.
 func (t *Table) Ran(now time.Time, f shed.Fingerprint) []Change {
 	if len(t.recentRuns) >= maxRuns {
 		t.recentRuns, t.olderRuns = map[shed.Fingerprint]time.Time{}, t.recentRuns
@@ -157,17 +159,17 @@
 	return t.merge(now, shed.Suspect{Request: f}, fromLocal)
 }
 
-// source is who else knows of something that is taken in.
+// source says which other VMs already have an update.
 type source uint8
 
 const (
-	// fromLocal: nobody else; fromPeer: some peers; fromAll: all peers.
+	// fromLocal: none; fromPeer: some peers; fromAllPeers: all peers.
 	fromLocal source = iota + 1
 	fromPeer
 	fromAllPeers
 )
 
-// Heard takes in what a peer tells.
+// Heard merges an update received from a peer.
 func (t *Table) Heard(now time.Time, m shed.CrashNews) []Change {
 	from := fromPeer
 	if m.All {
@@ -183,7 +185,8 @@
 	return out
 }
 
-// merge takes the union of what is known and heard.
+// merge adds the crashes and the run of an update to what is known. The result doesn't depend
+// on the order of updates.
 func (t *Table) merge(now time.Time, in shed.Suspect, from source) []Change {
 	s := t.suspects[in.Request]
 	if s == nil {
@@ -215,7 +218,7 @@
 	return t.reassess(now, s, before)
 }
 
-// localRun is when a request last ran well at this VM; zero if it isn't known to.
+// localRun is when a request of this VM last ran without a crash; zero if unknown.
 func (t *Table) localRun(f shed.Fingerprint) time.Time {
 	if at, ok := t.recentRuns[f]; ok {
 		return at
@@ -223,8 +226,8 @@
 	return t.olderRuns[f]
 }
 
-// recordRun notes that a request ran well: what ended before is no longer held against it.
-// It tells whether something was, or it is not known to have run well before.
+// recordRun records a run without a crash; earlier crashes no longer count. It reports whether
+// some did count until now, or whether this is the first such run.
 func (s *suspect) recordRun(at time.Time) bool {
 	if !at.After(s.lastRun) {
 		return false
@@ -257,7 +260,7 @@
 	}
 }
 
-// crashCount is how many crashes are held against the request.
+// crashCount is the number of crashes since the request's last run without a crash.
 func (s *suspect) crashCount() int {
 	n := 0
 	for _, at := range s.crashes {
@@ -268,12 +271,12 @@
 	return n
 }
 
-// isAttributable tells whether a crash of a server may be held against the request.
+// isAttributable reports whether a server's crash counts against the request.
 func (s *suspect) isAttributable(start shed.ServerStart) bool {
 	return s.crashes[start].After(s.lastRun)
 }
 
-// lastCrash is when a server last ended under the request.
+// lastCrash is the time of the latest crash under the request.
 func (s *suspect) lastCrash() time.Time {
 	var out time.Time
 	for _, at := range s.crashes {
@@ -288,7 +291,7 @@
 	})
 }
 
-// sweep forgets what is too old.
+// sweep removes expired suspects and crashes.
 func (t *Table) sweep(now time.Time) {
 	for f, s := range t.suspects {
 		keep := max(retention, 2*t.quarantineTime(now, s))
@@ -307,8 +310,8 @@
 	}
 }
 
-// makeRoom makes room for one more request of a workspace: a full table loses one of the
-// workspace that has most, so that no workspace takes others' room.
+// makeRoom makes room for one more suspect of a workspace. A full table evicts a suspect of the
+// workspace that has most of them, so that no workspace displaces the suspects of others.
 func (t *Table) makeRoom(ws shed.WorkspaceID) bool {
 	if len(t.suspects) < maxSuspects {
 		return true
@@ -332,7 +335,7 @@
 	return true
 }
 
-// lessRelevant tells whether a request is to be forgotten before another one.
+// lessRelevant reports whether a suspect is evicted before another one.
 func (s *suspect) lessRelevant(other *suspect) bool {
 	return cmp.Or(
 		cmp.Compare(s.crashCount(), other.crashCount()), s.lastCrash().Compare(other.lastCrash()),
--- a/internal/poison/table_test.go
+++ b/internal/poison/table_test.go
@@ -14,8 +14,9 @@
 	"jasmineshed/internal/poison"
 )
 
-// A request ends what runs it and comes again four times a second; how many servers end,
-// how soon all VMs know, and what that costs, by the size of the fleet.
+// A caller retries a request that crashes servers four times a second. Guards against
+// more than limit+3 crashes, sends long after the limit was reached, and refusals of
+// other requests; the golden file has the figures by fleet size and message loss.
 func TestCrashesAtSize(t *testing.T) {
 	var out bytes.Buffer
 	fmt.Fprintln(&out, "vms loss crashes late_sends others_refused others_failed kb_each")
@@ -40,8 +41,8 @@
 	goldie.New(t).Assert(t, "crashes", out.Bytes())
 }
 
-// Servers end by themselves, in storms of several kinds, while callers repeat the same
-// requests. None of these may be refused.
+// Servers crash for reasons of their own, in storms of several kinds, while callers repeat
+// the same requests. Guards against refusing any of these requests.
 func TestStormsBlameNobody(t *testing.T) {
 	storms := map[string]func(*sim){
 		"one server each second": func(s *sim) { s.every(700*time.Millisecond, func() { s.crash(s.randomServer()) }) },
@@ -77,9 +78,9 @@
 	}
 }
 
-// Whatever happens to VMs, links and servers: a request that ends servers is sent by VMs in
-// touch no more than three times, later than it has to be known. Of others none is refused
-// while all VMs hear of all crashes, and next to none while some are cut off.
+// Under random message loss, partitions, VM restarts and server crashes, VMs that were not
+// disturbed lately send a culprit at most three times after all must know of it. No other
+// request is refused while all VMs receive all reports, and at most 2 % otherwise.
 func TestCulpritsAndOthersInAnyTrouble(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		s := newSim(rapid.Uint64().Draw(rt, "seed"), rapid.SampledFrom([]int{3, 7, 16}).Draw(rt, "vms"), 18)
@@ -122,7 +123,7 @@
 	})
 }
 
-// at is a time of the tests that follow.
+// at returns the time ms milliseconds after start.
 func at(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 
 func firstTurn() int { return 0 }
@@ -131,13 +132,13 @@
 	return poison.New(poison.Config{Limit: limit, Quarantine: quarantine})
 }
 
-// crash notes a crash of a server by its number.
+// crash records a crash of the server with the given number.
 func crash(t *poison.Table, now time.Time, f shed.Fingerprint, server int) []poison.Change {
 	return t.Crashed(now, f, "w", shed.ServerStart{Server: shed.ServerID(fmt.Sprint("s", server))})
 }
 
-// A request is refused from the third server on, tried once after its quarantine, and
-// refused for longer if it ends a fourth one.
+// A request is refused from the third crash on, tried once after its quarantine, and
+// refused for longer if it crashes a fourth server.
 func TestQuarantineAndTrial(t *testing.T) {
 	tb, f := newTable(), fingerprintOf("culprit", 1)
 	crash(tb, at(0), f, 1)
@@ -147,17 +148,17 @@
 	crash(tb, at(20), f, 3)
 	require.Equal(t, poison.Verdict{Refused: true, After: quarantine}, tb.Decide(at(20), f, firstTurn))
 	trialAt := at(20).Add(quarantine)
-	require.True(t, tb.Decide(trialAt, f, func() int { return 1 }).Refused, "another VM goes first")
+	require.True(t, tb.Decide(trialAt, f, func() int { return 1 }).Refused, "another VM is first in order")
 	require.Equal(t, poison.Verdict{Isolate: true, Trial: true}, tb.Decide(trialAt, f, firstTurn))
-	require.True(t, tb.Decide(trialAt.Add(time.Millisecond), f, firstTurn).Refused, "one at a time")
+	require.True(t, tb.Decide(trialAt.Add(time.Millisecond), f, firstTurn).Refused, "one trial at a time")
 	changes := crash(tb, trialAt.Add(time.Second), f, 4)
 	require.Equal(t, 6*quarantine, changes[0].For)
 	again := tb.Decide(trialAt.Add(time.Second), f, firstTurn)
 	require.Equal(t, poison.Verdict{Refused: true, After: 6 * quarantine}, again)
 }
 
-// A request that runs well again is cleared, at all VMs, also if one of them has heard of
-// its crashes later than of the run.
+// A request that runs without a crash is cleared at all VMs, even if one of them receives
+// its crashes after that run.
 func TestRunClears(t *testing.T) {
 	one, other, f := newTable(), newTable(), fingerprintOf("r", 1)
 	for i := range 3 {
@@ -177,8 +178,8 @@
 	require.Equal(t, poison.Verdict{}, one.Decide(at(70), f, firstTurn))
 }
 
-// Two requests go along from server to server. Once one of them has ended one more, the
-// other is not to blame; as long as neither has, neither is refused, up to a bound.
+// Two requests run on the same servers. While both have the same number of crashes, neither
+// is refused, up to a bound; once one of them has one more, only that one is.
 func TestBystandersAreNotBlamed(t *testing.T) {
 	tb, culprit, bystander := newTable(), fingerprintOf("culprit", 1), fingerprintOf("other", 1)
 	for i := range 3 {
@@ -195,11 +196,11 @@
 		crash(tb, at(8), bystander, 3+i)
 	}
 	require.Equal(t, poison.Verdict{Refused: true, After: quarantine/5 - time.Millisecond}, tb.Decide(at(9), bystander, firstTurn),
-		"five servers are hardly chance")
+		"five crashes are unlikely to be a coincidence")
 }
 
-// A request that has run well is on many servers that end, as it comes again and again: it
-// takes more of them to blame it.
+// A request that has run without a crash and is repeated often is on many servers that crash
+// for other reasons, so it takes more crashes until it is refused.
 func TestRequestThatRanWellNeedsMore(t *testing.T) {
 	tb, f := newTable(), fingerprintOf("r", 1)
 	tb.Ran(at(0), f)
@@ -211,8 +212,8 @@
 	require.True(t, tb.Decide(at(20), f, firstTurn).Refused)
 }
 
-// Servers end by themselves, one after the other: three of them under one request say
-// nothing.
+// While servers crash one after the other for other reasons, three crashes under one request
+// are no evidence against it.
 func TestStormSpeaksForRequests(t *testing.T) {
 	tb, f := newTable(), fingerprintOf("r", 1)
 	for i := range 4 {
@@ -225,8 +226,8 @@
 	require.True(t, tb.Decide(at(10_500), f, firstTurn).Refused, "the storm is over")
 }
 
-// A caller sends many different requests that end servers. What is kept of it is bounded,
-// and what is known of others' requests stays.
+// A caller sends many different requests that crash servers. Guards against unbounded memory
+// and messages, and against evicting the suspects of other workspaces.
 func TestOneWorkspaceForgetsItsOwn(t *testing.T) {
 	tb, other := newTable(), fingerprintOf("other", 1)
 	for i := range 3 {
@@ -243,7 +244,7 @@
 	require.LessOrEqual(t, told, 4*32)
 }
 
-// A VM that knows no peer forgets, too.
+// Crashes expire, also on a VM without peers.
 func TestOldCrashesAreForgotten(t *testing.T) {
 	tb, f := newTable(), fingerprintOf("r", 1)
 	crash(tb, at(0), f, 1)
@@ -254,8 +255,8 @@
 	require.True(t, tb.Empty())
 }
 
-// News come in any order, doubled, and from any VM: all that have heard the same believe
-// the same.
+// Updates arrive in any order and more than once; VMs that received the same ones must reach
+// the same verdicts.
 func TestNewsInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		var news []shed.CrashNews
