--- a/internal/turns/turns.go
+++ b/internal/turns/turns.go
@@ -16,12 +16,12 @@
 
 // Book is the owner's side: the turns that it has lent. It is not safe for concurrent use.
 type Book struct {
-	// next is when the next turn of each server is due if none is saved up.
-	next map[shed.ServerStart]time.Time
+	// nextTurn is when the next turn of each server is due if none is saved up.
+	nextTurn map[shed.ServerStart]time.Time
 }
 
 // NewBook returns a Book that has lent no turn.
-func NewBook() *Book { return &Book{next: map[shed.ServerStart]time.Time{}} }
+func NewBook() *Book { return &Book{nextTurn: map[shed.ServerStart]time.Time{}} }
 
 // Ask asks for a turn.
 type Ask struct {
@@ -44,27 +44,27 @@
 // before counts, too.
 func (b *Book) Take(now time.Time, a Ask) Turn {
 	every := time.Duration(float64(time.Second) / float64(a.Rate))
-	next, known := b.next[a.Start]
+	next, known := b.nextTurn[a.Start]
 	if !known {
 		next = now.Add(every)
-		b.next[a.Start] = next
+		b.nextTurn[a.Start] = next
 	}
 	next = shed.Later(next, now.Add(-time.Duration((a.Burst-1)*float64(every))))
 	wait := max(next.Sub(now), 0)
 	if wait > a.Patience {
 		return Turn{Wait: wait}
 	}
-	b.next[a.Start] = next.Add(every)
+	b.nextTurn[a.Start] = next.Add(every)
 	return Turn{Granted: true, Wait: wait}
 }
 
 // Keep forgets servers that have not been asked for since long.
 func (b *Book) Keep(now time.Time) {
-	maps.DeleteFunc(b.next, func(_ shed.ServerStart, next time.Time) bool { return now.Sub(next) > keepFor })
+	maps.DeleteFunc(b.nextTurn, func(_ shed.ServerStart, next time.Time) bool { return now.Sub(next) > idleRetention })
 }
 
 // keepFor is how long a server is remembered that nobody asks for.
-const keepFor = time.Minute
+const idleRetention = time.Minute
 
 // Waits is the asker's side: which servers have no turn for it. It is not safe for
 // concurrent use.
@@ -77,14 +77,14 @@
 
 // Denied notes that a server has no turn for so long.
 func (w *Waits) Denied(now time.Time, s shed.ServerStart, wait time.Duration) {
-	w.until[s] = now.Add(min(max(wait, leastWait), mostWait))
+	w.until[s] = now.Add(min(max(wait, minBackoff), maxBackoff))
 }
 
 const (
-	// leastWait is how long a server isn't asked for again, mostWait the longest: a limit
+	// minBackoff is how long a server isn't asked for again, mostWait the longest: a limit
 	// may end.
-	leastWait = 20 * time.Millisecond
-	mostWait  = time.Second
+	minBackoff = 20 * time.Millisecond
+	maxBackoff = time.Second
 )
 
 // Held tells whether asking for a turn is of no use yet.
--- a/internal/turns/turns_test.go
+++ b/internal/turns/turns_test.go
@@ -23,10 +23,10 @@
 	latency = 2 * time.Millisecond
 	// timeout is when an owner that gives no answer is passed over, for shunFor; noticed is
 	// when all know that a VM is there no more, settled when a new one lends turns.
-	timeout, shunFor = 150 * time.Millisecond, 1500 * time.Millisecond
-	noticed          = 2200 * time.Millisecond
-	settled          = 700 * time.Millisecond
-	playFor          = 20 * time.Second
+	timeout, avoidFor = 150 * time.Millisecond, 1500 * time.Millisecond
+	detectionDelay    = 2200 * time.Millisecond
+	settleTime        = 700 * time.Millisecond
+	simTime           = 20 * time.Second
 )
 
 // sim is a fleet of VMs before servers that take so many, in virtual time.
@@ -36,26 +36,26 @@
 	vms   []*vm
 	rate  shed.Rate
 	burst float64
-	// sent are the times at which the one server got requests; asked counts the requests.
-	sent  []time.Time
-	asked int
+	// sentAt are the times at which the one server got requests; asked counts the requests.
+	sentAt   []time.Time
+	requests int
 }
 
 type vm struct {
 	id    shed.VM
 	book  *turns.Book
 	waits *turns.Waits
-	// away: it answers nobody, since gone; here is since when it lends.
-	away, cut bool
-	gone      time.Time
-	here      time.Time
-	shunned   map[shed.VM]time.Time
+	// unreachable: it answers nobody, since gone; here is since when it lends.
+	unreachable, partitioned bool
+	unreachableSince         time.Time
+	joinedAt                 time.Time
+	avoidUntil               map[shed.VM]time.Time
 }
 
 func newSim(seed uint64, vms int, rate shed.Rate, burst float64) *sim {
 	s := &sim{rnd: rand.New(rand.NewPCG(seed, uint64(vms))), Clock: vclock.Clock{Now: start}, rate: rate, burst: burst}
 	for i := range vms {
-		v := &vm{id: shed.VM(fmt.Sprintf("vm-%03d", i)), here: start.Add(-time.Minute)}
+		v := &vm{id: shed.VM(fmt.Sprintf("vm-%03d", i)), joinedAt: start.Add(-time.Minute)}
 		v.restart()
 		s.vms = append(s.vms, v)
 	}
@@ -63,15 +63,15 @@
 }
 
 func (v *vm) restart() {
-	v.book, v.waits, v.shunned = turns.NewBook(), turns.NewWaits(), map[shed.VM]time.Time{}
+	v.book, v.waits, v.avoidUntil = turns.NewBook(), turns.NewWaits(), map[shed.VM]time.Time{}
 }
 
-// load sends requests at random VMs, so many a second in all.
-func (s *sim) load(perSecond float64) {
+// startLoad sends requests at random VMs, so many a second in all.
+func (s *sim) startLoad(perSecond float64) {
 	var again func()
 	again = func() {
-		s.asked++
-		s.ask(s.vms[s.rnd.IntN(len(s.vms))])
+		s.requests++
+		s.request(s.vms[s.rnd.IntN(len(s.vms))])
 		s.After(time.Duration(s.rnd.ExpFloat64()/perSecond*float64(time.Second)), again)
 	}
 	s.After(0, again)
@@ -83,9 +83,9 @@
 func (s *sim) owner(v *vm) *vm {
 	var ids []shed.VM
 	for _, other := range s.vms {
-		seen := !other.away && other.cut == v.cut || s.Now.Sub(other.gone) < noticed
-		lends := s.Now.Sub(other.here) >= settled && !s.Now.Before(v.shunned[other.id])
-		if (other == v || seen) && lends {
+		seen := !other.unreachable && other.partitioned == v.partitioned || s.Now.Sub(other.unreachableSince) < detectionDelay
+		grants := s.Now.Sub(other.joinedAt) >= settleTime && !s.Now.Before(v.avoidUntil[other.id])
+		if (other == v || seen) && grants {
 			ids = append(ids, other.id)
 		}
 	}
@@ -96,76 +96,76 @@
 	return s.vms[slices.IndexFunc(s.vms, func(x *vm) bool { return x.id == id })]
 }
 
-// ask is a request at a VM for which no server is free: it waits for a turn, up to the
+// request is a request at a VM for which no server is free: it waits for a turn, up to the
 // time that a caller has.
-func (s *sim) ask(v *vm) {
+func (s *sim) request(v *vm) {
 	const patience = 400 * time.Millisecond
-	if v.away {
+	if v.unreachable {
 		return
 	}
 	owner := s.owner(v)
 	if owner == nil {
 		return
 	}
-	if owner != v && (owner.away || owner.cut != v.cut) {
-		s.After(timeout, func() { v.shunned[owner.id] = s.Now.Add(shunFor) })
+	if owner != v && (owner.unreachable || owner.partitioned != v.partitioned) {
+		s.After(timeout, func() { v.avoidUntil[owner.id] = s.Now.Add(avoidFor) })
 		return
 	}
-	way := latency
+	delay := latency
 	if owner == v {
-		way = 0
+		delay = 0
 	}
-	s.After(way, func() {
-		got := owner.book.Take(s.Now, turns.Ask{Start: server, Rate: s.rate, Burst: s.burst, Patience: patience})
-		if !got.Granted {
+	s.After(delay, func() {
+		turn := owner.book.Take(s.Now, turns.Ask{Start: server, Rate: s.rate, Burst: s.burst, Patience: patience})
+		if !turn.Granted {
 			return
 		}
-		s.After(way+got.Wait, func() {
-			if !v.away {
-				s.sent = append(s.sent, s.Now)
+		s.After(delay+turn.Wait, func() {
+			if !v.unreachable {
+				s.sentAt = append(s.sentAt, s.Now)
 			}
 		})
 	})
 }
 
-// most is the most that the server got in any span.
-func (s *sim) most(span time.Duration) int {
+// maxInSpan is the most that the server got in any span.
+func (s *sim) maxInSpan(span time.Duration) int {
 	most := 0
-	for i, from := range s.sent {
-		end, _ := slices.BinarySearchFunc(s.sent[i:], from.Add(span), time.Time.Compare)
+	for i, from := range s.sentAt {
+		end, _ := slices.BinarySearchFunc(s.sentAt[i:], from.Add(span), time.Time.Compare)
 		most = max(most, end)
 	}
 	return most
 }
 
 // troubles strike the owner of the server, 5 s after the start.
-var troubles = []struct {
+var faults = []struct {
 	name   string
-	strike func(s *sim, owner *vm)
+	inject func(s *sim, owner *vm)
 }{
 	{"none", func(*sim, *vm) {}},
 	{"restart", func(s *sim, v *vm) {
-		v.away, v.gone = true, s.Now
+		v.unreachable, v.unreachableSince = true, s.Now
 		s.After(time.Second, func() {
 			v.restart()
-			v.away, v.here = false, s.Now
+			v.unreachable, v.joinedAt = false, s.Now
 		})
 	}},
 	{"freeze", func(s *sim, v *vm) {
-		v.away, v.gone = true, s.Now
-		s.After(3*time.Second, func() { v.away = false })
+		v.unreachable, v.unreachableSince = true, s.Now
+		s.After(3*time.Second, func() { v.unreachable = false })
 	}},
 	{"join", func(s *sim, _ *vm) {
 		for i := range 3 {
-			v := &vm{id: shed.VM(fmt.Sprint("vm-new-", i)), here: s.Now}
+			v := &vm{id: shed.VM(fmt.Sprint("vm-new-", i)), joinedAt: s.Now}
 			v.restart()
 			s.vms = append(s.vms, v)
 		}
 	}},
 	{"cut", func(s *sim, owner *vm) {
 		for i, v := range s.vms {
-			v.cut = v == owner || i%3 == 0
-			v.gone = s.Now
+			v.partitioned = v == owner || i%3 == 0
+			v.unreachableSince = s.Now
 		}
 	}},
 }
@@ -177,13 +177,13 @@
 	fmt.Fprintln(&out, "rate vms trouble most_in_4s allowed used")
 	for _, rate := range []shed.Rate{0.2, 1, 5} {
 		for _, n := range []int{7, 24, 78, 195, 670} {
-			for _, tr := range troubles {
+			for _, tr := range faults {
 				s := newSim(1, n, rate, 1+float64(rate))
-				s.load(4 * float64(rate))
-				s.After(5*time.Second, func() { tr.strike(s, s.owner(s.vms[0])) })
-				s.Run(playFor)
-				most, allowed := s.most(4*time.Second), 6*float64(rate)+5
-				used := float64(len(s.sent)) / (float64(rate) * playFor.Seconds())
+				s.startLoad(4 * float64(rate))
+				s.After(5*time.Second, func() { tr.inject(s, s.owner(s.vms[0])) })
+				s.Run(simTime)
+				most, allowed := s.maxInSpan(4*time.Second), 6*float64(rate)+5
+				used := float64(len(s.sentAt)) / (float64(rate) * simTime.Seconds())
 				fmt.Fprintf(&out, "%3.1f %3d %-7s %2d %4.1f %.2f\n", rate, n, tr.name, most, allowed, used)
 				// In a cut each side has an owner, and the VMs that are cut off don't count.
 				if tr.name == "cut" {
@@ -204,17 +204,17 @@
 func TestColdServerGetsItsRate(t *testing.T) {
 	const rate, most = 8.8, 8.8*1.5 + 5
 	for _, n := range []int{1, 5, 9, 78, 195} {
-		for _, tr := range troubles {
+		for _, tr := range faults {
 			if tr.name == "cut" {
 				continue
 			}
 			s := newSim(1, n, 0.9*rate, 1)
-			s.load(100)
-			s.After(5*time.Second, func() { tr.strike(s, s.owner(s.vms[0])) })
-			s.Run(playFor)
-			require.LessOrEqual(t, float64(s.most(time.Second)), most, "%d VMs, %s", n, tr.name)
+			s.startLoad(100)
+			s.After(5*time.Second, func() { tr.inject(s, s.owner(s.vms[0])) })
+			s.Run(simTime)
+			require.LessOrEqual(t, float64(s.maxInSpan(time.Second)), most, "%d VMs, %s", n, tr.name)
 			if tr.name == "none" {
-				require.Greater(t, len(s.sent), 30*4, "and it is used")
+				require.Greater(t, len(s.sentAt), 30*4, "and it is used")
 			}
 		}
 	}
