--- a/internal/limit/limit.go
+++ b/internal/limit/limit.go
@@ -15,22 +15,22 @@
 
 // keepEnded is how long the end of a limit is remembered, so that older news of it don't
 // bring it back.
-const keepEnded = 30 * time.Second
+const endedRetention = 30 * time.Second
 
 // Table is what one VM knows of limits. It is not safe for concurrent use.
 type Table struct {
-	said map[shed.ServerStart]saying
+	reports map[shed.ServerStart]report
 }
 
-// saying is the newest that a server said.
-type saying struct {
+// report is the newest that a server said.
+type report struct {
 	// rate is above 0, or 0 if there is no limit any more.
 	rate shed.Rate
 	at   time.Time
 }
 
 // New returns a Table that knows of no limit.
-func New() *Table { return &Table{said: map[shed.ServerStart]saying{}} }
+func New() *Table { return &Table{reports: map[shed.ServerStart]report{}} }
 
 // Change is a limit that is believed anew.
 type Change struct {
@@ -42,31 +42,31 @@
 // Answered takes in what an answer said: a rate, or 0 for no limit. It returns what
 // changed; peers are to be told of it.
 func (t *Table) Answered(now time.Time, start shed.ServerStart, rate shed.Rate) []Change {
-	if _, known := t.said[start]; !known && rate == 0 {
+	if _, known := t.reports[start]; !known && rate == 0 {
 		return nil
 	}
-	return t.take(start, saying{rate: rate, at: now})
+	return t.apply(start, report{rate: rate, at: now})
 }
 
 // Heard takes in what a peer tells.
 func (t *Table) Heard(now time.Time, limits []shed.ServerLimit) []Change {
 	var out []Change
 	for _, l := range limits {
-		s := saying{rate: l.Rate, at: now.Add(-max(l.Age, 0))}
+		s := report{rate: l.Rate, at: now.Add(-max(l.Age, 0))}
 		if l.Ended {
 			s.rate = 0
 		}
-		out = append(out, t.take(l.Start, s)...)
+		out = append(out, t.apply(l.Start, s)...)
 	}
 	return out
 }
 
-func (t *Table) take(start shed.ServerStart, s saying) []Change {
-	old := t.said[start]
+func (t *Table) apply(start shed.ServerStart, s report) []Change {
+	old := t.reports[start]
 	if !s.at.After(old.at) {
 		return nil
 	}
-	t.said[start] = s
+	t.reports[start] = s
 	if s.rate == old.rate {
 		return nil
 	}
@@ -74,15 +74,15 @@
 }
 
 // Of is what a server takes; 0 if any number.
-func (t *Table) Of(start shed.ServerStart) shed.Rate { return t.said[start].rate }
+func (t *Table) Of(start shed.ServerStart) shed.Rate { return t.reports[start].rate }
 
 // Empty tells whether no server has named a limit lately.
-func (t *Table) Empty() bool { return len(t.said) == 0 }
+func (t *Table) Empty() bool { return len(t.reports) == 0 }
 
 // Limited are the servers that have a limit.
 func (t *Table) Limited() []shed.ServerStart {
 	var out []shed.ServerStart
-	for start, s := range t.said {
+	for start, s := range t.reports {
 		if s.rate > 0 {
 			out = append(out, start)
 		}
@@ -93,7 +93,7 @@
 // Known is all that is known, for peers, sorted.
 func (t *Table) Known(now time.Time) []shed.ServerLimit {
 	var out []shed.ServerLimit
-	for start, s := range t.said {
+	for start, s := range t.reports {
 		out = append(out, shed.ServerLimit{Start: start, Rate: s.rate, Ended: s.rate == 0, Age: now.Sub(s.at)})
 	}
 	slices.SortFunc(out, func(a, b shed.ServerLimit) int {
@@ -105,9 +105,9 @@
 // Keep forgets servers that are no longer listed, and ends that are old. A start that has
 // ended takes its limit with it.
 func (t *Table) Keep(now time.Time, listed func(shed.ServerID) bool) {
-	for start, s := range t.said {
-		if !listed(start.Server) || s.rate == 0 && now.Sub(s.at) > keepEnded {
-			delete(t.said, start)
+	for start, s := range t.reports {
+		if !listed(start.Server) || s.rate == 0 && now.Sub(s.at) > endedRetention {
+			delete(t.reports, start)
 		}
 	}
 }
