--- a/internal/accept/accept.go
+++ b/internal/accept/accept.go
@@ -13,24 +13,24 @@
 )
 
 const (
-	// growth is by how much a forecast is exceeded when load rises: queues grow
+	// queueGrowth is by how much a forecast is exceeded when load rises: queues grow
 	// while the request is on its way.
-	growth = 1.15
-	// reserve times the request's time in queues is kept for each more urgent rank
+	queueGrowth = 1.15
+	// reserveFactor times the request's time in queues is kept for each more urgent rank
 	// that uses the pool it waits longest for.
-	reserve = 1.0
-	// lateWait is the longest wait in queues with which a request is let in that
+	reserveFactor = 1.0
+	// maxLateWait is the longest wait in queues with which a request is let in that
 	// can't be in time for its aim.
-	lateWait = 700 * time.Millisecond
+	maxLateWait = 700 * time.Millisecond
 	// ComeBack is the soonest time at which a caller may come back; short, since callers
 	// wait for a third of their time at most.
 	ComeBack = 300 * time.Millisecond
-	// mostBack is the longest that a caller is told to stay away.
-	mostBack = 1500 * time.Millisecond
+	// maxRetryAfter is the longest that a caller is told to stay away.
+	maxRetryAfter = 1500 * time.Millisecond
 	// A route whose share of requests let in is below fairShare times that of more
 	// urgent routes leaves them less than the reserve; from starveShare times on,
 	// nothing.
-	fairShare, starveShare = 0.5, 0.4
+	fairShare, starvedShare = 0.5, 0.4
 )
 
 // Ask is a request at the door, and what is foreseen of its steps.
@@ -61,37 +61,37 @@
 
 // Gate lets requests in. It is not safe for concurrent use.
 type Gate struct {
-	// routes are the shares of requests that were let in; a route that isn't there
+	// shares are the shares of requests that were let in; a route that isn't there
 	// had none refused.
-	routes map[shed.RouteID]share
+	shares map[shed.RouteID]share
 }
 
 // New returns a Gate that has seen no request.
-func New() *Gate { return &Gate{routes: map[shed.RouteID]share{}} }
+func New() *Gate { return &Gate{shares: map[shed.RouteID]share{}} }
 
 // Decide lets a request in, or says when it may come back.
 func (g *Gate) Decide(a Ask) Verdict {
-	needs := time.Duration(growth*float64(a.Timely)) + a.Answer
+	needs := time.Duration(queueGrowth*float64(a.Timely)) + a.Answer
 	queues := max(a.Timely-a.Least, 0)
-	needs += time.Duration(reserve * g.weight(&a) * float64(a.Ranks) * float64(queues))
+	needs += time.Duration(reserveFactor * g.reserveWeight(&a) * float64(a.Ranks) * float64(queues))
 	v := Verdict{Needs: needs}
-	soon := a.Last <= a.Least+lateWait && a.Last+a.Answer <= a.ToEnd
-	v.LetIn = needs <= a.ToAim || soon
+	shortWait := a.Last <= a.Least+maxLateWait && a.Last+a.Answer <= a.ToEnd
+	v.LetIn = needs <= a.ToAim || shortWait
 	own := g.share(a.Route)
 	own.add(v.LetIn)
-	g.routes[a.Route] = own
+	g.shares[a.Route] = own
 	if !v.LetIn {
-		v.After = min(max(needs-a.ToAim, ComeBack), mostBack)
+		v.After = min(max(needs-a.ToAim, ComeBack), maxRetryAfter)
 	}
 	return v
 }
 
-// weight is how much of the reserve for more urgent routes counts, from 0 to 1.
+// reserveWeight is how much of the reserve for more urgent routes counts, from 0 to 1.
 //
 // Load pattern: an overload that lasts, mostly of urgent requests. With the whole
 // reserve, nothing else would be let in; the less of a route is let in against the
 // more urgent ones, the less it leaves to them.
-func (g *Gate) weight(a *Ask) float64 {
+func (g *Gate) reserveWeight(a *Ask) float64 {
 	urgent := share(1)
 	for _, id := range a.Above {
 		urgent = min(urgent, g.share(id))
@@ -99,12 +99,12 @@
 	if urgent <= 0 {
 		return 0
 	}
-	of := float64(g.share(a.Route) / urgent)
-	return min(max((of-starveShare)/(fairShare-starveShare), 0), 1)
+	ratio := float64(g.share(a.Route) / urgent)
+	return min(max((ratio-starvedShare)/(fairShare-starvedShare), 0), 1)
 }
 
 func (g *Gate) share(id shed.RouteID) share {
-	if s, ok := g.routes[id]; ok {
+	if s, ok := g.shares[id]; ok {
 		return s
 	}
 	return 1
@@ -112,9 +112,9 @@
 
 // Keep forgets routes that the configuration no longer has.
 func (g *Gate) Keep(listed func(shed.RouteID) bool) {
-	for id := range g.routes {
+	for id := range g.shares {
 		if !listed(id) {
-			delete(g.routes, id)
+			delete(g.shares, id)
 		}
 	}
 }
--- a/internal/accept/accept_test.go
+++ b/internal/accept/accept_test.go
@@ -14,16 +14,16 @@
 const ms = time.Millisecond
 
 func TestDecide(t *testing.T) {
-	calm := accept.Ask{
+	idle := accept.Ask{
 		Route: "draft", ToAim: 2700 * ms, ToEnd: 6 * time.Second, Answer: 200 * ms,
 		Least: 900 * ms, Timely: time.Second, Last: time.Second,
 	}
 	cases := []struct {
-		name   string
-		change func(*accept.Ask)
-		letIn  bool
-		// after is when the caller may come back, if it is refused.
-		after time.Duration
+		name     string
+		change   func(*accept.Ask)
+		admitted bool
+		// retryAfter is when the caller may come back, if it is refused.
+		retryAfter time.Duration
 	}{
 		{"calm", func(*accept.Ask) {}, true, 0},
 		{"in time with what queues will grow by", func(a *accept.Ask) { a.Timely = 2170 * ms }, true, 0},
@@ -38,11 +38,11 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			a := calm
+			a := idle
 			c.change(&a)
 			v := accept.New().Decide(a)
-			require.Equal(t, c.letIn, v.LetIn)
-			require.Equal(t, c.after, v.After.Round(ms))
+			require.Equal(t, c.admitted, v.LetIn)
+			require.Equal(t, c.retryAfter, v.After.Round(ms))
 		})
 	}
 }
@@ -66,20 +66,20 @@
 	require.Greater(t, got.other, 0.35*got.urgent)
 }
 
-// letIn are the shares of requests that were let in.
-type letIn struct{ urgent, other float64 }
+// admittedShares are the shares of requests that were let in.
+type admittedShares struct{ urgent, other float64 }
 
 // overload plays requests of two routes at a pool that makes twelve a second, each of
 // which has to wait for all before it.
-func overload(urgentPerSec, otherPerSec float64, ranks int) letIn {
+func overload(urgentPerSec, otherPerSec float64, ranks int) admittedShares {
 	const perSec, last = 12, 30 * time.Second
 	rng := rand.New(rand.NewPCG(1, 1))
 	g := accept.New()
 	var queue time.Duration
-	var asked, in [2]float64
-	for at := time.Duration(0); at < last; {
+	var asked, admitted [2]float64
+	for now := time.Duration(0); now < last; {
 		gap := time.Duration(rng.ExpFloat64() * float64(time.Second) / (urgentPerSec + otherPerSec))
-		at, queue = at+gap, max(queue-gap, 0)
+		now, queue = now+gap, max(queue-gap, 0)
 		a := accept.Ask{
 			Route: "urgent", ToAim: 2700 * ms, ToEnd: 6 * time.Second, Answer: 200 * ms,
 			Least: 900 * ms, Timely: 900*ms + queue, Last: 900*ms + queue,
@@ -92,11 +92,11 @@
 		}
 		asked[kind]++
 		if g.Decide(a).LetIn {
-			in[kind]++
+			admitted[kind]++
 			queue += time.Second / perSec
 		}
 	}
-	return letIn{urgent: in[0] / asked[0], other: in[1] / asked[1]}
+	return admittedShares{urgent: admitted[0] / asked[0], other: admitted[1] / asked[1]}
 }
 
 // A route is gone from the configuration, and comes back under its old name. What it
