--- a/internal/chain/chain.go
+++ b/internal/chain/chain.go
@@ -30,9 +30,9 @@
 // Chain is all steps of a request.
 type Chain []Step
 
-// least is the shortest time that the step takes, with servers as fast as they
+// minTime is the shortest time that the step takes, with servers as fast as they
 // have been lately.
-func (s *Step) least() time.Duration {
+func (s *Step) minTime() time.Duration {
 	least := s.Limits.CallTime + time.Duration(min(s.Pieces, s.Limits.Most))*s.Limits.PieceTime
 	if s.Wait.Slow > 0 {
 		return time.Duration(float64(least) * s.Wait.Slow)
@@ -50,20 +50,20 @@
 	return float64(s.Servers*s.Limits.Most) / max(full, time.Millisecond).Seconds()
 }
 
-// end foresees when the step is done that can begin at start.
+// forecastEnd foresees when the step is done that can begin at start.
 //
 // What will come counts as if it were there: a pool late in a chain has nothing
 // waiting when a burst begins. By what waited alone, most of the requests that were
 // refused in a burst had first had some of their pieces made in vain.
-func (s *Step) end(start batch.Forecast) batch.Forecast {
+func (s *Step) forecastEnd(start batch.Forecast) batch.Forecast {
 	if s.Servers == 0 {
 		return batch.Forecast{Timely: batch.NoServers, Last: batch.NoServers}
 	}
 	ahead := time.Duration(float64(s.Coming) / s.rate() * float64(time.Second))
 	ahead += time.Duration(s.Pieces-1) * s.Limits.PieceTime
 	return batch.Forecast{
-		Timely: max(s.Wait.Timely+ahead, start.Timely+s.least()),
-		Last:   max(s.Wait.Last+ahead, start.Last+s.least()),
+		Timely: max(s.Wait.Timely+ahead, start.Timely+s.minTime()),
+		Last:   max(s.Wait.Last+ahead, start.Last+s.minTime()),
 	}
 }
 
@@ -76,7 +76,7 @@
 		for _, before := range c[i].After {
 			start = latest(start, ends[before])
 		}
-		ends[i] = c[i].end(start)
+		ends[i] = c[i].forecastEnd(start)
 		longest = latest(longest, ends[i])
 	}
 	return longest
@@ -91,7 +91,7 @@
 	var longest time.Duration
 	for i := at + 1; i < len(c); i++ {
 		if slices.Contains(c[i].After, at) {
-			longest = max(longest, c[i].least()+c.Rest(i))
+			longest = max(longest, c[i].minTime()+c.Rest(i))
 		}
 	}
 	return longest
@@ -101,14 +101,14 @@
 func (c Chain) Least() time.Duration {
 	var longest time.Duration
 	for i := range c {
-		longest = max(longest, c[i].least()+c.Rest(i))
+		longest = max(longest, c[i].minTime()+c.Rest(i))
 	}
 	return longest
 }
 
 // beginEarly is by how much a step that may wait begins sooner than it is foreseen
 // to have to: forecasts are that far off for most requests.
-const beginEarly = 100 * time.Millisecond
+const startMargin = 100 * time.Millisecond
 
 // Begin is the step whose beginning step at may await, so that its results are made
 // when the longest path is nearly done; -1 if it is to begin at once.
@@ -117,13 +117,13 @@
 // Made at once, they lay at their server until the path was done, for most of the
 // request's time, and took the room from requests that need nothing else.
 func (c Chain) Begin(at int) int {
-	if len(c[at].After) > 0 || c.needed(at) {
+	if len(c[at].After) > 0 || c.hasDependents(at) {
 		return -1
 	}
-	own := c[at].end(batch.Forecast{}).Timely + beginEarly
+	own := c[at].forecastEnd(batch.Forecast{}).Timely + startMargin
 	best, bestLeft := -1, time.Duration(0)
 	for i := range c {
-		left := c.left(i)
+		left := c.remaining(i)
 		if i != at && left >= own && (best < 0 || left < bestLeft) {
 			best, bestLeft = i, left
 		}
@@ -131,27 +131,27 @@
 	return best
 }
 
-// needed tells whether another step needs the results of step at.
-func (c Chain) needed(at int) bool {
+// hasDependents tells whether another step needs the results of step at.
+func (c Chain) hasDependents(at int) bool {
 	return slices.ContainsFunc(c, func(s Step) bool { return slices.Contains(s.After, at) })
 }
 
-// left is the time foreseen from the beginning of a step to the end of its path.
-func (c Chain) left(at int) time.Duration {
+// remaining is the time foreseen from the beginning of a step to the end of its path.
+func (c Chain) remaining(at int) time.Duration {
 	longest := time.Duration(0)
 	for i := at + 1; i < len(c); i++ {
 		if slices.Contains(c[i].After, at) {
-			longest = max(longest, c.left(i))
+			longest = max(longest, c.remaining(i))
 		}
 	}
-	return c[at].end(batch.Forecast{}).Timely + longest
+	return c[at].forecastEnd(batch.Forecast{}).Timely + longest
 }
 
 // Crowded is the step that has to wait longest for servers.
 func (c Chain) Crowded() int {
 	most, waits := 0, time.Duration(-1)
 	for i := range c {
-		if queue := c[i].end(batch.Forecast{}).Timely - c[i].least(); queue > waits {
+		if queue := c[i].forecastEnd(batch.Forecast{}).Timely - c[i].minTime(); queue > waits {
 			most, waits = i, queue
 		}
 	}
--- a/internal/chain/replay_test.go
+++ b/internal/chain/replay_test.go
@@ -14,8 +14,8 @@
 	"jasmineshed/internal/chain"
 )
 
-// makers is a pool in a replay.
-type makers struct {
+// poolConfig is a pool in a replay.
+type poolConfig struct {
 	limits  shed.BatchLimits
 	servers int
 }
@@ -24,37 +24,37 @@
 type kind struct {
 	name   string
 	perSec float64
-	aim    time.Duration
-	// answer is how long its last results are needed once all steps are done.
-	answer time.Duration
-	steps  []chain.Step
-	pools  []shed.PoolID
-	bytes  []int64
+	target time.Duration
+	// answerTime is how long its last results are needed once all steps are done.
+	answerTime time.Duration
+	steps      []chain.Step
+	pools      []shed.PoolID
+	bytes      []int64
 }
 
-// asked is one request of a replay.
-type asked struct {
-	kind  *kind
-	began time.Time
+// request is one request of a replay.
+type request struct {
+	kind      *kind
+	arrivedAt time.Time
 	// awaits are the steps to be done before each step begins.
-	awaits      [][]int
-	begun, over []bool
-	// given: it was given up.
-	given bool
-	// madeAt is when each step was done.
-	madeAt []time.Time
-	made   [][]shed.ResultRef
+	awaits        [][]int
+	started, done []bool
+	// abandoned: it was given up.
+	abandoned bool
+	// doneAt is when each step was done.
+	doneAt  []time.Time
+	results [][]shed.ResultRef
 }
 
-// part is one step of a request.
-type part struct {
-	of *asked
-	at int
+// stepRef is one step of a request.
+type stepRef struct {
+	request *request
+	step    int
 }
 
 // tally is what became of the requests of one kind.
 type tally struct {
-	timely, late, door, given int
+	timely, late, refused, abandoned int
 	// idle is how long results of first steps lay unused, in all.
 	idle time.Duration
 }
@@ -69,32 +69,32 @@
 type replay struct {
 	now   time.Time
 	b     *batch.Batcher
-	pools map[shed.PoolID]makers
+	pools map[shed.PoolID]poolConfig
 	// atOnce: each step begins as soon as those that it needs are done.
 	atOnce bool
-	parts  map[batch.JobID]part
+	steps  map[batch.JobID]stepRef
 	calls  []running
-	// door: a request is let in if it would be in time; blind: by what waits alone,
+	// admission: a request is let in if it would be in time; blind: by what waits alone,
 	// not by what will come.
-	door, blind bool
-	// coming are the pieces that requests let in will ask of each pool.
-	coming map[shed.PoolID]int
-	// lying are results that servers still need, until then.
-	lying []lying
-	last  batch.JobID
-	made  int
-	tally map[string]*tally
+	admission, ignoreExpected bool
+	// expected are the pieces that requests let in will ask of each pool.
+	expected map[shed.PoolID]int
+	// held are results that servers still need, until then.
+	held    []heldResults
+	lastJob batch.JobID
+	made    int
+	tally   map[string]*tally
 }
 
-type lying struct {
+type heldResults struct {
 	refs  []shed.ResultRef
 	until time.Time
 }
 
-func newReplay(pools map[shed.PoolID]makers) *replay {
+func newReplay(pools map[shed.PoolID]poolConfig) *replay {
 	r := &replay{
-		now: time.Unix(1_700_000_000, 0), pools: pools, parts: map[batch.JobID]part{}, tally: map[string]*tally{},
-		coming: map[shed.PoolID]int{},
+		now: time.Unix(1_700_000_000, 0), pools: pools, steps: map[batch.JobID]stepRef{}, tally: map[string]*tally{},
+		expected: map[shed.PoolID]int{},
 	}
 	r.b = batch.New(func(pool shed.PoolID) []shed.Listing {
 		var out []shed.Listing
@@ -117,7 +117,7 @@
 	}
 	for ; r.now.Before(end.Add(5 * time.Second)); r.now = r.now.Add(ms) {
 		r.endCalls()
-		r.endLying()
+		r.releaseHeld()
 		if r.now.UnixMilli()%100 == 0 {
 			r.perform(r.b.Handle(r.now, batch.Tick{}))
 		}
@@ -136,8 +136,8 @@
 	for i := range c {
 		p := r.pools[k.pools[i]]
 		c[i].Limits, c[i].Servers, c[i].Wait = p.limits, p.servers, r.b.Wait(r.now, k.pools[i], p.limits)
-		if !r.blind {
-			c[i].Coming = r.coming[k.pools[i]]
+		if !r.ignoreExpected {
+			c[i].Coming = r.expected[k.pools[i]]
 		}
 	}
 	return c
@@ -145,57 +145,57 @@
 
 func (r *replay) arrive(k *kind) {
 	n := len(k.steps)
-	q := &asked{
-		kind: k, began: r.now, begun: make([]bool, n), over: make([]bool, n),
-		madeAt: make([]time.Time, n), made: make([][]shed.ResultRef, n),
+	q := &request{
+		kind: k, arrivedAt: r.now, started: make([]bool, n), done: make([]bool, n),
+		doneAt: make([]time.Time, n), results: make([][]shed.ResultRef, n),
 	}
 	c := r.chain(k)
-	if r.door && c.Wait().Timely > k.aim {
-		r.tally[k.name].door++
+	if r.admission && c.Wait().Timely > k.target {
+		r.tally[k.name].refused++
 		return
 	}
 	for i := range c {
-		r.coming[k.pools[i]] += k.steps[i].Pieces
+		r.expected[k.pools[i]] += k.steps[i].Pieces
 		after := c[i].After
 		if with := c.Begin(i); with >= 0 && !r.atOnce {
 			after = c[with].After
 		}
 		q.awaits = append(q.awaits, after)
 	}
-	r.begin(q)
+	r.startSteps(q)
 }
 
-// begin asks for the steps that may begin.
-func (r *replay) begin(q *asked) {
+// startSteps asks for the steps that may begin.
+func (r *replay) startSteps(q *request) {
 	c := r.chain(q.kind)
 	for i, awaits := range q.awaits {
-		if q.begun[i] || slices.ContainsFunc(awaits, func(at int) bool { return !q.over[at] }) {
+		if q.started[i] || slices.ContainsFunc(awaits, func(at int) bool { return !q.done[at] }) {
 			continue
 		}
-		q.begun[i] = true
-		r.coming[q.kind.pools[i]] -= q.kind.steps[i].Pieces
-		r.last++
-		r.parts[r.last] = part{of: q, at: i}
+		q.started[i] = true
+		r.expected[q.kind.pools[i]] -= q.kind.steps[i].Pieces
+		r.lastJob++
+		r.steps[r.lastJob] = stepRef{request: q, step: i}
 		pieces := make([]shed.Piece, q.kind.steps[i].Pieces)
 		for n := range pieces {
 			pieces[n] = shed.Piece{
-				Bytes: q.kind.bytes[i], Left: 5 * time.Second, Aim: q.began.Add(q.kind.aim - c.Rest(i)).Sub(r.now),
+				Bytes: q.kind.bytes[i], Left: 5 * time.Second, Aim: q.arrivedAt.Add(q.kind.target - c.Rest(i)).Sub(r.now),
 				Together: q.kind.bytes[i] > 0,
 			}
 		}
 		pool := q.kind.pools[i]
-		r.perform(r.b.Handle(r.now, batch.Asked{Job: r.last, Pool: pool, Limits: r.pools[pool].limits, Pieces: pieces}))
+		r.perform(r.b.Handle(r.now, batch.Asked{Job: r.lastJob, Pool: pool, Limits: r.pools[pool].limits, Pieces: pieces}))
 	}
 }
 
-func (r *replay) perform(acts []batch.Action) {
-	for _, act := range acts {
+func (r *replay) perform(actions []batch.Action) {
+	for _, act := range actions {
 		switch a := act.(type) {
 		case batch.Send:
 			l := r.limitsOf(a)
 			r.calls = append(r.calls, running{send: a, ends: r.now.Add(l.CallTime + time.Duration(len(a.Pieces))*l.PieceTime)})
 		case batch.Done:
-			r.done(a)
+			r.stepDone(a)
 		case batch.Free:
 			r.perform(r.b.Handle(r.now, batch.FreeEnded(a)))
 		}
@@ -206,37 +206,37 @@
 	return r.pools[shed.PoolID(a.Server.ID[:len(a.Server.ID)-1])].limits
 }
 
-func (r *replay) done(a batch.Done) {
-	p := r.parts[a.Job]
-	delete(r.parts, a.Job)
-	q := p.of
+func (r *replay) stepDone(a batch.Done) {
+	p := r.steps[a.Job]
+	delete(r.steps, a.Job)
+	q := p.request
 	for _, res := range a.Results {
-		if q.given {
+		if q.abandoned {
 			r.free([]shed.ResultRef{res.Ref})
 			continue
 		}
 		if res.End != shed.PieceMade {
-			r.tally[q.kind.name].given++
+			r.tally[q.kind.name].abandoned++
 			r.giveUp(q)
 			return
 		}
-		q.made[p.at] = append(q.made[p.at], res.Ref)
+		q.results[p.step] = append(q.results[p.step], res.Ref)
 	}
-	if q.given {
+	if q.abandoned {
 		return
 	}
-	q.over[p.at], q.madeAt[p.at] = true, r.now
-	for _, before := range q.kind.steps[p.at].After {
-		r.free(q.made[before])
-		q.made[before] = nil
+	q.done[p.step], q.doneAt[p.step] = true, r.now
+	for _, before := range q.kind.steps[p.step].After {
+		r.free(q.results[before])
+		q.results[before] = nil
 	}
-	r.begin(q)
-	if slices.Contains(q.over, false) {
+	r.startSteps(q)
+	if slices.Contains(q.done, false) {
 		return
 	}
-	r.tally[q.kind.name].idle += r.now.Sub(q.madeAt[0])
-	r.lying = append(r.lying, lying{refs: slices.Concat(q.made...), until: r.now.Add(q.kind.answer)})
-	if r.now.Add(q.kind.answer).After(q.began.Add(q.kind.aim)) {
+	r.tally[q.kind.name].idle += r.now.Sub(q.doneAt[0])
+	r.held = append(r.held, heldResults{refs: slices.Concat(q.results...), until: r.now.Add(q.kind.answerTime)})
+	if r.now.Add(q.kind.answerTime).After(q.arrivedAt.Add(q.kind.target)) {
 		r.tally[q.kind.name].late++
 		return
 	}
@@ -245,32 +245,32 @@
 
 // giveUp ends a request whose pieces were not made. Steps that have begun go on, for
 // nothing.
-func (r *replay) giveUp(q *asked) {
-	q.given = true
-	for i, begun := range q.begun {
+func (r *replay) giveUp(q *request) {
+	q.abandoned = true
+	for i, begun := range q.started {
 		if !begun {
-			r.coming[q.kind.pools[i]] -= q.kind.steps[i].Pieces
-			q.begun[i] = true
+			r.expected[q.kind.pools[i]] -= q.kind.steps[i].Pieces
+			q.started[i] = true
 		}
 	}
-	r.free(slices.Concat(q.made...))
+	r.free(slices.Concat(q.results...))
 }
 
 func (r *replay) free(refs []shed.ResultRef) {
 	r.perform(r.b.Handle(r.now, batch.Freed{Refs: refs}))
 }
 
-func (r *replay) endLying() {
-	var over []shed.ResultRef
-	r.lying = slices.DeleteFunc(r.lying, func(l lying) bool {
+func (r *replay) releaseHeld() {
+	var released []shed.ResultRef
+	r.held = slices.DeleteFunc(r.held, func(l heldResults) bool {
 		if r.now.Before(l.until) {
 			return false
 		}
-		over = append(over, l.refs...)
+		released = append(released, l.refs...)
 		return true
 	})
-	if len(over) > 0 {
-		r.free(over)
+	if len(released) > 0 {
+		r.free(released)
 	}
 }
 
@@ -301,7 +301,7 @@
 	t.Logf("at once: short %+v long %+v; later: short %+v long %+v",
 		*atOnce["short"], *atOnce["long"], *later["short"], *later["long"])
 	require.Less(t, later["long"].idle*2, atOnce["long"].idle, "the large result lies unused for less than half the time")
-	require.Less(t, (later["short"].late+later["short"].given)*3, (atOnce["short"].late+atOnce["short"].given)*2)
+	require.Less(t, (later["short"].late+later["short"].abandoned)*3, (atOnce["short"].late+atOnce["short"].abandoned)*2)
 	require.GreaterOrEqual(t, later["long"].timely, atOnce["long"].timely)
 }
 
@@ -311,17 +311,17 @@
 // callers that waited for their refusal. By what will come, they are refused at the
 // door.
 func TestBurstIsRefusedAtTheDoor(t *testing.T) {
-	blind, seeing := burst(true), burst(false)
-	t.Logf("by what waits: %+v; by what will come, too: %+v", blind, seeing)
-	require.Greater(t, blind.given, 3*seeing.given)
-	require.GreaterOrEqual(t, seeing.timely, blind.timely*9/10)
+	waitingOnly, withExpected := burst(true), burst(false)
+	t.Logf("by what waits: %+v; by what will come, too: %+v", waitingOnly, withExpected)
+	require.Greater(t, waitingOnly.abandoned, 3*withExpected.abandoned)
+	require.GreaterOrEqual(t, withExpected.timely, waitingOnly.timely*9/10)
 }
 
-func burst(blind bool) tally {
-	r := newReplay(map[shed.PoolID]makers{"one": {limits: limits, servers: 2}, "two": {limits: limits, servers: 2}})
-	r.door, r.blind = true, blind
+func burst(ignoreExpected bool) tally {
+	r := newReplay(map[shed.PoolID]poolConfig{"one": {limits: limits, servers: 2}, "two": {limits: limits, servers: 2}})
+	r.admission, r.ignoreExpected = true, ignoreExpected
 	r.play([]kind{{
-		name: "draft", perSec: 27, aim: 1500 * ms, steps: []chain.Step{{Pieces: 1}, {Pieces: 6, After: []int{0}}},
+		name: "draft", perSec: 27, target: 1500 * ms, steps: []chain.Step{{Pieces: 1}, {Pieces: 6, After: []int{0}}},
 		pools: []shed.PoolID{"one", "two"}, bytes: []int64{0, 0},
 	}}, 6*time.Second)
 	return *r.tally["draft"]
@@ -348,18 +348,18 @@
 }
 
 func largeBesidePath(atOnce bool) map[string]*tally {
-	r := newReplay(map[shed.PoolID]makers{
+	r := newReplay(map[shed.PoolID]poolConfig{
 		"large": {limits: shed.BatchLimits{Most: 8, CallTime: 200 * ms, PieceTime: 20 * ms, Room: 18_000_000, KeepFor: 4 * time.Second}, servers: 2},
 		"small": {limits: shed.BatchLimits{Most: 16, CallTime: 200 * ms, PieceTime: 11 * ms, KeepFor: 4 * time.Second}, servers: 2},
 	})
 	r.atOnce = atOnce
 	r.play([]kind{
 		{
-			name: "short", perSec: 12, aim: 1400 * ms, answer: 250 * ms,
+			name: "short", perSec: 12, target: 1400 * ms, answerTime: 250 * ms,
 			steps: []chain.Step{{Pieces: 2}}, pools: []shed.PoolID{"large"}, bytes: []int64{1_500_000},
 		},
 		{
-			name: "long", perSec: 6, aim: 3 * time.Second, answer: 150 * ms,
+			name: "long", perSec: 6, target: 3 * time.Second, answerTime: 150 * ms,
 			steps: []chain.Step{{Pieces: 1}, {Pieces: 1}, {Pieces: 6, After: []int{1}}, {Pieces: 6, After: []int{2}}},
 			pools: []shed.PoolID{"large", "large", "small", "small"},
 			bytes: []int64{1_500_000, 8000, 60_000, 6000},
