--- a/internal/turns/turns.go
+++ b/internal/turns/turns.go
@@ -1,10 +1,11 @@
-// Package turns decides who may send the next request to a server that takes only so many
-// from all VMs together: one that is cold, or names a limit. It is pure.
+// Package turns decides which VM may send the next request to a rate-limited server: one that
+// is cold, or that names a limit for all VMs together. It does no I/O and reads no clock.
 //
-// Load pattern: hundreds of VMs with a few requests a second each, before a server that
-// takes one a second. Shares of the rate by VM are then too small to be used, or each VM
-// sends its first request at once. So one VM owns each such server, by rendezvous among
-// those alive, and lends the others turns; a VM that has none sends elsewhere.
+// Load pattern: hundreds of VMs with a few requests a second each, and a server that takes
+// one a second. If each VM had a share of the rate, the shares would be too small to be used,
+// or each VM would send its first request at once. So one VM owns each such server, by
+// rendezvous hashing among the live VMs, and grants turns to the others; a VM without a turn
+// sends elsewhere.
 package turns
 
 import (
@@ -14,34 +15,35 @@
 	shed "jasmineshed"
 )
 
-// Book is the owner's side: the turns that it has lent. It is not safe for concurrent use.
+// Book is the owner's side: the turns that it has granted. It is not safe for concurrent use.
 type Book struct {
-	// nextTurn is when the next turn of each server is due if none is saved up.
+	// nextTurn is when the next turn of each server is due if no burst is saved up.
 	nextTurn map[shed.ServerStart]time.Time
 }
 
-// NewBook returns a Book that has lent no turn.
+// NewBook returns a Book that has granted no turns.
 func NewBook() *Book { return &Book{nextTurn: map[shed.ServerStart]time.Time{}} }
 
-// Ask asks for a turn.
+// Ask is a request for a turn.
 type Ask struct {
 	Start shed.ServerStart
-	// Rate is what the server takes, above 0.
+	// Rate is the server's limit, above 0.
 	Rate shed.Rate
-	// Burst is how many turns may be saved up, 1 or more.
+	// Burst is the maximum number of saved-up turns, 1 or more.
 	Burst float64
-	// Patience is how long the asker would wait for its turn.
+	// Patience is the longest acceptable wait for the turn.
 	Patience time.Duration
 }
 
-// Turn answers an Ask. If Granted, the asker may send after Wait; else a turn is due then.
+// Turn is the answer to an Ask. If Granted, the requester may send after Wait; otherwise
+// Wait is when the next turn is due.
 type Turn struct {
 	Granted bool
 	Wait    time.Duration
 }
 
-// Take lends a turn. A server that was never asked for has none saved up: what it got just
-// before counts, too.
+// Take grants or denies a turn. An unknown server has no turns saved up, since it may have
+// received requests just before.
 func (b *Book) Take(now time.Time, a Ask) Turn {
 	every := time.Duration(float64(time.Second) / float64(a.Rate))
 	next, known := b.nextTurn[a.Start]
@@ -58,39 +60,38 @@
 	return Turn{Granted: true, Wait: wait}
 }
 
-// Keep forgets servers that have not been asked for since long.
+// Keep removes servers whose next turn was due more than idleRetention ago.
 func (b *Book) Keep(now time.Time) {
 	maps.DeleteFunc(b.nextTurn, func(_ shed.ServerStart, next time.Time) bool { return now.Sub(next) > idleRetention })
 }
 
-// keepFor is how long a server is remembered that nobody asks for.
+// idleRetention is how long a server without requests for turns is kept.
 const idleRetention = time.Minute
 
-// Waits is the asker's side: which servers have no turn for it. It is not safe for
-// concurrent use.
+// Waits is the requester's side: the servers for which it backs off after a denied turn. It is
+// not safe for concurrent use.
 type Waits struct {
 	until map[shed.ServerStart]time.Time
 }
 
-// NewWaits returns a Waits that holds nothing back.
+// NewWaits returns a Waits without backoffs.
 func NewWaits() *Waits { return &Waits{until: map[shed.ServerStart]time.Time{}} }
 
-// Denied notes that a server has no turn for so long.
+// Denied records that the next turn of a server is due after wait.
 func (w *Waits) Denied(now time.Time, s shed.ServerStart, wait time.Duration) {
 	w.until[s] = now.Add(min(max(wait, minBackoff), maxBackoff))
 }
 
 const (
-	// minBackoff is how long a server isn't asked for again, mostWait the longest: a limit
-	// may end.
+	// Bounds on the backoff after a denied turn; the upper one exists because a limit may end.
 	minBackoff = 20 * time.Millisecond
 	maxBackoff = time.Second
 )
 
-// Held tells whether asking for a turn is of no use yet.
+// Held reports whether turns of a server are not to be requested yet.
 func (w *Waits) Held(now time.Time, s shed.ServerStart) bool { return now.Before(w.until[s]) }
 
-// Keep forgets what is over.
+// Keep removes expired backoffs.
 func (w *Waits) Keep(now time.Time) {
 	maps.DeleteFunc(w.until, func(_ shed.ServerStart, until time.Time) bool { return !now.Before(until) })
 }
--- a/internal/turns/turns_test.go
+++ b/internal/turns/turns_test.go
@@ -21,22 +21,23 @@
 
 const (
 	latency = 2 * time.Millisecond
-	// timeout is when an owner that gives no answer is passed over, for shunFor; noticed is
-	// when all know that a VM is there no more, settled when a new one lends turns.
+	// An owner that doesn't answer within timeout is avoided for avoidFor. detectionDelay is
+	// when all VMs know that a VM is gone, settleTime is when a new one starts to grant turns.
 	timeout, avoidFor = 150 * time.Millisecond, 1500 * time.Millisecond
 	detectionDelay    = 2200 * time.Millisecond
 	settleTime        = 700 * time.Millisecond
 	simTime           = 20 * time.Second
 )
 
-// sim is a fleet of VMs before servers that take so many, in virtual time.
+// sim simulates VMs that send requests to a rate-limited server, in virtual time.
 type sim struct {
 	vclock.Clock
 	rnd   *rand.Rand
 	vms   []*vm
 	rate  shed.Rate
 	burst float64
-	// sentAt are the times at which the one server got requests; asked counts the requests.
+	// sentAt are the times at which the server received requests; requests counts the
+	// requests of callers.
 	sentAt   []time.Time
 	requests int
 }
@@ -45,7 +46,7 @@
 	id    shed.VM
 	book  *turns.Book
 	waits *turns.Waits
-	// unreachable: it answers nobody, since gone; here is since when it lends.
+	// unreachable: it doesn't answer, since unreachableSince; joinedAt is when it started.
 	unreachable, partitioned bool
 	unreachableSince         time.Time
 	joinedAt                 time.Time
@@ -66,7 +67,7 @@
 	v.book, v.waits, v.avoidUntil = turns.NewBook(), turns.NewWaits(), map[shed.VM]time.Time{}
 }
 
-// startLoad sends requests at random VMs, so many a second in all.
+// startLoad sends requests at random VMs, perSecond in total.
 func (s *sim) startLoad(perSecond float64) {
 	var again func()
 	again = func() {
@@ -79,7 +80,7 @@
 
 var server = shed.ServerStart{Server: "s", Born: 1}
 
-// owner is whom a VM takes for the server's owner.
+// owner returns the VM that v takes for the server's owner.
 func (s *sim) owner(v *vm) *vm {
 	var ids []shed.VM
 	for _, other := range s.vms {
@@ -96,8 +97,8 @@
 	return s.vms[slices.IndexFunc(s.vms, func(x *vm) bool { return x.id == id })]
 }
 
-// request is a request at a VM for which no server is free: it waits for a turn, up to the
-// time that a caller has.
+// request is a request at a VM for which no other server is free: it waits for a turn until its
+// caller's deadline.
 func (s *sim) request(v *vm) {
 	const patience = 400 * time.Millisecond
 	if v.unreachable {
@@ -128,7 +129,7 @@
 	})
 }
 
-// maxInSpan is the most that the server got in any span.
+// maxInSpan is the largest number of requests that the server received in any span.
 func (s *sim) maxInSpan(span time.Duration) int {
 	most := 0
 	for i, from := range s.sentAt {
@@ -138,7 +139,7 @@
 	return most
 }
 
-// troubles strike the owner of the server, 5 s after the start.
+// faults are injected at the owner of the server, 5 s after the start.
 var faults = []struct {
 	name   string
 	inject func(s *sim, owner *vm)
@@ -170,8 +171,8 @@
 	}},
 }
 
-// One server takes so many from all VMs. What it gets in the worst 4 s, and the share of
-// what it takes that is used, by the size of the fleet and the trouble of its owner.
+// Guards against sending more than a rate-limited server allows in any 4 s, or using too
+// little of its rate, by fleet size and fault of the owner.
 func TestSumAndUse(t *testing.T) {
 	var out bytes.Buffer
 	fmt.Fprintln(&out, "rate vms trouble most_in_4s allowed used")
@@ -185,7 +186,7 @@
 				most, allowed := s.maxInSpan(4*time.Second), 6*float64(rate)+5
 				used := float64(len(s.sentAt)) / (float64(rate) * simTime.Seconds())
 				fmt.Fprintf(&out, "%3.1f %3d %-7s %2d %4.1f %.2f\n", rate, n, tr.name, most, allowed, used)
-				// In a cut each side has an owner, and the VMs that are cut off don't count.
+				// In a partition each side has its own owner, and the side cut off isn't bound by the limit.
 				if tr.name == "cut" {
 					allowed *= 2
 				}
@@ -199,8 +200,8 @@
 	goldie.New(t).Assert(t, "sum_and_use", out.Bytes())
 }
 
-// All VMs send to one cold server as fast as its owner lets them. In any second it gets no
-// more than it bears.
+// All VMs send to one cold server as fast as its owner allows. Guards against more requests in
+// any second than it can handle.
 func TestColdServerGetsItsRate(t *testing.T) {
 	const rate, most = 8.8, 8.8*1.5 + 5
 	for _, n := range []int{1, 5, 9, 78, 195} {
@@ -214,14 +215,14 @@
 			s.Run(simTime)
 			require.LessOrEqual(t, float64(s.maxInSpan(time.Second)), most, "%d VMs, %s", n, tr.name)
 			if tr.name == "none" {
-				require.Greater(t, len(s.sentAt), 30*4, "and it is used")
+				require.Greater(t, len(s.sentAt), 30*4, "the rate is used")
 			}
 		}
 	}
 }
 
-// A server turned cold unseen, or named its limit just now: what it got in the second
-// before counts, so nothing is saved up for it.
+// A server turned cold unnoticed, or has just named its limit. The requests of the second before
+// count, so no turn is saved up for it.
 func TestTurnedColdUnseen(t *testing.T) {
 	b := turns.NewBook()
 	ask := turns.Ask{Start: server, Rate: 2, Burst: 3}
@@ -234,10 +235,10 @@
 	b := turns.NewBook()
 	ask := turns.Ask{Start: server, Rate: 1, Burst: 2, Patience: 1500 * time.Millisecond}
 	require.Equal(t, turns.Turn{Granted: true, Wait: time.Second}, b.Take(start, ask))
-	require.Equal(t, turns.Turn{Wait: 2 * time.Second}, b.Take(start, ask), "two would wait longer than they may")
+	require.Equal(t, turns.Turn{Wait: 2 * time.Second}, b.Take(start, ask), "the second would wait longer than its patience")
 	later := start.Add(time.Minute)
 	require.Equal(t, turns.Turn{Granted: true}, b.Take(later, ask))
-	require.Equal(t, turns.Turn{Granted: true}, b.Take(later, ask), "one was saved up")
+	require.Equal(t, turns.Turn{Granted: true}, b.Take(later, ask), "one turn was saved up")
 	require.Equal(t, turns.Turn{Granted: true, Wait: time.Second}, b.Take(later, ask))
 }
 
