--- a/internal/limit/limit.go
+++ b/internal/limit/limit.go
@@ -1,8 +1,9 @@
-// Package limit keeps the limits that backend servers name in their answers. It is pure.
+// Package limit tracks the rate limits that backend servers name in their answers. It does no
+// I/O and reads no clock.
 //
-// Load pattern: a server in need says in each answer how many requests a second it takes
-// from all VMs together. Each VM hears only the answers to its own requests, so VMs tell
-// each other; answers and messages overtake each other.
+// Load pattern: an overloaded server names in each answer how many requests a second it takes
+// from all VMs together. Each VM sees only the answers to its own requests, so VMs report
+// limits to each other; answers and messages overtake each other.
 package limit
 
 import (
@@ -13,34 +14,34 @@
 	shed "jasmineshed"
 )
 
-// keepEnded is how long the end of a limit is remembered, so that older news of it don't
-// bring it back.
+// endedRetention is how long the end of a limit is remembered, so that delayed reports don't
+// restore the limit.
 const endedRetention = 30 * time.Second
 
-// Table is what one VM knows of limits. It is not safe for concurrent use.
+// Table holds the limits known to one VM. It is not safe for concurrent use.
 type Table struct {
 	reports map[shed.ServerStart]report
 }
 
-// report is the newest that a server said.
+// report is the latest limit that a server named.
 type report struct {
-	// rate is above 0, or 0 if there is no limit any more.
+	// rate is 0 if the limit has ended.
 	rate shed.Rate
 	at   time.Time
 }
 
-// New returns a Table that knows of no limit.
+// New returns a Table without limits.
 func New() *Table { return &Table{reports: map[shed.ServerStart]report{}} }
 
-// Change is a limit that is believed anew.
+// Change is a new, changed or ended limit.
 type Change struct {
 	Start shed.ServerStart
 	// Rate is 0 if the limit has ended.
 	Rate shed.Rate
 }
 
-// Answered takes in what an answer said: a rate, or 0 for no limit. It returns what
-// changed; peers are to be told of it.
+// Answered records the limit named in an answer: a rate, or 0 for no limit. It returns the
+// changes, which are to be reported to peers.
 func (t *Table) Answered(now time.Time, start shed.ServerStart, rate shed.Rate) []Change {
 	if _, known := t.reports[start]; !known && rate == 0 {
 		return nil
@@ -48,7 +49,7 @@
 	return t.apply(start, report{rate: rate, at: now})
 }
 
-// Heard takes in what a peer tells.
+// Heard merges limits received from a peer.
 func (t *Table) Heard(now time.Time, limits []shed.ServerLimit) []Change {
 	var out []Change
 	for _, l := range limits {
@@ -73,13 +74,13 @@
 	return []Change{{Start: start, Rate: s.rate}}
 }
 
-// Of is what a server takes; 0 if any number.
+// Of returns a server's limit, or 0 if it has none.
 func (t *Table) Of(start shed.ServerStart) shed.Rate { return t.reports[start].rate }
 
-// Empty tells whether no server has named a limit lately.
+// Empty reports whether no limits are kept, not even ended ones.
 func (t *Table) Empty() bool { return len(t.reports) == 0 }
 
-// Limited are the servers that have a limit.
+// Limited returns the servers that have a limit.
 func (t *Table) Limited() []shed.ServerStart {
 	var out []shed.ServerStart
 	for start, s := range t.reports {
@@ -90,7 +91,7 @@
 	return out
 }
 
-// Known is all that is known, for peers, sorted.
+// Known returns all limits, including ended ones, sorted, to be sent to peers.
 func (t *Table) Known(now time.Time) []shed.ServerLimit {
 	var out []shed.ServerLimit
 	for start, s := range t.reports {
@@ -102,8 +103,8 @@
 	return out
 }
 
-// Keep forgets servers that are no longer listed, and ends that are old. A start that has
-// ended takes its limit with it.
+// Keep removes the limits of unlisted servers, and ended limits after endedRetention. A limit
+// belongs to one start of a server and doesn't apply to the next.
 func (t *Table) Keep(now time.Time, listed func(shed.ServerID) bool) {
 	for start, s := range t.reports {
 		if !listed(start.Server) || s.rate == 0 && now.Sub(s.at) > endedRetention {
--- a/internal/limit/limit_test.go
+++ b/internal/limit/limit_test.go
@@ -21,7 +21,7 @@
 
 func TestLastAnswerCounts(t *testing.T) {
 	tb := limit.New()
-	require.Empty(t, tb.Answered(at(0), one, 0), "no limit, as ever")
+	require.Empty(t, tb.Answered(at(0), one, 0), "no limit, as before")
 	require.Equal(t, []limit.Change{{Start: one, Rate: 2}}, tb.Answered(at(1), one, 2))
 	require.Empty(t, tb.Answered(at(2), one, 2))
 	require.Equal(t, []limit.Change{{Start: one, Rate: 3}}, tb.Answered(at(3), one, 3))
@@ -31,7 +31,7 @@
 	require.Zero(t, tb.Of(one))
 }
 
-// News that were long on their way don't bring back a limit that has ended.
+// A delayed report of a peer must not restore a limit that has ended since.
 func TestOldNewsDontBringALimitBack(t *testing.T) {
 	tb := limit.New()
 	tb.Answered(at(0), one, 2)
@@ -51,7 +51,8 @@
 	require.Zero(t, tb.Of(one))
 }
 
-// VMs that have heard the same, in any order and more than once, believe the same.
+// VMs that receive the same reports, in any order and more than once, end up with the same
+// limits.
 func TestNewsInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		var news []shed.ServerLimit
