--- a/internal/accept/accept.go
+++ b/internal/accept/accept.go
@@ -1,9 +1,9 @@
-// Package accept decides which requests with steps are let in, and when those that
-// are not may come back. It is pure.
+// Package accept is the admission control for requests with steps: it decides which are
+// admitted, and when refused callers may retry. It does no I/O and reads no clock.
 //
-// Load pattern: callers ask for more than the pools make. What is let in beyond that
-// makes all of it late, and most of the work is done in vain. So a request is refused
-// at once if it would be late by what is foreseen.
+// Load pattern: callers ask for more than the pools' throughput. Requests admitted beyond it
+// make all of them late, and most of the work is wasted. So a request is refused at once if it
+// is predicted to be late.
 package accept
 
 import (
@@ -13,63 +13,61 @@
 )
 
 const (
-	// queueGrowth is by how much a forecast is exceeded when load rises: queues grow
-	// while the request is on its way.
+	// queueGrowth is the factor by which forecasts are exceeded while load rises, since
+	// queues grow while the request is in progress.
 	queueGrowth = 1.15
-	// reserveFactor times the request's time in queues is kept for each more urgent rank
-	// that uses the pool it waits longest for.
+	// reserveFactor times the request's queueing time is reserved for each more urgent rank
+	// that uses the pool the request waits longest for.
 	reserveFactor = 1.0
-	// maxLateWait is the longest wait in queues with which a request is let in that
-	// can't be in time for its aim.
+	// maxLateWait is the longest queueing time with which a request is admitted that can't
+	// meet its target.
 	maxLateWait = 700 * time.Millisecond
-	// ComeBack is the soonest time at which a caller may come back; short, since callers
-	// wait for a third of their time at most.
+	// ComeBack is the shortest time after which a refused caller may retry; it is short since
+	// callers wait for a third of their time at most.
 	ComeBack = 300 * time.Millisecond
-	// maxRetryAfter is the longest that a caller is told to stay away.
+	// maxRetryAfter is the longest time after which a refused caller may retry.
 	maxRetryAfter = 1500 * time.Millisecond
-	// A route whose share of requests let in is below fairShare times that of more
-	// urgent routes leaves them less than the reserve; from starveShare times on,
-	// nothing.
+	// A route whose share of admitted requests is below fairShare times that of more urgent
+	// routes leaves them less than the full reserve; at starvedShare times or below, none.
 	fairShare, starvedShare = 0.5, 0.4
 )
 
-// Ask is a request at the door, and what is foreseen of its steps.
+// Ask is a request to be admitted, with the forecast of its steps.
 type Ask struct {
 	Route shed.RouteID
 	// Above are the routes of more urgent ranks that use the pool that the request
-	// would wait longest for; Ranks is how many ranks they have.
+	// would wait longest for; Ranks is the number of these ranks.
 	Above []shed.RouteID
 	Ranks int
-	// ToAim and ToEnd are the times left until the answer should and must be there.
+	// ToAim and ToEnd are the times left until the target and the deadline of the answer.
 	ToAim, ToEnd time.Duration
-	// Least is how long the steps take if nothing waits; Timely if the request goes
+	// Least is how long the steps take with empty queues; Timely if the request is served
 	// before all that can't be in time any more, Last if after them.
 	Least, Timely, Last time.Duration
-	// Answer is what its server is foreseen to take to the first event.
+	// Answer is the predicted time in which the answering server sends the first event.
 	Answer time.Duration
 }
 
-// Verdict says whether a request is let in.
+// Verdict is an admission decision.
 type Verdict struct {
 	LetIn bool
-	// After is when a refused caller may come back.
+	// After is when a refused caller may retry.
 	After time.Duration
-	// Needs is the time that the request had to have until its aim: what is foreseen,
-	// what queues grow by, and what is kept for others.
+	// Needs is the time to the target that admission requires: the forecast, the growth of
+	// queues, and the reserve for more urgent ranks.
 	Needs time.Duration
 }
 
-// Gate lets requests in. It is not safe for concurrent use.
+// Gate admits or refuses requests. It is not safe for concurrent use.
 type Gate struct {
-	// shares are the shares of requests that were let in; a route that isn't there
-	// had none refused.
+	// shares are the shares of admitted requests; a missing route had none refused.
 	shares map[shed.RouteID]share
 }
 
-// New returns a Gate that has seen no request.
+// New returns a Gate without history.
 func New() *Gate { return &Gate{shares: map[shed.RouteID]share{}} }
 
-// Decide lets a request in, or says when it may come back.
+// Decide admits a request, or returns when it may be retried.
 func (g *Gate) Decide(a Ask) Verdict {
 	needs := time.Duration(queueGrowth*float64(a.Timely)) + a.Answer
 	queues := max(a.Timely-a.Least, 0)
@@ -86,11 +84,11 @@
 	return v
 }
 
-// reserveWeight is how much of the reserve for more urgent routes counts, from 0 to 1.
+// reserveWeight is the part of the reserve for more urgent routes that applies, from 0 to 1.
 //
-// Load pattern: an overload that lasts, mostly of urgent requests. With the whole
-// reserve, nothing else would be let in; the less of a route is let in against the
-// more urgent ones, the less it leaves to them.
+// Load pattern: a lasting overload, mostly of urgent requests. With the whole reserve, nothing
+// else would be admitted; so the smaller a route's admitted share is in proportion to that of
+// more urgent routes, the less it leaves to them.
 func (g *Gate) reserveWeight(a *Ask) float64 {
 	urgent := share(1)
 	for _, id := range a.Above {
@@ -110,7 +108,7 @@
 	return 1
 }
 
-// Keep forgets routes that the configuration no longer has.
+// Keep removes routes that are no longer in the configuration.
 func (g *Gate) Keep(listed func(shed.RouteID) bool) {
 	for id := range g.shares {
 		if !listed(id) {
--- a/internal/accept/accept_test.go
+++ b/internal/accept/accept_test.go
@@ -22,15 +22,15 @@
 		name     string
 		change   func(*accept.Ask)
 		admitted bool
-		// retryAfter is when the caller may come back, if it is refused.
+		// retryAfter is when the caller may retry, if it is refused.
 		retryAfter time.Duration
 	}{
 		{"calm", func(*accept.Ask) {}, true, 0},
 		{"in time with what queues will grow by", func(a *accept.Ask) { a.Timely = 2170 * ms }, true, 0},
 		{"late by what queues will grow by", func(a *accept.Ask) { a.Timely, a.Last = 2200*ms, 2200*ms }, false, 300 * ms},
-		{"back when it would be in time", func(a *accept.Ask) { a.Timely, a.Last = 3*time.Second, 3*time.Second }, false, 950 * ms},
-		{"back soon however long the queue", func(a *accept.Ask) { a.Timely, a.Last = 9*time.Second, 9*time.Second }, false, 1500 * ms},
-		{"late, but hardly anything waits", func(a *accept.Ask) { a.ToAim, a.Timely, a.Last = 0, 1500*ms, 1500*ms }, true, 0},
+		{"retry when it would be in time", func(a *accept.Ask) { a.Timely, a.Last = 3*time.Second, 3*time.Second }, false, 950 * ms},
+		{"retry time is capped for a long queue", func(a *accept.Ask) { a.Timely, a.Last = 9*time.Second, 9*time.Second }, false, 1500 * ms},
+		{"late, but queues nearly empty", func(a *accept.Ask) { a.ToAim, a.Timely, a.Last = 0, 1500*ms, 1500*ms }, true, 0},
 		{"late, and after its caller has gone", func(a *accept.Ask) { a.ToAim, a.ToEnd = 0, 1100*ms }, false, 1350 * ms},
 		{"no server", func(a *accept.Ask) { a.Timely, a.Last = time.Hour, time.Hour }, false, 1500 * ms},
 		{"urgent ranks, empty queues", func(a *accept.Ask) { a.Ranks, a.Timely = 2, 900*ms }, true, 0},
@@ -47,9 +47,9 @@
 	}
 }
 
-// Callers ask for one and a half times what a pool makes, urgent ones for half of it.
-// All were turned away alike, urgent ones even more often since their aim is shorter.
-// Now the others are turned away first, and urgent ones hardly ever.
+// Callers ask for one and a half times a pool's throughput, half of it urgent. Without a
+// reserve, urgent requests are refused as often as others or more, since their target is
+// shorter; with it, the others are refused first and urgent ones hardly ever.
 func TestUrgentCallersFirst(t *testing.T) {
 	without, with := overload(9, 9, 0), overload(9, 9, 1)
 	t.Logf("without a reserve: urgent %.2f other %.2f; with: urgent %.2f other %.2f",
@@ -58,19 +58,19 @@
 	require.Greater(t, with.urgent, 0.9)
 }
 
-// Urgent callers alone ask for more than a pool makes, for a long time. Others would
-// wait for ever behind them; they are served two fifths as often as these.
+// Urgent requests alone exceed a pool's throughput for a long time. Guards against starving
+// the others, whose admitted share has to be about two fifths of that of urgent ones.
 func TestNobodyStarves(t *testing.T) {
 	got := overload(20, 4, 1)
 	t.Logf("urgent %.2f other %.2f", got.urgent, got.other)
 	require.Greater(t, got.other, 0.35*got.urgent)
 }
 
-// admittedShares are the shares of requests that were let in.
+// admittedShares are the shares of admitted requests.
 type admittedShares struct{ urgent, other float64 }
 
-// overload plays requests of two routes at a pool that makes twelve a second, each of
-// which has to wait for all before it.
+// overload sends requests of two routes to a pool that serves twelve a second in order of
+// arrival.
 func overload(urgentPerSec, otherPerSec float64, ranks int) admittedShares {
 	const perSec, last = 12, 30 * time.Second
 	rng := rand.New(rand.NewPCG(1, 1))
@@ -99,8 +99,8 @@
 	return admittedShares{urgent: admitted[0] / asked[0], other: admitted[1] / asked[1]}
 }
 
-// A route is gone from the configuration, and comes back under its old name. What it
-// was refused before counts no more.
+// A route is removed from the configuration and added again under its old name. Its earlier
+// refusals must not count any more.
 func TestKeep(t *testing.T) {
 	g := accept.New()
 	late := accept.Ask{Route: "other", ToEnd: time.Second, Timely: time.Minute, Last: time.Minute}
@@ -112,7 +112,7 @@
 		Route: "other", Above: []shed.RouteID{"urgent"}, Ranks: 1,
 		ToAim: 2 * time.Second, ToEnd: 2 * time.Second, Timely: 1200 * ms, Last: 1200 * ms,
 	}
-	require.True(t, g.Decide(other).LetIn, "refused so often that it leaves no reserve")
+	require.True(t, g.Decide(other).LetIn, "the reserve doesn't apply after so many refusals")
 	g.Keep(func(id shed.RouteID) bool { return id != "other" })
 	require.False(t, g.Decide(other).LetIn)
 }
--- a/internal/accept/share.go
+++ b/internal/accept/share.go
@@ -1,14 +1,14 @@
 package accept
 
-// memory is about how many of a route's latest requests its share looks back on. It
-// counts requests, not time: at a VM that sees few of them, a share by time would
-// hardly ever leave its start value.
+// shareWindow is about how many of a route's latest requests its share averages over. It
+// counts requests rather than time: at a VM that gets few of them, a share over a period
+// would hardly ever leave its initial value.
 const shareWindow = 12
 
-// share is the part of a route's latest requests that were let in, from 0 to 1.
+// share is the moving average of a route's admitted requests, from 0 to 1.
 type share float64
 
-// add takes one more request in.
+// add adds one more request to the average.
 func (s *share) add(letIn bool) {
 	*s -= *s / shareWindow
 	if letIn {
