--- a/internal/chain/chain.go
+++ b/internal/chain/chain.go
@@ -1,5 +1,5 @@
-// Package chain foresees how long a chain of steps takes whose pieces are made in
-// batches. It is pure: the relay gives what it knows of each step's pool.
+// Package chain predicts how long a chain of steps takes whose pieces are processed in
+// batches. It does no I/O and reads no clock: the relay passes the state of each step's pool.
 package chain
 
 import (
@@ -13,25 +13,25 @@
 // Step is one step of a request.
 type Step struct {
 	Pieces int
-	// After are the positions, in the chain, of the steps that it needs; each is
-	// below its own.
+	// After are the positions, in the chain, of the steps that it depends on; each is
+	// less than its own.
 	After  []int
 	Limits shed.BatchLimits
-	// Servers is how many servers its pool has that take new work.
+	// Servers is the number of servers in its pool that accept new work.
 	Servers int
-	// Wait is what is foreseen of the pool for what waits there now; its Rate and
-	// Slow are 0 if nothing does.
+	// Wait is the pool's forecast for its current queue; its Rate and Slow are 0 if the
+	// queue is empty.
 	Wait batch.Forecast
-	// Coming is how many pieces requests that were let in will ask of the pool once
-	// their steps before are done.
+	// Coming is the number of pieces that admitted requests will send to the pool once
+	// their earlier steps are done.
 	Coming int
 }
 
-// Chain is all steps of a request.
+// Chain holds all steps of a request.
 type Chain []Step
 
-// minTime is the shortest time that the step takes, with servers as fast as they
-// have been lately.
+// minTime is how long the step takes with an empty queue, at the recent speed of the
+// servers.
 func (s *Step) minTime() time.Duration {
 	least := s.Limits.CallTime + time.Duration(min(s.Pieces, s.Limits.Most))*s.Limits.PieceTime
 	if s.Wait.Slow > 0 {
@@ -40,8 +40,8 @@
 	return least
 }
 
-// rate is how many pieces the pool makes in a second in full calls: as foreseen, or
-// by its limits if nothing waits there. It is above 0.
+// rate is the pool's throughput with full batches, in pieces per second: as predicted, or
+// by its limits if its queue is empty. It is above 0.
 func (s *Step) rate() float64 {
 	if s.Wait.Rate > 0 {
 		return s.Wait.Rate
@@ -50,11 +50,11 @@
 	return float64(s.Servers*s.Limits.Most) / max(full, time.Millisecond).Seconds()
 }
 
-// forecastEnd foresees when the step is done that can begin at start.
+// forecastEnd predicts when the step is done if its dependencies are done at start.
 //
-// What will come counts as if it were there: a pool late in a chain has nothing
-// waiting when a burst begins. By what waited alone, most of the requests that were
-// refused in a burst had first had some of their pieces made in vain.
+// Expected pieces count as if they were queued, since the queues of pools late in a chain are
+// still empty when a burst begins. With queued pieces alone, most of the requests refused in
+// a burst had some of their pieces processed first, for nothing.
 func (s *Step) forecastEnd(start batch.Forecast) batch.Forecast {
 	if s.Servers == 0 {
 		return batch.Forecast{Timely: batch.NoServers, Last: batch.NoServers}
@@ -67,7 +67,7 @@
 	}
 }
 
-// Wait foresees how long all steps take, along the longest path.
+// Wait predicts how long all steps take, along the longest path.
 func (c Chain) Wait() batch.Forecast {
 	ends := make([]batch.Forecast, len(c))
 	var longest batch.Forecast
@@ -86,7 +86,7 @@
 	return batch.Forecast{Timely: max(a.Timely, b.Timely), Last: max(a.Last, b.Last)}
 }
 
-// Rest is the least time of the steps after one, along the longest path.
+// Rest is the minimum time of the steps that follow a step, along the longest path.
 func (c Chain) Rest(at int) time.Duration {
 	var longest time.Duration
 	for i := at + 1; i < len(c); i++ {
@@ -97,7 +97,7 @@
 	return longest
 }
 
-// Least is how long the steps take if nothing waits, along the longest path.
+// Least is how long the steps take with empty queues, along the longest path.
 func (c Chain) Least() time.Duration {
 	var longest time.Duration
 	for i := range c {
@@ -106,16 +106,16 @@
 	return longest
 }
 
-// beginEarly is by how much a step that may wait begins sooner than it is foreseen
-// to have to: forecasts are that far off for most requests.
+// startMargin is how much earlier than predicted necessary a delayed step starts, since
+// forecasts are off by that much for most requests.
 const startMargin = 100 * time.Millisecond
 
-// Begin is the step whose beginning step at may await, so that its results are made
-// when the longest path is nearly done; -1 if it is to begin at once.
+// Begin returns the step with whose start step at may be started, so that its results are ready
+// when the longest path is nearly done; -1 if it has to start at once.
 //
-// Load pattern: a request needs large results beside a long path of other steps.
-// Made at once, they lay at their server until the path was done, for most of the
-// request's time, and took the room from requests that need nothing else.
+// Load pattern: a request needs large results in parallel with a long path of other steps.
+// If processed at once, they occupy their server's result capacity until the path is done, for
+// most of the request's time, and displace requests that need nothing else.
 func (c Chain) Begin(at int) int {
 	if len(c[at].After) > 0 || c.hasDependents(at) {
 		return -1
@@ -131,12 +131,12 @@
 	return best
 }
 
-// hasDependents tells whether another step needs the results of step at.
+// hasDependents reports whether another step needs the results of step at.
 func (c Chain) hasDependents(at int) bool {
 	return slices.ContainsFunc(c, func(s Step) bool { return slices.Contains(s.After, at) })
 }
 
-// remaining is the time foreseen from the beginning of a step to the end of its path.
+// remaining is the predicted time from the start of a step to the end of its path.
 func (c Chain) remaining(at int) time.Duration {
 	longest := time.Duration(0)
 	for i := at + 1; i < len(c); i++ {
@@ -147,7 +147,7 @@
 	return c[at].forecastEnd(batch.Forecast{}).Timely + longest
 }
 
-// Crowded is the step that has to wait longest for servers.
+// Crowded returns the step with the longest queueing time.
 func (c Chain) Crowded() int {
 	most, waits := 0, time.Duration(-1)
 	for i := range c {
--- a/internal/chain/chain_test.go
+++ b/internal/chain/chain_test.go
@@ -32,7 +32,7 @@
 	require.Equal(t, 2260*ms, c.Wait().Timely)
 	require.Equal(t, 3260*ms, c.Wait().Last)
 	c[2].Coming = 80
-	require.Equal(t, 3260*ms, c.Wait().Timely, "80 pieces at 80 a second")
+	require.Equal(t, 3260*ms, c.Wait().Timely, "80 expected pieces at 80 a second")
 	c[3].Servers = 0
 	require.Equal(t, batch.NoServers, c.Wait().Timely)
 }
--- a/internal/chain/replay_test.go
+++ b/internal/chain/replay_test.go
@@ -25,7 +25,7 @@
 	name   string
 	perSec float64
 	target time.Duration
-	// answerTime is how long its last results are needed once all steps are done.
+	// answerTime is how long its remaining results are held once all steps are done.
 	answerTime time.Duration
 	steps      []chain.Step
 	pools      []shed.PoolID
@@ -36,10 +36,10 @@
 type request struct {
 	kind      *kind
 	arrivedAt time.Time
-	// awaits are the steps to be done before each step begins.
+	// awaits are, for each step, the steps that have to be done before it starts.
 	awaits        [][]int
 	started, done []bool
-	// abandoned: it was given up.
+	// abandoned is whether one of its pieces failed.
 	abandoned bool
 	// doneAt is when each step was done.
 	doneAt  []time.Time
@@ -52,34 +52,34 @@
 	step    int
 }
 
-// tally is what became of the requests of one kind.
+// tally counts the outcomes of requests of one kind.
 type tally struct {
 	timely, late, refused, abandoned int
-	// idle is how long results of first steps lay unused, in all.
+	// idle is how long results of first steps were held unused, in total.
 	idle time.Duration
 }
 
-// running is a call that a server works on.
+// running is a call in flight at a server.
 type running struct {
 	send batch.Send
 	ends time.Time
 }
 
-// replay plays a load pattern against chain and batch in virtual time.
+// replay simulates a load pattern with packages chain and batch in virtual time.
 type replay struct {
 	now   time.Time
 	b     *batch.Batcher
 	pools map[shed.PoolID]poolConfig
-	// atOnce: each step begins as soon as those that it needs are done.
+	// atOnce: each step starts as soon as its dependencies are done.
 	atOnce bool
 	steps  map[batch.JobID]stepRef
 	calls  []running
-	// admission: a request is let in if it would be in time; blind: by what waits alone,
-	// not by what will come.
+	// admission: a request is admitted only if predicted to meet its target; ignoreExpected:
+	// that forecast counts queued pieces alone, not expected ones.
 	admission, ignoreExpected bool
-	// expected are the pieces that requests let in will ask of each pool.
+	// expected counts the pieces that admitted requests will send to each pool.
 	expected map[shed.PoolID]int
-	// held are results that servers still need, until then.
+	// held are the results of finished steps that are still needed.
 	held    []heldResults
 	lastJob batch.JobID
 	made    int
@@ -106,7 +106,7 @@
 	return r
 }
 
-// play lets requests of all kinds come for a while, and waits for their ends.
+// play generates requests of all kinds for a time, and runs until they have ended.
 func (r *replay) play(kinds []kind, span time.Duration) {
 	rng := rand.New(rand.NewPCG(3, 3))
 	end := r.now.Add(span)
@@ -165,7 +165,7 @@
 	r.startSteps(q)
 }
 
-// startSteps asks for the steps that may begin.
+// startSteps starts the steps that can be started.
 func (r *replay) startSteps(q *request) {
 	c := r.chain(q.kind)
 	for i, awaits := range q.awaits {
@@ -243,8 +243,7 @@
 	r.tally[q.kind.name].timely++
 }
 
-// giveUp ends a request whose pieces were not made. Steps that have begun go on, for
-// nothing.
+// giveUp ends a request with a failed piece. Its steps in progress run on, for nothing.
 func (r *replay) giveUp(q *request) {
 	q.abandoned = true
 	for i, begun := range q.started {
@@ -291,28 +290,26 @@
 	}
 }
 
-// Callers of short drafts are turned away or late though no server is at its limit.
-// Long drafts need one large result beside a path of three steps. It was made at
-// once and lay there for the whole path, in the room that short drafts need for
-// theirs. Made when the path is nearly done, it leaves that room to them, and the
-// long drafts are in time as before.
+// Long drafts need one large result in parallel with a path of three steps. If it is processed
+// at once, it occupies the result capacity that short drafts need until the path is done, and
+// short drafts are refused or late though no server is at its limit. Processed when the path
+// is nearly done, it leaves that capacity to them, and no more long drafts are late.
 func TestLargeResultBesideALongPath(t *testing.T) {
 	atOnce, later := largeBesidePath(true), largeBesidePath(false)
-	t.Logf("at once: short %+v long %+v; later: short %+v long %+v",
+	t.Logf("started at once: short %+v long %+v; started later: short %+v long %+v",
 		*atOnce["short"], *atOnce["long"], *later["short"], *later["long"])
-	require.Less(t, later["long"].idle*2, atOnce["long"].idle, "the large result lies unused for less than half the time")
+	require.Less(t, later["long"].idle*2, atOnce["long"].idle, "the large result is held unused for less than half the time")
 	require.Less(t, (later["short"].late+later["short"].abandoned)*3, (atOnce["short"].late+atOnce["short"].abandoned)*2)
 	require.GreaterOrEqual(t, later["long"].timely, atOnce["long"].timely)
 }
 
-// A burst of twice what the second pool of a chain makes, as when many callers ask
-// for the same kind of draft. Nothing waits there at first, so all were let in, and
-// most were given up after their first step had been made: work for nothing, and
-// callers that waited for their refusal. By what will come, they are refused at the
-// door.
+// A burst of twice the throughput of the second pool of a chain, as when many callers ask for
+// the same kind of draft. Its queue is empty at first; if only queued pieces count, all requests
+// are admitted and most are abandoned after their first step, which wastes work and lets callers
+// wait for a refusal. With expected pieces counted, they are refused on admission.
 func TestBurstIsRefusedAtTheDoor(t *testing.T) {
 	waitingOnly, withExpected := burst(true), burst(false)
-	t.Logf("by what waits: %+v; by what will come, too: %+v", waitingOnly, withExpected)
+	t.Logf("queued pieces only: %+v; with expected pieces: %+v", waitingOnly, withExpected)
 	require.Greater(t, waitingOnly.abandoned, 3*withExpected.abandoned)
 	require.GreaterOrEqual(t, withExpected.timely, waitingOnly.timely*9/10)
 }
@@ -327,8 +324,8 @@
 	return *r.tally["draft"]
 }
 
-// A step that others need, or that needs others, begins as soon as it can; so does one
-// that takes as long as the path beside it.
+// A step with dependents or dependencies starts as soon as it can; so does one that takes as
+// long as the parallel path.
 func TestBegin(t *testing.T) {
 	c := chain.Chain{
 		{Pieces: 1, Limits: limits, Servers: 2},
@@ -336,12 +333,12 @@
 		{Pieces: 5, Limits: limits, Servers: 2, After: []int{1}},
 		{Pieces: 5, Limits: limits, Servers: 2, After: []int{2}},
 	}
-	require.Equal(t, 2, c.Begin(0), "the last step alone is shorter than the step and its margin")
+	require.Equal(t, 2, c.Begin(0), "the last step alone is shorter than step 0 plus the margin")
 	for _, at := range []int{1, 2, 3} {
 		require.Equal(t, -1, c.Begin(at))
 	}
 	c[0].Wait = batch.Forecast{Timely: 450 * ms}
-	require.Equal(t, 1, c.Begin(0), "its own pool is crowded")
+	require.Equal(t, 1, c.Begin(0), "its own pool has a queue")
 	c[0].Wait.Timely = 2 * time.Second
 	require.Equal(t, -1, c.Begin(0))
 	require.Equal(t, -1, chain.Chain{{Pieces: 1, Limits: limits, Servers: 2}}.Begin(0))
