--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -1,6 +1,6 @@
-// Package retry holds the retry budget. Retries and hedges are paid from one
-// token bucket that recent successes fill, so that in a broad failure, when
-// nothing succeeds, the extra load dies out instead of multiplying.
+// Package retry implements the retry budget. Retries and hedges take tokens from one
+// bucket that successes refill, so that in a broad failure, when nothing succeeds, the
+// extra load dies out instead of multiplying.
 package retry
 
 import "time"
@@ -12,17 +12,17 @@
 	DefaultBurst = 20.0
 )
 
-// Config sets up a Budget. Zero values take the defaults.
+// Config configures a Budget. Zero values mean the defaults.
 type Config struct {
-	// Share is what each success adds: 0.1 lets one call in ten be repeated.
+	// Share is the number of tokens per success: with 0.1, one call in ten can be retried.
 	Share float64
-	// Floor is added each second, so that low traffic can retry at all.
+	// Floor is the number of tokens per second, so that retries work with little traffic.
 	Floor float64
-	// Burst is the most that can be saved up.
+	// Burst is the capacity of the bucket.
 	Burst float64
 }
 
-// Budget is a token bucket in virtual time. It is not safe for concurrent use.
+// Budget is a token bucket that reads no clock. It is not safe for concurrent use.
 type Budget struct {
 	cfg Config
 	// tokens is never below 0 nor above cfg.Burst.
@@ -37,7 +37,7 @@
 	return &Budget{cfg: cfg, tokens: cfg.Burst}
 }
 
-// Set changes the budget; what is saved up beyond the new burst is gone.
+// Set changes the configuration; tokens beyond the new burst are lost.
 func (b *Budget) Set(cfg Config) {
 	b.cfg = withDefaults(cfg)
 	b.tokens = min(b.tokens, b.cfg.Burst)
@@ -56,13 +56,13 @@
 	return cfg
 }
 
-// Succeeded adds the share of one success.
+// Succeeded adds the tokens for one success.
 func (b *Budget) Succeeded(now time.Time) {
 	b.refill(now)
 	b.add(b.cfg.Share)
 }
 
-// Take pays for one retry or hedge; false means that the budget is spent.
+// Take takes a token for one retry or hedge; false means that the budget is spent.
 func (b *Budget) Take(now time.Time) bool {
 	b.refill(now)
 	if b.tokens < 1 {
@@ -72,7 +72,7 @@
 	return true
 }
 
-// Left is how many retries the budget can pay for now.
+// Left is the number of retries that the budget allows now.
 func (b *Budget) Left(now time.Time) int {
 	b.refill(now)
 	return int(b.tokens)
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -54,8 +54,8 @@
 	}
 }
 
-// A VM that starts knows few others, so its share of the fleet's repeats is large.
-// Once it knows the fleet, what it has saved up beyond its true share is gone.
+// A VM that has just started knows few others and takes too large a share of the fleet's retry
+// budget. Once it knows the fleet, tokens saved up beyond its true share must be lost.
 func TestShareShrinks(t *testing.T) {
 	now := time.Unix(0, 0)
 	b := New(Config{Share: 0.1, Floor: 1, Burst: 20})
