--- a/internal/rank/rank.go
+++ b/internal/rank/rank.go
@@ -1,6 +1,6 @@
-// Package rank shares keys out among VMs by a rendezvous hash, so that daemons
-// that see the same VMs agree without a message, and a VM that comes or goes
-// moves only the keys that are its own.
+// Package rank assigns keys to VMs by rendezvous hashing: daemons that see the same
+// VMs agree without communication, and a VM that joins or leaves moves only its own
+// keys.
 package rank
 
 import (
@@ -9,7 +9,7 @@
 	shed "jasmineshed"
 )
 
-// Owner returns the first VM for key, and false if there is no VM. The answer
+// Owner returns the highest-ranked VM for key, and false if there is no VM. The result
 // doesn't depend on the order of vms.
 func Owner(key string, vms []shed.VM) (shed.VM, bool) {
 	if len(vms) == 0 {
@@ -25,8 +25,8 @@
 	return best, true
 }
 
-// Owners returns the n first VMs for key, the first one first; fewer if there
-// are fewer VMs.
+// Owners returns the n highest-ranked VMs for key, highest first; fewer if there are
+// fewer VMs.
 func Owners(key string, vms []shed.VM, n int) []shed.VM {
 	n = min(n, len(vms))
 	if n <= 0 {
@@ -46,8 +46,8 @@
 	return best
 }
 
-// insert puts vm in its place and drops what no longer fits. Scores are worked
-// out again instead of kept, so that the result is the only allocation.
+// insert adds vm at its rank and drops the last VM if there are more than n. Scores are
+// recomputed instead of stored, so that the result is the only allocation.
 func insert(best []shed.VM, n int, h uint64, vm shed.VM, s uint64) []shed.VM {
 	at := len(best)
 	for at > 0 && before(s, vm, score(h, best[at-1]), best[at-1]) {
@@ -61,8 +61,8 @@
 	return best
 }
 
-// before orders by score; equal scores go by name, so that the order of the
-// input never shows.
+// before orders by score; equal scores are ordered by name, so that the result never
+// depends on the order of the input.
 func before(s uint64, vm shed.VM, other uint64, otherVM shed.VM) bool {
 	if s != other {
 		return s > other
@@ -70,8 +70,8 @@
 	return vm < otherVM
 }
 
-// score mixes the two hashes with the finalizer of SplitMix64: a plain XOR
-// would rank the VMs alike for keys with like hashes.
+// score mixes the two hashes with the finalizer of SplitMix64: a plain XOR would rank
+// the VMs alike for keys with similar hashes.
 func score(key uint64, vm shed.VM) uint64 {
 	x := key ^ xxhash.Sum64String(string(vm))
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
