--- a/internal/vclock/queue.go
+++ b/internal/vclock/queue.go
@@ -1,4 +1,4 @@
-// Package vclock keeps the events of simulations in virtual time, for tests.
+// Package vclock schedules the events of simulations in virtual time, for tests.
 package vclock
 
 import (
@@ -7,28 +7,28 @@
 	"time"
 )
 
-// Queue holds events that are still to come. The zero Queue is empty.
+// Queue is a priority queue of pending events. The zero Queue is empty.
 type Queue struct {
 	events events
 	order  int
 }
 
-// event is something that happens at a time; among equals the one that was added first
-// comes first.
+// event is a scheduled call. Events at the same time run in the order in which they were
+// added.
 type event struct {
 	at    time.Time
 	order int
 	do    func()
 }
 
-// Add adds an event.
+// Add schedules an event.
 func (q *Queue) Add(at time.Time, do func()) {
 	q.order++
 	heap.Push(&q.events, event{at: at, order: q.order, do: do})
 }
 
-// Until takes out the events up to a time, this one included, in their order; also those
-// that are added meanwhile.
+// Until removes and yields the events up to and including end, in order, with those that are
+// added meanwhile.
 func (q *Queue) Until(end time.Time) iter.Seq2[time.Time, func()] {
 	return func(yield func(time.Time, func()) bool) {
 		for len(q.events) > 0 && !q.events[0].at.After(end) {
@@ -54,17 +54,17 @@
 	return last
 }
 
-// Clock is virtual time in which events happen.
+// Clock is a virtual clock with scheduled events.
 type Clock struct {
 	// Now never goes back.
 	Now   time.Time
 	queue Queue
 }
 
-// After adds an event.
+// After schedules an event.
 func (c *Clock) After(d time.Duration, do func()) { c.queue.Add(c.Now.Add(d), do) }
 
-// Every repeats an event, the first time after a while.
+// Every schedules a periodic event that runs for the first time after first.
 func (c *Clock) Every(first, period time.Duration, do func()) {
 	var again func()
 	again = func() {
@@ -74,7 +74,7 @@
 	c.After(first, again)
 }
 
-// Run lets time pass, with all events in it.
+// Run advances the clock by d and runs all events that are due.
 func (c *Clock) Run(d time.Duration) {
 	end := c.Now.Add(d)
 	for at, do := range c.queue.Until(end) {
