--- a/internal/poison/table_test.go
+++ b/internal/poison/table_test.go
@@ -168,8 +168,8 @@
 	other.Ran(at(50), f)
 	peers := []shed.VM{"vm"}
 	exchange := func(now time.Time, from, to *poison.Table) {
-		for _, tell := range from.Due(now, peers) {
-			to.Heard(now, tell.News)
+		for _, report := range from.Due(now, peers) {
+			to.Heard(now, report.News)
 		}
 	}
 	exchange(at(60), one, other)
@@ -237,11 +237,11 @@
 		tb.Crashed(at(10+i), fingerprintOf("flood", i), "greedy", shed.ServerStart{Server: "s"})
 	}
 	require.True(t, tb.Decide(at(6000), other, firstTurn).Refused)
-	told := 0
-	for _, tell := range tb.Due(at(7000), []shed.VM{"a", "b"}) {
-		told += len(tell.News.Suspects)
+	reported := 0
+	for _, report := range tb.Due(at(7000), []shed.VM{"a", "b"}) {
+		reported += len(report.News.Suspects)
 	}
-	require.LessOrEqual(t, told, 4*32)
+	require.LessOrEqual(t, reported, 4*32)
 }
 
 // Crashes expire, also on a VM without peers.
@@ -259,7 +259,7 @@
 // the same verdicts.
 func TestNewsInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		var news []shed.CrashNews
+		var updates []shed.CrashNews
 		for i := range rapid.IntRange(1, 12).Draw(rt, "news") {
 			s := shed.Suspect{Request: fingerprintOf("r", rapid.IntRange(0, 2).Draw(rt, "request")), Workspace: "w"}
 			for range rapid.IntRange(0, 3).Draw(rt, "crashes") {
@@ -272,13 +272,13 @@
 				age := time.Duration(rapid.IntRange(1, 50).Draw(rt, "ran_age")) * time.Second
 				s.Ran = &age
 			}
-			news = append(news, shed.CrashNews{Suspects: []shed.Suspect{s}, All: i%2 == 0})
+			updates = append(updates, shed.CrashNews{Suspects: []shed.Suspect{s}, All: i%2 == 0})
 		}
 		one, other := newTable(), newTable()
-		for _, n := range news {
+		for _, n := range updates {
 			one.Heard(at(0), n)
 		}
-		for _, n := range append(rapid.Permutation(news).Draw(rt, "order"), news...) {
+		for _, n := range append(rapid.Permutation(updates).Draw(rt, "order"), updates...) {
 			other.Heard(at(0), n)
 		}
 		for i := range 3 {
