--- a/internal/limit/limit_test.go
+++ b/internal/limit/limit_test.go
@@ -55,17 +55,17 @@
 // limits.
 func TestNewsInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		var news []shed.ServerLimit
+		var reports []shed.ServerLimit
 		for i := range rapid.IntRange(1, 10).Draw(rt, "news") {
 			rate := shed.Rate(rapid.IntRange(0, 3).Draw(rt, "rate"))
-			news = append(news, shed.ServerLimit{
+			reports = append(reports, shed.ServerLimit{
 				Start: shed.ServerStart{Server: shed.ServerID(fmt.Sprint(rapid.IntRange(0, 2).Draw(rt, "server")))},
 				Rate:  rate, Ended: rate == 0, Age: time.Duration(i) * time.Second,
 			})
 		}
 		a, b := limit.New(), limit.New()
-		a.Heard(at(0), news)
-		for _, l := range append(rapid.Permutation(news).Draw(rt, "order"), news...) {
+		a.Heard(at(0), reports)
+		for _, l := range append(rapid.Permutation(reports).Draw(rt, "order"), reports...) {
 			b.Heard(at(0), []shed.ServerLimit{l})
 		}
 		require.Equal(rt, a.Known(at(0)), b.Known(at(0)))
