--- a/internal/chain/replay_test.go
+++ b/internal/chain/replay_test.go
@@ -246,8 +246,8 @@
 // giveUp ends a request with a failed piece. Its steps in progress run on, for nothing.
 func (r *replay) giveUp(q *request) {
 	q.abandoned = true
-	for i, begun := range q.started {
-		if !begun {
+	for i, started := range q.started {
+		if !started {
 			r.expected[q.kind.pools[i]] -= q.kind.steps[i].Pieces
 			q.started[i] = true
 		}
