--- a/internal/accept/accept.go
+++ b/internal/accept/accept.go
@@ -22,9 +22,9 @@
 	// maxLateWait is the longest queueing time with which a request is admitted that can't
 	// meet its target.
 	maxLateWait = 700 * time.Millisecond
-	// ComeBack is the shortest time after which a refused caller may retry; it is short since
+	// MinRetryAfter is the shortest time after which a refused caller may retry; it is short since
 	// callers wait for a third of their time at most.
-	ComeBack = 300 * time.Millisecond
+	MinRetryAfter = 300 * time.Millisecond
 	// maxRetryAfter is the longest time after which a refused caller may retry.
 	maxRetryAfter = 1500 * time.Millisecond
 	// A route whose share of admitted requests is below fairShare times that of more urgent
@@ -32,30 +32,30 @@
 	fairShare, starvedShare = 0.5, 0.4
 )
 
-// Ask is a request to be admitted, with the forecast of its steps.
-type Ask struct {
+// Request is a request to be admitted, with the forecast of its steps.
+type Request struct {
 	Route shed.RouteID
-	// Above are the routes of more urgent ranks that use the pool that the request
+	// MoreUrgent are the routes of more urgent ranks that use the pool that the request
 	// would wait longest for; Ranks is the number of these ranks.
-	Above []shed.RouteID
-	Ranks int
-	// ToAim and ToEnd are the times left until the target and the deadline of the answer.
-	ToAim, ToEnd time.Duration
-	// Least is how long the steps take with empty queues; Timely if the request is served
+	MoreUrgent  []shed.RouteID
+	UrgentRanks int
+	// ToTarget and ToDeadline are the times left until the target and the deadline of the answer.
+	ToTarget, ToDeadline time.Duration
+	// MinTime is how long the steps take with empty queues; Timely if the request is served
 	// before all that can't be in time any more, Last if after them.
-	Least, Timely, Last time.Duration
+	MinTime, Timely, Last time.Duration
 	// Answer is the predicted time in which the answering server sends the first event.
 	Answer time.Duration
 }
 
 // Verdict is an admission decision.
 type Verdict struct {
-	LetIn bool
-	// After is when a refused caller may retry.
-	After time.Duration
-	// Needs is the time to the target that admission requires: the forecast, the growth of
+	Admitted bool
+	// RetryAfter is when a refused caller may retry.
+	RetryAfter time.Duration
+	// NeededTime is the time to the target that admission requires: the forecast, the growth of
 	// queues, and the reserve for more urgent ranks.
-	Needs time.Duration
+	NeededTime time.Duration
 }
 
 // Gate admits or refuses requests. It is not safe for concurrent use.
@@ -68,18 +68,18 @@
 func New() *Gate { return &Gate{shares: map[shed.RouteID]share{}} }
 
 // Decide admits a request, or returns when it may be retried.
-func (g *Gate) Decide(a Ask) Verdict {
+func (g *Gate) Decide(a Request) Verdict {
 	needs := time.Duration(queueGrowth*float64(a.Timely)) + a.Answer
-	queues := max(a.Timely-a.Least, 0)
-	needs += time.Duration(reserveFactor * g.reserveWeight(&a) * float64(a.Ranks) * float64(queues))
-	v := Verdict{Needs: needs}
-	shortWait := a.Last <= a.Least+maxLateWait && a.Last+a.Answer <= a.ToEnd
-	v.LetIn = needs <= a.ToAim || shortWait
+	queues := max(a.Timely-a.MinTime, 0)
+	needs += time.Duration(reserveFactor * g.reserveWeight(&a) * float64(a.UrgentRanks) * float64(queues))
+	v := Verdict{NeededTime: needs}
+	shortWait := a.Last <= a.MinTime+maxLateWait && a.Last+a.Answer <= a.ToDeadline
+	v.Admitted = needs <= a.ToTarget || shortWait
 	own := g.share(a.Route)
-	own.add(v.LetIn)
+	own.add(v.Admitted)
 	g.shares[a.Route] = own
-	if !v.LetIn {
-		v.After = min(max(needs-a.ToAim, ComeBack), maxRetryAfter)
+	if !v.Admitted {
+		v.RetryAfter = min(max(needs-a.ToTarget, MinRetryAfter), maxRetryAfter)
 	}
 	return v
 }
@@ -89,9 +89,9 @@
 // Load pattern: a lasting overload, mostly of urgent requests. With the whole reserve, nothing
 // else would be admitted; so the smaller a route's admitted share is in proportion to that of
 // more urgent routes, the less it leaves to them.
-func (g *Gate) reserveWeight(a *Ask) float64 {
+func (g *Gate) reserveWeight(a *Request) float64 {
 	urgent := share(1)
-	for _, id := range a.Above {
+	for _, id := range a.MoreUrgent {
 		urgent = min(urgent, g.share(id))
 	}
 	if urgent <= 0 {
@@ -108,8 +108,8 @@
 	return 1
 }
 
-// Keep removes routes that are no longer in the configuration.
-func (g *Gate) Keep(listed func(shed.RouteID) bool) {
+// Prune removes routes that are no longer in the configuration.
+func (g *Gate) Prune(listed func(shed.RouteID) bool) {
 	for id := range g.shares {
 		if !listed(id) {
 			delete(g.shares, id)
--- a/internal/chain/chain.go
+++ b/internal/chain/chain.go
@@ -19,12 +19,12 @@
 	Limits shed.BatchLimits
 	// Servers is the number of servers in its pool that accept new work.
 	Servers int
-	// Wait is the pool's forecast for its current queue; its Rate and Slow are 0 if the
+	// Forecast is the pool's forecast for its current queue; its Rate and Slow are 0 if the
 	// queue is empty.
-	Wait batch.Forecast
-	// Coming is the number of pieces that admitted requests will send to the pool once
+	Forecast batch.Forecast
+	// ExpectedPieces is the number of pieces that admitted requests will send to the pool once
 	// their earlier steps are done.
-	Coming int
+	ExpectedPieces int
 }
 
 // Chain holds all steps of a request.
@@ -34,8 +34,8 @@
 // servers.
 func (s *Step) minTime() time.Duration {
 	least := s.Limits.CallTime + time.Duration(min(s.Pieces, s.Limits.Most))*s.Limits.PieceTime
-	if s.Wait.Slow > 0 {
-		return time.Duration(float64(least) * s.Wait.Slow)
+	if s.Forecast.Slow > 0 {
+		return time.Duration(float64(least) * s.Forecast.Slow)
 	}
 	return least
 }
@@ -43,8 +43,8 @@
 // rate is the pool's throughput with full batches, in pieces per second: as predicted, or
 // by its limits if its queue is empty. It is above 0.
 func (s *Step) rate() float64 {
-	if s.Wait.Rate > 0 {
-		return s.Wait.Rate
+	if s.Forecast.Rate > 0 {
+		return s.Forecast.Rate
 	}
 	full := s.Limits.CallTime + time.Duration(s.Limits.Most)*s.Limits.PieceTime
 	return float64(s.Servers*s.Limits.Most) / max(full, time.Millisecond).Seconds()
@@ -59,16 +59,16 @@
 	if s.Servers == 0 {
 		return batch.Forecast{Timely: batch.NoServers, Last: batch.NoServers}
 	}
-	ahead := time.Duration(float64(s.Coming) / s.rate() * float64(time.Second))
+	ahead := time.Duration(float64(s.ExpectedPieces) / s.rate() * float64(time.Second))
 	ahead += time.Duration(s.Pieces-1) * s.Limits.PieceTime
 	return batch.Forecast{
-		Timely: max(s.Wait.Timely+ahead, start.Timely+s.minTime()),
-		Last:   max(s.Wait.Last+ahead, start.Last+s.minTime()),
+		Timely: max(s.Forecast.Timely+ahead, start.Timely+s.minTime()),
+		Last:   max(s.Forecast.Last+ahead, start.Last+s.minTime()),
 	}
 }
 
-// Wait predicts how long all steps take, along the longest path.
-func (c Chain) Wait() batch.Forecast {
+// Forecast predicts how long all steps take, along the longest path.
+func (c Chain) Forecast() batch.Forecast {
 	ends := make([]batch.Forecast, len(c))
 	var longest batch.Forecast
 	for i := range c {
@@ -86,22 +86,22 @@
 	return batch.Forecast{Timely: max(a.Timely, b.Timely), Last: max(a.Last, b.Last)}
 }
 
-// Rest is the minimum time of the steps that follow a step, along the longest path.
-func (c Chain) Rest(at int) time.Duration {
+// MinTimeAfter is the minimum time of the steps that follow a step, along the longest path.
+func (c Chain) MinTimeAfter(at int) time.Duration {
 	var longest time.Duration
 	for i := at + 1; i < len(c); i++ {
 		if slices.Contains(c[i].After, at) {
-			longest = max(longest, c[i].minTime()+c.Rest(i))
+			longest = max(longest, c[i].minTime()+c.MinTimeAfter(i))
 		}
 	}
 	return longest
 }
 
-// Least is how long the steps take with empty queues, along the longest path.
-func (c Chain) Least() time.Duration {
+// MinTime is how long the steps take with empty queues, along the longest path.
+func (c Chain) MinTime() time.Duration {
 	var longest time.Duration
 	for i := range c {
-		longest = max(longest, c[i].minTime()+c.Rest(i))
+		longest = max(longest, c[i].minTime()+c.MinTimeAfter(i))
 	}
 	return longest
 }
@@ -110,13 +110,13 @@
 // forecasts are off by that much for most requests.
 const startMargin = 100 * time.Millisecond
 
-// Begin returns the step with whose start step at may be started, so that its results are ready
+// StartWith returns the step with whose start step at may be started, so that its results are ready
 // when the longest path is nearly done; -1 if it has to start at once.
 //
 // Load pattern: a request needs large results in parallel with a long path of other steps.
 // If processed at once, they occupy their server's result capacity until the path is done, for
 // most of the request's time, and displace requests that need nothing else.
-func (c Chain) Begin(at int) int {
+func (c Chain) StartWith(at int) int {
 	if len(c[at].After) > 0 || c.hasDependents(at) {
 		return -1
 	}
@@ -147,8 +147,8 @@
 	return c[at].forecastEnd(batch.Forecast{}).Timely + longest
 }
 
-// Crowded returns the step with the longest queueing time.
-func (c Chain) Crowded() int {
+// Bottleneck returns the step with the longest queueing time.
+func (c Chain) Bottleneck() int {
 	most, waits := 0, time.Duration(-1)
 	for i := range c {
 		if queue := c[i].forecastEnd(batch.Forecast{}).Timely - c[i].minTime(); queue > waits {
--- a/internal/limit/limit.go
+++ b/internal/limit/limit.go
@@ -49,8 +49,8 @@
 	return t.apply(start, report{rate: rate, at: now})
 }
 
-// Heard merges limits received from a peer.
-func (t *Table) Heard(now time.Time, limits []shed.ServerLimit) []Change {
+// Receive merges limits received from a peer.
+func (t *Table) Receive(now time.Time, limits []shed.ServerLimit) []Change {
 	var out []Change
 	for _, l := range limits {
 		s := report{rate: l.Rate, at: now.Add(-max(l.Age, 0))}
@@ -74,8 +74,8 @@
 	return []Change{{Start: start, Rate: s.rate}}
 }
 
-// Of returns a server's limit, or 0 if it has none.
-func (t *Table) Of(start shed.ServerStart) shed.Rate { return t.reports[start].rate }
+// Rate returns a server's limit, or 0 if it has none.
+func (t *Table) Rate(start shed.ServerStart) shed.Rate { return t.reports[start].rate }
 
 // Empty reports whether no limits are kept, not even ended ones.
 func (t *Table) Empty() bool { return len(t.reports) == 0 }
@@ -91,8 +91,8 @@
 	return out
 }
 
-// Known returns all limits, including ended ones, sorted, to be sent to peers.
-func (t *Table) Known(now time.Time) []shed.ServerLimit {
+// All returns all limits, including ended ones, sorted, to be sent to peers.
+func (t *Table) All(now time.Time) []shed.ServerLimit {
 	var out []shed.ServerLimit
 	for start, s := range t.reports {
 		out = append(out, shed.ServerLimit{Start: start, Rate: s.rate, Ended: s.rate == 0, Age: now.Sub(s.at)})
@@ -103,9 +103,9 @@
 	return out
 }
 
-// Keep removes the limits of unlisted servers, and ended limits after endedRetention. A limit
+// Prune removes the limits of unlisted servers, and ended limits after endedRetention. A limit
 // belongs to one start of a server and doesn't apply to the next.
-func (t *Table) Keep(now time.Time, listed func(shed.ServerID) bool) {
+func (t *Table) Prune(now time.Time, listed func(shed.ServerID) bool) {
 	for start, s := range t.reports {
 		if !listed(start.Server) || s.rate == 0 && now.Sub(s.at) > endedRetention {
 			delete(t.reports, start)
--- a/internal/poison/attribution.go
+++ b/internal/poison/attribution.go
@@ -33,12 +33,12 @@
 	switch {
 	case n < suspectThreshold && s.quarantined:
 		s.quarantined = false
-		change.What = Cleared
+		change.Reason = Cleared
 	case n >= suspectThreshold && n != before && t.quarantineTime(now, s) > 0:
 		s.quarantined = true
-		change.What, change.For = Quarantined, t.quarantineTime(now, s)
+		change.Reason, change.RefusedFor = Quarantined, t.quarantineTime(now, s)
 	case n == suspectThreshold && before < n:
-		change.What = Suspected
+		change.Reason = Suspected
 	default:
 		return nil
 	}
--- a/internal/poison/report.go
+++ b/internal/poison/report.go
@@ -27,14 +27,14 @@
 	sweepInterval = time.Second
 )
 
-// Tell is an update and its receivers.
-type Tell struct {
-	To   []shed.VM
-	News shed.CrashNews
+// Report is an update and its receivers.
+type Report struct {
+	To     []shed.VM
+	Update shed.CrashNews
 }
 
-// Due returns the updates to send now to peers, which must be sorted. It is called at each tick.
-func (t *Table) Due(now time.Time, peers []shed.VM) []Tell {
+// DueReports returns the updates to send now to peers, which must be sorted. It is called at each tick.
+func (t *Table) DueReports(now time.Time, peers []shed.VM) []Report {
 	if now.Sub(t.sweptAt) >= sweepInterval {
 		t.sweptAt = now
 		t.sweep(now)
@@ -55,20 +55,20 @@
 			byPeer[vm] = append(byPeer[vm], s)
 		}
 	}
-	var out []Tell
+	var out []Report
 	if len(forAll) > 0 {
-		out = append(out, Tell{To: peers, News: t.message(now, forAll, true)})
+		out = append(out, Report{To: peers, Update: t.message(now, forAll, true)})
 	}
 	for _, vm := range peers {
 		if suspects := byPeer[vm]; len(suspects) > 0 {
-			out = append(out, Tell{To: []shed.VM{vm}, News: t.message(now, suspects, false)})
+			out = append(out, Report{To: []shed.VM{vm}, Update: t.message(now, suspects, false)})
 		}
 	}
 	return append(out, t.remind(now, peers)...)
 }
 
 // remind sends all suspects to a few peers, in round-robin order.
-func (t *Table) remind(now time.Time, peers []shed.VM) []Tell {
+func (t *Table) remind(now time.Time, peers []shed.VM) []Report {
 	if now.Sub(t.remindedAt) < reminderInterval {
 		return nil
 	}
@@ -86,7 +86,7 @@
 		to = append(to, peers[(at+i)%len(peers)])
 	}
 	t.lastReminded = to[len(to)-1]
-	return []Tell{{To: to, News: t.message(now, known, false)}}
+	return []Report{{To: to, Update: t.message(now, known, false)}}
 }
 
 // mostRelevant returns the most relevant of the matching suspects, as many as fit in a message.
--- a/internal/poison/table.go
+++ b/internal/poison/table.go
@@ -91,20 +91,20 @@
 
 // Change is a change in the state of a suspect.
 type Change struct {
-	What      shed.Reason
+	Reason    shed.Reason
 	Request   shed.Fingerprint
 	Workspace shed.WorkspaceID
 	// Crashes is the number of crashes counted against it.
 	Crashes int
-	// For is how long it is refused, if quarantined.
-	For time.Duration
+	// RefusedFor is how long it is refused, if quarantined.
+	RefusedFor time.Duration
 }
 
 // Verdict says whether and how a request may run.
 type Verdict struct {
 	// Refused: it may not be sent to any server; After is when to retry.
-	Refused bool
-	After   time.Duration
+	Refused    bool
+	RetryAfter time.Duration
 	// Isolate: it may run, on the server where a crash does least harm.
 	Isolate bool
 	// Trial: it may run once, as a probe of whether it still crashes servers.
@@ -114,12 +114,12 @@
 // Empty reports whether there are no suspects.
 func (t *Table) Empty() bool { return len(t.suspects) == 0 }
 
-// Suspects reports whether crashes under a request are recorded.
-func (t *Table) Suspects(f shed.Fingerprint) bool { return t.suspects[f] != nil }
+// IsSuspect reports whether crashes under a request are recorded.
+func (t *Table) IsSuspect(f shed.Fingerprint) bool { return t.suspects[f] != nil }
 
-// Knows reports whether this start of a server is known to have crashed within the
+// RecentlyCrashed reports whether this start of a server is known to have crashed within the
 // explanation window.
-func (t *Table) Knows(now time.Time, s shed.ServerStart) bool {
+func (t *Table) RecentlyCrashed(now time.Time, s shed.ServerStart) bool {
 	return now.Sub(t.endedAt[s]) < explanationWindow
 }
 
@@ -136,7 +136,7 @@
 	}
 	trialAt := s.lastCrash().Add(quarantine + time.Duration(turn())*trialStagger)
 	if left := shed.Later(trialAt, s.trialUntil).Sub(now); left > 0 {
-		return Verdict{Refused: true, After: left}
+		return Verdict{Refused: true, RetryAfter: left}
 	}
 	s.trialUntil = now.Add(trialTimeout)
 	return Verdict{Isolate: true, Trial: true}
@@ -169,8 +169,8 @@
 	fromAllPeers
 )
 
-// Heard merges an update received from a peer.
-func (t *Table) Heard(now time.Time, m shed.CrashNews) []Change {
+// Receive merges an update received from a peer.
+func (t *Table) Receive(now time.Time, m shed.CrashNews) []Change {
 	from := fromPeer
 	if m.All {
 		from = fromAllPeers
--- a/internal/poison/table_test.go
+++ b/internal/poison/table_test.go
@@ -146,15 +146,15 @@
 	crash(tb, at(10), f, 2)
 	require.Equal(t, poison.Verdict{Isolate: true}, tb.Decide(at(11), f, firstTurn))
 	crash(tb, at(20), f, 3)
-	require.Equal(t, poison.Verdict{Refused: true, After: quarantine}, tb.Decide(at(20), f, firstTurn))
+	require.Equal(t, poison.Verdict{Refused: true, RetryAfter: quarantine}, tb.Decide(at(20), f, firstTurn))
 	trialAt := at(20).Add(quarantine)
 	require.True(t, tb.Decide(trialAt, f, func() int { return 1 }).Refused, "another VM is first in order")
 	require.Equal(t, poison.Verdict{Isolate: true, Trial: true}, tb.Decide(trialAt, f, firstTurn))
 	require.True(t, tb.Decide(trialAt.Add(time.Millisecond), f, firstTurn).Refused, "one trial at a time")
 	changes := crash(tb, trialAt.Add(time.Second), f, 4)
-	require.Equal(t, 6*quarantine, changes[0].For)
+	require.Equal(t, 6*quarantine, changes[0].RefusedFor)
 	again := tb.Decide(trialAt.Add(time.Second), f, firstTurn)
-	require.Equal(t, poison.Verdict{Refused: true, After: 6 * quarantine}, again)
+	require.Equal(t, poison.Verdict{Refused: true, RetryAfter: 6 * quarantine}, again)
 }
 
 // A request that runs without a crash is cleared at all VMs, even if one of them receives
@@ -168,8 +168,8 @@
 	other.Ran(at(50), f)
 	peers := []shed.VM{"vm"}
 	exchange := func(now time.Time, from, to *poison.Table) {
-		for _, report := range from.Due(now, peers) {
-			to.Heard(now, report.News)
+		for _, report := range from.DueReports(now, peers) {
+			to.Receive(now, report.Update)
 		}
 	}
 	exchange(at(60), one, other)
@@ -195,7 +195,7 @@
 		crash(tb, at(8), culprit, 4+i)
 		crash(tb, at(8), bystander, 3+i)
 	}
-	require.Equal(t, poison.Verdict{Refused: true, After: quarantine/5 - time.Millisecond}, tb.Decide(at(9), bystander, firstTurn),
+	require.Equal(t, poison.Verdict{Refused: true, RetryAfter: quarantine/5 - time.Millisecond}, tb.Decide(at(9), bystander, firstTurn),
 		"five crashes are unlikely to be a coincidence")
 }
 
@@ -238,8 +238,8 @@
 	}
 	require.True(t, tb.Decide(at(6000), other, firstTurn).Refused)
 	reported := 0
-	for _, report := range tb.Due(at(7000), []shed.VM{"a", "b"}) {
-		reported += len(report.News.Suspects)
+	for _, report := range tb.DueReports(at(7000), []shed.VM{"a", "b"}) {
+		reported += len(report.Update.Suspects)
 	}
 	require.LessOrEqual(t, reported, 4*32)
 }
@@ -248,10 +248,10 @@
 func TestOldCrashesAreForgotten(t *testing.T) {
 	tb, f := newTable(), fingerprintOf("r", 1)
 	crash(tb, at(0), f, 1)
-	tb.Due(at(0).Add(9*time.Minute), nil)
-	require.True(t, tb.Suspects(f))
-	tb.Due(at(0).Add(11*time.Minute), nil)
-	require.False(t, tb.Suspects(f))
+	tb.DueReports(at(0).Add(9*time.Minute), nil)
+	require.True(t, tb.IsSuspect(f))
+	tb.DueReports(at(0).Add(11*time.Minute), nil)
+	require.False(t, tb.IsSuspect(f))
 	require.True(t, tb.Empty())
 }
 
@@ -276,10 +276,10 @@
 		}
 		one, other := newTable(), newTable()
 		for _, n := range updates {
-			one.Heard(at(0), n)
+			one.Receive(at(0), n)
 		}
 		for _, n := range append(rapid.Permutation(updates).Draw(rt, "order"), updates...) {
-			other.Heard(at(0), n)
+			other.Receive(at(0), n)
 		}
 		for i := range 3 {
 			f := fingerprintOf("r", i)
--- a/internal/relay/finish.go
+++ b/internal/relay/finish.go
@@ -47,7 +47,7 @@
 	case !j.mayHaveRun && late:
 		return &refusal{status: http.StatusServiceUnavailable, reason: shed.ReasonDeadline}
 	case !j.mayHaveRun:
-		return &refusal{status: http.StatusServiceUnavailable, reason: v.reason, after: accept.ComeBack}
+		return &refusal{status: http.StatusServiceUnavailable, reason: v.reason, after: accept.MinRetryAfter}
 	case late:
 		return &refusal{status: http.StatusGatewayTimeout, reason: shed.ReasonDeadline}
 	}
--- a/internal/relay/limit.go
+++ b/internal/relay/limit.go
@@ -57,6 +57,6 @@
 func (r *Relay) heardLimits(now, told time.Time, from shed.VM, limits []shed.ServerLimit) {
 	for _, l := range limits {
 		l.Age += now.Sub(told)
-		r.tellLimits(r.limits.Heard(now, []shed.ServerLimit{l}), string(from))
+		r.tellLimits(r.limits.Receive(now, []shed.ServerLimit{l}), string(from))
 	}
 }
--- a/internal/relay/load.go
+++ b/internal/relay/load.go
@@ -38,7 +38,7 @@
 		Sequence: r.mesh.sequence, Held: r.batcher.Held(), Servers: shares, Waits: waits, Placed: turn.Placed,
 		// Messages are encoded later, in a goroutine of their own.
 		Coming: maps.Clone(r.coming), AsOf: r.roster.AsOf(), Digest: r.roster.Digest(), Confirmed: now.Sub(r.roster.Contact()),
-		Catalog: r.roster.CatalogRevision(), Limits: r.limits.Known(now), PassOn: turn.PassOn, Carried: turn.Carried,
+		Catalog: r.roster.CatalogRevision(), Limits: r.limits.All(now), PassOn: turn.PassOn, Carried: turn.Carried,
 	})
 }
 
--- a/internal/relay/mesh.go
+++ b/internal/relay/mesh.go
@@ -186,9 +186,9 @@
 	case shed.StoreNews:
 		r.heardNews(now, from.VM, m)
 	case shed.LimitNews:
-		r.tellLimits(r.limits.Heard(now, m.Limits), string(from.VM))
+		r.tellLimits(r.limits.Receive(now, m.Limits), string(from.VM))
 	case shed.CrashNews:
-		r.tellSuspects(r.poison.Heard(now, m))
+		r.tellSuspects(r.poison.Receive(now, m))
 	case shed.ResultsFreed:
 		r.perform(r.batcher.Handle(now, batch.Freed{Refs: m.Refs}))
 	}
--- a/internal/relay/plan.go
+++ b/internal/relay/plan.go
@@ -63,7 +63,7 @@
 func (r *Relay) timeAfter(j *job, p plan, at int) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.chain(time.Now(), p).Rest(at) + j.answerTime
+	return r.chain(time.Now(), p).MinTimeAfter(at) + j.answerTime
 }
 
 // chain puts together what is known of the pools of a plan's steps. The caller
@@ -82,7 +82,7 @@
 			continue
 		}
 		c[i].Limits, c[i].Servers = *pool.Batch, len(r.roster.Open(s.Pool))
-		c[i].Wait, c[i].Coming = r.forecast(now, pool), r.comingTo(s.Pool)
+		c[i].Forecast, c[i].ExpectedPieces = r.forecast(now, pool), r.comingTo(s.Pool)
 	}
 	return c
 }
@@ -104,7 +104,7 @@
 // plan chooses near which server the pieces are best made, and foresees how long
 // they take, and would take at least. If no server can be reached that could answer,
 // away is when one may be tried again.
-func (r *Relay) plan(j *job, p plan) (ask accept.Ask, away time.Duration) {
+func (r *Relay) plan(j *job, p plan) (ask accept.Request, away time.Duration) {
 	now := time.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -119,10 +119,10 @@
 		j.answerTime = min(choice.Time, mostReading) + r.picker.Overrun()
 	}
 	c := r.chain(now, p)
-	wait := c.Wait()
-	ask = accept.Ask{Route: j.route.ID, Least: c.Least(), Timely: wait.Timely, Last: wait.Last, Answer: j.answerTime}
+	wait := c.Forecast()
+	ask = accept.Request{Route: j.route.ID, MinTime: c.MinTime(), Timely: wait.Timely, Last: wait.Last, Answer: j.answerTime}
 	if r.prefs.Load().Relay.Has(prefs.UrgentReserve) {
-		ask.Above, ask.Ranks = r.above(j.route, p.steps[c.Crowded()].Pool)
+		ask.MoreUrgent, ask.UrgentRanks = r.above(j.route, p.steps[c.Bottleneck()].Pool)
 	}
 	return ask, choice.Away
 }
--- a/internal/relay/poison.go
+++ b/internal/relay/poison.go
@@ -40,7 +40,7 @@
 	for _, f := range j.suspects() {
 		v := r.poison.Decide(now, f, func() int { return r.trialTurn(f) })
 		if v.Refused {
-			return false, r.known(j, &refusal{status: http.StatusServiceUnavailable, reason: reasonCrashes, after: v.After})
+			return false, r.known(j, &refusal{status: http.StatusServiceUnavailable, reason: reasonCrashes, after: v.RetryAfter})
 		}
 		j.trial = j.trial || v.Trial
 		isolate = isolate || v.Isolate
@@ -56,7 +56,7 @@
 		return out
 	}
 	for _, s := range j.route.Steps {
-		if f := poison.InPool(j.fingerprint, s.Pool); !slices.Contains(out, f) {
+		if f := poison.PoolFingerprint(j.fingerprint, s.Pool); !slices.Contains(out, f) {
 			out = append(out, f)
 		}
 	}
@@ -104,12 +104,12 @@
 	}
 	seen := map[shed.Fingerprint]bool{}
 	for _, p := range a.Pieces {
-		o := shed.RequestRef{Request: poison.InPool(p.Origin.Request, a.Server.Pool), Workspace: p.Origin.Workspace}
+		o := shed.RequestRef{Request: poison.PoolFingerprint(p.Origin.Request, a.Server.Pool), Workspace: p.Origin.Workspace}
 		switch {
 		case seen[o.Request]:
 		case end.Crashed:
 			r.endedUnder(p.Request, o, a.Server)
-		case r.poison.Suspects(o.Request):
+		case r.poison.IsSuspect(o.Request):
 			r.tellSuspects(r.poison.Ran(time.Now(), o.Request))
 		}
 		seen[o.Request] = true
@@ -134,7 +134,7 @@
 // connections for other reasons as well; one that has ended takes none.
 func (r *Relay) serverEnded(s shed.Listing) bool {
 	r.mu.Lock()
-	known := r.poison.Knows(time.Now(), startOf(s))
+	known := r.poison.RecentlyCrashed(time.Now(), startOf(s))
 	r.mu.Unlock()
 	if known {
 		return true
@@ -154,8 +154,8 @@
 
 // tellCrashes tells peers of requests that crash servers. The caller holds mu.
 func (r *Relay) tellCrashes(now time.Time) {
-	for _, t := range r.poison.Due(now, r.alive()) {
-		r.client.SendAll(t.To, t.News)
+	for _, t := range r.poison.DueReports(now, r.alive()) {
+		r.client.SendAll(t.To, t.Update)
 	}
 }
 
@@ -168,7 +168,7 @@
 	for _, c := range changes {
 		r.stats.beliefs.Inc(1)
 		r.log.WithFields(logrus.Fields{
-			"reason": c.What, "fingerprint": c.Request, "workspace": c.Workspace, "crashes": c.Crashes, "for_ms": c.For.Milliseconds(),
+			"reason": c.Reason, "fingerprint": c.Request, "workspace": c.Workspace, "crashes": c.Crashes, "for_ms": c.RefusedFor.Milliseconds(),
 		}).Warn("suspect")
 	}
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -97,8 +97,8 @@
 	poison  *poison.Table
 	limits  *limit.Table
 	// book are the turns that this VM lends, waits those that it was denied.
-	book    *turns.Book
-	waits   *turns.Waits
+	book    *turns.Ledger
+	waits   *turns.Backoff
 	repeats map[shed.PoolID]*retry.Budget
 	group   *member.Group
 	mesh    mesh
@@ -137,8 +137,8 @@
 		roster:  roster.New(roster.Config{Heartbeat: cfg.Prefs.Relay.Heartbeat}),
 		accept:  accept.New(),
 		limits:  limit.New(),
-		book:    turns.NewBook(),
-		waits:   turns.NewWaits(),
+		book:    turns.NewLedger(),
+		waits:   turns.NewBackoff(),
 		picker:  picker.New(picker.Config{Zone: shed.ZoneID(cfg.Prefs.Node.Zone)}),
 		repeats: map[shed.PoolID]*retry.Budget{},
 		jobs:    map[batch.JobID]chan []shed.PieceResult{},
--- a/internal/relay/send.go
+++ b/internal/relay/send.go
@@ -221,7 +221,7 @@
 	defer r.mu.Unlock()
 	for _, s := range r.roster.Open(j.pool.ID) {
 		if s.ID != c.Server.ID && !slices.Contains(j.avoid, s.ID) {
-			return r.budget(j.pool.ID).Left(time.Now()) > 0
+			return r.budget(j.pool.ID).Remaining(time.Now()) > 0
 		}
 	}
 	return false
--- a/internal/relay/steps.go
+++ b/internal/relay/steps.go
@@ -94,7 +94,7 @@
 	late := r.prefs.Load().Relay.Has(prefs.LateStart)
 	for i := range c {
 		out[i] = c[i].After
-		if with := c.Begin(i); late && with >= 0 {
+		if with := c.StartWith(i); late && with >= 0 {
 			out[i] = c[with].After
 		}
 	}
@@ -140,23 +140,23 @@
 }
 
 // admitSteps refuses at once what would be late.
-func (r *Relay) admitSteps(j *job, ask accept.Ask) *refusal {
+func (r *Relay) admitSteps(j *job, ask accept.Request) *refusal {
 	now := time.Now()
-	ask.ToAim, ask.ToEnd = j.aim.Sub(now), j.deadline.Sub(now)
+	ask.ToTarget, ask.ToDeadline = j.aim.Sub(now), j.deadline.Sub(now)
 	r.mu.Lock()
 	v := r.accept.Decide(ask)
 	r.mu.Unlock()
 	j.foreseen = ask.Timely + ask.Answer
-	if v.LetIn {
+	if v.Admitted {
 		return nil
 	}
 	r.log.WithFields(logrus.Fields{
-		"request": j.ask.ID, "route": ask.Route, "needs_ms": v.Needs.Milliseconds(), "least_ms": ask.Least.Milliseconds(),
+		"request": j.ask.ID, "route": ask.Route, "needs_ms": v.NeededTime.Milliseconds(), "least_ms": ask.MinTime.Milliseconds(),
 		"timely_ms": ask.Timely.Milliseconds(), "last_ms": ask.Last.Milliseconds(), "answer_ms": ask.Answer.Milliseconds(),
-		"urgent_ranks": ask.Ranks, "to_aim_ms": ask.ToAim.Milliseconds(), "to_end_ms": ask.ToEnd.Milliseconds(),
-		"after_ms": v.After.Milliseconds(),
+		"urgent_ranks": ask.UrgentRanks, "to_aim_ms": ask.ToTarget.Milliseconds(), "to_end_ms": ask.ToDeadline.Milliseconds(),
+		"after_ms": v.RetryAfter.Milliseconds(),
 	}).Info("pieces would be late")
-	return &refusal{status: http.StatusServiceUnavailable, reason: reasonPiecesLate, after: v.After}
+	return &refusal{status: http.StatusServiceUnavailable, reason: reasonPiecesLate, after: v.RetryAfter}
 }
 
 // sortResults keeps the results that the request itself needs, and gives the
@@ -187,7 +187,7 @@
 }
 
 func (r *Relay) stepRefusal(ctx context.Context, j *job, err error) *refusal {
-	no := &refusal{status: http.StatusServiceUnavailable, reason: reasonPiecesNone, after: accept.ComeBack}
+	no := &refusal{status: http.StatusServiceUnavailable, reason: reasonPiecesNone, after: accept.MinRetryAfter}
 	var end stepError
 	if errors.As(err, &end) && end.end == shed.PieceLate {
 		no.reason = reasonPiecesLate
--- a/internal/relay/sync.go
+++ b/internal/relay/sync.go
@@ -170,10 +170,10 @@
 	}
 	r.tellChanges(r.roster.Learn(now, l))
 	r.picker.Keep(r.roster.Listed)
-	r.accept.Keep(r.roster.HasRoute)
-	r.limits.Keep(now, r.roster.Listed)
-	r.book.Keep(now)
-	r.waits.Keep(now)
+	r.accept.Prune(r.roster.HasRoute)
+	r.limits.Prune(now, r.roster.Listed)
+	r.book.Prune(now)
+	r.waits.Prune(now)
 	if rd.from == roster.FromStore && len(l.Items) > 0 && rd.after > 0 && slices.Contains(tellers, r.mesh.self.VM) {
 		r.passOn(rd.after, tellers)
 	}
--- a/internal/relay/take.go
+++ b/internal/relay/take.go
@@ -57,7 +57,7 @@
 	defer r.mu.Unlock()
 	c := r.roster.Catalog()
 	if !r.roster.Usable() {
-		return &refusal{status: http.StatusServiceUnavailable, reason: shed.ReasonNoConfig, after: accept.ComeBack}
+		return &refusal{status: http.StatusServiceUnavailable, reason: shed.ReasonNoConfig, after: accept.MinRetryAfter}
 	}
 	j.version = c.Version
 	j.route = roster.Route(c, j.ask.Host, j.ask.Target)
@@ -77,7 +77,7 @@
 	}
 	j.pool = c.Pools[r.share(j.route)]
 	if j.pool == nil {
-		return &refusal{status: http.StatusServiceUnavailable, reason: shed.ReasonNoServer, after: accept.ComeBack}
+		return &refusal{status: http.StatusServiceUnavailable, reason: shed.ReasonNoServer, after: accept.MinRetryAfter}
 	}
 	wait := j.route.Timeout
 	if j.ask.Wait > 0 && (wait == 0 || j.ask.Wait < wait) {
@@ -98,7 +98,7 @@
 // has confirmed. The caller holds mu.
 func (r *Relay) final(status int, reason shed.Reason) *refusal {
 	if !r.roster.Sure() || r.mesh.follow.Behind(r.roster.AsOf()) {
-		return &refusal{status: http.StatusServiceUnavailable, reason: reasonBehind, after: accept.ComeBack}
+		return &refusal{status: http.StatusServiceUnavailable, reason: reasonBehind, after: accept.MinRetryAfter}
 	}
 	return &refusal{status: status, reason: reason}
 }
--- a/internal/relay/turns.go
+++ b/internal/relay/turns.go
@@ -25,12 +25,12 @@
 
 // bound is what a server takes from all VMs together, now: by what it said, or since it is
 // cold. bounded is false if it takes any number. The caller holds mu.
-func (r *Relay) bound(now time.Time, pool *shed.RelayPool, s *roster.Server) (ask turns.Ask, bounded bool) {
-	ask = turns.Ask{Start: startOf(s.Listing), Burst: 1}
+func (r *Relay) bound(now time.Time, pool *shed.RelayPool, s *roster.Server) (ask turns.Request, bounded bool) {
+	ask = turns.Request{Start: startOf(s.Listing), Burst: 1}
 	if r.limits.Empty() && !s.Cold(now) {
 		return ask, false
 	}
-	if rate := r.limits.Of(ask.Start); rate > 0 {
+	if rate := r.limits.Rate(ask.Start); rate > 0 {
 		ask.Rate, ask.Burst = rate, 1+float64(rate)
 	}
 	if cold := shed.Rate(pool.ColdRate * coldShare); s.Cold(now) && cold > 0 && (ask.Rate == 0 || cold < ask.Rate) {
@@ -47,7 +47,7 @@
 		switch {
 		case !bounded:
 			return picker.Free
-		case denied[s.ID] || patience == 0 && r.waits.Held(now, ask.Start):
+		case denied[s.ID] || patience == 0 && r.waits.Active(now, ask.Start):
 			return picker.Held
 		}
 		return picker.ByTurn
@@ -72,7 +72,7 @@
 	if !bounded {
 		return true
 	}
-	got := turns.Turn{Wait: ownerLost}
+	got := turns.Decision{Wait: ownerLost}
 	if ok {
 		got = r.askOwner(ctx, client, owner, ask)
 	}
@@ -82,24 +82,24 @@
 	return r.await(ctx, got)
 }
 
-func (r *Relay) askOwner(ctx context.Context, client *peers.Client, owner shed.VM, ask turns.Ask) turns.Turn {
+func (r *Relay) askOwner(ctx context.Context, client *peers.Client, owner shed.VM, ask turns.Request) turns.Decision {
 	limited, cancel := context.WithTimeout(ctx, turnTimeout)
 	defer cancel()
 	got, err := client.Turn(limited, owner, peers.TurnCall(ask))
 	switch {
 	case err == nil && !got.Moved:
-		return turns.Turn{Granted: got.Granted, Wait: got.Wait}
+		return turns.Decision{Granted: got.Granted, Wait: got.Wait}
 	case err == nil:
 		r.shunPeer(owner)
 	case ctx.Err() == nil:
 		r.log.WithField("peer", owner).WithError(err).Info("peer that lends turns gives no answer")
 		r.shunSilent(owner)
 	}
-	return turns.Turn{Wait: ownerLost}
+	return turns.Decision{Wait: ownerLost}
 }
 
 // noteTurn holds back requests to a server that has no turn. The caller holds mu.
-func (r *Relay) noteTurn(now time.Time, ask turns.Ask, got turns.Turn) {
+func (r *Relay) noteTurn(now time.Time, ask turns.Request, got turns.Decision) {
 	if !got.Granted {
 		r.stats.noTurns.Inc(1)
 		r.waits.Denied(now, ask.Start, got.Wait)
@@ -107,7 +107,7 @@
 }
 
 // await waits for a turn that was granted.
-func (r *Relay) await(ctx context.Context, got turns.Turn) bool {
+func (r *Relay) await(ctx context.Context, got turns.Decision) bool {
 	if got.Granted && got.Wait > 0 {
 		wait(ctx, got.Wait)
 	}
@@ -121,7 +121,7 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	got := r.book.Take(time.Now(), turns.Ask(call))
+	got := r.book.Take(time.Now(), turns.Request(call))
 	return peers.TurnReply{Granted: got.Granted, Wait: got.Wait}
 }
 
--- a/internal/turns/turns.go
+++ b/internal/turns/turns.go
@@ -15,17 +15,17 @@
 	shed "jasmineshed"
 )
 
-// Book is the owner's side: the turns that it has granted. It is not safe for concurrent use.
-type Book struct {
+// Ledger is the owner's side: the turns that it has granted. It is not safe for concurrent use.
+type Ledger struct {
 	// nextTurn is when the next turn of each server is due if no burst is saved up.
 	nextTurn map[shed.ServerStart]time.Time
 }
 
-// NewBook returns a Book that has granted no turns.
-func NewBook() *Book { return &Book{nextTurn: map[shed.ServerStart]time.Time{}} }
+// NewLedger returns a Book that has granted no turns.
+func NewLedger() *Ledger { return &Ledger{nextTurn: map[shed.ServerStart]time.Time{}} }
 
-// Ask is a request for a turn.
-type Ask struct {
+// Request is a request for a turn.
+type Request struct {
 	Start shed.ServerStart
 	// Rate is the server's limit, above 0.
 	Rate shed.Rate
@@ -35,16 +35,16 @@
 	Patience time.Duration
 }
 
-// Turn is the answer to an Ask. If Granted, the requester may send after Wait; otherwise
+// Decision is the answer to an Ask. If Granted, the requester may send after Wait; otherwise
 // Wait is when the next turn is due.
-type Turn struct {
+type Decision struct {
 	Granted bool
 	Wait    time.Duration
 }
 
 // Take grants or denies a turn. An unknown server has no turns saved up, since it may have
 // received requests just before.
-func (b *Book) Take(now time.Time, a Ask) Turn {
+func (b *Ledger) Take(now time.Time, a Request) Decision {
 	every := time.Duration(float64(time.Second) / float64(a.Rate))
 	next, known := b.nextTurn[a.Start]
 	if !known {
@@ -54,31 +54,31 @@
 	next = shed.Later(next, now.Add(-time.Duration((a.Burst-1)*float64(every))))
 	wait := max(next.Sub(now), 0)
 	if wait > a.Patience {
-		return Turn{Wait: wait}
+		return Decision{Wait: wait}
 	}
 	b.nextTurn[a.Start] = next.Add(every)
-	return Turn{Granted: true, Wait: wait}
+	return Decision{Granted: true, Wait: wait}
 }
 
-// Keep removes servers whose next turn was due more than idleRetention ago.
-func (b *Book) Keep(now time.Time) {
+// Prune removes servers whose next turn was due more than idleRetention ago.
+func (b *Ledger) Prune(now time.Time) {
 	maps.DeleteFunc(b.nextTurn, func(_ shed.ServerStart, next time.Time) bool { return now.Sub(next) > idleRetention })
 }
 
 // idleRetention is how long a server without requests for turns is kept.
 const idleRetention = time.Minute
 
-// Waits is the requester's side: the servers for which it backs off after a denied turn. It is
+// Backoff is the requester's side: the servers for which it backs off after a denied turn. It is
 // not safe for concurrent use.
-type Waits struct {
+type Backoff struct {
 	until map[shed.ServerStart]time.Time
 }
 
-// NewWaits returns a Waits without backoffs.
-func NewWaits() *Waits { return &Waits{until: map[shed.ServerStart]time.Time{}} }
+// NewBackoff returns a Waits without backoffs.
+func NewBackoff() *Backoff { return &Backoff{until: map[shed.ServerStart]time.Time{}} }
 
 // Denied records that the next turn of a server is due after wait.
-func (w *Waits) Denied(now time.Time, s shed.ServerStart, wait time.Duration) {
+func (w *Backoff) Denied(now time.Time, s shed.ServerStart, wait time.Duration) {
 	w.until[s] = now.Add(min(max(wait, minBackoff), maxBackoff))
 }
 
@@ -88,10 +88,10 @@
 	maxBackoff = time.Second
 )
 
-// Held reports whether turns of a server are not to be requested yet.
-func (w *Waits) Held(now time.Time, s shed.ServerStart) bool { return now.Before(w.until[s]) }
+// Active reports whether turns of a server are not to be requested yet.
+func (w *Backoff) Active(now time.Time, s shed.ServerStart) bool { return now.Before(w.until[s]) }
 
-// Keep removes expired backoffs.
-func (w *Waits) Keep(now time.Time) {
+// Prune removes expired backoffs.
+func (w *Backoff) Prune(now time.Time) {
 	maps.DeleteFunc(w.until, func(_ shed.ServerStart, until time.Time) bool { return !now.Before(until) })
 }
--- a/internal/turns/turns_test.go
+++ b/internal/turns/turns_test.go
@@ -44,8 +44,8 @@
 
 type vm struct {
 	id    shed.VM
-	book  *turns.Book
-	waits *turns.Waits
+	book  *turns.Ledger
+	waits *turns.Backoff
 	// unreachable: it doesn't answer, since unreachableSince; joinedAt is when it started.
 	unreachable, partitioned bool
 	unreachableSince         time.Time
@@ -64,7 +64,7 @@
 }
 
 func (v *vm) restart() {
-	v.book, v.waits, v.avoidUntil = turns.NewBook(), turns.NewWaits(), map[shed.VM]time.Time{}
+	v.book, v.waits, v.avoidUntil = turns.NewLedger(), turns.NewBackoff(), map[shed.VM]time.Time{}
 }
 
 // startLoad sends requests at random VMs, perSecond in total.
@@ -117,7 +117,7 @@
 		delay = 0
 	}
 	s.After(delay, func() {
-		turn := owner.book.Take(s.Now, turns.Ask{Start: server, Rate: s.rate, Burst: s.burst, Patience: patience})
+		turn := owner.book.Take(s.Now, turns.Request{Start: server, Rate: s.rate, Burst: s.burst, Patience: patience})
 		if !turn.Granted {
 			return
 		}
@@ -224,30 +224,30 @@
 // A server turned cold unnoticed, or has just named its limit. The requests of the second before
 // count, so no turn is saved up for it.
 func TestTurnedColdUnseen(t *testing.T) {
-	b := turns.NewBook()
-	ask := turns.Ask{Start: server, Rate: 2, Burst: 3}
-	require.Equal(t, turns.Turn{Wait: 500 * time.Millisecond}, b.Take(start, ask))
+	b := turns.NewLedger()
+	ask := turns.Request{Start: server, Rate: 2, Burst: 3}
+	require.Equal(t, turns.Decision{Wait: 500 * time.Millisecond}, b.Take(start, ask))
 	require.True(t, b.Take(start.Add(500*time.Millisecond), ask).Granted)
 	require.False(t, b.Take(start.Add(501*time.Millisecond), ask).Granted)
 }
 
 func TestTurnsAreLentInOrder(t *testing.T) {
-	b := turns.NewBook()
-	ask := turns.Ask{Start: server, Rate: 1, Burst: 2, Patience: 1500 * time.Millisecond}
-	require.Equal(t, turns.Turn{Granted: true, Wait: time.Second}, b.Take(start, ask))
-	require.Equal(t, turns.Turn{Wait: 2 * time.Second}, b.Take(start, ask), "the second would wait longer than its patience")
+	b := turns.NewLedger()
+	ask := turns.Request{Start: server, Rate: 1, Burst: 2, Patience: 1500 * time.Millisecond}
+	require.Equal(t, turns.Decision{Granted: true, Wait: time.Second}, b.Take(start, ask))
+	require.Equal(t, turns.Decision{Wait: 2 * time.Second}, b.Take(start, ask), "the second would wait longer than its patience")
 	later := start.Add(time.Minute)
-	require.Equal(t, turns.Turn{Granted: true}, b.Take(later, ask))
-	require.Equal(t, turns.Turn{Granted: true}, b.Take(later, ask), "one turn was saved up")
-	require.Equal(t, turns.Turn{Granted: true, Wait: time.Second}, b.Take(later, ask))
+	require.Equal(t, turns.Decision{Granted: true}, b.Take(later, ask))
+	require.Equal(t, turns.Decision{Granted: true}, b.Take(later, ask), "one turn was saved up")
+	require.Equal(t, turns.Decision{Granted: true, Wait: time.Second}, b.Take(later, ask))
 }
 
 func TestDeniedServersAreLeftAlone(t *testing.T) {
-	w := turns.NewWaits()
-	require.False(t, w.Held(start, server))
+	w := turns.NewBackoff()
+	require.False(t, w.Active(start, server))
 	w.Denied(start, server, time.Hour)
-	require.True(t, w.Held(start.Add(900*time.Millisecond), server))
-	require.False(t, w.Held(start.Add(time.Second), server), "a limit may have ended")
+	require.True(t, w.Active(start.Add(900*time.Millisecond), server))
+	require.False(t, w.Active(start.Add(time.Second), server), "a limit may have ended")
 	w.Denied(start, server, 0)
-	require.True(t, w.Held(start.Add(time.Millisecond), server))
+	require.True(t, w.Active(start.Add(time.Millisecond), server))
 }
