--- a/internal/accept/accept.go
+++ b/internal/accept/accept.go
@@ -36,7 +36,7 @@
 type Request struct {
 	Route shed.RouteID
 	// MoreUrgent are the routes of more urgent ranks that use the pool that the request
-	// would wait longest for; Ranks is the number of these ranks.
+	// would wait longest for; UrgentRanks is the number of these ranks.
 	MoreUrgent  []shed.RouteID
 	UrgentRanks int
 	// ToTarget and ToDeadline are the times left until the target and the deadline of the answer.
--- a/internal/poison/fingerprint.go
+++ b/internal/poison/fingerprint.go
@@ -34,8 +34,9 @@
 	return shed.Fingerprint(h.Sum(nil)[:len(shed.Fingerprint{})])
 }
 
-// PoolFingerprint returns the fingerprint of a request's pieces in a pool. They are tracked separately
-// from the request: the pieces of a request that crashes model engines succeed each time.
+// PoolFingerprint returns the fingerprint of a request's pieces in a pool. They are tracked
+// separately from the request: the pieces of a request that crashes model engines succeed each
+// time.
 func PoolFingerprint(f shed.Fingerprint, pool shed.PoolID) shed.Fingerprint {
 	h := xxhash.Sum64String(string(pool))
 	binary.BigEndian.PutUint64(f[:8], binary.BigEndian.Uint64(f[:8])^h)
--- a/internal/poison/report.go
+++ b/internal/poison/report.go
@@ -33,7 +33,8 @@
 	Update shed.CrashNews
 }
 
-// DueReports returns the updates to send now to peers, which must be sorted. It is called at each tick.
+// DueReports returns the updates to send now to peers, which must be sorted. It is called at
+// each tick.
 func (t *Table) DueReports(now time.Time, peers []shed.VM) []Report {
 	if now.Sub(t.sweptAt) >= sweepInterval {
 		t.sweptAt = now
--- a/internal/poison/table.go
+++ b/internal/poison/table.go
@@ -65,7 +65,7 @@
 	lastRun time.Time
 	// trialUntil is when the current trial on this VM times out.
 	trialUntil time.Time
-	// quarantined is whether the latest change reported for it was Quarantined.
+	// quarantined is whether it was quarantined since it was last cleared.
 	quarantined bool
 	// pendingReports is how many more times to report it to peers; knownToAll is whether
 	// it is reported to all of them.
@@ -102,7 +102,7 @@
 
 // Verdict says whether and how a request may run.
 type Verdict struct {
-	// Refused: it may not be sent to any server; After is when to retry.
+	// Refused: it may not be sent to any server; RetryAfter is when to retry.
 	Refused    bool
 	RetryAfter time.Duration
 	// Isolate: it may run, on the server where a crash does least harm.
--- a/internal/turns/turns.go
+++ b/internal/turns/turns.go
@@ -21,7 +21,7 @@
 	nextTurn map[shed.ServerStart]time.Time
 }
 
-// NewLedger returns a Book that has granted no turns.
+// NewLedger returns a Ledger that has granted no turns.
 func NewLedger() *Ledger { return &Ledger{nextTurn: map[shed.ServerStart]time.Time{}} }
 
 // Request is a request for a turn.
@@ -35,7 +35,7 @@
 	Patience time.Duration
 }
 
-// Decision is the answer to an Ask. If Granted, the requester may send after Wait; otherwise
+// Decision is the answer to a Request. If Granted, the requester may send after Wait; otherwise
 // Wait is when the next turn is due.
 type Decision struct {
 	Granted bool
@@ -74,7 +74,7 @@
 	until map[shed.ServerStart]time.Time
 }
 
-// NewBackoff returns a Waits without backoffs.
+// NewBackoff returns a Backoff without entries.
 func NewBackoff() *Backoff { return &Backoff{until: map[shed.ServerStart]time.Time{}} }
 
 // Denied records that the next turn of a server is due after wait.
