--- a/internal/chain/chain.go
+++ b/internal/chain/chain.go
@@ -33,7 +33,7 @@
 // minTime is how long the step takes with an empty queue, at the recent speed of the
 // servers.
 func (s *Step) minTime() time.Duration {
-	least := s.Limits.CallTime + time.Duration(min(s.Pieces, s.Limits.Most))*s.Limits.PieceTime
+	least := s.Limits.CallTime + time.Duration(min(s.Pieces, s.Limits.MaxPieces))*s.Limits.PieceTime
 	if s.Forecast.Slow > 0 {
 		return time.Duration(float64(least) * s.Forecast.Slow)
 	}
@@ -46,8 +46,8 @@
 	if s.Forecast.Rate > 0 {
 		return s.Forecast.Rate
 	}
-	full := s.Limits.CallTime + time.Duration(s.Limits.Most)*s.Limits.PieceTime
-	return float64(s.Servers*s.Limits.Most) / max(full, time.Millisecond).Seconds()
+	full := s.Limits.CallTime + time.Duration(s.Limits.MaxPieces)*s.Limits.PieceTime
+	return float64(s.Servers*s.Limits.MaxPieces) / max(full, time.Millisecond).Seconds()
 }
 
 // forecastEnd predicts when the step is done if its dependencies are done at start.
--- a/internal/poison/fingerprint.go
+++ b/internal/poison/fingerprint.go
@@ -22,7 +22,7 @@
 // body. The order of query arguments is ignored, as are the id, the deadline and other
 // headers. It includes the workspace so that no caller can get another workspace's
 // request suspected.
-func Fingerprint(workspace shed.WorkspaceID, ask *shed.Ask, body []byte) shed.Fingerprint {
+func Fingerprint(workspace shed.WorkspaceID, ask *shed.RequestHead, body []byte) shed.Fingerprint {
 	path, query, _ := strings.Cut(ask.Target, "?")
 	h := sha256.New()
 	for _, field := range []string{string(workspace), ask.Method, ask.Host, path, sortedQuery(query)} {
--- a/internal/poison/report.go
+++ b/internal/poison/report.go
@@ -30,7 +30,7 @@
 // Report is an update and its receivers.
 type Report struct {
 	To     []shed.VM
-	Update shed.CrashNews
+	Update shed.CrashUpdate
 }
 
 // DueReports returns the updates to send now to peers, which must be sorted. It is called at
@@ -107,18 +107,18 @@
 	return out[:min(len(out), maxSuspectsPerMessage)]
 }
 
-func (t *Table) message(now time.Time, suspects []*suspect, all bool) shed.CrashNews {
-	m := shed.CrashNews{All: all}
+func (t *Table) message(now time.Time, suspects []*suspect, all bool) shed.CrashUpdate {
+	m := shed.CrashUpdate{All: all}
 	if all {
-		m.Ended = crashesByAge(now, t.endedAt)
-		m.Ended = m.Ended[:min(len(m.Ended), maxEndsPerMessage)]
+		m.RecentCrashes = crashesByAge(now, t.endedAt)
+		m.RecentCrashes = m.RecentCrashes[:min(len(m.RecentCrashes), maxEndsPerMessage)]
 	}
 	for _, s := range suspects {
 		out := shed.Suspect{Request: s.request, Workspace: s.workspace}
 		out.Crashes = crashesByAge(now, s.crashes)
 		if !s.lastRun.IsZero() {
 			age := now.Sub(s.lastRun)
-			out.Ran = &age
+			out.SurvivedAgo = &age
 		}
 		m.Suspects = append(m.Suspects, out)
 	}
@@ -132,7 +132,7 @@
 		out = append(out, shed.ServerCrash{Start: start, Age: now.Sub(at)})
 	}
 	slices.SortFunc(out, func(a, b shed.ServerCrash) int {
-		return cmp.Or(cmp.Compare(a.Age, b.Age), cmp.Compare(a.Start.Server, b.Start.Server), cmp.Compare(a.Start.Born, b.Start.Born))
+		return cmp.Or(cmp.Compare(a.Age, b.Age), cmp.Compare(a.Start.Server, b.Start.Server), cmp.Compare(a.Start.StartedMs, b.Start.StartedMs))
 	})
 	return out
 }
--- a/internal/poison/sim_test.go
+++ b/internal/poison/sim_test.go
@@ -89,7 +89,7 @@
 		s.every(tick, func() { s.tick(v) })
 	}
 	for i := range servers {
-		s.servers = append(s.servers, &simServer{start: shed.ServerStart{Server: shed.ServerID(fmt.Sprintf("s%d", i)), Born: 1}})
+		s.servers = append(s.servers, &simServer{start: shed.ServerStart{Server: shed.ServerID(fmt.Sprintf("s%d", i)), StartedMs: 1}})
 	}
 	return s
 }
@@ -254,7 +254,7 @@
 	}
 	s.After(downTime, func() {
 		server.down = false
-		server.start.Born++
+		server.start.StartedMs++
 	})
 }
 
@@ -338,5 +338,5 @@
 
 // fingerprintOf returns the fingerprint of a made-up request.
 func fingerprintOf(kind string, n int) shed.Fingerprint {
-	return poison.Fingerprint("w", &shed.Ask{Target: fmt.Sprintf("/%s/%d", kind, n)}, nil)
+	return poison.Fingerprint("w", &shed.RequestHead{Target: fmt.Sprintf("/%s/%d", kind, n)}, nil)
 }
--- a/internal/poison/table.go
+++ b/internal/poison/table.go
@@ -170,12 +170,12 @@
 )
 
 // Receive merges an update received from a peer.
-func (t *Table) Receive(now time.Time, m shed.CrashNews) []Change {
+func (t *Table) Receive(now time.Time, m shed.CrashUpdate) []Change {
 	from := fromPeer
 	if m.All {
 		from = fromAllPeers
 	}
-	for _, e := range m.Ended {
+	for _, e := range m.RecentCrashes {
 		t.recordEnd(e.Start, now.Add(-max(e.Age, 0)))
 	}
 	var out []Change
@@ -202,8 +202,8 @@
 	for _, c := range in.Crashes {
 		changed = t.recordCrash(s, c.Start, now.Add(-max(c.Age, 0))) || changed
 	}
-	if in.Ran != nil {
-		changed = s.recordRun(now.Add(-max(*in.Ran, 0))) || changed
+	if in.SurvivedAgo != nil {
+		changed = s.recordRun(now.Add(-max(*in.SurvivedAgo, 0))) || changed
 	}
 	if s.recordRun(t.localRun(in.Request)) {
 		changed, from = true, fromLocal
@@ -287,7 +287,7 @@
 
 func (s *suspect) oldestCrash() shed.ServerStart {
 	return slices.MinFunc(slices.Collect(maps.Keys(s.crashes)), func(a, b shed.ServerStart) int {
-		return cmp.Or(s.crashes[a].Compare(s.crashes[b]), cmp.Compare(a.Server, b.Server), cmp.Compare(a.Born, b.Born))
+		return cmp.Or(s.crashes[a].Compare(s.crashes[b]), cmp.Compare(a.Server, b.Server), cmp.Compare(a.StartedMs, b.StartedMs))
 	})
 }
 
--- a/internal/relay/limit.go
+++ b/internal/relay/limit.go
@@ -10,7 +10,7 @@
 )
 
 // heardLimit takes in what an answer says of the limit of its server.
-func (r *Relay) heardLimit(s shed.Listing, reply shed.Reply) {
+func (r *Relay) heardLimit(s shed.ServerEntry, reply shed.ReplyHead) {
 	if reply.OtherServer {
 		return
 	}
@@ -26,9 +26,9 @@
 		return
 	}
 	r.tellLimits(changes, "answer")
-	news := shed.LimitNews{}
+	news := shed.LimitUpdate{}
 	for _, c := range changes {
-		news.Limits = append(news.Limits, shed.ServerLimit{Start: c.Start, Rate: c.Rate, Ended: c.Rate == 0})
+		news.Limits = append(news.Limits, shed.ServerLimit{Start: c.Start, Rate: c.Rate, Lifted: c.Rate == 0})
 	}
 	r.client.SendAll(r.alive(), news)
 }
@@ -36,7 +36,7 @@
 // limited tells whether the server at an address has named a limit. The caller holds mu.
 func (r *Relay) limited(addr string) bool {
 	for _, start := range r.limits.Limited() {
-		if s, ok := r.roster.Server(start.Server); ok && s.Addr == addr && s.Born == start.Born {
+		if s, ok := r.roster.Server(start.Server); ok && s.Addr == addr && s.StartedMs == start.StartedMs {
 			return true
 		}
 	}
@@ -48,7 +48,7 @@
 	for _, c := range changes {
 		r.stats.beliefs.Inc(1)
 		r.log.WithFields(logrus.Fields{
-			"server": c.Start.Server, "born": c.Start.Born, "per_second": c.Rate, "ended": c.Rate == 0, "by": by,
+			"server": c.Start.Server, "born": c.Start.StartedMs, "per_second": c.Rate, "ended": c.Rate == 0, "by": by,
 		}).Info("server limit")
 	}
 }
--- a/internal/relay/load.go
+++ b/internal/relay/load.go
@@ -35,10 +35,10 @@
 	}
 	r.mesh.sequence++
 	r.client.SendAll(turn.To, shed.RelayLoad{
-		Sequence: r.mesh.sequence, Held: r.batcher.Held(), Servers: shares, Waits: waits, Placed: turn.Placed,
+		Sequence: r.mesh.sequence, HeldBytes: r.batcher.Held(), Servers: shares, Waits: waits, Placed: turn.Placed,
 		// Messages are encoded later, in a goroutine of their own.
-		Coming: maps.Clone(r.coming), AsOf: r.roster.AsOf(), Digest: r.roster.Digest(), Confirmed: now.Sub(r.roster.Contact()),
-		Catalog: r.roster.CatalogRevision(), Limits: r.limits.All(now), PassOn: turn.PassOn, Carried: turn.Carried,
+		ExpectedPieces: maps.Clone(r.coming), AsOf: r.roster.AsOf(), Digest: r.roster.Digest(), ConfirmedAgo: now.Sub(r.roster.Contact()),
+		Catalog: r.roster.CatalogRevision(), Limits: r.limits.All(now), ForwardToAll: turn.PassOn, Forwarded: turn.Carried,
 	})
 }
 
@@ -46,7 +46,7 @@
 func (r *Relay) ownWaits(now time.Time) []shed.PieceWait {
 	var out []shed.PieceWait
 	for _, id := range r.batcher.Busy() {
-		if pool := r.pool(id); pool.MakesPieces() {
+		if pool := r.pool(id); pool.RunsPieces() {
 			out = append(out, r.ownWait(now, pool))
 		}
 	}
@@ -65,18 +65,18 @@
 		r.heardStore(now, from.VM, m)
 		delete(r.mesh.shunned, from.VM)
 		r.takeLoad(now, now, from, m)
-		if m.PassOn {
+		if m.ForwardToAll {
 			r.mesh.fanout.PassOn(now, from, m)
 		}
 	}
-	for _, c := range m.Carried {
+	for _, c := range m.Forwarded {
 		r.heardCarried(now, c)
 	}
 }
 
 // heardCarried takes in a load that a peer passes on. One of a process that has ended
 // would stay for good, since nothing more comes from it.
-func (r *Relay) heardCarried(now time.Time, c shed.CarriedLoad) {
+func (r *Relay) heardCarried(now time.Time, c shed.ForwardedLoad) {
 	member, ok := r.group.Lookup(c.From.VM)
 	if !ok || member.Peer != c.From || member.Status > shed.StatusSuspect || c.From.VM == r.mesh.self.VM {
 		return
@@ -91,8 +91,8 @@
 	r.mesh.seen[from] = m.Sequence
 	r.mesh.heard[from.VM] = shed.Later(r.mesh.heard[from.VM], told)
 	r.picker.PeerShares(from.VM, m.Servers)
-	r.heardHeld(now, from.VM, m.Held)
-	r.heardComing(from.VM, m.Coming)
+	r.heardHeld(now, from.VM, m.HeldBytes)
+	r.heardComing(from.VM, m.ExpectedPieces)
 	r.heardLimits(now, told, from.VM, m.Limits)
 	for _, p := range m.Placed {
 		r.picker.Seen(now, p.Server, p.Chain)
@@ -136,8 +136,8 @@
 	keep := time.Duration(0)
 	if c := r.roster.Catalog(); c != nil {
 		for _, p := range c.Pools {
-			if p.MakesPieces() {
-				keep = max(keep, p.Batch.KeepFor)
+			if p.RunsPieces() {
+				keep = max(keep, p.Batch.ResultRetention)
 			}
 		}
 	}
--- a/internal/relay/mesh.go
+++ b/internal/relay/mesh.go
@@ -183,11 +183,11 @@
 		r.performMesh(r.group.Handle(now, shed.PeerMessage{From: from, Message: msg}))
 	case shed.RelayLoad:
 		r.heardLoad(now, from, m)
-	case shed.StoreNews:
+	case shed.StoreUpdate:
 		r.heardNews(now, from.VM, m)
-	case shed.LimitNews:
+	case shed.LimitUpdate:
 		r.tellLimits(r.limits.Receive(now, m.Limits), string(from.VM))
-	case shed.CrashNews:
+	case shed.CrashUpdate:
 		r.tellSuspects(r.poison.Receive(now, m))
 	case shed.ResultsFreed:
 		r.perform(r.batcher.Handle(now, batch.Freed{Refs: m.Refs}))
@@ -211,7 +211,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	answer := peers.PieceAnswer{Results: results}
-	if pool := r.pool(call.Pool); pool.MakesPieces() {
+	if pool := r.pool(call.Pool); pool.RunsPieces() {
 		wait := r.ownWait(time.Now(), pool)
 		answer.Wait = &wait
 	}
--- a/internal/relay/poison.go
+++ b/internal/relay/poison.go
@@ -81,17 +81,17 @@
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		r.tellSuspects(r.poison.Ran(time.Now(), a.job.fingerprint))
-	case v.sent && a.failed && r.endedBy(a.err, a.choice.Server.Listing):
+	case v.sent && a.failed && r.endedBy(a.err, a.choice.Server.ServerEntry):
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		r.endedUnder(a.job.ask.ID, shed.RequestRef{Request: a.job.fingerprint, Workspace: a.job.workspace}, a.choice.Server.Listing)
+		r.endedUnder(a.job.ask.ID, shed.RequestRef{Request: a.job.fingerprint, Workspace: a.job.workspace}, a.choice.Server.ServerEntry)
 	}
 }
 
 // endedUnder notes that a server ended while it ran a request. The caller holds mu.
-func (r *Relay) endedUnder(id shed.RequestID, o shed.RequestRef, s shed.Listing) {
+func (r *Relay) endedUnder(id shed.RequestID, o shed.RequestRef, s shed.ServerEntry) {
 	r.stats.crashes.Inc(1)
-	r.log.WithFields(logrus.Fields{"request": id, "fingerprint": o.Request, "server": s.ID, "born": s.Born}).
+	r.log.WithFields(logrus.Fields{"request": id, "fingerprint": o.Request, "server": s.ID, "born": s.StartedMs}).
 		Info("server ended under a request")
 	r.tellSuspects(r.poison.Crashed(time.Now(), o.Request, o.Workspace, startOf(s)))
 }
@@ -117,7 +117,7 @@
 }
 
 // endedBy tells whether a connection broke since its server ended.
-func (r *Relay) endedBy(err error, s shed.Listing) bool {
+func (r *Relay) endedBy(err error, s shed.ServerEntry) bool {
 	return closedByServer(err) && r.serverEnded(s)
 }
 
@@ -128,11 +128,13 @@
 		errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)
 }
 
-func startOf(s shed.Listing) shed.ServerStart { return shed.ServerStart{Server: s.ID, Born: s.Born} }
+func startOf(s shed.ServerEntry) shed.ServerStart {
+	return shed.ServerStart{Server: s.ID, StartedMs: s.StartedMs}
+}
 
 // serverEnded tells whether a server whose connection broke has ended. Servers close
 // connections for other reasons as well; one that has ended takes none.
-func (r *Relay) serverEnded(s shed.Listing) bool {
+func (r *Relay) serverEnded(s shed.ServerEntry) bool {
 	r.mu.Lock()
 	known := r.poison.RecentlyCrashed(time.Now(), startOf(s))
 	r.mu.Unlock()
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -160,11 +160,11 @@
 }
 
 // listings gives batch the servers of a pool.
-func (r *Relay) listings(pool shed.PoolID) []shed.Listing {
+func (r *Relay) listings(pool shed.PoolID) []shed.ServerEntry {
 	open := r.roster.Open(pool)
-	out := make([]shed.Listing, len(open))
+	out := make([]shed.ServerEntry, len(open))
 	for i, s := range open {
-		out[i] = s.Listing
+		out[i] = s.ServerEntry
 	}
 	return out
 }
--- a/internal/relay/serve.go
+++ b/internal/relay/serve.go
@@ -24,7 +24,7 @@
 
 // job is one caller's request on its way through the relay.
 type job struct {
-	ask       shed.Ask
+	ask       shed.RequestHead
 	route     *shed.Route
 	pool      *shed.RelayPool
 	workspace shed.WorkspaceID
@@ -139,7 +139,7 @@
 
 // mayRepeat tells whether the request may be sent to another server after v.
 func (r *Relay) mayRepeat(j *job, v outcome) bool {
-	if v.sent && j.sends >= j.route.MostSends {
+	if v.sent && j.sends >= j.route.MaxSends {
 		return false
 	}
 	if v.mayHaveRun && !j.route.Repeatable && !j.route.Resumable {
@@ -249,7 +249,7 @@
 
 func (r *Relay) want(j *job) picker.Want {
 	w := picker.Want{
-		Prompt: j.ask.Prompt, Input: j.ask.Input, Engine: j.pool.Engine != nil, Avoid: j.avoid,
+		Prompt: j.ask.Prompt, Input: j.ask.InputTokens, Engine: j.pool.Engine != nil, Avoid: j.avoid,
 	}
 	if j.pool.Engine != nil && r.prefs.Load().Relay.Has(prefs.KVFetch) {
 		w.FetchRate = j.pool.Engine.FetchRate
--- a/internal/relay/spread.go
+++ b/internal/relay/spread.go
@@ -39,7 +39,7 @@
 	if len(to) == 0 {
 		return
 	}
-	msg := shed.StoreNews{After: after, AsOf: r.roster.AsOf()}
+	msg := shed.StoreUpdate{After: after, AsOf: r.roster.AsOf()}
 	changes, client := r.changes(after, after), r.client
 	r.work.Go(func() error {
 		msg.Items = r.pack(changes)
@@ -112,7 +112,7 @@
 // news is what a peer passed on.
 type news struct {
 	from shed.VM
-	shed.StoreNews
+	shed.StoreUpdate
 }
 
 // newsWaiting bounds the news that wait to be taken in; what is behind it is read from
@@ -122,7 +122,7 @@
 // heardNews takes in what a peer passes on, one after the other: changes often come in
 // quick succession, and the second can't be applied before the first. The caller holds
 // mu.
-func (r *Relay) heardNews(now time.Time, from shed.VM, m shed.StoreNews) {
+func (r *Relay) heardNews(now time.Time, from shed.VM, m shed.StoreUpdate) {
 	if m.AsOf <= r.roster.AsOf() {
 		return
 	}
@@ -130,7 +130,7 @@
 		r.follow(now, follow.Missed{From: from, AsOf: m.AsOf})
 		return
 	}
-	r.mesh.news = append(r.mesh.news, news{from: from, StoreNews: m})
+	r.mesh.news = append(r.mesh.news, news{from: from, StoreUpdate: m})
 	if len(r.mesh.news) > 1 {
 		return
 	}
@@ -168,7 +168,7 @@
 func (r *Relay) heardStore(now time.Time, from shed.VM, m shed.RelayLoad) {
 	member, _ := r.group.Lookup(from)
 	r.follow(now, follow.Heard{From: from, Word: follow.Word{
-		AsOf: m.AsOf, Digest: m.Digest, Catalog: m.Catalog, Contact: now.Add(-m.Confirmed), Power: member.Power,
+		AsOf: m.AsOf, Digest: m.Digest, Catalog: m.Catalog, Contact: now.Add(-m.ConfirmedAgo), Power: member.Power,
 	}})
 }
 
--- a/internal/relay/steps.go
+++ b/internal/relay/steps.go
@@ -110,7 +110,7 @@
 func newUses(p plan) *uses {
 	u := &uses{left: make([]int, len(p.steps))}
 	for _, s := range p.steps {
-		for _, before := range s.After {
+		for _, before := range s.DependsOn {
 			if at := p.at(before); at >= 0 {
 				u.left[at]++
 			}
@@ -126,7 +126,7 @@
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	var out []shed.ResultRef
-	for _, before := range p.steps[done].After {
+	for _, before := range p.steps[done].DependsOn {
 		at := p.at(before)
 		if at < 0 {
 			continue
@@ -213,7 +213,7 @@
 	after := r.timeAfter(j, p, at)
 	near := r.nearZone(j, p, at, made)
 	var inputs []shed.ResultRef
-	for _, before := range s.After {
+	for _, before := range s.DependsOn {
 		if i := p.at(before); i >= 0 {
 			inputs = append(inputs, made[i]...)
 		}
@@ -221,8 +221,8 @@
 	for n := range pieces {
 		pieces[n] = shed.Piece{
 			Request: j.ask.ID, Step: s.Index, Number: n, Inputs: inputs, Bytes: s.ResultBytes,
-			Left: j.deadline.Sub(now) - after, Aim: r.aimOf(j, now) - after,
-			Near: near, Together: p.fetched(at) >= heavyBytes,
+			Budget: j.deadline.Sub(now) - after, Target: r.aimOf(j, now) - after,
+			PreferredZone: near, SameZone: p.fetched(at) >= heavyBytes,
 			Origin: shed.RequestRef{Request: j.fingerprint, Workspace: j.workspace},
 		}
 		if len(inputs) == 0 {
@@ -230,14 +230,14 @@
 		}
 	}
 	refs := make([]shed.ResultRef, len(pieces))
-	end := shed.PieceMade
+	end := shed.PieceComplete
 	for n, res := range r.askAll(ctx, j, s.Pool, pieces) {
 		refs[n] = res.Ref
-		if res.End != shed.PieceMade {
+		if res.End != shed.PieceComplete {
 			end = res.End
 		}
 	}
-	if end != shed.PieceMade {
+	if end != shed.PieceComplete {
 		return r.unmade(j, refs, end)
 	}
 	return refs, ctx.Err()
@@ -264,7 +264,7 @@
 	if p.last(at) && s.ResultBytes >= heavyBytes {
 		return j.zone
 	}
-	for _, before := range s.After {
+	for _, before := range s.DependsOn {
 		i := p.at(before)
 		if i >= 0 && p.fetched(i) >= heavyBytes {
 			return r.zoneOf(p.steps[i].Pool, made[i])
@@ -280,7 +280,7 @@
 	count := map[shed.ZoneID]int{}
 	most := shed.ZoneID("")
 	for _, ref := range refs {
-		addr := r.cfg.Dialect.Maker(ref)
+		addr := r.cfg.Dialect.Producer(ref)
 		for _, server := range r.roster.Open(pool) {
 			if server.Addr != addr {
 				continue
--- a/internal/relay/sync.go
+++ b/internal/relay/sync.go
@@ -110,7 +110,7 @@
 	switch call {
 	case follow.ListCopy:
 		rd.from, rd.whole = roster.FromCopy, true
-		rd.items, rd.asOf, err = r.cfg.Store.ListCopy(ctx)
+		rd.items, rd.asOf, err = r.cfg.Store.ListReplica(ctx)
 	case follow.List:
 		rd.whole = true
 		rd.items, rd.asOf, err = r.cfg.Store.List(ctx)
@@ -157,7 +157,7 @@
 	defer r.setTaking(false)
 	l := roster.Learned{Source: rd.from, AsOf: rd.asOf, Whole: rd.whole}
 	for _, item := range rd.items {
-		if r.cfg.Store.Owns(item.Key) {
+		if r.cfg.Store.IsRecordKey(item.Key) {
 			l.Items = append(l.Items, r.read(item))
 		}
 	}
@@ -189,10 +189,10 @@
 // from several sides, and each reading takes a small VM a good part of a second.
 func (r *Relay) read(item shed.Item) roster.Entry {
 	e := roster.Entry{Item: item}
-	if item.Gone || r.knows(item) {
+	if item.Deleted || r.knows(item) {
 		return e
 	}
-	fact, err := r.cfg.Store.Read(item)
+	fact, err := r.cfg.Store.ParseRecord(item)
 	if err != nil {
 		r.log.WithField("key", item.Key).WithError(err).Warn("item of the store is not used")
 		return e
--- a/internal/relay/turns.go
+++ b/internal/relay/turns.go
@@ -26,7 +26,7 @@
 // bound is what a server takes from all VMs together, now: by what it said, or since it is
 // cold. bounded is false if it takes any number. The caller holds mu.
 func (r *Relay) bound(now time.Time, pool *shed.RelayPool, s *roster.Server) (ask turns.Request, bounded bool) {
-	ask = turns.Request{Start: startOf(s.Listing), Burst: 1}
+	ask = turns.Request{Start: startOf(s.ServerEntry), Burst: 1}
 	if r.limits.Empty() && !s.Cold(now) {
 		return ask, false
 	}
--- a/internal/turns/turns_test.go
+++ b/internal/turns/turns_test.go
@@ -78,7 +78,7 @@
 	s.After(0, again)
 }
 
-var server = shed.ServerStart{Server: "s", Born: 1}
+var server = shed.ServerStart{Server: "s", StartedMs: 1}
 
 // owner returns the VM that v takes for the server's owner.
 func (s *sim) owner(v *vm) *vm {
