--- a/internal/relay/ask.go
+++ b/internal/relay/ask.go
@@ -138,7 +138,7 @@
 	}
 	for vm, refs := range by {
 		if vm == r.mesh.self.VM {
-			r.perform(r.batcher.Handle(now, batch.Freed{Refs: refs}))
+			r.perform(r.batcher.Handle(now, batch.FreeRequested{Refs: refs}))
 			continue
 		}
 		r.client.Send(vm, shed.ResultsFreed{Refs: refs})
--- a/internal/relay/gather.go
+++ b/internal/relay/gather.go
@@ -37,7 +37,7 @@
 	r.lastJob++
 	id := r.lastJob
 	r.jobs[id] = done
-	r.perform(r.batcher.Handle(time.Now(), batch.Asked{Job: id, Pool: poolID, Limits: *pool.Batch, Pieces: pieces}))
+	r.perform(r.batcher.Handle(time.Now(), batch.JobAdded{Job: id, Pool: poolID, Limits: *pool.Batch, Pieces: pieces}))
 	r.mu.Unlock()
 	select {
 	case results := <-done:
@@ -47,11 +47,11 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.jobs, id)
-	r.perform(r.batcher.Handle(time.Now(), batch.Dropped{Job: id}))
+	r.perform(r.batcher.Handle(time.Now(), batch.JobDropped{Job: id}))
 	select {
 	case results := <-done:
 		// It was done just before; nobody will use it.
-		r.perform(r.batcher.Handle(time.Now(), batch.Freed{Refs: made(results)}))
+		r.perform(r.batcher.Handle(time.Now(), batch.FreeRequested{Refs: made(results)}))
 	default:
 	}
 	return failed(len(pieces))
@@ -119,7 +119,7 @@
 	took := time.Since(began)
 	r.stats.pieceCall(len(a.Pieces), took)
 	entry := r.log.WithFields(logrus.Fields{
-		"server": a.Server.ID, "pool": a.Server.Pool, "zone": a.Server.Zone, "pieces": len(a.Pieces), "left": a.Left,
+		"server": a.Server.ID, "pool": a.Server.Pool, "zone": a.Server.Zone, "pieces": len(a.Pieces), "left": a.Pending,
 		"took_ms": took.Milliseconds(), "limit_ms": a.Limit.Milliseconds(),
 	})
 	if end.Results == nil {
--- a/internal/relay/load.go
+++ b/internal/relay/load.go
@@ -35,7 +35,7 @@
 	}
 	r.mesh.sequence++
 	r.client.SendAll(turn.To, shed.RelayLoad{
-		Sequence: r.mesh.sequence, HeldBytes: r.batcher.Held(), Servers: shares, Waits: waits, Placed: turn.Placed,
+		Sequence: r.mesh.sequence, HeldBytes: r.batcher.HeldBytes(), Servers: shares, Waits: waits, Placed: turn.Placed,
 		// Messages are encoded later, in a goroutine of their own.
 		ExpectedPieces: maps.Clone(r.coming), AsOf: r.roster.AsOf(), Digest: r.roster.Digest(), ConfirmedAgo: now.Sub(r.roster.Contact()),
 		Catalog: r.roster.CatalogRevision(), Limits: r.limits.All(now), ForwardToAll: turn.PassOn, Forwarded: turn.Carried,
@@ -45,7 +45,7 @@
 // ownWaits predicts the wait in the pools that this VM gathers pieces for.
 func (r *Relay) ownWaits(now time.Time) []shed.PieceWait {
 	var out []shed.PieceWait
-	for _, id := range r.batcher.Busy() {
+	for _, id := range r.batcher.ActivePools() {
 		if pool := r.pool(id); pool.RunsPieces() {
 			out = append(out, r.ownWait(now, pool))
 		}
@@ -55,7 +55,7 @@
 
 // ownWait predicts the wait in one of them.
 func (r *Relay) ownWait(now time.Time, pool *shed.RelayPool) shed.PieceWait {
-	f := r.batcher.Wait(now, pool.ID, *pool.Batch)
+	f := r.batcher.PredictWait(now, pool.ID, *pool.Batch)
 	return shed.PieceWait{Pool: pool.ID, Timely: f.Timely, Last: f.Last, Slow: f.Slow, Rate: f.Rate}
 }
 
@@ -90,12 +90,12 @@
 func (r *Relay) takeLoad(now, told time.Time, from shed.Peer, m shed.RelayLoad) {
 	r.mesh.seen[from] = m.Sequence
 	r.mesh.heard[from.VM] = shed.Later(r.mesh.heard[from.VM], told)
-	r.picker.PeerShares(from.VM, m.Servers)
+	r.picker.SetPeerShares(from.VM, m.Servers)
 	r.heardHeld(now, from.VM, m.HeldBytes)
 	r.heardComing(from.VM, m.ExpectedPieces)
 	r.heardLimits(now, told, from.VM, m.Limits)
 	for _, p := range m.Placed {
-		r.picker.Seen(now, p.Server, p.Chain)
+		r.picker.RecordPeerPrefix(now, p.Server, p.Chain)
 	}
 	for pool, w := range r.mesh.waits {
 		if w.from == from.VM && !w.at.After(told) {
@@ -142,6 +142,6 @@
 		}
 	}
 	if keep > 0 {
-		r.perform(r.batcher.Handle(now, batch.HeldElsewhere{From: from, Held: held, Keep: keep}))
+		r.perform(r.batcher.Handle(now, batch.HeldElsewhere{From: from, Held: held, Retention: keep}))
 	}
 }
--- a/internal/relay/mesh.go
+++ b/internal/relay/mesh.go
@@ -152,7 +152,7 @@
 			r.log.WithFields(logrus.Fields{"reason": a.Reason, "peer": a.Peer}).Info("peer")
 			if a.Reason == member.ReasonPeerDead {
 				// What a dead process had on servers is over.
-				r.picker.PeerGone(a.Peer)
+				r.picker.RemovePeer(a.Peer)
 				r.heardComing(a.Peer, nil)
 				r.follow(time.Now(), follow.Gone{VM: a.Peer})
 			}
@@ -190,7 +190,7 @@
 	case shed.CrashUpdate:
 		r.tellSuspects(r.poison.Receive(now, m))
 	case shed.ResultsFreed:
-		r.perform(r.batcher.Handle(now, batch.Freed{Refs: m.Refs}))
+		r.perform(r.batcher.Handle(now, batch.FreeRequested{Refs: m.Refs}))
 	}
 }
 
@@ -199,7 +199,7 @@
 func (r *Relay) Unwanted(results []shed.PieceResult) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.perform(r.batcher.Handle(time.Now(), batch.Freed{Refs: made(results)}))
+	r.perform(r.batcher.Handle(time.Now(), batch.FreeRequested{Refs: made(results)}))
 }
 
 // Pieces implements peers.RelayHandler.
--- a/internal/relay/plan.go
+++ b/internal/relay/plan.go
@@ -91,7 +91,7 @@
 // gatherer told, less what has passed since.
 func (r *Relay) forecast(now time.Time, pool *shed.RelayPool) batch.Forecast {
 	if vm, _ := r.gatherer(now, pool.ID); vm == r.mesh.self.VM {
-		return r.batcher.Wait(now, pool.ID, *pool.Batch)
+		return r.batcher.PredictWait(now, pool.ID, *pool.Batch)
 	}
 	w, ok := r.mesh.waits[pool.ID]
 	if !ok {
@@ -124,7 +124,7 @@
 	if r.prefs.Load().Relay.Has(prefs.UrgentReserve) {
 		ask.MoreUrgent, ask.UrgentRanks = r.above(j.route, p.steps[c.Bottleneck()].Pool)
 	}
-	return ask, choice.Away
+	return ask, choice.UnreachableFor
 }
 
 // above are the routes of more urgent ranks that have steps in a pool, and how many
--- a/internal/relay/send.go
+++ b/internal/relay/send.go
@@ -63,14 +63,14 @@
 	r.judgeRequest(a, v)
 	j.mayHaveRun = j.mayHaveRun || v.mayHaveRun
 	end := picker.End{
-		Failed: a.failed, Unreached: a.failed && !v.sent && timedOut(a.err), Forgotten: ctx.Err() != nil && !a.failed,
+		Failed: a.failed, Unreached: a.failed && !v.sent && timedOut(a.err), Inconclusive: ctx.Err() != nil && !a.failed,
 	}
 	if v.done && !j.route.Streaming {
 		end.Took = time.Since(began)
 	}
 	r.mu.Lock()
 	a.hasBegun()
-	r.picker.Ended(time.Now(), choice, end)
+	r.picker.RecordEnd(time.Now(), choice, end)
 	r.mu.Unlock()
 	if !v.done {
 		j.avoid = append(j.avoid, choice.Server.ID)
@@ -247,7 +247,7 @@
 func (a *attempt) hasBegun() {
 	if !a.begun {
 		a.begun = true
-		a.relay.picker.Began(a.choice)
+		a.relay.picker.RecordPromptRead(a.choice)
 	}
 }
 
--- a/internal/relay/serve.go
+++ b/internal/relay/serve.go
@@ -172,14 +172,14 @@
 		switch {
 		case no != nil:
 			return choice, no
-		case choice.Server == nil && choice.Away > 0:
-			return choice, r.unreachable(ctx, j, choice.Away)
-		case choice.Server == nil && choice.Held && patience == 0:
+		case choice.Server == nil && choice.UnreachableFor > 0:
+			return choice, r.unreachable(ctx, j, choice.UnreachableFor)
+		case choice.Server == nil && choice.NoTurn && patience == 0:
 			patience = max(min(turnPatience, time.Until(j.deadline)/2), time.Millisecond)
 			denied = nil
 		case choice.Server == nil:
 			reason := shed.ReasonNoServer
-			if choice.Held {
+			if choice.NoTurn {
 				reason = reasonNoTurn
 			}
 			return choice, r.verdict(ctx, j, outcome{reason: reason})
@@ -209,13 +209,13 @@
 	want.Isolate, want.Access = isolate, r.access(now, j.pool, denied, patience)
 	servers := r.roster.Open(j.pool.ID)
 	choice := r.picker.Pick(now, want, servers)
-	if choice.Server == nil && len(j.avoid) > 0 && !choice.Held {
+	if choice.Server == nil && len(j.avoid) > 0 && !choice.NoTurn {
 		// Those that failed are better than none.
 		want.Avoid = nil
 		choice = r.picker.Pick(now, want, servers)
 	}
 	if choice.Server != nil && !choice.ByTurn {
-		r.picker.Placed(now, want, choice)
+		r.picker.RecordPlacement(now, want, choice)
 		r.notePlaced(j, choice)
 	}
 	return choice, nil
@@ -228,7 +228,7 @@
 	if !slices.Contains(r.roster.Open(j.pool.ID), choice.Server) {
 		return false
 	}
-	r.picker.Placed(time.Now(), r.want(j), choice)
+	r.picker.RecordPlacement(time.Now(), r.want(j), choice)
 	r.notePlaced(j, choice)
 	return true
 }
@@ -247,8 +247,8 @@
 // zone: far less than to read a large shared prefix again.
 const zoneCost = 25 * time.Millisecond
 
-func (r *Relay) want(j *job) picker.Want {
-	w := picker.Want{
+func (r *Relay) want(j *job) picker.Request {
+	w := picker.Request{
 		Prompt: j.ask.Prompt, Input: j.ask.InputTokens, Engine: j.pool.Engine != nil, Avoid: j.avoid,
 	}
 	if j.pool.Engine != nil && r.prefs.Load().Relay.Has(prefs.KVFetch) {
@@ -264,7 +264,7 @@
 	if j.pool.Engine == nil {
 		return
 	}
-	if chain := picker.Chains(j.ask.Prompt); len(chain) > 0 {
+	if chain := picker.PrefixChains(j.ask.Prompt); len(chain) > 0 {
 		r.mesh.fanout.Placed(time.Now(), shed.PromptPlaced{Server: c.Server.ID, Chain: chain})
 	}
 }
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -69,7 +69,7 @@
 	if !a.begun {
 		a.relay.mu.Lock()
 		a.hasBegun()
-		a.relay.picker.First(a.choice, time.Since(a.began))
+		a.relay.picker.RecordFirstEvent(a.choice, time.Since(a.began))
 		a.relay.mu.Unlock()
 	}
 	if !a.out.started {
--- a/internal/relay/sync.go
+++ b/internal/relay/sync.go
@@ -169,7 +169,7 @@
 		tellers = r.standing(now)
 	}
 	r.tellChanges(r.roster.Learn(now, l))
-	r.picker.Keep(r.roster.Listed)
+	r.picker.RetainServers(r.roster.Listed)
 	r.accept.Prune(r.roster.HasRoute)
 	r.limits.Prune(now, r.roster.Listed)
 	r.book.Prune(now)
--- a/internal/relay/take.go
+++ b/internal/relay/take.go
@@ -17,7 +17,7 @@
 // anything is sent on: what is passed on is then always the whole request, and
 // can be sent to a second server.
 func (r *Relay) take(req *http.Request) (*job, *refusal) {
-	j := &job{began: time.Now(), answerTime: picker.FirstOverrun}
+	j := &job{began: time.Now(), answerTime: picker.DefaultOverrun}
 	ask, err := r.cfg.Dialect.ParseRequest(req)
 	if err != nil {
 		r.log.WithError(err).Info("request head refused")
--- a/internal/relay/turns.go
+++ b/internal/relay/turns.go
@@ -48,7 +48,7 @@
 		case !bounded:
 			return picker.Free
 		case denied[s.ID] || patience == 0 && r.waits.Active(now, ask.Start):
-			return picker.Held
+			return picker.NoTurn
 		}
 		return picker.ByTurn
 	}
