--- a/internal/relay/gatherer.go
+++ b/internal/relay/gatherer.go
@@ -57,7 +57,7 @@
 
 func (r *Relay) lookAround(now time.Time) []shed.VM {
 	vms := r.alive()
-	silence := loadMissed * fanout.Silence(len(vms))
+	silence := loadMissed * fanout.MaxSilence(len(vms))
 	// A VM that stops is told no load any more.
 	stopping := r.stopping.Load()
 	vms = slices.DeleteFunc(vms, func(vm shed.VM) bool {
@@ -85,7 +85,7 @@
 	defer r.mu.Unlock()
 	r.mesh.shunned[vm] = now.Add(shunPeerFor)
 	vms := r.alive()
-	fresh := time.Duration(freshMissed * float64(fanout.Silence(len(vms))))
+	fresh := time.Duration(freshMissed * float64(fanout.MaxSilence(len(vms))))
 	for _, other := range vms {
 		if now.Sub(r.heard(other)) <= fresh {
 			continue
--- a/internal/relay/load.go
+++ b/internal/relay/load.go
@@ -26,9 +26,9 @@
 		return
 	}
 	shares, waits := r.picker.Shares(), r.ownWaits(now)
-	turn := r.mesh.fanout.Due(now, fanout.View{
-		Peers: r.alive(), Strong: r.strong(r.group.View().VMs(meshZone)),
-		Busy: len(shares)+len(waits)+len(r.coming) > 0, Gathers: len(waits) > 0,
+	turn := r.mesh.fanout.NextRound(now, fanout.View{
+		Peers: r.alive(), HighCapacity: r.strong(r.group.View().VMs(meshZone)),
+		Busy: len(shares)+len(waits)+len(r.coming) > 0, Coordinator: len(waits) > 0,
 	})
 	if len(turn.To) == 0 {
 		return
@@ -37,8 +37,8 @@
 	r.client.SendAll(turn.To, shed.RelayLoad{
 		Sequence: r.mesh.sequence, HeldBytes: r.batcher.HeldBytes(), Servers: shares, Waits: waits, Placed: turn.Placed,
 		// Messages are encoded later, in a goroutine of their own.
-		ExpectedPieces: maps.Clone(r.coming), AsOf: r.roster.AsOf(), Digest: r.roster.Digest(), ConfirmedAgo: now.Sub(r.roster.Contact()),
-		Catalog: r.roster.CatalogRevision(), Limits: r.limits.All(now), ForwardToAll: turn.PassOn, Forwarded: turn.Carried,
+		ExpectedPieces: maps.Clone(r.coming), AsOf: r.roster.AsOf(), Digest: r.roster.Digest(), ConfirmedAgo: now.Sub(r.roster.LastContact()),
+		Catalog: r.roster.CatalogRevision(), Limits: r.limits.All(now), ForwardToAll: turn.ForwardToAll, Forwarded: turn.Forwarded,
 	})
 }
 
@@ -66,7 +66,7 @@
 		delete(r.mesh.shunned, from.VM)
 		r.takeLoad(now, now, from, m)
 		if m.ForwardToAll {
-			r.mesh.fanout.PassOn(now, from, m)
+			r.mesh.fanout.Forward(now, from, m)
 		}
 	}
 	for _, c := range m.Forwarded {
--- a/internal/relay/mesh.go
+++ b/internal/relay/mesh.go
@@ -154,7 +154,7 @@
 				// What a dead process had on servers is over.
 				r.picker.RemovePeer(a.Peer)
 				r.heardComing(a.Peer, nil)
-				r.follow(time.Now(), follow.Gone{VM: a.Peer})
+				r.follow(time.Now(), follow.PeerDied{VM: a.Peer})
 			}
 			r.stats.beliefs.Inc(1)
 		}
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -161,7 +161,7 @@
 
 // listings gives batch the servers of a pool.
 func (r *Relay) listings(pool shed.PoolID) []shed.ServerEntry {
-	open := r.roster.Open(pool)
+	open := r.roster.OpenServers(pool)
 	out := make([]shed.ServerEntry, len(open))
 	for i, s := range open {
 		out[i] = s.ServerEntry
--- a/internal/relay/send.go
+++ b/internal/relay/send.go
@@ -163,7 +163,7 @@
 	a.relay.heardLimit(a.choice.Server.ServerEntry, reply)
 	if reply.ColdRemaining > 0 {
 		a.relay.mu.Lock()
-		a.relay.roster.TurnedCold(time.Now(), a.choice.Server.ID, reply.ColdRemaining)
+		a.relay.roster.MarkCold(time.Now(), a.choice.Server.ID, reply.ColdRemaining)
 		a.relay.mu.Unlock()
 	}
 	if reply.NotRun {
@@ -219,7 +219,7 @@
 func (r *Relay) othersOpen(j *job, c picker.Choice) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, s := range r.roster.Open(j.pool.ID) {
+	for _, s := range r.roster.OpenServers(j.pool.ID) {
 		if s.ID != c.Server.ID && !slices.Contains(j.avoid, s.ID) {
 			return r.budget(j.pool.ID).Remaining(time.Now()) > 0
 		}
--- a/internal/relay/serve.go
+++ b/internal/relay/serve.go
@@ -207,7 +207,7 @@
 	}
 	want := r.want(j)
 	want.Isolate, want.Access = isolate, r.access(now, j.pool, denied, patience)
-	servers := r.roster.Open(j.pool.ID)
+	servers := r.roster.OpenServers(j.pool.ID)
 	choice := r.picker.Pick(now, want, servers)
 	if choice.Server == nil && len(j.avoid) > 0 && !choice.NoTurn {
 		// Those that failed are better than none.
@@ -225,7 +225,7 @@
 func (r *Relay) place(j *job, choice picker.Choice) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if !slices.Contains(r.roster.Open(j.pool.ID), choice.Server) {
+	if !slices.Contains(r.roster.OpenServers(j.pool.ID), choice.Server) {
 		return false
 	}
 	r.picker.RecordPlacement(time.Now(), r.want(j), choice)
@@ -265,6 +265,6 @@
 		return
 	}
 	if chain := picker.PrefixChains(j.ask.Prompt); len(chain) > 0 {
-		r.mesh.fanout.Placed(time.Now(), shed.PromptPlaced{Server: c.Server.ID, Chain: chain})
+		r.mesh.fanout.RecordPlacement(time.Now(), shed.PromptPlaced{Server: c.Server.ID, Chain: chain})
 	}
 }
--- a/internal/relay/spread.go
+++ b/internal/relay/spread.go
@@ -57,7 +57,7 @@
 // changes are what has changed after a revision, for a peer that knows all up to
 // another. The caller holds mu.
 func (r *Relay) changes(after, known shed.Revision) []change {
-	items := r.roster.Since(after)
+	items := r.roster.ChangesSince(after)
 	out := make([]change, len(items))
 	for i, item := range items {
 		out[i] = change{item: item, base: r.roster.ItemAt(item.Key, known)}
@@ -127,7 +127,7 @@
 		return
 	}
 	if m.Unsent || len(r.mesh.news) >= newsWaiting {
-		r.follow(now, follow.Missed{From: from, AsOf: m.AsOf})
+		r.follow(now, follow.UpdateMissed{From: from, AsOf: m.AsOf})
 		return
 	}
 	r.mesh.news = append(r.mesh.news, news{from: from, StoreUpdate: m})
@@ -157,7 +157,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if missed {
-		r.follow(time.Now(), follow.Missed{From: m.from, AsOf: m.AsOf})
+		r.follow(time.Now(), follow.UpdateMissed{From: m.from, AsOf: m.AsOf})
 	}
 	r.mesh.news = r.mesh.news[1:]
 	return len(r.mesh.news) > 0
@@ -167,20 +167,20 @@
 // The caller holds mu.
 func (r *Relay) heardStore(now time.Time, from shed.VM, m shed.RelayLoad) {
 	member, _ := r.group.Lookup(from)
-	r.follow(now, follow.Heard{From: from, Word: follow.Word{
-		AsOf: m.AsOf, Digest: m.Digest, Catalog: m.Catalog, Contact: now.Add(-m.ConfirmedAgo), Power: member.Power,
+	r.follow(now, follow.PeerReported{From: from, State: follow.PeerState{
+		AsOf: m.AsOf, Digest: m.Digest, Catalog: m.Catalog, LastContact: now.Add(-m.ConfirmedAgo), Power: member.Power,
 	}})
 }
 
 // follow performs what is decided about an event. The caller holds mu.
 func (r *Relay) follow(now time.Time, ev follow.Event) {
-	own := follow.Own{
-		AsOf: r.roster.AsOf(), Digest: r.roster.Digest(), Contact: r.roster.Contact(), Taking: r.mesh.taking,
+	own := follow.LocalState{
+		AsOf: r.roster.AsOf(), Digest: r.roster.Digest(), LastContact: r.roster.LastContact(), Applying: r.mesh.taking,
 	}
 	for _, act := range r.mesh.follow.Handle(now, own, ev) {
 		switch a := act.(type) {
 		case follow.Confirm:
-			r.roster.Confirmed(a.At)
+			r.roster.Confirm(a.At)
 		case follow.Pull:
 			client := r.client
 			r.work.Go(func() error {
@@ -197,7 +197,7 @@
 	items, asOf, err := r.readPeer(ctx, client, p)
 	// What came tells a peer that sent too little from one that did not answer.
 	log := r.log.WithFields(logrus.Fields{
-		"peer": p.From, "after": p.After, "wanted": p.Wanted, "as_of": asOf, "items": len(items),
+		"peer": p.From, "after": p.After, "wanted": p.Reported, "as_of": asOf, "items": len(items),
 		"took_ms": time.Since(began).Milliseconds(), "received_bytes": client.Received() - before,
 	})
 	if err != nil {
@@ -208,7 +208,7 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.follow(time.Now(), follow.Ended{Pull: p.ID, Failed: err != nil})
+	r.follow(time.Now(), follow.PullEnded{Pull: p.ID, Failed: err != nil})
 }
 
 func (r *Relay) readPeer(ctx context.Context, client *peers.Client, p follow.Pull) ([]shed.Item, shed.Revision, error) {
@@ -219,7 +219,7 @@
 			return nil, 0, err
 		}
 		items, err := r.restore(reply.Items)
-		if errors.Is(err, delta.ErrPacked) && call.Known > 0 {
+		if errors.Is(err, delta.ErrUnpack) && call.Known > 0 {
 			// What is held here has changed meanwhile, or isn't what the peer took it
 			// for. Whole values need no base.
 			call.Known = 0
--- a/internal/relay/sync.go
+++ b/internal/relay/sync.go
@@ -71,7 +71,7 @@
 func (r *Relay) retryPause(now time.Time) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.roster.Catalog() == nil || !r.roster.Sure() || slices.Contains(r.standing(now), r.mesh.self.VM) {
+	if r.roster.Catalog() == nil || !r.roster.IsConfirmed() || slices.Contains(r.standing(now), r.mesh.self.VM) {
 		return storeRetry
 	}
 	return storeRetryOthers
@@ -82,15 +82,15 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return follow.NextCall(now, follow.StoreView{
-		AsOf: r.roster.AsOf(), Contact: r.roster.Contact(),
-		Watcher: slices.Contains(r.watchers(now), r.mesh.self.VM), Forgotten: r.forgotten,
+		AsOf: r.roster.AsOf(), LastContact: r.roster.LastContact(),
+		Watcher: slices.Contains(r.watchers(now), r.mesh.self.VM), Compacted: r.forgotten,
 	})
 }
 
 // watchers are the VMs that watch the store for all.
 func (r *Relay) watchers(now time.Time) []shed.VM {
 	vms := slices.DeleteFunc(r.present(now), func(vm shed.VM) bool {
-		return vm != r.mesh.self.VM && now.Sub(r.mesh.follow.Contact(vm)) >= watchesBy
+		return vm != r.mesh.self.VM && now.Sub(r.mesh.follow.LastContact(vm)) >= watchesBy
 	})
 	return rank.Owners("store", r.strong(vms), watchers)
 }
@@ -108,13 +108,13 @@
 	r.stats.storeCalls.Inc(1)
 	var err error
 	switch call {
-	case follow.ListCopy:
-		rd.from, rd.whole = roster.FromCopy, true
+	case follow.ListReplica:
+		rd.from, rd.whole = roster.FromReplica, true
 		rd.items, rd.asOf, err = r.cfg.Store.ListReplica(ctx)
 	case follow.List:
 		rd.whole = true
 		rd.items, rd.asOf, err = r.cfg.Store.List(ctx)
-	case follow.Changes:
+	case follow.ReadChanges:
 		rd.items, rd.asOf, err = r.cfg.Store.Watch(ctx, rd.after, 0)
 	default:
 		rd.items, rd.asOf, err = r.cfg.Store.Watch(ctx, rd.after, r.prefs.Load().Relay.Watch)
@@ -130,7 +130,7 @@
 	if call == follow.List {
 		r.forgotten = false
 	}
-	if call == follow.ListCopy || call == follow.Changes {
+	if call == follow.ListReplica || call == follow.ReadChanges {
 		r.log.WithFields(logrus.Fields{"after": rd.after, "as_of": rd.asOf, "items": len(rd.items), "whole": rd.whole}).
 			Info("store read at the start")
 	}
@@ -155,7 +155,7 @@
 	defer r.learning.Unlock()
 	r.setTaking(true)
 	defer r.setTaking(false)
-	l := roster.Learned{Source: rd.from, AsOf: rd.asOf, Whole: rd.whole}
+	l := roster.Update{Source: rd.from, AsOf: rd.asOf, Complete: rd.whole}
 	for _, item := range rd.items {
 		if r.cfg.Store.IsRecordKey(item.Key) {
 			l.Items = append(l.Items, r.read(item))
@@ -165,13 +165,13 @@
 	defer r.mu.Unlock()
 	now := time.Now()
 	tellers := r.watchers(now)
-	if now.Sub(r.roster.Contact()) > follow.StaleAfter {
+	if now.Sub(r.roster.LastContact()) > follow.StaleAfter {
 		tellers = r.standing(now)
 	}
-	r.tellChanges(r.roster.Learn(now, l))
-	r.picker.RetainServers(r.roster.Listed)
+	r.tellChanges(r.roster.Apply(now, l))
+	r.picker.RetainServers(r.roster.HasServer)
 	r.accept.Prune(r.roster.HasRoute)
-	r.limits.Prune(now, r.roster.Listed)
+	r.limits.Prune(now, r.roster.HasServer)
 	r.book.Prune(now)
 	r.waits.Prune(now)
 	if rd.from == roster.FromStore && len(l.Items) > 0 && rd.after > 0 && slices.Contains(tellers, r.mesh.self.VM) {
@@ -197,7 +197,7 @@
 		r.log.WithField("key", item.Key).WithError(err).Warn("item of the store is not used")
 		return e
 	}
-	e.Fact = fact
+	e.Record = fact
 	return e
 }
 
@@ -212,7 +212,7 @@
 func (r *Relay) tellChanges(changes []roster.Change) {
 	for _, c := range changes {
 		r.stats.beliefs.Inc(1)
-		fields := logrus.Fields{"reason": c.What, "revision": c.Revision}
+		fields := logrus.Fields{"reason": c.Reason, "revision": c.Revision}
 		if c.Key != "" {
 			fields["key"] = c.Key
 		}
--- a/internal/relay/take.go
+++ b/internal/relay/take.go
@@ -97,7 +97,7 @@
 // it: the newer one may have the route or key. Nor does one whose configuration nobody
 // has confirmed. The caller holds mu.
 func (r *Relay) final(status int, reason shed.Reason) *refusal {
-	if !r.roster.Sure() || r.mesh.follow.Behind(r.roster.AsOf()) {
+	if !r.roster.IsConfirmed() || r.mesh.follow.CatalogIsStale(r.roster.AsOf()) {
 		return &refusal{status: http.StatusServiceUnavailable, reason: reasonBehind, after: accept.MinRetryAfter}
 	}
 	return &refusal{status: status, reason: reason}
