--- a/internal/relay/gather.go
+++ b/internal/relay/coordinate.go
@@ -20,24 +20,24 @@
 const (
 	// freeTimeout bounds a call that gives results up, which takes milliseconds.
 	freeTimeout = 400 * time.Millisecond
-	// freesAtOnce bounds such calls to one server: one whose answer was lost must
+	// maxActiveFrees bounds such calls to one server: one whose answer was lost must
 	// not hold up the next.
-	freesAtOnce = 4
+	maxActiveFrees = 4
 )
 
-// gather has pieces made by the pool's servers and returns a result for each.
-func (r *Relay) gather(ctx context.Context, poolID shed.PoolID, pieces []shed.Piece) []shed.PieceResult {
+// coordinatePieces has pieces made by the pool's servers and returns a result for each.
+func (r *Relay) coordinatePieces(ctx context.Context, poolID shed.PoolID, pieces []shed.Piece) []shed.PieceResult {
 	done := make(chan []shed.PieceResult, 1)
 	r.mu.Lock()
 	pool := r.pool(poolID)
 	if !pool.MakesPieces() {
 		r.mu.Unlock()
-		return failed(len(pieces))
+		return failedResults(len(pieces))
 	}
 	r.lastJob++
 	id := r.lastJob
 	r.jobs[id] = done
-	r.perform(r.batcher.Handle(time.Now(), batch.Asked{Job: id, Pool: poolID, Limits: *pool.Batch, Pieces: pieces}))
+	r.performBatch(r.batcher.Handle(time.Now(), batch.Asked{Job: id, Pool: poolID, Limits: *pool.Batch, Pieces: pieces}))
 	r.mu.Unlock()
 	select {
 	case results := <-done:
@@ -47,20 +47,20 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.jobs, id)
-	r.perform(r.batcher.Handle(time.Now(), batch.Dropped{Job: id}))
+	r.performBatch(r.batcher.Handle(time.Now(), batch.Dropped{Job: id}))
 	select {
 	case results := <-done:
 		// It was done just before; nobody will use it.
-		r.perform(r.batcher.Handle(time.Now(), batch.Freed{Refs: made(results)}))
+		r.performBatch(r.batcher.Handle(time.Now(), batch.Freed{Refs: completeRefs(results)}))
 	default:
 	}
-	return failed(len(pieces))
+	return failedResults(len(pieces))
 }
 
-func failed(n int) []shed.PieceResult { return all(n, shed.PieceFailed) }
+func failedResults(n int) []shed.PieceResult { return uniformResults(n, shed.PieceFailed) }
 
-// all are n results that ended alike.
-func all(n int, end shed.PieceEnd) []shed.PieceResult {
+// uniformResults are n results that ended alike.
+func uniformResults(n int, end shed.PieceEnd) []shed.PieceResult {
 	out := make([]shed.PieceResult, n)
 	for i := range out {
 		out[i].End = end
@@ -68,8 +68,8 @@
 	return out
 }
 
-// made are the results that are there.
-func made(results []shed.PieceResult) []shed.ResultRef {
+// completeRefs are the results that are there.
+func completeRefs(results []shed.PieceResult) []shed.ResultRef {
 	var out []shed.ResultRef
 	for _, res := range results {
 		if res.End == shed.PieceMade {
@@ -87,8 +87,8 @@
 	return c.Pools[id]
 }
 
-// perform does what batch asks. The caller holds mu.
-func (r *Relay) perform(acts []batch.Action) {
+// performBatch does what batch asks. The caller holds mu.
+func (r *Relay) performBatch(acts []batch.Action) {
 	for _, act := range acts {
 		switch a := act.(type) {
 		case batch.Send:
@@ -104,9 +104,9 @@
 		case batch.Free:
 			for _, ref := range a.Refs {
 				addr := r.cfg.Dialect.Maker(ref)
-				r.freed[addr] = append(r.freed[addr], ref)
+				r.pendingFrees[addr] = append(r.pendingFrees[addr], ref)
 			}
-			r.flushFreed()
+			r.flushFrees()
 		}
 	}
 }
@@ -114,10 +114,10 @@
 // callPieces runs one call for pieces.
 func (r *Relay) callPieces(a batch.Send) {
 	began := time.Now()
-	end, status, err := r.exchangePieces(a)
+	end, status, err := r.sendPieces(a)
 	end.Call = a.Call
 	took := time.Since(began)
-	r.stats.pieceCall(len(a.Pieces), took)
+	r.stats.recordPieceCall(len(a.Pieces), took)
 	entry := r.log.WithFields(logrus.Fields{
 		"server": a.Server.ID, "pool": a.Server.Pool, "zone": a.Server.Zone, "pieces": len(a.Pieces), "left": a.Left,
 		"took_ms": took.Milliseconds(), "limit_ms": a.Limit.Milliseconds(),
@@ -126,17 +126,17 @@
 		entry.WithFields(logrus.Fields{"status": status, "not_run": end.NotRun, "crashed": end.Crashed, "error": errText(err), "first": a.Pieces[0].Request}).
 			Warn("call for pieces failed")
 	} else {
-		tellResults(entry, end.Results)
+		logResults(entry, end.Results)
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.judgePieces(a, end)
-	r.perform(r.batcher.Handle(time.Now(), end))
+	r.assessPieces(a, end)
+	r.performBatch(r.batcher.Handle(time.Now(), end))
 }
 
-// tellResults logs a call that was answered; in full only if pieces were not
+// logResults logs a call that was answered; in full only if pieces were not
 // made, since there are many.
-func tellResults(entry *logrus.Entry, results []shed.PieceResult) {
+func logResults(entry *logrus.Entry, results []shed.PieceResult) {
 	count := map[shed.PieceEnd]int{}
 	for _, res := range results {
 		count[res.End]++
@@ -152,7 +152,7 @@
 	entry.Info("pieces not made")
 }
 
-func (r *Relay) exchangePieces(a batch.Send) (batch.CallEnded, int, error) {
+func (r *Relay) sendPieces(a batch.Send) (batch.CallEnded, int, error) {
 	ctx, cancel := context.WithTimeout(r.base, a.Limit)
 	defer cancel()
 	ctx, span := r.tracer.Start(ctx, "call for pieces")
@@ -166,17 +166,17 @@
 	}
 	resp, sent, err := r.sender.Do(req.WithContext(ctx), false, time.Time{})
 	if err != nil {
-		return batch.CallEnded{NotRun: !sent, Crashed: sent && r.endedBy(err, a.Server)}, 0, err
+		return batch.CallEnded{NotRun: !sent, Crashed: sent && r.isCrash(err, a.Server)}, 0, err
 	}
 	defer func() { _ = resp.Body.Close() }()
 	reply := r.cfg.Dialect.Reply(resp)
-	r.heardLimit(a.Server, reply)
+	r.receiveAnswerLimit(a.Server, reply)
 	if resp.StatusCode != http.StatusOK {
 		return batch.CallEnded{NotRun: reply.NotRun, Busy: reply.NotRun && !reply.OtherServer}, resp.StatusCode, nil
 	}
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxResults))
 	if err != nil {
-		return batch.CallEnded{Crashed: r.endedBy(err, a.Server)}, resp.StatusCode, err
+		return batch.CallEnded{Crashed: r.isCrash(err, a.Server)}, resp.StatusCode, err
 	}
 	results, err := r.cfg.Dialect.Results(body, len(a.Pieces))
 	return batch.CallEnded{Results: results}, resp.StatusCode, err
@@ -192,37 +192,37 @@
 	return err.Error()
 }
 
-// flushFreed gives results up that nobody needs any more. While some calls to a
+// flushFrees gives results up that nobody needs any more. While some calls to a
 // server are under way, others gather. The caller holds mu.
-func (r *Relay) flushFreed() {
-	for addr, refs := range r.freed {
-		if r.freeing[addr] >= freesAtOnce {
+func (r *Relay) flushFrees() {
+	for addr, refs := range r.pendingFrees {
+		if r.activeFrees[addr] >= maxActiveFrees {
 			continue
 		}
-		if r.limited(addr) {
+		if r.isLimited(addr) {
 			// The call would take a turn from one for pieces; results lapse by themselves.
-			delete(r.freed, addr)
+			delete(r.pendingFrees, addr)
 			continue
 		}
-		delete(r.freed, addr)
-		r.freeing[addr]++
+		delete(r.pendingFrees, addr)
+		r.activeFrees[addr]++
 		r.work.Go(func() error {
-			r.callFree(addr, refs)
+			r.sendFree(addr, refs)
 			r.mu.Lock()
 			defer r.mu.Unlock()
-			if r.freeing[addr]--; r.freeing[addr] == 0 {
-				delete(r.freeing, addr)
+			if r.activeFrees[addr]--; r.activeFrees[addr] == 0 {
+				delete(r.activeFrees, addr)
 			}
-			r.perform(r.batcher.Handle(time.Now(), batch.FreeEnded{Refs: refs}))
-			r.flushFreed()
+			r.performBatch(r.batcher.Handle(time.Now(), batch.FreeEnded{Refs: refs}))
+			r.flushFrees()
 			return nil
 		})
 	}
 }
 
-// callFree gives results up. If that fails, the server drops them by itself a
+// sendFree gives results up. If that fails, the server drops them by itself a
 // few seconds later, and until then refuses pieces that it has no room for.
-func (r *Relay) callFree(addr string, refs []shed.ResultRef) {
+func (r *Relay) sendFree(addr string, refs []shed.ResultRef) {
 	ctx, cancel := context.WithTimeout(r.base, freeTimeout)
 	defer cancel()
 	req, err := r.cfg.Dialect.FreeResults(addr, refs)
--- /dev/null
+++ b/internal/relay/expected.go
@@ -0,0 +1,57 @@
+package relay
+
+import (
+	shed "jasmineshed"
+)
+
+// addExpectedPieces counts the pieces of all steps of a request that was let in: others are let
+// in by what waits and by what will come.
+func (r *Relay) addExpectedPieces(j *job, p plan) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	j.expected = map[shed.PoolID]int{}
+	for i, s := range p.steps {
+		j.expected[s.Pool] += p.pieces[i]
+		r.expected[s.Pool] += p.pieces[i]
+	}
+}
+
+// removeExpectedPieces takes pieces that are asked for now out of the count.
+func (r *Relay) removeExpectedPieces(j *job, pool shed.PoolID, pieces int) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.subtractExpected(j, pool, min(pieces, j.expected[pool]))
+}
+
+// clearExpectedPieces takes what is left of a request's pieces out of the count.
+func (r *Relay) clearExpectedPieces(j *job) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for pool, n := range j.expected {
+		r.subtractExpected(j, pool, n)
+	}
+}
+
+func (r *Relay) subtractExpected(j *job, pool shed.PoolID, n int) {
+	j.expected[pool] -= n
+	if r.expected[pool] -= n; r.expected[pool] == 0 {
+		delete(r.expected, pool)
+	}
+}
+
+// setPeerExpected takes in what a peer's requests will ask for. The caller holds mu.
+func (r *Relay) setPeerExpected(from shed.VM, expected map[shed.PoolID]int) {
+	for pool, n := range r.mesh.expected[from] {
+		r.mesh.expectedSum[pool] -= n
+	}
+	for pool, n := range expected {
+		r.mesh.expectedSum[pool] += n
+	}
+	r.mesh.expected[from] = expected
+}
+
+// expectedPieces is how many pieces will be asked of a pool by all requests that were
+// let in, as far as is known. The caller holds mu.
+func (r *Relay) expectedPieces(pool shed.PoolID) int {
+	return r.expected[pool] + r.mesh.expectedSum[pool]
+}
--- a/internal/relay/spread.go
+++ b/internal/relay/gossip.go
@@ -18,9 +18,9 @@
 // newsMost is how many bytes of changes go in a control message, which has to pass
 // within a second over a small link that has other messages, too. What is larger is
 // read by each peer in parts, so that it may take as long as it needs.
-const newsMost = 32 << 10
+const maxUpdateBytes = 32 << 10
 
-// passOn tells peers what the store said has changed after a revision: each one is told
+// forwardChanges tells peers what the store said has changed after a revision: each one is told
 // by one of the tellers. Who misses it learns of it by the next load message. A teller
 // may have heard the same from another one a moment before; its peers have not. The
 // caller holds mu.
@@ -29,10 +29,10 @@
 // that has. Were each to tell all others, links would be full with copies of the
 // configuration, and peers and servers would seem dead. So the tellers are then those
 // that watch when all is well.
-func (r *Relay) passOn(after shed.Revision, by []shed.VM) {
+func (r *Relay) forwardChanges(after shed.Revision, watchers []shed.VM) {
 	var to []shed.VM
-	for _, vm := range r.alive() {
-		if teller, ok := rank.Owner(string(vm), by); ok && teller == r.mesh.self.VM {
+	for _, vm := range r.alivePeers() {
+		if watcher, ok := rank.Owner(string(vm), watchers); ok && watcher == r.mesh.self.VM {
 			to = append(to, vm)
 		}
 	}
@@ -42,8 +42,8 @@
 	msg := shed.StoreNews{After: after, AsOf: r.roster.AsOf()}
 	changes, client := r.changes(after, after), r.client
 	r.work.Go(func() error {
-		msg.Items = r.pack(changes)
-		if valueBytes(msg.Items) > newsMost {
+		msg.Items = r.packChanges(changes)
+		if valueBytes(msg.Items) > maxUpdateBytes {
 			msg.Items, msg.Unsent = nil, true
 		}
 		client.SendAll(to, msg)
@@ -65,8 +65,8 @@
 	return out
 }
 
-// pack packs changes for peers. The caller doesn't hold mu: a large value takes long.
-func (r *Relay) pack(changes []change) []shed.ItemChange {
+// packChanges packs changes for peers. The caller doesn't hold mu: a large value takes long.
+func (r *Relay) packChanges(changes []change) []shed.ItemChange {
 	out := make([]shed.ItemChange, len(changes))
 	for i, c := range changes {
 		out[i] = r.packer.Pack(c.item, c.base)
@@ -75,11 +75,11 @@
 }
 
 func valueBytes(items []shed.ItemChange) int {
-	all := 0
+	total := 0
 	for _, item := range items {
-		all += len(item.Value)
+		total += len(item.Value)
 	}
-	return all
+	return total
 }
 
 // Items implements peers.RelayHandler.
@@ -87,11 +87,11 @@
 	r.mu.Lock()
 	asOf, changes := r.roster.AsOf(), r.changes(call.After, call.Known)
 	r.mu.Unlock()
-	return peers.ItemsReply{AsOf: asOf, Items: r.pack(changes)}
+	return peers.ItemsReply{AsOf: asOf, Items: r.packChanges(changes)}
 }
 
-// restore unpacks what a peer sent. What is held here already is left without a value.
-func (r *Relay) restore(changes []shed.ItemChange) ([]shed.Item, error) {
+// unpackChanges unpacks what a peer sent. What is held here already is left without a value.
+func (r *Relay) unpackChanges(changes []shed.ItemChange) ([]shed.Item, error) {
 	items := make([]shed.Item, len(changes))
 	for i, c := range changes {
 		r.mu.Lock()
@@ -109,90 +109,90 @@
 	return items, nil
 }
 
-// news is what a peer passed on.
-type news struct {
+// storeUpdate is what a peer passed on.
+type storeUpdate struct {
 	from shed.VM
 	shed.StoreNews
 }
 
 // newsWaiting bounds the news that wait to be taken in; what is behind it is read from
 // the peer in one piece.
-const newsWaiting = 32
+const maxQueuedUpdates = 32
 
-// heardNews takes in what a peer passes on, one after the other: changes often come in
+// receiveUpdate takes in what a peer passes on, one after the other: changes often come in
 // quick succession, and the second can't be applied before the first. The caller holds
 // mu.
-func (r *Relay) heardNews(now time.Time, from shed.VM, m shed.StoreNews) {
+func (r *Relay) receiveUpdate(now time.Time, from shed.VM, m shed.StoreNews) {
 	if m.AsOf <= r.roster.AsOf() {
 		return
 	}
-	if m.Unsent || len(r.mesh.news) >= newsWaiting {
-		r.follow(now, follow.Missed{From: from, AsOf: m.AsOf})
+	if m.Unsent || len(r.mesh.updates) >= maxQueuedUpdates {
+		r.handleFollowEvent(now, follow.Missed{From: from, AsOf: m.AsOf})
 		return
 	}
-	r.mesh.news = append(r.mesh.news, news{from: from, StoreNews: m})
-	if len(r.mesh.news) > 1 {
+	r.mesh.updates = append(r.mesh.updates, storeUpdate{from: from, StoreNews: m})
+	if len(r.mesh.updates) > 1 {
 		return
 	}
 	r.work.Go(func() error {
-		for r.takeNews() {
+		for r.applyNextUpdate() {
 		}
 		return nil
 	})
 }
 
-// takeNews takes in the first news that waits; false if there is no more.
-func (r *Relay) takeNews() bool {
+// applyNextUpdate takes in the first news that waits; false if there is no more.
+func (r *Relay) applyNextUpdate() bool {
 	r.mu.Lock()
-	m, known := r.mesh.news[0], r.roster.AsOf()
+	m, known := r.mesh.updates[0], r.roster.AsOf()
 	r.mu.Unlock()
 	missed := m.After > known
 	if !missed && m.AsOf > known {
-		items, err := r.restore(m.Items)
+		items, err := r.unpackChanges(m.Items)
 		missed = err != nil
 		if !missed {
-			r.learn(reading{from: roster.FromPeer, items: items, after: m.After, asOf: m.AsOf})
+			r.applyReading(storeReading{from: roster.FromPeer, items: items, after: m.After, asOf: m.AsOf})
 		}
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if missed {
-		r.follow(time.Now(), follow.Missed{From: m.from, AsOf: m.AsOf})
+		r.handleFollowEvent(time.Now(), follow.Missed{From: m.from, AsOf: m.AsOf})
 	}
-	r.mesh.news = r.mesh.news[1:]
-	return len(r.mesh.news) > 0
+	r.mesh.updates = r.mesh.updates[1:]
+	return len(r.mesh.updates) > 0
 }
 
-// heardStore compares what a peer knows of the store with what this VM knows.
+// receiveStoreState compares what a peer knows of the store with what this VM knows.
 // The caller holds mu.
-func (r *Relay) heardStore(now time.Time, from shed.VM, m shed.RelayLoad) {
+func (r *Relay) receiveStoreState(now time.Time, from shed.VM, m shed.RelayLoad) {
 	member, _ := r.group.Lookup(from)
-	r.follow(now, follow.Heard{From: from, Word: follow.Word{
+	r.handleFollowEvent(now, follow.Heard{From: from, Word: follow.Word{
 		AsOf: m.AsOf, Digest: m.Digest, Catalog: m.Catalog, Contact: now.Add(-m.Confirmed), Power: member.Power,
 	}})
 }
 
-// follow performs what is decided about an event. The caller holds mu.
-func (r *Relay) follow(now time.Time, ev follow.Event) {
+// handleFollowEvent performs what is decided about an event. The caller holds mu.
+func (r *Relay) handleFollowEvent(now time.Time, ev follow.Event) {
 	own := follow.Own{
-		AsOf: r.roster.AsOf(), Digest: r.roster.Digest(), Contact: r.roster.Contact(), Taking: r.mesh.taking,
+		AsOf: r.roster.AsOf(), Digest: r.roster.Digest(), Contact: r.roster.Contact(), Taking: r.mesh.applying,
 	}
-	for _, act := range r.mesh.follow.Handle(now, own, ev) {
+	for _, act := range r.mesh.follower.Handle(now, own, ev) {
 		switch a := act.(type) {
 		case follow.Confirm:
 			r.roster.Confirmed(a.At)
 		case follow.Pull:
 			client := r.client
 			r.work.Go(func() error {
-				r.pull(r.base, client, a)
+				r.pullFromPeer(r.base, client, a)
 				return nil
 			})
 		}
 	}
 }
 
-// pull reads from a peer what it knows more, and tells that it has ended.
-func (r *Relay) pull(ctx context.Context, client *peers.Client, p follow.Pull) {
+// pullFromPeer reads from a peer what it knows more, and tells that it has ended.
+func (r *Relay) pullFromPeer(ctx context.Context, client *peers.Client, p follow.Pull) {
 	began, before := time.Now(), client.Received()
 	items, asOf, err := r.readPeer(ctx, client, p)
 	// What came tells a peer that sent too little from one that did not answer.
@@ -204,11 +204,11 @@
 		log.WithError(err).Info("items of the store not read from a peer")
 	} else {
 		log.Info("items of the store read from a peer")
-		r.learn(reading{from: roster.FromPeer, items: items, after: p.After, asOf: asOf, whole: p.After == 0})
+		r.applyReading(storeReading{from: roster.FromPeer, items: items, after: p.After, asOf: asOf, whole: p.After == 0})
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.follow(time.Now(), follow.Ended{Pull: p.ID, Failed: err != nil})
+	r.handleFollowEvent(time.Now(), follow.Ended{Pull: p.ID, Failed: err != nil})
 }
 
 func (r *Relay) readPeer(ctx context.Context, client *peers.Client, p follow.Pull) ([]shed.Item, shed.Revision, error) {
@@ -218,7 +218,7 @@
 		if err != nil {
 			return nil, 0, err
 		}
-		items, err := r.restore(reply.Items)
+		items, err := r.unpackChanges(reply.Items)
 		if errors.Is(err, delta.ErrPacked) && call.Known > 0 {
 			// What is held here has changed meanwhile, or isn't what the peer took it
 			// for. Whole values need no base.
--- a/internal/relay/limit.go
+++ b/internal/relay/limit.go
@@ -9,8 +9,8 @@
 	"github.com/sirupsen/logrus"
 )
 
-// heardLimit takes in what an answer says of the limit of its server.
-func (r *Relay) heardLimit(s shed.Listing, reply shed.Reply) {
+// receiveAnswerLimit takes in what an answer says of the limit of its server.
+func (r *Relay) receiveAnswerLimit(s shed.Listing, reply shed.Reply) {
 	if reply.OtherServer {
 		return
 	}
@@ -25,16 +25,16 @@
 	if len(changes) == 0 {
 		return
 	}
-	r.tellLimits(changes, "answer")
+	r.logLimits(changes, "answer")
 	news := shed.LimitNews{}
 	for _, c := range changes {
 		news.Limits = append(news.Limits, shed.ServerLimit{Start: c.Start, Rate: c.Rate, Ended: c.Rate == 0})
 	}
-	r.client.SendAll(r.alive(), news)
+	r.client.SendAll(r.alivePeers(), news)
 }
 
-// limited tells whether the server at an address has named a limit. The caller holds mu.
-func (r *Relay) limited(addr string) bool {
+// isLimited tells whether the server at an address has named a limit. The caller holds mu.
+func (r *Relay) isLimited(addr string) bool {
 	for _, start := range r.limits.Limited() {
 		if s, ok := r.roster.Server(start.Server); ok && s.Addr == addr && s.Born == start.Born {
 			return true
@@ -43,20 +43,20 @@
 	return false
 }
 
-// tellLimits logs limits that are believed anew, and who says so.
-func (r *Relay) tellLimits(changes []limit.Change, by string) {
+// logLimits logs limits that are believed anew, and who says so.
+func (r *Relay) logLimits(changes []limit.Change, by string) {
 	for _, c := range changes {
-		r.stats.beliefs.Inc(1)
+		r.stats.stateChanges.Inc(1)
 		r.log.WithFields(logrus.Fields{
 			"server": c.Start.Server, "born": c.Start.Born, "per_second": c.Rate, "ended": c.Rate == 0, "by": by,
 		}).Info("server limit")
 	}
 }
 
-// heardLimits takes in the limits that a peer told at a time. The caller holds mu.
-func (r *Relay) heardLimits(now, told time.Time, from shed.VM, limits []shed.ServerLimit) {
+// receivePeerLimits takes in the limits that a peer told at a time. The caller holds mu.
+func (r *Relay) receivePeerLimits(now, toldAt time.Time, from shed.VM, limits []shed.ServerLimit) {
 	for _, l := range limits {
-		l.Age += now.Sub(told)
-		r.tellLimits(r.limits.Heard(now, []shed.ServerLimit{l}), string(from))
+		l.Age += now.Sub(toldAt)
+		r.logLimits(r.limits.Heard(now, []shed.ServerLimit{l}), string(from))
 	}
 }
--- a/internal/relay/listen.go
+++ b/internal/relay/listen.go
@@ -31,9 +31,9 @@
 
 // Close closes the listeners that were opened.
 func (l Listeners) Close() {
-	for _, one := range []net.Listener{l.Callers, l.Ready, l.Peers, l.Operators} {
-		if one != nil {
-			_ = one.Close()
+	for _, listener := range []net.Listener{l.Callers, l.Ready, l.Peers, l.Operators} {
+		if listener != nil {
+			_ = listener.Close()
 		}
 	}
 }
--- a/internal/relay/load.go
+++ b/internal/relay/load.go
@@ -11,24 +11,24 @@
 
 // mostAge bounds how old a load that a peer passes on is taken to be; peers pass on what
 // they heard within a second or two.
-const mostAge = 5 * time.Second
+const maxForwardedLoadAge = 5 * time.Second
 
-// peerWait is what a peer foresees for a pool that it gathers pieces for.
-type peerWait struct {
+// peerForecast is what a peer foresees for a pool that it gathers pieces for.
+type peerForecast struct {
 	from shed.VM
 	batch.Forecast
 	at time.Time
 }
 
-// tellLoad tells peers what is under way here, and what others told this VM.
-func (r *Relay) tellLoad(now time.Time) {
-	if now.Sub(r.mesh.started) < settleFor {
+// reportLoad tells peers what is under way here, and what others told this VM.
+func (r *Relay) reportLoad(now time.Time) {
+	if now.Sub(r.mesh.startedAt) < settleTime {
 		return
 	}
-	shares, waits := r.picker.Shares(), r.ownWaits(now)
+	shares, waits := r.picker.Shares(), r.ownForecasts(now)
 	turn := r.mesh.fanout.Due(now, fanout.View{
-		Peers: r.alive(), Strong: r.strong(r.group.View().VMs(meshZone)),
-		Busy: len(shares)+len(waits)+len(r.coming) > 0, Gathers: len(waits) > 0,
+		Peers: r.alivePeers(), Strong: r.highCapacityVMs(r.group.View().VMs(meshZone)),
+		Busy: len(shares)+len(waits)+len(r.expected) > 0, Gathers: len(waits) > 0,
 	})
 	if len(turn.To) == 0 {
 		return
@@ -37,99 +37,99 @@
 	r.client.SendAll(turn.To, shed.RelayLoad{
 		Sequence: r.mesh.sequence, Held: r.batcher.Held(), Servers: shares, Waits: waits, Placed: turn.Placed,
 		// Messages are encoded later, in a goroutine of their own.
-		Coming: maps.Clone(r.coming), AsOf: r.roster.AsOf(), Digest: r.roster.Digest(), Confirmed: now.Sub(r.roster.Contact()),
+		Coming: maps.Clone(r.expected), AsOf: r.roster.AsOf(), Digest: r.roster.Digest(), Confirmed: now.Sub(r.roster.Contact()),
 		Catalog: r.roster.CatalogRevision(), Limits: r.limits.Known(now), PassOn: turn.PassOn, Carried: turn.Carried,
 	})
 }
 
-// ownWaits predicts the wait in the pools that this VM gathers pieces for.
-func (r *Relay) ownWaits(now time.Time) []shed.PieceWait {
+// ownForecasts predicts the wait in the pools that this VM gathers pieces for.
+func (r *Relay) ownForecasts(now time.Time) []shed.PieceWait {
 	var out []shed.PieceWait
 	for _, id := range r.batcher.Busy() {
 		if pool := r.pool(id); pool.MakesPieces() {
-			out = append(out, r.ownWait(now, pool))
+			out = append(out, r.ownForecast(now, pool))
 		}
 	}
 	return out
 }
 
-// ownWait predicts the wait in one of them.
-func (r *Relay) ownWait(now time.Time, pool *shed.RelayPool) shed.PieceWait {
+// ownForecast predicts the wait in one of them.
+func (r *Relay) ownForecast(now time.Time, pool *shed.RelayPool) shed.PieceWait {
 	f := r.batcher.Wait(now, pool.ID, *pool.Batch)
 	return shed.PieceWait{Pool: pool.ID, Timely: f.Timely, Last: f.Last, Slow: f.Slow, Rate: f.Rate}
 }
 
-// heardLoad takes in a peer's load, and those that it passes on.
-func (r *Relay) heardLoad(now time.Time, from shed.Peer, m shed.RelayLoad) {
-	if m.Sequence > r.mesh.seen[from] {
-		r.heardStore(now, from.VM, m)
-		delete(r.mesh.shunned, from.VM)
-		r.takeLoad(now, now, from, m)
+// receiveLoad takes in a peer's load, and those that it passes on.
+func (r *Relay) receiveLoad(now time.Time, from shed.Peer, m shed.RelayLoad) {
+	if m.Sequence > r.mesh.lastSequence[from] {
+		r.receiveStoreState(now, from.VM, m)
+		delete(r.mesh.backoffUntil, from.VM)
+		r.applyLoad(now, now, from, m)
 		if m.PassOn {
 			r.mesh.fanout.PassOn(now, from, m)
 		}
 	}
 	for _, c := range m.Carried {
-		r.heardCarried(now, c)
+		r.receiveForwardedLoad(now, c)
 	}
 }
 
-// heardCarried takes in a load that a peer passes on. One of a process that has ended
+// receiveForwardedLoad takes in a load that a peer passes on. One of a process that has ended
 // would stay for good, since nothing more comes from it.
-func (r *Relay) heardCarried(now time.Time, c shed.CarriedLoad) {
+func (r *Relay) receiveForwardedLoad(now time.Time, c shed.CarriedLoad) {
 	member, ok := r.group.Lookup(c.From.VM)
 	if !ok || member.Peer != c.From || member.Status > shed.StatusSuspect || c.From.VM == r.mesh.self.VM {
 		return
 	}
-	if c.Load.Sequence > r.mesh.seen[c.From] {
-		r.takeLoad(now, now.Add(-min(max(c.Age, 0), mostAge)), c.From, c.Load)
+	if c.Load.Sequence > r.mesh.lastSequence[c.From] {
+		r.applyLoad(now, now.Add(-min(max(c.Age, 0), maxForwardedLoadAge)), c.From, c.Load)
 	}
 }
 
-// takeLoad takes in a load that was told at a time.
-func (r *Relay) takeLoad(now, told time.Time, from shed.Peer, m shed.RelayLoad) {
-	r.mesh.seen[from] = m.Sequence
-	r.mesh.heard[from.VM] = shed.Later(r.mesh.heard[from.VM], told)
+// applyLoad takes in a load that was told at a time.
+func (r *Relay) applyLoad(now, toldAt time.Time, from shed.Peer, m shed.RelayLoad) {
+	r.mesh.lastSequence[from] = m.Sequence
+	r.mesh.lastLoad[from.VM] = shed.Later(r.mesh.lastLoad[from.VM], toldAt)
 	r.picker.PeerShares(from.VM, m.Servers)
-	r.heardHeld(now, from.VM, m.Held)
-	r.heardComing(from.VM, m.Coming)
-	r.heardLimits(now, told, from.VM, m.Limits)
+	r.receiveHeldBytes(now, from.VM, m.Held)
+	r.setPeerExpected(from.VM, m.Coming)
+	r.receivePeerLimits(now, toldAt, from.VM, m.Limits)
 	for _, p := range m.Placed {
 		r.picker.Seen(now, p.Server, p.Chain)
 	}
-	for pool, w := range r.mesh.waits {
-		if w.from == from.VM && !w.at.After(told) {
-			delete(r.mesh.waits, pool)
+	for pool, w := range r.mesh.forecasts {
+		if w.from == from.VM && !w.at.After(toldAt) {
+			delete(r.mesh.forecasts, pool)
 		}
 	}
 	for _, w := range m.Waits {
-		r.setWait(from.VM, told, w)
+		r.setForecast(from.VM, toldAt, w)
 	}
 }
 
-// heardWait takes in what a peer foresees for a pool, which it tells with its answer: a
+// receiveForecast takes in what a peer foresees for a pool, which it tells with its answer: a
 // VM that asks often knows more by it than by load messages. nil says nothing.
-func (r *Relay) heardWait(from shed.VM, w *shed.PieceWait) {
+func (r *Relay) receiveForecast(from shed.VM, w *shed.PieceWait) {
 	if w == nil {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.setWait(from, time.Now(), *w)
+	r.setForecast(from, time.Now(), *w)
 }
 
-// setWait notes what a peer foresaw for a pool, unless it has told more since. The caller
+// setForecast notes what a peer foresaw for a pool, unless it has told more since. The caller
 // holds mu.
-func (r *Relay) setWait(from shed.VM, at time.Time, w shed.PieceWait) {
-	if old := r.mesh.waits[w.Pool]; old.from == from && old.at.After(at) {
+func (r *Relay) setForecast(from shed.VM, at time.Time, w shed.PieceWait) {
+	if old := r.mesh.forecasts[w.Pool]; old.from == from && old.at.After(at) {
 		return
 	}
-	r.mesh.waits[w.Pool] = peerWait{
+	r.mesh.forecasts[w.Pool] = peerForecast{
 		from: from, at: at, Forecast: batch.Forecast{Timely: w.Timely, Last: w.Last, Slow: w.Slow, Rate: w.Rate},
 	}
 }
 
-func (r *Relay) heardHeld(now time.Time, from shed.VM, held map[shed.ServerID]int64) {
+func (r *Relay) receiveHeldBytes(now time.Time, from shed.VM, held map[shed.ServerID]int64) {
 	if len(held) == 0 {
 		return
 	}
@@ -142,6 +142,6 @@
 		}
 	}
 	if keep > 0 {
-		r.perform(r.batcher.Handle(now, batch.HeldElsewhere{From: from, Held: held, Keep: keep}))
+		r.performBatch(r.batcher.Handle(now, batch.HeldElsewhere{From: from, Held: held, Keep: keep}))
 	}
 }
--- a/internal/relay/mesh.go
+++ b/internal/relay/mesh.go
@@ -31,59 +31,59 @@
 	joinFor   = 1500 * time.Millisecond
 	joinEvery = 200 * time.Millisecond
 	syncMost  = 100
-	// shunPeerFor is how long a peer that gave no answer gathers no pieces for this
+	// peerBackoff is how long a peer that gave no answer gathers no pieces for this
 	// VM.
-	shunPeerFor = 1500 * time.Millisecond
-	// loadMissed is how many of these may be missing before a peer gathers no
+	peerBackoff = 1500 * time.Millisecond
+	// maxMissedLoads is how many of these may be missing before a peer gathers no
 	// pieces for this VM. By member alone, the VMs disagreed for two to four
 	// seconds after several had died at once; up to eight then gathered for the
 	// same servers and found them full.
-	loadMissed = 3
-	// settleFor is how long a new process gathers nothing and tells no load, so
+	maxMissedLoads = 3
+	// settleTime is how long a new process gathers nothing and tells no load, so
 	// that it knows its peers first: a second gatherer for a pool knows nothing
 	// of the calls and the room of the first one.
-	settleFor = 700 * time.Millisecond
-	// freshMissed is how many load messages a peer may be behind, as a factor of
+	settleTime = 700 * time.Millisecond
+	// freshLoadPeriods is how many load messages a peer may be behind, as a factor of
 	// their period, once another peer has given no answer. A zone that is cut off
 	// falls silent at once: without it, a VM tried the peers there one after the
 	// other, each for half a second or more.
-	freshMissed = 1.4
+	freshLoadPeriods = 1.4
 	// settlePoll is how often a request looks whether somebody gathers by now.
 	settlePoll = 50 * time.Millisecond
-	// renewedBy is added to the incarnation of a process that was overruled: its
+	// incarnationBump is added to the incarnation of a process that was overruled: its
 	// VM's clock was set back after an earlier process had started.
-	renewedBy = 30 * time.Second
+	incarnationBump = 30 * time.Second
 )
 
 // mesh is what the relay knows of its peers.
 type mesh struct {
 	self shed.Peer
-	// started is when this process started.
-	started time.Time
-	// seen is the last sequence of each process's load, heard is when a VM last
+	// startedAt is when this process started.
+	startedAt time.Time
+	// lastSequence is the last sequence of each process's load, heard is when a VM last
 	// told its load, to this VM or one that passed it on.
-	seen  map[shed.Peer]uint64
-	heard map[shed.VM]time.Time
-	// waits are what peers said of the pieces that they gather.
-	waits map[shed.PoolID]peerWait
-	// shunned peers gather nothing for this VM until then.
-	shunned map[shed.VM]time.Time
-	// present are the VMs that are there, as of presentAt.
-	present   []shed.VM
-	presentAt time.Time
-	// follow decides when what peers know more of the store is read from them.
-	follow *follow.Follower
-	// news wait to be taken in, the first one is being taken in.
-	news []news
-	// taking: something of the store is being taken in.
-	taking bool
-	// coming is what each peer said of the pieces that its requests will ask for,
+	lastSequence map[shed.Peer]uint64
+	lastLoad     map[shed.VM]time.Time
+	// forecasts are what peers said of the pieces that they gather.
+	forecasts map[shed.PoolID]peerForecast
+	// backoffUntil peers gather nothing for this VM until then.
+	backoffUntil map[shed.VM]time.Time
+	// active are the VMs that are there, as of presentAt.
+	active   []shed.VM
+	activeAt time.Time
+	// follower decides when what peers know more of the store is read from them.
+	follower *follow.Follower
+	// updates wait to be taken in, the first one is being taken in.
+	updates []storeUpdate
+	// applying: something of the store is being taken in.
+	applying bool
+	// expected is what each peer said of the pieces that its requests will ask for,
 	// comingSum their sum.
-	coming    map[shed.VM]map[shed.PoolID]int
-	comingSum map[shed.PoolID]int
-	// asks end the calls for pieces that are under way at each peer, by a number.
-	asks    map[shed.VM]map[uint64]context.CancelFunc
-	lastAsk uint64
+	expected    map[shed.VM]map[shed.PoolID]int
+	expectedSum map[shed.PoolID]int
+	// pieceCalls end the calls for pieces that are under way at each peer, by a number.
+	pieceCalls    map[shed.VM]map[uint64]context.CancelFunc
+	lastPieceCall uint64
 
 	// fanout decides whom this VM tells its load.
 	fanout   *fanout.Fanout
@@ -92,16 +92,16 @@
 
 func (r *Relay) startMesh() {
 	r.mesh = mesh{
-		self:    shed.Peer{VM: shed.VM(r.prefs.Load().Node.Reach()), Incarnation: shed.Incarnation(time.Now().UnixNano())},
-		started: time.Now(),
-		seen:    map[shed.Peer]uint64{},
-		heard:   map[shed.VM]time.Time{},
-		waits:   map[shed.PoolID]peerWait{},
-		shunned: map[shed.VM]time.Time{},
-		asks:    map[shed.VM]map[uint64]context.CancelFunc{},
-		coming:  map[shed.VM]map[shed.PoolID]int{}, comingSum: map[shed.PoolID]int{},
+		self:         shed.Peer{VM: shed.VM(r.prefs.Load().Node.Reach()), Incarnation: shed.Incarnation(time.Now().UnixNano())},
+		startedAt:    time.Now(),
+		lastSequence: map[shed.Peer]uint64{},
+		lastLoad:     map[shed.VM]time.Time{},
+		forecasts:    map[shed.PoolID]peerForecast{},
+		backoffUntil: map[shed.VM]time.Time{},
+		pieceCalls:   map[shed.VM]map[uint64]context.CancelFunc{},
+		expected:     map[shed.VM]map[shed.PoolID]int{}, expectedSum: map[shed.PoolID]int{},
 	}
-	r.mesh.follow, r.mesh.fanout = follow.New(r.mesh.self.VM), fanout.New(r.mesh.self.VM)
+	r.mesh.follower, r.mesh.fanout = follow.New(r.mesh.self.VM), fanout.New(r.mesh.self.VM)
 	r.joinMesh()
 }
 
@@ -130,16 +130,16 @@
 	}
 	r.performMesh(r.group.Handle(now, shed.Tick{Wall: now, Mono: now.Sub(start)}))
 	if r.group.Overruled() {
-		r.mesh.self.Incarnation = shed.Incarnation(now.Add(renewedBy).UnixNano())
+		r.mesh.self.Incarnation = shed.Incarnation(now.Add(incarnationBump).UnixNano())
 		r.log.WithField("incarnation", r.mesh.self.Incarnation).
 			Warn("an earlier process of this VM had a later clock; joining the peers anew")
 		old := r.client
 		r.joinMesh()
 		r.work.Go(old.Close)
 	}
-	r.follow(now, follow.Tick{})
-	r.tellCrashes(now)
-	r.tellLoad(now)
+	r.handleFollowEvent(now, follow.Tick{})
+	r.notifyCrashes(now)
+	r.reportLoad(now)
 }
 
 // performMesh does what member asks. The caller holds mu.
@@ -153,16 +153,16 @@
 			if a.Reason == member.ReasonPeerDead {
 				// What a dead process had on servers is over.
 				r.picker.PeerGone(a.Peer)
-				r.heardComing(a.Peer, nil)
-				r.follow(time.Now(), follow.Gone{VM: a.Peer})
+				r.setPeerExpected(a.Peer, nil)
+				r.handleFollowEvent(time.Now(), follow.Gone{VM: a.Peer})
 			}
-			r.stats.beliefs.Inc(1)
+			r.stats.stateChanges.Inc(1)
 		}
 	}
 }
 
-// alive are the peers that are alive, without this one.
-func (r *Relay) alive() []shed.VM {
+// alivePeers are the peers that are alive, without this one.
+func (r *Relay) alivePeers() []shed.VM {
 	vms := r.group.View().VMs(meshZone)
 	return slices.DeleteFunc(vms, func(vm shed.VM) bool { return vm == r.mesh.self.VM })
 }
@@ -182,15 +182,15 @@
 	case shed.Probe, shed.ProbeAck:
 		r.performMesh(r.group.Handle(now, shed.PeerMessage{From: from, Message: msg}))
 	case shed.RelayLoad:
-		r.heardLoad(now, from, m)
+		r.receiveLoad(now, from, m)
 	case shed.StoreNews:
-		r.heardNews(now, from.VM, m)
+		r.receiveUpdate(now, from.VM, m)
 	case shed.LimitNews:
-		r.tellLimits(r.limits.Heard(now, m.Limits), string(from.VM))
+		r.logLimits(r.limits.Heard(now, m.Limits), string(from.VM))
 	case shed.CrashNews:
-		r.tellSuspects(r.poison.Heard(now, m))
+		r.reportSuspects(r.poison.Heard(now, m))
 	case shed.ResultsFreed:
-		r.perform(r.batcher.Handle(now, batch.Freed{Refs: m.Refs}))
+		r.performBatch(r.batcher.Handle(now, batch.Freed{Refs: m.Refs}))
 	}
 }
 
@@ -199,20 +199,20 @@
 func (r *Relay) Unwanted(results []shed.PieceResult) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.perform(r.batcher.Handle(time.Now(), batch.Freed{Refs: made(results)}))
+	r.performBatch(r.batcher.Handle(time.Now(), batch.Freed{Refs: completeRefs(results)}))
 }
 
 // Pieces implements peers.RelayHandler.
 func (r *Relay) Pieces(ctx context.Context, call peers.PieceCall) peers.PieceAnswer {
 	if r.stopping.Load() {
-		return peers.PieceAnswer{Results: all(len(call.Pieces), shed.PieceMoved)}
+		return peers.PieceAnswer{Results: uniformResults(len(call.Pieces), shed.PieceMoved)}
 	}
-	results := r.gather(ctx, call.Pool, call.Pieces)
+	results := r.coordinatePieces(ctx, call.Pool, call.Pieces)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	answer := peers.PieceAnswer{Results: results}
 	if pool := r.pool(call.Pool); pool.MakesPieces() {
-		wait := r.ownWait(time.Now(), pool)
+		wait := r.ownForecast(time.Now(), pool)
 		answer.Wait = &wait
 	}
 	return answer
--- /dev/null
+++ b/internal/relay/pieces.go
@@ -0,0 +1,146 @@
+package relay
+
+import (
+	"context"
+	"slices"
+	"time"
+
+	shed "jasmineshed"
+	"jasmineshed/internal/batch"
+	"jasmineshed/internal/peers"
+
+	"github.com/sirupsen/logrus"
+)
+
+// runPieces has pieces made, also if the VM that gathers them stops meanwhile.
+func (r *Relay) runPieces(ctx context.Context, j *job, pool shed.PoolID, pieces []shed.Piece) []shed.PieceResult {
+	out := uniformResults(len(pieces), shed.PieceMoved)
+	for ctx.Err() == nil {
+		var pending []int
+		var requested []shed.Piece
+		for i, res := range out {
+			if res.End == shed.PieceMoved {
+				pending, requested = append(pending, i), append(requested, pieces[i])
+			}
+		}
+		if len(pending) == 0 {
+			return out
+		}
+		results, vm := r.requestPieces(ctx, pool, requested)
+		r.recordCoordinator(j, results, vm)
+		for i, n := range pending {
+			out[n] = results[i]
+		}
+		if slices.ContainsFunc(results, func(res shed.PieceResult) bool { return res.End == shed.PieceMoved }) {
+			r.backOffPeer(vm)
+		}
+	}
+	return out
+}
+
+// requestPieces has pieces made by the servers of a pool, through the VM that
+// gathers them. If that VM doesn't answer, the next one does.
+func (r *Relay) requestPieces(ctx context.Context, pool shed.PoolID, pieces []shed.Piece) ([]shed.PieceResult, shed.VM) {
+	own := r.mesh.self.VM
+	for ctx.Err() == nil {
+		r.mu.Lock()
+		vm, ok := r.coordinator(time.Now(), pool)
+		client := r.client
+		r.mu.Unlock()
+		if !ok {
+			sleep(ctx, settlePoll)
+			continue
+		}
+		if vm == own {
+			return r.coordinatePieces(ctx, pool, pieces), own
+		}
+		answer, err := r.requestPeerPieces(ctx, client, vm, peers.PieceCall{Pool: pool, Pieces: pieces, Origin: pieces[0].Origin})
+		if err == nil {
+			r.receiveForecast(vm, answer.Wait)
+			return answer.Results, vm
+		}
+		if ctx.Err() != nil {
+			break
+		}
+		r.log.WithFields(logrus.Fields{"request": pieces[0].Request, "peer": vm, "pool": pool, "error": err.Error()}).
+			Info("peer that gathers pieces gives no answer")
+		r.backOffSilentPeers(vm)
+	}
+	return failedResults(len(pieces)), own
+}
+
+// requestPeerPieces calls a peer for pieces. The call ends sooner if the peer is found
+// silent by another one.
+func (r *Relay) requestPeerPieces(
+	ctx context.Context, client *peers.Client, vm shed.VM, call peers.PieceCall,
+) (peers.PieceAnswer, error) {
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	r.mu.Lock()
+	r.mesh.lastPieceCall++
+	id := r.mesh.lastPieceCall
+	if r.mesh.pieceCalls[vm] == nil {
+		r.mesh.pieceCalls[vm] = map[uint64]context.CancelFunc{}
+	}
+	r.mesh.pieceCalls[vm][id] = cancel
+	r.mu.Unlock()
+	defer func() {
+		r.mu.Lock()
+		defer r.mu.Unlock()
+		delete(r.mesh.pieceCalls[vm], id)
+	}()
+	return client.Pieces(ctx, vm, call)
+}
+
+// sleep waits for a time or the end of ctx.
+func sleep(ctx context.Context, d time.Duration) {
+	t := time.NewTimer(d)
+	defer t.Stop()
+	select {
+	case <-ctx.Done():
+	case <-t.C:
+	}
+}
+
+// recordCoordinator remembers through which VM results were made.
+func (r *Relay) recordCoordinator(j *job, results []shed.PieceResult, vm shed.VM) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if j.coordinators == nil {
+		j.coordinators = map[shed.ResultRef]shed.VM{}
+	}
+	for _, ref := range completeRefs(results) {
+		j.coordinators[ref] = vm
+	}
+}
+
+// releaseInputs gives the request's inputs up: its server has fetched them, or it
+// ended.
+func (r *Relay) releaseInputs(j *job) {
+	refs := j.inputs
+	j.inputs, j.inputsReady = nil, false
+	r.releaseResults(j, refs)
+}
+
+// releaseResults gives results up, through the VM that had them made: it counts the room
+// at their makers.
+func (r *Relay) releaseResults(j *job, refs []shed.ResultRef) {
+	if len(refs) == 0 {
+		return
+	}
+	now := time.Now()
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	byVM := make(map[shed.VM][]shed.ResultRef)
+	for _, ref := range refs {
+		vm := j.coordinators[ref]
+		byVM[vm] = append(byVM[vm], ref)
+	}
+	for vm, refs := range byVM {
+		if vm == r.mesh.self.VM {
+			r.performBatch(r.batcher.Handle(now, batch.Freed{Refs: refs}))
+			continue
+		}
+		r.client.Send(vm, shed.ResultsFreed{Refs: refs})
+	}
+}
--- a/internal/relay/poison.go
+++ b/internal/relay/poison.go
@@ -17,30 +17,30 @@
 )
 
 // trialTurns is how many VMs take turns in trying a request after its quarantine.
-const trialTurns = 4
+const trialCandidates = 4
 
 // closesWithin is how soon a connection to a server that has ended is closed, where it is
 // taken at all.
-const closesWithin = 30 * time.Millisecond
+const closeProbeTimeout = 30 * time.Millisecond
 
-// refuseSuspect refuses a request that crashes servers before anything is done for it.
-func (r *Relay) refuseSuspect(j *job) *refusal {
+// rejectSuspect refuses a request that crashes servers before anything is done for it.
+func (r *Relay) rejectSuspect(j *job) *refusal {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	_, no := r.suspicion(time.Now(), j)
-	return no
+	_, refused := r.checkSuspect(time.Now(), j)
+	return refused
 }
 
-// suspicion refuses a request that crashes servers, and tells whether one that may is to
+// checkSuspect refuses a request that crashes servers, and tells whether one that may is to
 // run apart from others. The caller holds mu.
-func (r *Relay) suspicion(now time.Time, j *job) (isolate bool, no *refusal) {
+func (r *Relay) checkSuspect(now time.Time, j *job) (isolate bool, refused *refusal) {
 	if j.trial || r.poison.Empty() {
 		return j.trial, nil
 	}
-	for _, f := range j.suspects() {
-		v := r.poison.Decide(now, f, func() int { return r.trialTurn(f) })
+	for _, f := range j.suspectFingerprints() {
+		v := r.poison.Decide(now, f, func() int { return r.trialRank(f) })
 		if v.Refused {
-			return false, r.known(j, &refusal{status: http.StatusServiceUnavailable, reason: reasonCrashes, after: v.After})
+			return false, r.adjustRefusal(j, &refusal{status: http.StatusServiceUnavailable, reason: reasonCrashes, retryAfter: v.After})
 		}
 		j.trial = j.trial || v.Trial
 		isolate = isolate || v.Isolate
@@ -48,11 +48,11 @@
 	return isolate, nil
 }
 
-// suspects are what may end servers: the request itself, and its pieces, until they are
+// suspectFingerprints are what may end servers: the request itself, and its pieces, until they are
 // made.
-func (j *job) suspects() []shed.Fingerprint {
+func (j *job) suspectFingerprints() []shed.Fingerprint {
 	out := []shed.Fingerprint{j.fingerprint}
-	if j.ready {
+	if j.inputsReady {
 		return out
 	}
 	for _, s := range j.route.Steps {
@@ -63,61 +63,61 @@
 	return out
 }
 
-// trialTurn is this VM's place among those that try a request after its quarantine.
-func (r *Relay) trialTurn(f shed.Fingerprint) int {
-	owners := rank.Owners(f.String(), append(r.alive(), r.mesh.self.VM), trialTurns)
+// trialRank is this VM's place among those that try a request after its quarantine.
+func (r *Relay) trialRank(f shed.Fingerprint) int {
+	owners := rank.Owners(f.String(), append(r.alivePeers(), r.mesh.self.VM), trialCandidates)
 	if at := slices.Index(owners, r.mesh.self.VM); at >= 0 {
 		return at
 	}
-	return trialTurns
+	return trialCandidates
 }
 
-// judgeRequest takes in what an attempt shows of the request: whether its server ended
+// assessAttempt takes in what an attempt shows of the request: whether its server ended
 // under it.
-func (r *Relay) judgeRequest(a *attempt, v outcome) {
+func (r *Relay) assessAttempt(a *attempt, v outcome) {
 	a.job.trial = a.job.trial && !v.sent
 	switch {
 	case v.done || a.status != 0 && v.reason == shed.ReasonServerError:
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		r.tellSuspects(r.poison.Ran(time.Now(), a.job.fingerprint))
-	case v.sent && a.failed && r.endedBy(a.err, a.choice.Server.Listing):
+		r.reportSuspects(r.poison.Ran(time.Now(), a.job.fingerprint))
+	case v.sent && a.serverFailed && r.isCrash(a.err, a.choice.Server.Listing):
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		r.endedUnder(a.job.ask.ID, shed.RequestRef{Request: a.job.fingerprint, Workspace: a.job.workspace}, a.choice.Server.Listing)
+		r.recordCrash(a.job.ask.ID, shed.RequestRef{Request: a.job.fingerprint, Workspace: a.job.workspace}, a.choice.Server.Listing)
 	}
 }
 
-// endedUnder notes that a server ended while it ran a request. The caller holds mu.
-func (r *Relay) endedUnder(id shed.RequestID, o shed.RequestRef, s shed.Listing) {
+// recordCrash notes that a server ended while it ran a request. The caller holds mu.
+func (r *Relay) recordCrash(id shed.RequestID, ref shed.RequestRef, s shed.Listing) {
 	r.stats.crashes.Inc(1)
-	r.log.WithFields(logrus.Fields{"request": id, "fingerprint": o.Request, "server": s.ID, "born": s.Born}).
+	r.log.WithFields(logrus.Fields{"request": id, "fingerprint": ref.Request, "server": s.ID, "born": s.Born}).
 		Info("server ended under a request")
-	r.tellSuspects(r.poison.Crashed(time.Now(), o.Request, o.Workspace, startOf(s)))
+	r.reportSuspects(r.poison.Crashed(time.Now(), ref.Request, ref.Workspace, startOf(s)))
 }
 
-// judgePieces takes in what a call for pieces shows of their requests. The caller holds
+// assessPieces takes in what a call for pieces shows of their requests. The caller holds
 // mu.
-func (r *Relay) judgePieces(a batch.Send, end batch.CallEnded) {
+func (r *Relay) assessPieces(a batch.Send, end batch.CallEnded) {
 	if !end.Crashed && (end.Results == nil || r.poison.Empty()) {
 		return
 	}
 	seen := map[shed.Fingerprint]bool{}
 	for _, p := range a.Pieces {
-		o := shed.RequestRef{Request: poison.InPool(p.Origin.Request, a.Server.Pool), Workspace: p.Origin.Workspace}
+		ref := shed.RequestRef{Request: poison.InPool(p.Origin.Request, a.Server.Pool), Workspace: p.Origin.Workspace}
 		switch {
-		case seen[o.Request]:
+		case seen[ref.Request]:
 		case end.Crashed:
-			r.endedUnder(p.Request, o, a.Server)
-		case r.poison.Suspects(o.Request):
-			r.tellSuspects(r.poison.Ran(time.Now(), o.Request))
+			r.recordCrash(p.Request, ref, a.Server)
+		case r.poison.Suspects(ref.Request):
+			r.reportSuspects(r.poison.Ran(time.Now(), ref.Request))
 		}
-		seen[o.Request] = true
+		seen[ref.Request] = true
 	}
 }
 
-// endedBy tells whether a connection broke since its server ended.
-func (r *Relay) endedBy(err error, s shed.Listing) bool {
+// isCrash tells whether a connection broke since its server ended.
+func (r *Relay) isCrash(err error, s shed.Listing) bool {
 	return closedByServer(err) && r.serverEnded(s)
 }
 
@@ -145,28 +145,28 @@
 	}
 	defer func() { _ = c.Close() }()
 	// Something in front of a server that has ended may take the connection, and close it.
-	if err := c.SetReadDeadline(time.Now().Add(closesWithin)); err != nil {
+	if err := c.SetReadDeadline(time.Now().Add(closeProbeTimeout)); err != nil {
 		return false
 	}
 	_, err = c.Read(make([]byte, 1))
 	return errors.Is(err, io.EOF)
 }
 
-// tellCrashes tells peers of requests that crash servers. The caller holds mu.
-func (r *Relay) tellCrashes(now time.Time) {
-	for _, t := range r.poison.Due(now, r.alive()) {
+// notifyCrashes tells peers of requests that crash servers. The caller holds mu.
+func (r *Relay) notifyCrashes(now time.Time) {
+	for _, t := range r.poison.Due(now, r.alivePeers()) {
 		r.client.SendAll(t.To, t.News)
 	}
 }
 
-// tellSuspects logs what is believed anew of requests that may crash servers, and tells
+// reportSuspects logs what is believed anew of requests that may crash servers, and tells
 // peers at once. The caller holds mu.
-func (r *Relay) tellSuspects(changes []poison.Change) {
+func (r *Relay) reportSuspects(changes []poison.Change) {
 	if len(changes) > 0 {
-		r.tellCrashes(time.Now())
+		r.notifyCrashes(time.Now())
 	}
 	for _, c := range changes {
-		r.stats.beliefs.Inc(1)
+		r.stats.stateChanges.Inc(1)
 		r.log.WithFields(logrus.Fields{
 			"reason": c.What, "fingerprint": c.Request, "workspace": c.Workspace, "crashes": c.Crashes, "for_ms": c.For.Milliseconds(),
 		}).Warn("suspect")
--- a/internal/relay/take.go
+++ b/internal/relay/receive.go
@@ -13,10 +13,10 @@
 	"jasmineshed/internal/roster"
 )
 
-// take reads a request and finds out what it is. Its body is read whole before
+// receiveRequest reads a request and finds out what it is. Its body is read whole before
 // anything is sent on: what is passed on is then always the whole request, and
 // can be sent to a second server.
-func (r *Relay) take(req *http.Request) (*job, *refusal) {
+func (r *Relay) receiveRequest(req *http.Request) (*job, *refusal) {
 	j := &job{began: time.Now(), answerTime: picker.FirstOverrun}
 	ask, err := r.cfg.Dialect.Ask(req)
 	if err != nil {
@@ -24,8 +24,8 @@
 		return j, &refusal{status: http.StatusBadRequest, reason: reasonBadHead}
 	}
 	j.ask = ask
-	if no := r.admit(j); no != nil {
-		return j, no
+	if refused := r.admit(j); refused != nil {
+		return j, refused
 	}
 	limit := r.bodyLimit()
 	if req.ContentLength > limit {
@@ -48,7 +48,7 @@
 	if c := r.roster.Catalog(); c != nil && c.Limits.BodyBytes > 0 {
 		return c.Limits.BodyBytes
 	}
-	return defaultBody
+	return defaultBodyBytes
 }
 
 // admit finds the request's route, workspace and time.
@@ -57,27 +57,27 @@
 	defer r.mu.Unlock()
 	c := r.roster.Catalog()
 	if !r.roster.Usable() {
-		return &refusal{status: http.StatusServiceUnavailable, reason: shed.ReasonNoConfig, after: accept.ComeBack}
+		return &refusal{status: http.StatusServiceUnavailable, reason: shed.ReasonNoConfig, retryAfter: accept.ComeBack}
 	}
 	j.version = c.Version
 	j.route = roster.Route(c, j.ask.Host, j.ask.Target)
 	if j.route == nil {
-		return r.final(http.StatusNotFound, reasonNoRoute)
+		return r.permanentRefusal(http.StatusNotFound, reasonNoRoute)
 	}
 	j.rank = j.route.Rank
 	if len(c.Keys) > 0 {
 		ws, ok := c.Keys[j.ask.Key]
 		if !ok && !j.route.Public {
-			return r.final(http.StatusUnauthorized, reasonBadKey)
+			return r.permanentRefusal(http.StatusUnauthorized, reasonBadKey)
 		}
 		j.workspace = ws
 		if rank, ok := c.Ranks[ws]; ok {
 			j.rank = rank
 		}
 	}
-	j.pool = c.Pools[r.share(j.route)]
+	j.pool = c.Pools[r.choosePool(j.route)]
 	if j.pool == nil {
-		return &refusal{status: http.StatusServiceUnavailable, reason: shed.ReasonNoServer, after: accept.ComeBack}
+		return &refusal{status: http.StatusServiceUnavailable, reason: shed.ReasonNoServer, retryAfter: accept.ComeBack}
 	}
 	wait := j.route.Timeout
 	if j.ask.Wait > 0 && (wait == 0 || j.ask.Wait < wait) {
@@ -87,24 +87,24 @@
 		wait = defaultTimeout
 	}
 	j.deadline = j.began.Add(wait)
-	j.aim = j.began.Add(min(j.route.Target, wait))
-	r.budget(j.pool.ID).Succeeded(j.began)
+	j.target = j.began.Add(min(j.route.Target, wait))
+	r.retryBudget(j.pool.ID).Succeeded(j.began)
 	return nil
 }
 
-// final refuses a request for good by what the configuration says. Callers don't come
+// permanentRefusal refuses a request for good by what the configuration says. Callers don't come
 // back after that, so a VM that knows of a newer configuration than its own doesn't say
 // it: the newer one may have the route or key. Nor does one whose configuration nobody
 // has confirmed. The caller holds mu.
-func (r *Relay) final(status int, reason shed.Reason) *refusal {
-	if !r.roster.Sure() || r.mesh.follow.Behind(r.roster.AsOf()) {
-		return &refusal{status: http.StatusServiceUnavailable, reason: reasonBehind, after: accept.ComeBack}
+func (r *Relay) permanentRefusal(status int, reason shed.Reason) *refusal {
+	if !r.roster.Sure() || r.mesh.follower.Behind(r.roster.AsOf()) {
+		return &refusal{status: http.StatusServiceUnavailable, reason: reasonStaleConfig, retryAfter: accept.ComeBack}
 	}
 	return &refusal{status: status, reason: reason}
 }
 
-// share picks a pool by the weights of the route's split, in turn.
-func (r *Relay) share(route *shed.Route) shed.PoolID {
+// choosePool picks a pool by the weights of the route's split, in turn.
+func (r *Relay) choosePool(route *shed.Route) shed.PoolID {
 	total := 0
 	for _, s := range route.Split {
 		total += s.Weight
@@ -112,9 +112,9 @@
 	if total == 0 {
 		return route.Split[0].Pool
 	}
-	r.turn++
+	r.splitCounter++
 	// A stride that is coprime to the usual total of 100 spreads the turns.
-	at := int(r.turn * 37 % uint64(total))
+	at := int(r.splitCounter * 37 % uint64(total))
 	for _, s := range route.Split {
 		if at < s.Weight {
 			return s.Pool
@@ -126,26 +126,26 @@
 
 // repeatShare is the part of the fleet's budget of repeats that is used: VMs
 // that start or are not seen yet have a share too.
-const repeatShare = 0.6
+const retryShare = 0.6
 
-// budget is this VM's share of the fleet's budget of repeats to a pool: over
+// retryBudget is this VM's share of the fleet's budget of repeats to a pool: over
 // any window, all VMs together stay below ratio x requests + slack.
 //
 // The share is worked out anew each time: a process that starts knows few VMs, and
 // would else keep a share of the slack that is many times too large, as would all
 // others that started with it.
-func (r *Relay) budget(pool shed.PoolID) *retry.Budget {
+func (r *Relay) retryBudget(pool shed.PoolID) *retry.Budget {
 	p := r.prefs.Load().Relay
-	slack := repeatShare * p.RepeatSlack / float64(r.fleetSize())
+	slack := retryShare * p.RepeatSlack / float64(r.fleetSize())
 	cfg := retry.Config{
-		Share: repeatShare * p.RepeatRatio,
+		Share: retryShare * p.RepeatRatio,
 		Burst: max(slack/2, 1),
 		Floor: slack / 2 / p.RepeatSpan.Seconds(),
 	}
-	b := r.repeats[pool]
+	b := r.retryBudgets[pool]
 	if b == nil {
 		b = retry.New(cfg)
-		r.repeats[pool] = b
+		r.retryBudgets[pool] = b
 	}
 	b.Set(cfg)
 	return b
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -70,22 +70,22 @@
 	sender *engine.Sender
 	client *peers.Client
 	// base is the context of work that belongs to no request.
-	base context.Context
-	halt context.CancelFunc
+	base       context.Context
+	cancelBase context.CancelFunc
 	// work holds the goroutines that perform actions.
 	work errgroup.Group
 
 	// prefs are the settings in force.
 	prefs    atomic.Pointer[prefs.Prefs]
 	stopping atomic.Bool
-	// hurried is closed once a stop is to hurry.
-	hurried   chan struct{}
-	hurryOnce sync.Once
+	// forced is closed once a stop is to hurry.
+	forced    chan struct{}
+	forceOnce sync.Once
 	// open counts requests being answered.
 	open atomic.Int64
 
-	// learning is held while something of the store is taken in. It is locked before mu.
-	learning sync.Mutex
+	// applyMu is held while something of the store is taken in. It is locked before mu.
+	applyMu sync.Mutex
 
 	// mu guards what follows: all decisions are taken under it, none of them
 	// blocks.
@@ -96,27 +96,27 @@
 	accept  *accept.Gate
 	poison  *poison.Table
 	limits  *limit.Table
-	// book are the turns that this VM lends, waits those that it was denied.
-	book    *turns.Book
-	waits   *turns.Waits
-	repeats map[shed.PoolID]*retry.Budget
-	group   *member.Group
-	mesh    mesh
-	packer  delta.Packer
-	jobs    map[batch.JobID]chan []shed.PieceResult
-	lastJob batch.JobID
-	// coming is how many pieces the requests here will ask of each pool once the
+	// turnBook are the turns that this VM lends, waits those that it was denied.
+	turnBook     *turns.Book
+	deniedTurns  *turns.Waits
+	retryBudgets map[shed.PoolID]*retry.Budget
+	group        *member.Group
+	mesh         mesh
+	packer       delta.Packer
+	jobs         map[batch.JobID]chan []shed.PieceResult
+	lastJob      batch.JobID
+	// expected is how many pieces the requests here will ask of each pool once the
 	// steps before are done; no entry is 0.
-	coming map[shed.PoolID]int
-	// freed are results to be given up, by the address of their maker; freeing
+	expected map[shed.PoolID]int
+	// pendingFrees are results to be given up, by the address of their maker; freeing
 	// counts the calls that tell a maker of some.
-	freed   map[string][]shed.ResultRef
-	freeing map[string]int
-	// forgotten: the store's history is gone, so all of it is to be read. Used by
+	pendingFrees map[string][]shed.ResultRef
+	activeFrees  map[string]int
+	// historyCompacted: the store's history is gone, so all of it is to be read. Used by
 	// followStore only.
-	forgotten bool
-	// turn counts requests, to share out splits of routes.
-	turn uint64
+	historyCompacted bool
+	// splitCounter counts requests, to share out splits of routes.
+	splitCounter uint64
 }
 
 // New puts a Relay together; Run runs it.
@@ -126,32 +126,32 @@
 	}
 	base, halt := context.WithCancel(context.Background())
 	r := &Relay{
-		cfg:     cfg,
-		log:     logrus.NewEntry(cfg.Log),
-		stats:   newStats(cfg.Metrics.Scope),
-		tracer:  cfg.Tracing.Tracer("jasmineshed/relay"),
-		sender:  engine.NewSender(engine.Config{Dial: cfg.Dial, ConnectTimeout: cfg.Prefs.Relay.Connect}),
-		base:    base,
-		hurried: make(chan struct{}),
-		halt:    halt,
-		roster:  roster.New(roster.Config{Heartbeat: cfg.Prefs.Relay.Heartbeat}),
-		accept:  accept.New(),
-		limits:  limit.New(),
-		book:    turns.NewBook(),
-		waits:   turns.NewWaits(),
-		picker:  picker.New(picker.Config{Zone: shed.ZoneID(cfg.Prefs.Node.Zone)}),
-		repeats: map[shed.PoolID]*retry.Budget{},
-		jobs:    map[batch.JobID]chan []shed.PieceResult{},
-		coming:  map[shed.PoolID]int{},
-		freed:   map[string][]shed.ResultRef{},
-		freeing: map[string]int{},
+		cfg:          cfg,
+		log:          logrus.NewEntry(cfg.Log),
+		stats:        newStats(cfg.Metrics.Scope),
+		tracer:       cfg.Tracing.Tracer("jasmineshed/relay"),
+		sender:       engine.NewSender(engine.Config{Dial: cfg.Dial, ConnectTimeout: cfg.Prefs.Relay.Connect}),
+		base:         base,
+		forced:       make(chan struct{}),
+		cancelBase:   halt,
+		roster:       roster.New(roster.Config{Heartbeat: cfg.Prefs.Relay.Heartbeat}),
+		accept:       accept.New(),
+		limits:       limit.New(),
+		turnBook:     turns.NewBook(),
+		deniedTurns:  turns.NewWaits(),
+		picker:       picker.New(picker.Config{Zone: shed.ZoneID(cfg.Prefs.Node.Zone)}),
+		retryBudgets: map[shed.PoolID]*retry.Budget{},
+		jobs:         map[batch.JobID]chan []shed.PieceResult{},
+		expected:     map[shed.PoolID]int{},
+		pendingFrees: map[string][]shed.ResultRef{},
+		activeFrees:  map[string]int{},
 	}
 	r.prefs.Store(cfg.Prefs)
 	r.front = httpd.New(httpd.Config{
 		Name: "callers", Listener: cfg.Listeners.Callers, Handler: http.HandlerFunc(r.serve),
 		Limits: cfg.Prefs.Limits, Drain: stopSlack, Log: r.log,
 	})
-	r.batcher = batch.New(r.listings)
+	r.batcher = batch.New(r.serverEntries)
 	r.startMesh()
 	r.poison = poison.New(poison.Config{
 		Self: r.mesh.self.VM, Limit: cfg.Prefs.Relay.CrashLimit, Quarantine: cfg.Prefs.Relay.Quarantine,
@@ -159,8 +159,8 @@
 	return r
 }
 
-// listings gives batch the servers of a pool.
-func (r *Relay) listings(pool shed.PoolID) []shed.Listing {
+// serverEntries gives batch the servers of a pool.
+func (r *Relay) serverEntries(pool shed.PoolID) []shed.Listing {
 	open := r.roster.Open(pool)
 	out := make([]shed.Listing, len(open))
 	for i, s := range open {
@@ -191,7 +191,7 @@
 		"seeds": r.prefs.Load().Node.Seeds,
 	}).Info("relay starts")
 	err := top.Serve(ctx)
-	r.halt()
+	r.cancelBase()
 	_ = r.work.Wait()
 	_ = r.client.Close()
 	r.sender.Close()
@@ -229,20 +229,20 @@
 			Log: func(err error) { r.log.WithError(err).Debug("peer connection ended") },
 		}),
 		oper.New(oper.Config{
-			Listener: l.Operators, Status: r, Explainer: nothingKept{},
+			Listener: l.Operators, Status: r, Explainer: noExplainer{},
 			Metrics: r.cfg.Metrics.Handler, Limits: p.Limits, Profile: p.Listen.Profile, Log: r.log,
 		}),
 		service{"store", r.followStore},
-		service{"tick", r.tickAlways},
+		service{"tick", r.runTicks},
 		service{"settings", r.followSettings},
 	}
 }
 
-// nothingKept answers operators that ask for a request: the log tells.
-type nothingKept struct{}
+// noExplainer answers operators that ask for a request: the log tells.
+type noExplainer struct{}
 
 // Explain implements oper.Explainer.
-func (nothingKept) Explain(shed.RequestID) (any, bool) { return nil, false }
+func (noExplainer) Explain(shed.RequestID) (any, bool) { return nil, false }
 
 // serveReady answers the balancer.
 func (r *Relay) serveReady(w http.ResponseWriter, _ *http.Request) {
@@ -265,7 +265,7 @@
 // tickEvery is the period of the pure packages' ticks.
 const tickEvery = shed.TickEvery
 
-func (r *Relay) tickAlways(ctx context.Context) error {
+func (r *Relay) runTicks(ctx context.Context) error {
 	t := time.NewTicker(tickEvery)
 	defer t.Stop()
 	start := time.Now()
@@ -282,7 +282,7 @@
 func (r *Relay) tick(now, start time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.tellChanges(r.roster.Tick(now))
-	r.perform(r.batcher.Handle(now, batch.Tick{}))
+	r.logRosterChanges(r.roster.Tick(now))
+	r.performBatch(r.batcher.Handle(now, batch.Tick{}))
 	r.tickMesh(now, start)
 }
--- a/internal/relay/send.go
+++ b/internal/relay/send.go
@@ -22,10 +22,10 @@
 	// maxAnswer bounds an answer that is no stream, in bytes; it is held whole
 	// before it is passed on.
 	maxAnswer = 16 << 20
-	// sendWithin is the longest that a decision to send may be old when the
+	// maxDecisionAge is the longest that a decision to send may be old when the
 	// first byte leaves: after it, the process was paused, and what it knew of
 	// the server may no longer hold.
-	sendWithin = time.Second
+	maxDecisionAge = time.Second
 )
 
 // outcome is how one attempt ended.
@@ -60,21 +60,21 @@
 	if v.sent {
 		j.sends++
 	}
-	r.judgeRequest(a, v)
+	r.assessAttempt(a, v)
 	j.mayHaveRun = j.mayHaveRun || v.mayHaveRun
 	end := picker.End{
-		Failed: a.failed, Unreached: a.failed && !v.sent && timedOut(a.err), Forgotten: ctx.Err() != nil && !a.failed,
+		Failed: a.serverFailed, Unreached: a.serverFailed && !v.sent && timedOut(a.err), Forgotten: ctx.Err() != nil && !a.serverFailed,
 	}
 	if v.done && !j.route.Streaming {
 		end.Took = time.Since(began)
 	}
 	r.mu.Lock()
-	a.hasBegun()
+	a.markBegun()
 	r.picker.Ended(time.Now(), choice, end)
 	r.mu.Unlock()
 	if !v.done {
 		j.avoid = append(j.avoid, choice.Server.ID)
-		r.stats.attemptFailed(v.reason)
+		r.stats.recordAttemptFailure(v.reason)
 		r.log.WithFields(logrus.Fields{
 			"request": j.ask.ID, "server": choice.Server.ID, "zone": choice.Server.Zone, "reason": v.reason,
 			"sent": v.sent, "may_have_run": v.mayHaveRun, "attempt": j.sends, "status": a.status,
@@ -105,10 +105,10 @@
 	begun bool
 	// silent: the attempt was ended since no event came.
 	silent atomic.Bool
-	// failed: the server is to blame.
-	failed bool
-	status int
-	err    error
+	// serverFailed: the server is to blame.
+	serverFailed bool
+	status       int
+	err          error
 }
 
 func (a *attempt) run(ctx context.Context) outcome {
@@ -137,62 +137,62 @@
 		req.Body = http.NoBody
 	}
 	once := !j.route.Repeatable && !j.route.Resumable
-	resp, sent, err := a.relay.sender.Do(req.WithContext(ctx), once, a.began.Add(sendWithin))
+	resp, sent, err := a.relay.sender.Do(req.WithContext(ctx), once, a.began.Add(maxDecisionAge))
 	if err != nil {
-		a.err, a.failed = err, ctx.Err() == nil
+		a.err, a.serverFailed = err, ctx.Err() == nil
 		if !sent {
 			return outcome{reason: reasonNotSent}
 		}
 		return outcome{sent: true, mayHaveRun: true, reason: shed.ReasonBroken}
 	}
 	defer func() { _ = resp.Body.Close() }()
-	return a.answer(ctx, resp)
+	return a.handleAnswer(ctx, resp)
 }
 
-// answer looks at the head of an answer and passes it on.
-func (a *attempt) answer(ctx context.Context, resp *http.Response) outcome {
+// handleAnswer looks at the head of an answer and passes it on.
+func (a *attempt) handleAnswer(ctx context.Context, resp *http.Response) outcome {
 	j := a.job
 	a.status = resp.StatusCode
 	reply := a.relay.cfg.Dialect.Reply(resp)
 	if reply.ID != j.ask.ID {
 		// A second answer to an earlier request on this connection, or bytes
 		// that are no answer: they belong to nobody.
-		a.failed = true
+		a.serverFailed = true
 		return outcome{sent: true, mayHaveRun: true, reason: reasonOtherAnswer}
 	}
-	a.relay.heardLimit(a.choice.Server.Listing, reply)
+	a.relay.receiveAnswerLimit(a.choice.Server.Listing, reply)
 	if reply.Cold > 0 {
 		a.relay.mu.Lock()
 		a.relay.roster.TurnedCold(time.Now(), a.choice.Server.ID, reply.Cold)
 		a.relay.mu.Unlock()
 	}
 	if reply.NotRun {
-		a.failed = reply.OtherServer
+		a.serverFailed = reply.OtherServer
 		reason := reasonServerFull
 		switch {
 		case reply.OtherServer:
 			reason = shed.ReasonServerLeaving
 		case reply.InputsGone:
 			reason = reasonInputsGone
-			a.relay.giveUp(j)
+			a.relay.releaseInputs(j)
 		}
 		return outcome{sent: true, reason: reason}
 	}
 	if !reply.Sealed {
-		a.failed = true
+		a.serverFailed = true
 		return outcome{sent: true, mayHaveRun: true, reason: reasonUnsealed}
 	}
 	if j.route.Streaming && resp.StatusCode == http.StatusOK {
 		return a.stream(ctx, resp)
 	}
-	return a.whole(ctx, resp)
+	return a.forwardWhole(ctx, resp)
 }
 
-// whole passes on an answer that is no stream, once it is all here.
-func (a *attempt) whole(ctx context.Context, resp *http.Response) outcome {
+// forwardWhole passes on an answer that is no stream, once it is all here.
+func (a *attempt) forwardWhole(ctx context.Context, resp *http.Response) outcome {
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer+1))
 	if err != nil || len(body) > maxAnswer {
-		a.err, a.failed = err, ctx.Err() == nil
+		a.err, a.serverFailed = err, ctx.Err() == nil
 		return outcome{sent: true, mayHaveRun: true, reason: shed.ReasonBroken}
 	}
 	if a.out.started {
@@ -200,11 +200,11 @@
 		return outcome{sent: true, mayHaveRun: true, reason: shed.ReasonServerError}
 	}
 	if resp.StatusCode >= http.StatusInternalServerError && a.job.route.Repeatable && a.job.sends+1 < a.job.route.MostSends &&
-		a.relay.othersOpen(a.job, a.choice) {
-		a.failed = true
+		a.relay.hasOtherServer(a.job, a.choice) {
+		a.serverFailed = true
 		return outcome{sent: true, mayHaveRun: true, reason: shed.ReasonServerError}
 	}
-	copyHead(a.out.w.Header(), resp.Header)
+	copyHeader(a.out.w.Header(), resp.Header)
 	a.out.w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	a.out.started = true
 	a.out.w.WriteHeader(resp.StatusCode)
@@ -215,21 +215,21 @@
 	return outcome{done: true, sent: true, mayHaveRun: true}
 }
 
-// othersOpen tells whether another server could try.
-func (r *Relay) othersOpen(j *job, c picker.Choice) bool {
+// hasOtherServer tells whether another server could try.
+func (r *Relay) hasOtherServer(j *job, c picker.Choice) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, s := range r.roster.Open(j.pool.ID) {
 		if s.ID != c.Server.ID && !slices.Contains(j.avoid, s.ID) {
-			return r.budget(j.pool.ID).Left(time.Now()) > 0
+			return r.retryBudget(j.pool.ID).Left(time.Now()) > 0
 		}
 	}
 	return false
 }
 
-// copyHead passes the head of an answer on. What net/http would add by itself
+// copyHeader passes the head of an answer on. What net/http would add by itself
 // is kept out.
-func copyHead(to, from http.Header) {
+func copyHeader(to, from http.Header) {
 	for name, values := range from {
 		if !slices.Contains(shed.HopHeaders, name) {
 			to[name] = values
@@ -242,9 +242,9 @@
 	}
 }
 
-// hasBegun tells the picker, once, that the prompt is read or given up. The
+// markBegun tells the picker, once, that the prompt is read or given up. The
 // caller holds mu.
-func (a *attempt) hasBegun() {
+func (a *attempt) markBegun() {
 	if !a.begun {
 		a.begun = true
 		a.relay.picker.Began(a.choice)
--- a/internal/relay/serve.go
+++ b/internal/relay/serve.go
@@ -16,8 +16,8 @@
 const (
 	// defaultTimeout bounds a request whose route and caller name no time.
 	defaultTimeout = 30 * time.Second
-	// defaultBody bounds a body if the configuration doesn't, in bytes.
-	defaultBody = 4 << 20
+	// defaultBodyBytes bounds a body if the configuration doesn't, in bytes.
+	defaultBodyBytes = 4 << 20
 	// answerSlack is kept of a caller's time for the answer's way back.
 	answerSlack = 30 * time.Millisecond
 )
@@ -32,62 +32,62 @@
 	version   string
 	body      []byte
 	began     time.Time
-	// aim is when the answer should, deadline when it must be there.
-	aim, deadline time.Time
+	// target is when the answer should, deadline when it must be there.
+	target, deadline time.Time
 
 	// sends counts the servers that the request was sent to, mayHaveRun tells
 	// whether one of them may have run it.
 	sends      int
 	mayHaveRun bool
 	avoid      []shed.ServerID
-	// ready: the request's pieces are made, and not given up yet; inputs are
+	// inputsReady: the request's pieces are made, and not given up yet; inputs are
 	// the results that it needs, zone is where they lie.
-	ready  bool
-	inputs []shed.ResultRef
-	// gatherers tells through which VM each result was made: it counts the room
+	inputsReady bool
+	inputs      []shed.ResultRef
+	// coordinators tells through which VM each result was made: it counts the room
 	// at the makers, so it has to hear when the result is given up. Guarded by
 	// Relay.mu.
-	gatherers map[shed.ResultRef]shed.VM
-	zone      shed.ZoneID
-	heavy     bool
-	// coming are the pieces of steps that have not begun, by pool. Guarded by
+	coordinators map[shed.ResultRef]shed.VM
+	zone         shed.ZoneID
+	largeInputs  bool
+	// expected are the pieces of steps that have not begun, by pool. Guarded by
 	// Relay.mu.
-	coming map[shed.PoolID]int
+	expected map[shed.PoolID]int
 	// answerTime is what its server is foreseen to take to the first event.
 	answerTime time.Duration
-	// foreseen is when the answer was foreseen when it was let in, for the log.
-	foreseen time.Duration
+	// predicted is when the answer was foreseen when it was let in, for the log.
+	predicted time.Duration
 
 	fingerprint shed.Fingerprint
 	// trial: the request may crash its server, and is sent once to see.
 	trial bool
 
 	// what the log tells of it
-	server    shed.ServerID
-	firstByte time.Duration
-	prepared  time.Duration
-	events    int
+	server      shed.ServerID
+	firstByte   time.Duration
+	prepareTime time.Duration
+	events      int
 }
 
 // Reasons of the relay's own answers, beside those of the root package.
 const (
-	reasonBadHead     shed.Reason = "bad_request_head"
-	reasonNoRoute     shed.Reason = "no_route"
-	reasonBadKey      shed.Reason = "unknown_key"
-	reasonBehind      shed.Reason = "configuration_behind"
-	reasonBodyTooBig  shed.Reason = "body_too_big"
-	reasonBodyBroken  shed.Reason = "body_broken_off"
-	reasonPiecesLate  shed.Reason = "pieces_would_be_late"
-	reasonPiecesNone  shed.Reason = "pieces_not_made"
-	reasonInputsGone  shed.Reason = "inputs_gone"
-	reasonUnsealed    shed.Reason = "answer_not_sealed"
-	reasonOtherAnswer shed.Reason = "answer_to_another_request"
-	reasonServerFull  shed.Reason = "server_full"
-	reasonNotSent     shed.Reason = "not_sent"
-	reasonUnreachable shed.Reason = "servers_unreachable"
-	reasonCrashes     shed.Reason = "request_crashes_servers"
-	reasonNoTurn      shed.Reason = "servers_limited"
-	reasonServed      shed.Reason = "served"
+	reasonBadHead       shed.Reason = "bad_request_head"
+	reasonNoRoute       shed.Reason = "no_route"
+	reasonBadKey        shed.Reason = "unknown_key"
+	reasonStaleConfig   shed.Reason = "configuration_behind"
+	reasonBodyTooBig    shed.Reason = "body_too_big"
+	reasonBodyBroken    shed.Reason = "body_broken_off"
+	reasonPiecesLate    shed.Reason = "pieces_would_be_late"
+	reasonPiecesNotMade shed.Reason = "pieces_not_made"
+	reasonInputsGone    shed.Reason = "inputs_gone"
+	reasonUnsealed      shed.Reason = "answer_not_sealed"
+	reasonOtherAnswer   shed.Reason = "answer_to_another_request"
+	reasonServerFull    shed.Reason = "server_full"
+	reasonNotSent       shed.Reason = "not_sent"
+	reasonUnreachable   shed.Reason = "servers_unreachable"
+	reasonCrashes       shed.Reason = "request_crashes_servers"
+	reasonNoTurn        shed.Reason = "servers_limited"
+	reasonServed        shed.Reason = "served"
 )
 
 // serve answers one caller.
@@ -99,53 +99,53 @@
 	if r.stopping.Load() {
 		w.Header().Set("Connection", "close")
 	}
-	j, no := r.take(req)
-	if no == nil {
+	j, refused := r.receiveRequest(req)
+	if refused == nil {
 		span.SetAttributes(attribute.String("request", string(j.ask.ID)))
-		no = r.run(ctx, w, j)
+		refused = r.run(ctx, w, j)
 	}
-	r.finish(ctx, w, j, no)
+	r.finish(ctx, w, j, refused)
 }
 
 // run serves the request; a refusal is its final answer if nothing was written.
 func (r *Relay) run(ctx context.Context, w http.ResponseWriter, j *job) *refusal {
 	ctx, cancel := context.WithDeadline(ctx, j.deadline)
 	defer cancel()
-	defer r.giveUp(j)
+	defer r.releaseInputs(j)
 	out := &output{w: w, control: http.NewResponseController(w)}
 	for {
-		if no := r.refuseSuspect(j); no != nil {
-			return r.given(out, no)
+		if refused := r.rejectSuspect(j); refused != nil {
+			return r.finalRefusal(out, refused)
 		}
-		if len(j.route.Steps) > 0 && !j.ready {
-			if no := r.prepare(ctx, j); no != nil {
-				return r.given(out, r.known(j, no))
+		if len(j.route.Steps) > 0 && !j.inputsReady {
+			if refused := r.prepare(ctx, j); refused != nil {
+				return r.finalRefusal(out, r.adjustRefusal(j, refused))
 			}
-			j.ready, j.prepared = true, time.Since(j.began)
+			j.inputsReady, j.prepareTime = true, time.Since(j.began)
 		}
-		choice, no := r.choose(ctx, j)
-		if no != nil {
-			return r.given(out, no)
+		choice, refused := r.choose(ctx, j)
+		if refused != nil {
+			return r.finalRefusal(out, refused)
 		}
 		v := r.attempt(ctx, out, j, choice)
 		if v.done {
 			return nil
 		}
-		if ctx.Err() != nil || !r.mayRepeat(j, v) {
-			return r.given(out, r.verdict(ctx, j, v))
+		if ctx.Err() != nil || !r.canRetry(j, v) {
+			return r.finalRefusal(out, r.refusalFor(ctx, j, v))
 		}
 	}
 }
 
-// mayRepeat tells whether the request may be sent to another server after v.
-func (r *Relay) mayRepeat(j *job, v outcome) bool {
+// canRetry tells whether the request may be sent to another server after v.
+func (r *Relay) canRetry(j *job, v outcome) bool {
 	if v.sent && j.sends >= j.route.MostSends {
 		return false
 	}
 	if v.mayHaveRun && !j.route.Repeatable && !j.route.Resumable {
 		return false
 	}
-	if len(j.avoid) > maxTries {
+	if len(j.avoid) > maxServersTried {
 		return false
 	}
 	if !v.sent {
@@ -153,39 +153,39 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.budget(j.pool.ID).Take(time.Now())
+	return r.retryBudget(j.pool.ID).Take(time.Now())
 }
 
 // maxTries bounds the servers tried, also those that could not be reached.
-const maxTries = 6
+const maxServersTried = 6
 
 // turnPatience is how long a request waits for a turn at a server when none takes it
 // without.
-const turnPatience = 400 * time.Millisecond
+const maxTurnWait = 400 * time.Millisecond
 
 // choose picks the server for the next attempt.
 func (r *Relay) choose(ctx context.Context, j *job) (picker.Choice, *refusal) {
-	var patience time.Duration
+	var maxWait time.Duration
 	var denied map[shed.ServerID]bool
 	for {
-		choice, no := r.pick(j, denied, patience)
+		choice, refused := r.pick(j, denied, maxWait)
 		switch {
-		case no != nil:
-			return choice, no
+		case refused != nil:
+			return choice, refused
 		case choice.Server == nil && choice.Away > 0:
-			return choice, r.unreachable(ctx, j, choice.Away)
-		case choice.Server == nil && choice.Held && patience == 0:
-			patience = max(min(turnPatience, time.Until(j.deadline)/2), time.Millisecond)
+			return choice, r.refuseUnreachable(ctx, j, choice.Away)
+		case choice.Server == nil && choice.Held && maxWait == 0:
+			maxWait = max(min(maxTurnWait, time.Until(j.deadline)/2), time.Millisecond)
 			denied = nil
 		case choice.Server == nil:
 			reason := shed.ReasonNoServer
 			if choice.Held {
 				reason = reasonNoTurn
 			}
-			return choice, r.verdict(ctx, j, outcome{reason: reason})
+			return choice, r.refusalFor(ctx, j, outcome{reason: reason})
 		case !choice.ByTurn:
 			return choice, nil
-		case !r.takeTurn(ctx, j.pool, choice.Server, patience):
+		case !r.takeTurn(ctx, j.pool, choice.Server, maxWait):
 			if denied == nil {
 				denied = map[shed.ServerID]bool{}
 			}
@@ -197,16 +197,16 @@
 }
 
 // pick picks a server, and places the request there unless it needs a turn first.
-func (r *Relay) pick(j *job, denied map[shed.ServerID]bool, patience time.Duration) (picker.Choice, *refusal) {
+func (r *Relay) pick(j *job, denied map[shed.ServerID]bool, maxWait time.Duration) (picker.Choice, *refusal) {
 	now := time.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	isolate, no := r.suspicion(now, j)
-	if no != nil {
-		return picker.Choice{}, no
+	isolate, refused := r.checkSuspect(now, j)
+	if refused != nil {
+		return picker.Choice{}, refused
 	}
-	want := r.want(j)
-	want.Isolate, want.Access = isolate, r.access(now, j.pool, denied, patience)
+	want := r.wantFor(j)
+	want.Isolate, want.Access = isolate, r.serverAccess(now, j.pool, denied, maxWait)
 	servers := r.roster.Open(j.pool.ID)
 	choice := r.picker.Pick(now, want, servers)
 	if choice.Server == nil && len(j.avoid) > 0 && !choice.Held {
@@ -216,7 +216,7 @@
 	}
 	if choice.Server != nil && !choice.ByTurn {
 		r.picker.Placed(now, want, choice)
-		r.notePlaced(j, choice)
+		r.recordPlacement(j, choice)
 	}
 	return choice, nil
 }
@@ -228,39 +228,39 @@
 	if !slices.Contains(r.roster.Open(j.pool.ID), choice.Server) {
 		return false
 	}
-	r.picker.Placed(time.Now(), r.want(j), choice)
-	r.notePlaced(j, choice)
+	r.picker.Placed(time.Now(), r.wantFor(j), choice)
+	r.recordPlacement(j, choice)
 	return true
 }
 
-// unreachable refuses a request that no server can be reached for; one may be tried
+// refuseUnreachable refuses a request that no server can be reached for; one may be tried
 // again after a while.
-func (r *Relay) unreachable(ctx context.Context, j *job, away time.Duration) *refusal {
-	no := r.verdict(ctx, j, outcome{reason: reasonUnreachable})
-	if no.after > 0 {
-		no.after = max(no.after, away)
+func (r *Relay) refuseUnreachable(ctx context.Context, j *job, retryAfter time.Duration) *refusal {
+	refused := r.refusalFor(ctx, j, outcome{reason: reasonUnreachable})
+	if refused.retryAfter > 0 {
+		refused.retryAfter = max(refused.retryAfter, retryAfter)
 	}
-	return no
+	return refused
 }
 
 // zoneCost is what it costs in the choice to fetch a heavy result from another
 // zone: far less than to read a large shared prefix again.
-const zoneCost = 25 * time.Millisecond
+const crossZoneCost = 25 * time.Millisecond
 
-func (r *Relay) want(j *job) picker.Want {
+func (r *Relay) wantFor(j *job) picker.Want {
 	w := picker.Want{
 		Prompt: j.ask.Prompt, Input: j.ask.Input, Engine: j.pool.Engine != nil, Avoid: j.avoid,
 	}
 	if j.pool.Engine != nil && r.prefs.Load().Relay.Has(prefs.KVFetch) {
 		w.FetchRate = j.pool.Engine.FetchRate
 	}
-	if j.heavy {
-		w.Zone, w.ZoneCost = j.zone, time.Duration(max(len(j.inputs), 1))*zoneCost
+	if j.largeInputs {
+		w.Zone, w.ZoneCost = j.zone, time.Duration(max(len(j.inputs), 1))*crossZoneCost
 	}
 	return w
 }
 
-func (r *Relay) notePlaced(j *job, c picker.Choice) {
+func (r *Relay) recordPlacement(j *job, c picker.Choice) {
 	if j.pool.Engine == nil {
 		return
 	}
--- a/internal/relay/status.go
+++ b/internal/relay/status.go
@@ -15,7 +15,7 @@
 	out := Status{
 		VM: r.mesh.self.VM, Zone: shed.ZoneID(r.prefs.Load().Node.Zone), Ready: ready,
 		Stopping: r.stopping.Load(), Open: r.open.Load(), AsOf: r.roster.AsOf(),
-		Peers: r.alive(), Servers: r.picker.Shares(), Gathers: map[shed.PoolID]int{},
+		Peers: r.alivePeers(), Servers: r.picker.Shares(), Gathers: map[shed.PoolID]int{},
 	}
 	if c := r.roster.Catalog(); c != nil {
 		out.Version = c.Version
--- a/internal/relay/steps.go
+++ b/internal/relay/steps.go
@@ -17,32 +17,32 @@
 )
 
 const (
-	// heavyBytes is the size from which results are kept within a zone.
-	heavyBytes = 500_000
+	// largeResultBytes is the size from which results are kept within a zone.
+	largeResultBytes = 500_000
 )
 
 // prepare has all pieces of the request made, and sets its inputs.
 func (r *Relay) prepare(ctx context.Context, j *job) *refusal {
-	p := planOf(j)
+	p := newPlan(j)
 	if len(p.steps) == 0 {
 		return nil
 	}
-	ask, away := r.plan(j, p)
-	if away > 0 {
-		return r.unreachable(ctx, j, away)
+	ask, retryAfter := r.estimate(j, p)
+	if retryAfter > 0 {
+		return r.refuseUnreachable(ctx, j, retryAfter)
 	}
 	if j.sends == 0 {
-		if no := r.admitSteps(j, ask); no != nil {
-			return no
+		if refused := r.admitSteps(j, ask); refused != nil {
+			return refused
 		}
 	}
-	r.comes(j, p)
-	defer r.comesNot(j)
-	err := r.makeAll(ctx, j, p)
+	r.addExpectedPieces(j, p)
+	defer r.clearExpectedPieces(j)
+	err := r.runSteps(ctx, j, p)
 	var end stepError
-	if errors.As(err, &end) && end.end == shed.PieceInputsGone && time.Now().Before(j.aim) {
+	if errors.As(err, &end) && end.end == shed.PieceInputsGone && time.Now().Before(j.target) {
 		// A server left or died with the results; there is time to make them anew.
-		err = r.makeAll(ctx, j, p)
+		err = r.runSteps(ctx, j, p)
 	}
 	if err == nil {
 		return nil
@@ -50,16 +50,16 @@
 	return r.stepRefusal(ctx, j, err)
 }
 
-// makeAll has the pieces of all steps made, each step as soon as those that it
+// runSteps has the pieces of all steps made, each step as soon as those that it
 // needs are done.
-func (r *Relay) makeAll(ctx context.Context, j *job, p plan) error {
-	made := make([][]shed.ResultRef, len(p.steps))
+func (r *Relay) runSteps(ctx context.Context, j *job, p plan) error {
+	results := make([][]shed.ResultRef, len(p.steps))
 	done := make([]chan struct{}, len(p.steps))
 	for i := range done {
 		done[i] = make(chan struct{})
 	}
-	uses := newUses(p)
-	awaits := r.awaits(p)
+	uses := newUseCounts(p)
+	awaits := r.prerequisites(p)
 	g, ctx := errgroup.WithContext(ctx)
 	for i := range p.steps {
 		g.Go(func() error {
@@ -71,22 +71,22 @@
 				}
 			}
 			var err error
-			made[i], err = r.step(ctx, j, p, i, made)
+			results[i], err = r.runStep(ctx, j, p, i, results)
 			if err != nil {
 				return err
 			}
 			close(done[i])
-			r.free(j, uses.over(p, i, made))
+			r.releaseResults(j, uses.release(p, i, results))
 			return nil
 		})
 	}
 	err := g.Wait()
-	r.sortResults(j, p, made, err != nil)
+	r.assignResults(j, p, results, err != nil)
 	return err
 }
 
-// awaits are the steps that are to be done before each step begins.
-func (r *Relay) awaits(p plan) [][]int {
+// prerequisites are the steps that are to be done before each step begins.
+func (r *Relay) prerequisites(p plan) [][]int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	c := r.chain(time.Now(), p)
@@ -101,39 +101,39 @@
 	return out
 }
 
-// uses counts the steps that still need the results of each step.
-type uses struct {
-	mu   sync.Mutex
-	left []int
+// useCounts counts the steps that still need the results of each step.
+type useCounts struct {
+	mu        sync.Mutex
+	remaining []int
 }
 
-func newUses(p plan) *uses {
-	u := &uses{left: make([]int, len(p.steps))}
+func newUseCounts(p plan) *useCounts {
+	u := &useCounts{remaining: make([]int, len(p.steps))}
 	for _, s := range p.steps {
 		for _, before := range s.After {
-			if at := p.at(before); at >= 0 {
-				u.left[at]++
+			if at := p.stepIndex(before); at >= 0 {
+				u.remaining[at]++
 			}
 		}
 	}
 	return u
 }
 
-// over returns the results that nobody needs any more now that a step is done,
+// release returns the results that nobody needs any more now that a step is done,
 // and takes them out of made. Servers have room for few results: kept until all
 // steps were done, they held up the steps of other requests.
-func (u *uses) over(p plan, done int, made [][]shed.ResultRef) []shed.ResultRef {
+func (u *useCounts) release(p plan, done int, results [][]shed.ResultRef) []shed.ResultRef {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	var out []shed.ResultRef
 	for _, before := range p.steps[done].After {
-		at := p.at(before)
+		at := p.stepIndex(before)
 		if at < 0 {
 			continue
 		}
-		if u.left[at]--; u.left[at] == 0 {
-			out = append(out, made[at]...)
-			made[at] = nil
+		if u.remaining[at]--; u.remaining[at] == 0 {
+			out = append(out, results[at]...)
+			results[at] = nil
 		}
 	}
 	return out
@@ -142,11 +142,11 @@
 // admitSteps refuses at once what would be late.
 func (r *Relay) admitSteps(j *job, ask accept.Ask) *refusal {
 	now := time.Now()
-	ask.ToAim, ask.ToEnd = j.aim.Sub(now), j.deadline.Sub(now)
+	ask.ToAim, ask.ToEnd = j.target.Sub(now), j.deadline.Sub(now)
 	r.mu.Lock()
 	v := r.accept.Decide(ask)
 	r.mu.Unlock()
-	j.foreseen = ask.Timely + ask.Answer
+	j.predicted = ask.Timely + ask.Answer
 	if v.LetIn {
 		return nil
 	}
@@ -156,46 +156,46 @@
 		"urgent_ranks": ask.Ranks, "to_aim_ms": ask.ToAim.Milliseconds(), "to_end_ms": ask.ToEnd.Milliseconds(),
 		"after_ms": v.After.Milliseconds(),
 	}).Info("pieces would be late")
-	return &refusal{status: http.StatusServiceUnavailable, reason: reasonPiecesLate, after: v.After}
+	return &refusal{status: http.StatusServiceUnavailable, reason: reasonPiecesLate, retryAfter: v.After}
 }
 
-// sortResults keeps the results that the request itself needs, and gives the
+// assignResults keeps the results that the request itself needs, and gives the
 // others up.
-func (r *Relay) sortResults(j *job, p plan, made [][]shed.ResultRef, all bool) {
-	var give []shed.ResultRef
-	for i, refs := range made {
-		if all || !p.last(i) {
-			give = append(give, refs...)
+func (r *Relay) assignResults(j *job, p plan, results [][]shed.ResultRef, discardAll bool) {
+	var unused []shed.ResultRef
+	for i, refs := range results {
+		if discardAll || !p.isFinal(i) {
+			unused = append(unused, refs...)
 		} else {
 			j.inputs = append(j.inputs, refs...)
 		}
 	}
-	r.free(j, give)
-	r.lieIn(j, p, made)
+	r.releaseResults(j, unused)
+	r.setInputZone(j, p, results)
 }
 
-// lieIn sets the zone where the request's heavy inputs lie.
-func (r *Relay) lieIn(j *job, p plan, made [][]shed.ResultRef) {
+// setInputZone sets the zone where the request's heavy inputs lie.
+func (r *Relay) setInputZone(j *job, p plan, results [][]shed.ResultRef) {
 	for i, s := range p.steps {
-		if s.ResultBytes < heavyBytes || !p.last(i) {
+		if s.ResultBytes < largeResultBytes || !p.isFinal(i) {
 			continue
 		}
-		if zone := r.zoneOf(s.Pool, made[i]); zone != "" {
+		if zone := r.zoneOf(s.Pool, results[i]); zone != "" {
 			j.zone = zone
 		}
 	}
 }
 
 func (r *Relay) stepRefusal(ctx context.Context, j *job, err error) *refusal {
-	no := &refusal{status: http.StatusServiceUnavailable, reason: reasonPiecesNone, after: accept.ComeBack}
+	refused := &refusal{status: http.StatusServiceUnavailable, reason: reasonPiecesNotMade, retryAfter: accept.ComeBack}
 	var end stepError
 	if errors.As(err, &end) && end.end == shed.PieceLate {
-		no.reason = reasonPiecesLate
+		refused.reason = reasonPiecesLate
 	}
 	if ctx.Err() != nil && !time.Now().Before(j.deadline) {
-		no.reason, no.after = shed.ReasonDeadline, 0
+		refused.reason, refused.retryAfter = shed.ReasonDeadline, 0
 	}
-	return no
+	return refused
 }
 
 // stepError says that a step has no result.
@@ -204,25 +204,25 @@
 // Error implements error.
 func (e stepError) Error() string { return "pieces not made" }
 
-// step has the pieces of one step made.
-func (r *Relay) step(ctx context.Context, j *job, p plan, at int, made [][]shed.ResultRef) ([]shed.ResultRef, error) {
+// runStep has the pieces of one step made.
+func (r *Relay) runStep(ctx context.Context, j *job, p plan, at int, results [][]shed.ResultRef) ([]shed.ResultRef, error) {
 	s := p.steps[at]
-	r.arrives(j, s.Pool, p.pieces[at])
+	r.removeExpectedPieces(j, s.Pool, p.pieces[at])
 	pieces := make([]shed.Piece, p.pieces[at])
 	now := time.Now()
-	after := r.timeAfter(j, p, at)
-	near := r.nearZone(j, p, at, made)
+	after := r.minTimeAfter(j, p, at)
+	near := r.nearZone(j, p, at, results)
 	var inputs []shed.ResultRef
 	for _, before := range s.After {
-		if i := p.at(before); i >= 0 {
-			inputs = append(inputs, made[i]...)
+		if i := p.stepIndex(before); i >= 0 {
+			inputs = append(inputs, results[i]...)
 		}
 	}
 	for n := range pieces {
 		pieces[n] = shed.Piece{
 			Request: j.ask.ID, Step: s.Index, Number: n, Inputs: inputs, Bytes: s.ResultBytes,
-			Left: j.deadline.Sub(now) - after, Aim: r.aimOf(j, now) - after,
-			Near: near, Together: p.fetched(at) >= heavyBytes,
+			Left: j.deadline.Sub(now) - after, Aim: r.timeToTarget(j, now) - after,
+			Near: near, Together: p.fetchedBytes(at) >= largeResultBytes,
 			Origin: shed.RequestRef{Request: j.fingerprint, Workspace: j.workspace},
 		}
 		if len(inputs) == 0 {
@@ -231,43 +231,43 @@
 	}
 	refs := make([]shed.ResultRef, len(pieces))
 	end := shed.PieceMade
-	for n, res := range r.askAll(ctx, j, s.Pool, pieces) {
+	for n, res := range r.runPieces(ctx, j, s.Pool, pieces) {
 		refs[n] = res.Ref
 		if res.End != shed.PieceMade {
 			end = res.End
 		}
 	}
 	if end != shed.PieceMade {
-		return r.unmade(j, refs, end)
+		return r.discardStep(j, refs, end)
 	}
 	return refs, ctx.Err()
 }
 
-// aimOf is the time in which the request should be answered. One that broke off
+// timeToTarget is the time in which the request should be answered. One that broke off
 // and is sent again goes before all others: its caller has a part of the answer
 // and gives up soon.
-func (r *Relay) aimOf(j *job, now time.Time) time.Duration {
+func (r *Relay) timeToTarget(j *job, now time.Time) time.Duration {
 	if j.sends > 0 {
-		return max(j.aim.Sub(now), againAim)
+		return max(j.target.Sub(now), retryTarget)
 	}
-	return j.aim.Sub(now)
+	return j.target.Sub(now)
 }
 
 // againAim is the aim of a request that is sent again.
-const againAim = 800 * time.Millisecond
+const retryTarget = 800 * time.Millisecond
 
 // nearZone is where the pieces of a step are best made: where their inputs lie,
 // if these are large, or where the server is that fetches large results; empty
 // if it doesn't matter.
-func (r *Relay) nearZone(j *job, p plan, at int, made [][]shed.ResultRef) shed.ZoneID {
+func (r *Relay) nearZone(j *job, p plan, at int, results [][]shed.ResultRef) shed.ZoneID {
 	s := p.steps[at]
-	if p.last(at) && s.ResultBytes >= heavyBytes {
+	if p.isFinal(at) && s.ResultBytes >= largeResultBytes {
 		return j.zone
 	}
 	for _, before := range s.After {
-		i := p.at(before)
-		if i >= 0 && p.fetched(i) >= heavyBytes {
-			return r.zoneOf(p.steps[i].Pool, made[i])
+		i := p.stepIndex(before)
+		if i >= 0 && p.fetchedBytes(i) >= largeResultBytes {
+			return r.zoneOf(p.steps[i].Pool, results[i])
 		}
 	}
 	return ""
@@ -294,12 +294,12 @@
 	return most
 }
 
-// unmade gives up what was made of a step that failed.
-func (r *Relay) unmade(j *job, refs []shed.ResultRef, end shed.PieceEnd) ([]shed.ResultRef, error) {
-	r.free(j, slices.DeleteFunc(refs, func(ref shed.ResultRef) bool { return ref == "" }))
+// discardStep gives up what was made of a step that failed.
+func (r *Relay) discardStep(j *job, refs []shed.ResultRef, end shed.PieceEnd) ([]shed.ResultRef, error) {
+	r.releaseResults(j, slices.DeleteFunc(refs, func(ref shed.ResultRef) bool { return ref == "" }))
 	return nil, stepError{end}
 }
 
 // mostReading bounds the time foreseen for reading a prompt: a request with a very
 // long one must not have all its steps due at once.
-const mostReading = 600 * time.Millisecond
+const maxPredictedAnswerTime = 600 * time.Millisecond
--- a/internal/relay/stop.go
+++ b/internal/relay/stop.go
@@ -16,13 +16,13 @@
 // and each request on them is served. After it none is taken: where most VMs of
 // a zone stop at once, the balancer goes on sending, and what came late was cut
 // off at the end of the time for the stop.
-const noticeTime = 2500 * time.Millisecond
+const balancerNoticeTime = 2500 * time.Millisecond
 
 // Stop begins a graceful stop: not ready, but serving until nothing is open. With
 // hurry, requests in flight are cut off.
-func (r *Relay) Stop(hurry bool) {
-	if hurry {
-		r.hurryOnce.Do(func() { close(r.hurried) })
+func (r *Relay) Stop(force bool) {
+	if force {
+		r.forceOnce.Do(func() { close(r.forced) })
 	}
 	if r.stopping.Swap(true) {
 		return
@@ -30,9 +30,9 @@
 	r.log.WithField("open", r.open.Load()).Info("stop asked for; not ready from now on")
 	r.mu.Lock()
 	r.performMesh(r.group.Leave(shed.Peer{}))
-	r.mesh.presentAt = time.Time{}
-	if len(r.alive()) > 0 {
-		r.perform(r.batcher.Handle(time.Now(), batch.Stopped{}))
+	r.mesh.activeAt = time.Time{}
+	if len(r.alivePeers()) > 0 {
+		r.performBatch(r.batcher.Handle(time.Now(), batch.Stopped{}))
 	}
 	r.mu.Unlock()
 }
@@ -41,26 +41,26 @@
 // answered, or the time for it is over.
 func (r *Relay) awaitStop(ctx context.Context, end context.CancelFunc) error {
 	for !r.stopping.Load() {
-		if wait(ctx, stopPoll); ctx.Err() != nil {
+		if sleep(ctx, stopPoll); ctx.Err() != nil {
 			return ctx.Err()
 		}
 	}
-	asked := time.Now()
-	slow, cancel := context.WithDeadline(ctx, asked.Add(r.prefs.Load().Stop.Drain-stopSlack))
+	stopStart := time.Now()
+	drainCtx, cancel := context.WithDeadline(ctx, stopStart.Add(r.prefs.Load().Stop.Drain-stopSlack))
 	defer cancel()
 	r.work.Go(func() error {
 		select {
-		case <-r.hurried:
+		case <-r.forced:
 			cancel()
-		case <-slow.Done():
+		case <-drainCtx.Done():
 		}
 		return nil
 	})
-	wait(slow, noticeTime)
+	sleep(drainCtx, balancerNoticeTime)
 	r.log.WithField("open", r.open.Load()).Info("stop: listener closes")
-	err := r.front.Shut(slow)
+	err := r.front.Shut(drainCtx)
 	r.log.WithFields(logrus.Fields{
-		"open": r.open.Load(), "spent_ms": time.Since(asked).Milliseconds(), "error": errText(err),
+		"open": r.open.Load(), "spent_ms": time.Since(stopStart).Milliseconds(), "error": errText(err),
 	}).Info("stop: requests are answered, or cut off")
 	end()
 	return suture.ErrTerminateSupervisorTree
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -15,13 +15,13 @@
 const (
 	// maxEvent bounds one event of a stream, in bytes.
 	maxEvent = 1 << 20
-	// firstSilence is how long the first event of a stream that may be resumed
+	// firstEventTimeout is how long the first event of a stream that may be resumed
 	// may stay out once the server has answered.
-	firstSilence = 2500 * time.Millisecond
-	// midSilence is how long a later event may stay out: callers give a stream up
+	firstEventTimeout = 2500 * time.Millisecond
+	// nextEventTimeout is how long a later event may stay out: callers give a stream up
 	// after two seconds at the soonest, and another server needs a while to
 	// read the prompt.
-	midSilence = 1300 * time.Millisecond
+	nextEventTimeout = 1300 * time.Millisecond
 )
 
 // stream passes a stream of events on, each event whole as it arrives. The
@@ -29,7 +29,7 @@
 // still take its place.
 func (a *attempt) stream(ctx context.Context, resp *http.Response) outcome {
 	broken := outcome{sent: true, mayHaveRun: true, reason: shed.ReasonBroken}
-	silent := a.watch(firstSilence)
+	silent := a.startSilenceTimer(firstEventTimeout)
 	defer silent.Stop()
 	events := bufio.NewReader(resp.Body)
 	for {
@@ -39,23 +39,23 @@
 				return outcome{done: true, sent: true, mayHaveRun: true}
 			}
 			a.err = err
-			a.failed = ctx.Err() == nil
+			a.serverFailed = ctx.Err() == nil
 			if a.silent.Load() {
-				a.err, a.failed, broken.reason = errSilent, true, shed.ReasonSilent
+				a.err, a.serverFailed, broken.reason = errSilent, true, shed.ReasonSilent
 			}
 			return broken
 		}
-		silent.Reset(midSilence)
-		if err := a.passOn(resp, event); err != nil {
+		silent.Reset(nextEventTimeout)
+		if err := a.forwardEvent(resp, event); err != nil {
 			a.err = err
 			return outcome{sent: true, mayHaveRun: true, reason: shed.ReasonCallerGone}
 		}
 	}
 }
 
-// watch ends the attempt if it isn't reset in time, where the stream may go on
+// startSilenceTimer ends the attempt if it isn't reset in time, where the stream may go on
 // at another server.
-func (a *attempt) watch(limit time.Duration) *time.Timer {
+func (a *attempt) startSilenceTimer(limit time.Duration) *time.Timer {
 	t := time.AfterFunc(limit, func() {
 		if a.job.route.Resumable {
 			a.silent.Store(true)
@@ -65,19 +65,19 @@
 	return t
 }
 
-func (a *attempt) passOn(resp *http.Response, event []byte) error {
+func (a *attempt) forwardEvent(resp *http.Response, event []byte) error {
 	if !a.begun {
 		a.relay.mu.Lock()
-		a.hasBegun()
+		a.markBegun()
 		a.relay.picker.First(a.choice, time.Since(a.began))
 		a.relay.mu.Unlock()
 	}
 	if !a.out.started {
-		copyHead(a.out.w.Header(), resp.Header)
+		copyHeader(a.out.w.Header(), resp.Header)
 		a.out.w.WriteHeader(resp.StatusCode)
 		a.out.started = true
 		a.job.firstByte = time.Since(a.job.began)
-		a.relay.giveUp(a.job)
+		a.relay.releaseInputs(a.job)
 	}
 	if _, err := a.out.w.Write(event); err != nil {
 		return err
--- a/internal/relay/sync.go
+++ b/internal/relay/sync.go
@@ -15,22 +15,22 @@
 )
 
 const (
-	// storeRetry is the pause after a failed call to the store; all VMs together
+	// storeRetryDelay is the pause after a failed call to the store; all VMs together
 	// stay far below the store's rate with it.
-	storeRetry = 250 * time.Millisecond
-	// storeRetryOthers is that pause for a VM that knows a configuration and isn't one
+	storeRetryDelay = 250 * time.Millisecond
+	// nonWatcherRetryDelay is that pause for a VM that knows a configuration and isn't one
 	// of those that watch for all: a store that turns all away would else get most calls
 	// when it bears fewest.
-	storeRetryOthers = time.Second
-	// watchers is how many VMs watch the store; they tell the others. Each call
+	nonWatcherRetryDelay = time.Second
+	// watcherCount is how many VMs watch the store; they tell the others. Each call
 	// to the store is paid for, and its rate is shared by all. Three, since one
 	// may be turned away by the store and one be restarted at the same time.
-	watchers = 3
+	watcherCount = 3
 	// idlePoll is how often a VM that doesn't watch looks whether it should.
 	idlePoll = 100 * time.Millisecond
-	// watchesBy is how old the store's last answer to a VM may be for it to count
+	// watcherTimeout is how old the store's last answer to a VM may be for it to count
 	// as one that watches.
-	watchesBy = 2 * time.Second
+	watcherTimeout = 2 * time.Second
 )
 
 // followStore keeps the roster up to date: by watching the store, if this is
@@ -40,7 +40,7 @@
 	for ctx.Err() == nil {
 		call := r.nextCall(time.Now())
 		if call == follow.NoCall {
-			wait(ctx, idlePoll)
+			sleep(ctx, idlePoll)
 			continue
 		}
 		err := r.readStore(ctx, call)
@@ -48,22 +48,22 @@
 			continue
 		}
 		r.storeFailed(err)
-		wait(ctx, r.retryPause(time.Now()))
+		sleep(ctx, r.retryPause(time.Now()))
 	}
 	return ctx.Err()
 }
 
 // storeFailed notes that the store gave no answer, and turns to peers.
-func (r *Relay) storeFailed(why error) {
+func (r *Relay) storeFailed(cause error) {
 	r.stats.storeFailures.Inc(1)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := time.Now()
 	if changes := r.roster.StoreFailed(now); len(changes) > 0 {
-		r.log.WithError(why).Info("store gives no answer")
-		r.tellChanges(changes)
+		r.log.WithError(cause).Info("store gives no answer")
+		r.logRosterChanges(changes)
 	}
-	r.follow(now, follow.StoreFailed{Peers: r.alive()})
+	r.handleFollowEvent(now, follow.StoreFailed{Peers: r.alivePeers()})
 }
 
 // retryPause is the pause after a failed call to the store. As long as it fails for
@@ -71,10 +71,10 @@
 func (r *Relay) retryPause(now time.Time) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.roster.Catalog() == nil || !r.roster.Sure() || slices.Contains(r.standing(now), r.mesh.self.VM) {
-		return storeRetry
+	if r.roster.Catalog() == nil || !r.roster.Sure() || slices.Contains(r.standingWatchers(now), r.mesh.self.VM) {
+		return storeRetryDelay
 	}
-	return storeRetryOthers
+	return nonWatcherRetryDelay
 }
 
 // nextCall is what this VM asks of the store now.
@@ -83,27 +83,27 @@
 	defer r.mu.Unlock()
 	return follow.NextCall(now, follow.StoreView{
 		AsOf: r.roster.AsOf(), Contact: r.roster.Contact(),
-		Watcher: slices.Contains(r.watchers(now), r.mesh.self.VM), Forgotten: r.forgotten,
+		Watcher: slices.Contains(r.watchers(now), r.mesh.self.VM), Forgotten: r.historyCompacted,
 	})
 }
 
 // watchers are the VMs that watch the store for all.
 func (r *Relay) watchers(now time.Time) []shed.VM {
-	vms := slices.DeleteFunc(r.present(now), func(vm shed.VM) bool {
-		return vm != r.mesh.self.VM && now.Sub(r.mesh.follow.Contact(vm)) >= watchesBy
+	vms := slices.DeleteFunc(r.activeVMs(now), func(vm shed.VM) bool {
+		return vm != r.mesh.self.VM && now.Sub(r.mesh.follower.Contact(vm)) >= watcherTimeout
 	})
-	return rank.Owners("store", r.strong(vms), watchers)
+	return rank.Owners("store", r.highCapacityVMs(vms), watcherCount)
 }
 
-// standing are the VMs that watch the store as long as it answers them.
-func (r *Relay) standing(now time.Time) []shed.VM {
-	return rank.Owners("store", r.strong(r.present(now)), watchers)
+// standingWatchers are the VMs that watch the store as long as it answers them.
+func (r *Relay) standingWatchers(now time.Time) []shed.VM {
+	return rank.Owners("store", r.highCapacityVMs(r.activeVMs(now)), watcherCount)
 }
 
 // readStore makes one call to the store and takes in what it says.
 func (r *Relay) readStore(ctx context.Context, call follow.StoreCall) error {
 	r.mu.Lock()
-	rd := reading{from: roster.FromStore, after: r.roster.AsOf()}
+	rd := storeReading{from: roster.FromStore, after: r.roster.AsOf()}
 	r.mu.Unlock()
 	r.stats.storeCalls.Inc(1)
 	var err error
@@ -120,7 +120,7 @@
 		rd.items, rd.asOf, err = r.cfg.Store.Watch(ctx, rd.after, r.prefs.Load().Relay.Watch)
 	}
 	if errors.Is(err, shed.ErrHistoryGone) {
-		r.forgotten = true
+		r.historyCompacted = true
 		r.log.WithField("after", rd.after).Info("store has no history since then; reading all of it")
 		return nil
 	}
@@ -128,68 +128,68 @@
 		return err
 	}
 	if call == follow.List {
-		r.forgotten = false
+		r.historyCompacted = false
 	}
 	if call == follow.ListCopy || call == follow.Changes {
 		r.log.WithFields(logrus.Fields{"after": rd.after, "as_of": rd.asOf, "items": len(rd.items), "whole": rd.whole}).
 			Info("store read at the start")
 	}
-	r.learn(rd)
+	r.applyReading(rd)
 	return nil
 }
 
-// reading is what the store or a peer said: changes after a revision, or all items if
+// storeReading is what the store or a peer said: changes after a revision, or all items if
 // whole.
-type reading struct {
+type storeReading struct {
 	from        roster.Source
 	items       []shed.Item
 	after, asOf shed.Revision
 	whole       bool
 }
 
-// learn takes in what the store or a peer said, and passes on what the store did. One
+// applyReading takes in what the store or a peer said, and passes on what the store did. One
 // thing is taken in at a time: the same configuration often comes from two sides, and
 // the second finds it known.
-func (r *Relay) learn(rd reading) {
-	r.learning.Lock()
-	defer r.learning.Unlock()
-	r.setTaking(true)
-	defer r.setTaking(false)
+func (r *Relay) applyReading(rd storeReading) {
+	r.applyMu.Lock()
+	defer r.applyMu.Unlock()
+	r.setApplying(true)
+	defer r.setApplying(false)
 	l := roster.Learned{Source: rd.from, AsOf: rd.asOf, Whole: rd.whole}
 	for _, item := range rd.items {
 		if r.cfg.Store.Owns(item.Key) {
-			l.Items = append(l.Items, r.read(item))
+			l.Items = append(l.Items, r.parseItem(item))
 		}
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := time.Now()
-	tellers := r.watchers(now)
+	watchers := r.watchers(now)
 	if now.Sub(r.roster.Contact()) > follow.StaleAfter {
-		tellers = r.standing(now)
+		watchers = r.standingWatchers(now)
 	}
-	r.tellChanges(r.roster.Learn(now, l))
+	r.logRosterChanges(r.roster.Learn(now, l))
 	r.picker.Keep(r.roster.Listed)
 	r.accept.Keep(r.roster.HasRoute)
 	r.limits.Keep(now, r.roster.Listed)
-	r.book.Keep(now)
-	r.waits.Keep(now)
-	if rd.from == roster.FromStore && len(l.Items) > 0 && rd.after > 0 && slices.Contains(tellers, r.mesh.self.VM) {
-		r.passOn(rd.after, tellers)
+	r.turnBook.Keep(now)
+	r.deniedTurns.Keep(now)
+	if rd.from == roster.FromStore && len(l.Items) > 0 && rd.after > 0 && slices.Contains(watchers, r.mesh.self.VM) {
+		r.forwardChanges(rd.after, watchers)
 	}
 }
 
-func (r *Relay) setTaking(taking bool) {
+func (r *Relay) setApplying(taking bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.mesh.taking = taking
+	r.mesh.applying = taking
 }
 
-// read finds out what an item says, unless it is known here: a configuration comes
+// parseItem finds out what an item says, unless it is known here: a configuration comes
 // from several sides, and each reading takes a small VM a good part of a second.
-func (r *Relay) read(item shed.Item) roster.Entry {
+func (r *Relay) parseItem(item shed.Item) roster.Entry {
 	e := roster.Entry{Item: item}
-	if item.Gone || r.knows(item) {
+	if item.Gone || r.hasItem(item) {
 		return e
 	}
 	fact, err := r.cfg.Store.Read(item)
@@ -201,17 +201,17 @@
 	return e
 }
 
-// knows tells whether this VM holds the item, or a newer one of its key.
-func (r *Relay) knows(item shed.Item) bool {
+// hasItem tells whether this VM holds the item, or a newer one of its key.
+func (r *Relay) hasItem(item shed.Item) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.roster.Item(item.Key).Revision >= item.Revision
 }
 
-// tellChanges logs what the roster believes anew. The caller holds mu.
-func (r *Relay) tellChanges(changes []roster.Change) {
+// logRosterChanges logs what the roster believes anew. The caller holds mu.
+func (r *Relay) logRosterChanges(changes []roster.Change) {
 	for _, c := range changes {
-		r.stats.beliefs.Inc(1)
+		r.stats.stateChanges.Inc(1)
 		fields := logrus.Fields{"reason": c.What, "revision": c.Revision}
 		if c.Key != "" {
 			fields["key"] = c.Key
--- a/internal/relay/turns.go
+++ b/internal/relay/turns.go
@@ -16,16 +16,16 @@
 	// turnTimeout bounds a call for a turn, which takes milliseconds: if the owner gives no
 	// answer, another one is asked.
 	turnTimeout = 150 * time.Millisecond
-	// ownerLost is how long a server waits for another owner then.
-	ownerLost = 50 * time.Millisecond
-	// coldShare is the part of a cold server's rate that is lent: for a moment two VMs may
+	// ownerLostWait is how long a server waits for another owner then.
+	ownerLostWait = 50 * time.Millisecond
+	// coldRateShare is the part of a cold server's rate that is lent: for a moment two VMs may
 	// each hold themselves for the owner.
-	coldShare = 0.9
+	coldRateShare = 0.9
 )
 
-// bound is what a server takes from all VMs together, now: by what it said, or since it is
+// turnLimit is what a server takes from all VMs together, now: by what it said, or since it is
 // cold. bounded is false if it takes any number. The caller holds mu.
-func (r *Relay) bound(now time.Time, pool *shed.RelayPool, s *roster.Server) (ask turns.Ask, bounded bool) {
+func (r *Relay) turnLimit(now time.Time, pool *shed.RelayPool, s *roster.Server) (ask turns.Ask, limited bool) {
 	ask = turns.Ask{Start: startOf(s.Listing), Burst: 1}
 	if r.limits.Empty() && !s.Cold(now) {
 		return ask, false
@@ -33,21 +33,21 @@
 	if rate := r.limits.Of(ask.Start); rate > 0 {
 		ask.Rate, ask.Burst = rate, 1+float64(rate)
 	}
-	if cold := shed.Rate(pool.ColdRate * coldShare); s.Cold(now) && cold > 0 && (ask.Rate == 0 || cold < ask.Rate) {
+	if cold := shed.Rate(pool.ColdRate * coldRateShare); s.Cold(now) && cold > 0 && (ask.Rate == 0 || cold < ask.Rate) {
 		ask.Rate, ask.Burst = cold, 1
 	}
 	return ask, ask.Rate > 0
 }
 
-// access tells the picker which servers need a turn, and which have none. The caller holds
+// serverAccess tells the picker which servers need a turn, and which have none. The caller holds
 // mu.
-func (r *Relay) access(now time.Time, pool *shed.RelayPool, denied map[shed.ServerID]bool, patience time.Duration) func(*roster.Server) picker.Access {
+func (r *Relay) serverAccess(now time.Time, pool *shed.RelayPool, denied map[shed.ServerID]bool, maxWait time.Duration) func(*roster.Server) picker.Access {
 	return func(s *roster.Server) picker.Access {
-		ask, bounded := r.bound(now, pool, s)
+		ask, limited := r.turnLimit(now, pool, s)
 		switch {
-		case !bounded:
+		case !limited:
 			return picker.Free
-		case denied[s.ID] || patience == 0 && r.waits.Held(now, ask.Start):
+		case denied[s.ID] || maxWait == 0 && r.deniedTurns.Held(now, ask.Start):
 			return picker.Held
 		}
 		return picker.ByTurn
@@ -55,61 +55,61 @@
 }
 
 // takeTurn asks for a turn at a server, and waits for it. It is false if there is none.
-func (r *Relay) takeTurn(ctx context.Context, pool *shed.RelayPool, s *roster.Server, patience time.Duration) bool {
+func (r *Relay) takeTurn(ctx context.Context, pool *shed.RelayPool, s *roster.Server, maxWait time.Duration) bool {
 	now := time.Now()
 	r.mu.Lock()
-	ask, bounded := r.bound(now, pool, s)
-	ask.Patience = patience
+	ask, limited := r.turnLimit(now, pool, s)
+	ask.Patience = maxWait
 	owner, ok := r.owner(now, "turns "+string(s.ID))
 	client := r.client
-	if bounded && ok && owner == r.mesh.self.VM {
-		got := r.book.Take(now, ask)
-		r.noteTurn(now, ask, got)
+	if limited && ok && owner == r.mesh.self.VM {
+		got := r.turnBook.Take(now, ask)
+		r.recordTurn(now, ask, got)
 		r.mu.Unlock()
-		return r.await(ctx, got)
+		return r.awaitTurn(ctx, got)
 	}
 	r.mu.Unlock()
-	if !bounded {
+	if !limited {
 		return true
 	}
-	got := turns.Turn{Wait: ownerLost}
+	got := turns.Turn{Wait: ownerLostWait}
 	if ok {
 		got = r.askOwner(ctx, client, owner, ask)
 	}
 	r.mu.Lock()
-	r.noteTurn(time.Now(), ask, got)
+	r.recordTurn(time.Now(), ask, got)
 	r.mu.Unlock()
-	return r.await(ctx, got)
+	return r.awaitTurn(ctx, got)
 }
 
 func (r *Relay) askOwner(ctx context.Context, client *peers.Client, owner shed.VM, ask turns.Ask) turns.Turn {
-	limited, cancel := context.WithTimeout(ctx, turnTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, turnTimeout)
 	defer cancel()
-	got, err := client.Turn(limited, owner, peers.TurnCall(ask))
+	got, err := client.Turn(callCtx, owner, peers.TurnCall(ask))
 	switch {
 	case err == nil && !got.Moved:
 		return turns.Turn{Granted: got.Granted, Wait: got.Wait}
 	case err == nil:
-		r.shunPeer(owner)
+		r.backOffPeer(owner)
 	case ctx.Err() == nil:
 		r.log.WithField("peer", owner).WithError(err).Info("peer that lends turns gives no answer")
-		r.shunSilent(owner)
+		r.backOffSilentPeers(owner)
 	}
-	return turns.Turn{Wait: ownerLost}
+	return turns.Turn{Wait: ownerLostWait}
 }
 
-// noteTurn holds back requests to a server that has no turn. The caller holds mu.
-func (r *Relay) noteTurn(now time.Time, ask turns.Ask, got turns.Turn) {
+// recordTurn holds back requests to a server that has no turn. The caller holds mu.
+func (r *Relay) recordTurn(now time.Time, ask turns.Ask, got turns.Turn) {
 	if !got.Granted {
-		r.stats.noTurns.Inc(1)
-		r.waits.Denied(now, ask.Start, got.Wait)
+		r.stats.turnsDenied.Inc(1)
+		r.deniedTurns.Denied(now, ask.Start, got.Wait)
 	}
 }
 
-// await waits for a turn that was granted.
-func (r *Relay) await(ctx context.Context, got turns.Turn) bool {
+// awaitTurn waits for a turn that was granted.
+func (r *Relay) awaitTurn(ctx context.Context, got turns.Turn) bool {
 	if got.Granted && got.Wait > 0 {
-		wait(ctx, got.Wait)
+		sleep(ctx, got.Wait)
 	}
 	return got.Granted && ctx.Err() == nil
 }
@@ -121,7 +121,7 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	got := r.book.Take(time.Now(), turns.Ask(call))
+	got := r.turnBook.Take(time.Now(), turns.Ask(call))
 	return peers.TurnReply{Granted: got.Granted, Wait: got.Wait}
 }
 
@@ -129,5 +129,5 @@
 // are there. It is false as long as this process is new and knows no peer. The caller holds
 // mu.
 func (r *Relay) owner(now time.Time, key string) (shed.VM, bool) {
-	return rank.Owner(key, r.strong(r.willing(now)))
+	return rank.Owner(key, r.highCapacityVMs(r.availableVMs(now)))
 }
