--- a/internal/relay/coordinate.go
+++ b/internal/relay/coordinate.go
@@ -14,18 +14,18 @@
 	"github.com/sirupsen/logrus"
 )
 
-// maxResults bounds the answer to a call for pieces, in bytes.
+// maxResults bounds the response to a piece call, in bytes.
 const maxResults = 1 << 20
 
 const (
-	// freeTimeout bounds a call that gives results up, which takes milliseconds.
+	// freeTimeout bounds a call that frees results, which takes milliseconds.
 	freeTimeout = 400 * time.Millisecond
-	// maxActiveFrees bounds such calls to one server: one whose answer was lost must
-	// not hold up the next.
+	// maxActiveFrees bounds concurrent free calls to one server: one whose response was lost
+	// must not block the next.
 	maxActiveFrees = 4
 )
 
-// coordinatePieces has pieces made by the pool's servers and returns a result for each.
+// coordinatePieces runs pieces on the pool's servers and returns one result per piece.
 func (r *Relay) coordinatePieces(ctx context.Context, poolID shed.PoolID, pieces []shed.Piece) []shed.PieceResult {
 	done := make(chan []shed.PieceResult, 1)
 	r.mu.Lock()
@@ -50,7 +50,7 @@
 	r.performBatch(r.batcher.Handle(time.Now(), batch.Dropped{Job: id}))
 	select {
 	case results := <-done:
-		// It was done just before; nobody will use it.
+		// The job finished just before it was dropped; nobody will use its results.
 		r.performBatch(r.batcher.Handle(time.Now(), batch.Freed{Refs: completeRefs(results)}))
 	default:
 	}
@@ -59,7 +59,7 @@
 
 func failedResults(n int) []shed.PieceResult { return uniformResults(n, shed.PieceFailed) }
 
-// uniformResults are n results that ended alike.
+// uniformResults returns n results with the same end.
 func uniformResults(n int, end shed.PieceEnd) []shed.PieceResult {
 	out := make([]shed.PieceResult, n)
 	for i := range out {
@@ -68,7 +68,7 @@
 	return out
 }
 
-// completeRefs are the results that are there.
+// completeRefs returns the references of the completed pieces.
 func completeRefs(results []shed.PieceResult) []shed.ResultRef {
 	var out []shed.ResultRef
 	for _, res := range results {
@@ -87,7 +87,7 @@
 	return c.Pools[id]
 }
 
-// performBatch does what batch asks. The caller holds mu.
+// performBatch performs the batcher's actions. The caller holds mu.
 func (r *Relay) performBatch(acts []batch.Action) {
 	for _, act := range acts {
 		switch a := act.(type) {
@@ -111,7 +111,7 @@
 	}
 }
 
-// callPieces runs one call for pieces.
+// callPieces runs one piece call and passes its outcome to the batcher.
 func (r *Relay) callPieces(a batch.Send) {
 	began := time.Now()
 	end, status, err := r.sendPieces(a)
@@ -134,8 +134,8 @@
 	r.performBatch(r.batcher.Handle(time.Now(), end))
 }
 
-// logResults logs a call that was answered; in full only if pieces were not
-// made, since there are many.
+// logResults logs an answered piece call: at Info level only if pieces failed, since there are
+// many calls.
 func logResults(entry *logrus.Entry, results []shed.PieceResult) {
 	count := map[shed.PieceEnd]int{}
 	for _, res := range results {
@@ -182,8 +182,8 @@
 	return batch.CallEnded{Results: results}, resp.StatusCode, err
 }
 
-// errNoTurn: the server takes only so many requests, and has no turn for this one yet.
-var errNoTurn = errors.New("no turn at a limited server")
+// errNoTurn: the server limits its request rate and has no turn for this call yet.
+var errNoTurn = errors.New("no turn granted at a rate-limited server")
 
 func errText(err error) string {
 	if err == nil {
@@ -192,15 +192,15 @@
 	return err.Error()
 }
 
-// flushFrees gives results up that nobody needs any more. While some calls to a
-// server are under way, others gather. The caller holds mu.
+// flushFrees sends the pending frees. While a server has maxActiveFrees calls in flight,
+// further frees for it accumulate. The caller holds mu.
 func (r *Relay) flushFrees() {
 	for addr, refs := range r.pendingFrees {
 		if r.activeFrees[addr] >= maxActiveFrees {
 			continue
 		}
 		if r.isLimited(addr) {
-			// The call would take a turn from one for pieces; results lapse by themselves.
+			// The call would take a turn from a piece call; results expire by themselves.
 			delete(r.pendingFrees, addr)
 			continue
 		}
@@ -220,8 +220,8 @@
 	}
 }
 
-// sendFree gives results up. If that fails, the server drops them by itself a
-// few seconds later, and until then refuses pieces that it has no room for.
+// sendFree frees results. If the call fails, the server drops them by itself a few seconds
+// later, and until then rejects pieces that it has no capacity for.
 func (r *Relay) sendFree(addr string, refs []shed.ResultRef) {
 	ctx, cancel := context.WithTimeout(r.base, freeTimeout)
 	defer cancel()
@@ -235,6 +235,6 @@
 		}
 	}
 	if err != nil {
-		r.log.WithFields(logrus.Fields{"address": addr, "results": len(refs), "error": err.Error()}).Info("results not given up")
+		r.log.WithFields(logrus.Fields{"address": addr, "results": len(refs), "error": err.Error()}).Info("call to free results failed")
 	}
 }
--- a/internal/relay/coordinator.go
+++ b/internal/relay/coordinator.go
@@ -8,22 +8,23 @@
 	"jasmineshed/internal/fanout"
 )
 
-// coordinator is the VM that gathers the pieces for a pool, by rendezvous among the
-// live VMs. Two VMs that see different peers, as when a zone is cut off, may
-// name two; both then send calls, which the servers' short queues bear. It is
-// false as long as this process is new and knows no peer.
+// coordinator returns the VM that assembles batches for a pool, by rendezvous hashing over the
+// available VMs. VMs that see different peers, as when a zone is partitioned, may choose two
+// different coordinators; both then send calls, which the servers' short queues absorb. It
+// returns false while this process is new and knows no peer.
 func (r *Relay) coordinator(now time.Time, pool shed.PoolID) (shed.VM, bool) {
 	return r.owner(now, string(pool))
 }
 
-// availableVMs are the VMs that are there and take work for others. The slice is the caller's.
+// availableVMs returns the active VMs that this one isn't backing off from. The caller owns the
+// slice.
 func (r *Relay) availableVMs(now time.Time) []shed.VM {
 	return slices.DeleteFunc(r.activeVMs(now), func(vm shed.VM) bool { return now.Before(r.mesh.backoffUntil[vm]) })
 }
 
-// highCapacityVMs are the VMs that do work for all others: those with at least half the
-// power of the strongest. What is gathered for one pool of a large fleet fills a
-// link of 10 Mbit/s, which most VMs there have.
+// highCapacityVMs returns the VMs that do work for all others: those with at least half the
+// power of the most powerful one. Coordinating one pool of a large fleet fills a link of 10
+// Mbit/s, which most VMs there have.
 func (r *Relay) highCapacityVMs(vms []shed.VM) []shed.VM {
 	power := func(vm shed.VM) float64 {
 		m, _ := r.group.Lookup(vm)
@@ -36,18 +37,18 @@
 	return slices.DeleteFunc(vms, func(vm shed.VM) bool { return power(vm) < most/2 })
 }
 
-// lastLoadAt is when a VM last told its load, or became known if that was later: a
-// new process tells none before it has settled.
+// lastLoadAt returns when a VM last reported its load, or when it became known if that was
+// later: a new process reports none until settleTime has passed.
 func (r *Relay) lastLoadAt(vm shed.VM) time.Time {
 	return shed.Later(r.mesh.lastLoad[vm], r.group.Since(vm))
 }
 
-// presentFor is how long the VMs that are there are remembered: each request asks
-// several times, and the answer costs a look at every VM.
+// activeCacheTime is how long the list of active VMs is cached: each request asks for it
+// several times, and computing it visits every VM.
 const activeCacheTime = 20 * time.Millisecond
 
-// activeVMs are the VMs that are there by their load messages, this one among
-// them once it has settled. The slice is the caller's.
+// activeVMs returns the VMs with recent load reports, including this one once it has settled.
+// The caller owns the slice.
 func (r *Relay) activeVMs(now time.Time) []shed.VM {
 	if now.Sub(r.mesh.activeAt) > activeCacheTime {
 		r.mesh.active, r.mesh.activeAt = r.findActiveVMs(now), now
@@ -58,7 +59,7 @@
 func (r *Relay) findActiveVMs(now time.Time) []shed.VM {
 	vms := r.alivePeers()
 	silence := maxMissedLoads * fanout.Silence(len(vms))
-	// A VM that stops is told no load any more.
+	// Peers send no load reports to a stopping VM.
 	stopping := r.stopping.Load()
 	vms = slices.DeleteFunc(vms, func(vm shed.VM) bool {
 		return !stopping && now.Sub(r.lastLoadAt(vm)) > silence
@@ -69,16 +70,16 @@
 	return vms
 }
 
-// backOffPeer keeps pieces from a VM that doesn't gather just now.
+// backOffPeer stops sending work to a VM that currently declines it.
 func (r *Relay) backOffPeer(vm shed.VM) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.mesh.backoffUntil[vm] = time.Now().Add(peerBackoff)
 }
 
-// backOffSilentPeers keeps pieces from a VM that gave no answer, and from all others that
-// are silent too. Calls under way there are ended, so that their pieces are asked
-// of another VM now, not each after a second of its own.
+// backOffSilentPeers stops sending work to a VM that did not answer and to all other VMs whose
+// load reports are overdue. Calls in flight to the latter are cancelled, so that their pieces
+// go to another VM at once instead of each call timing out after a second.
 func (r *Relay) backOffSilentPeers(vm shed.VM) {
 	now := time.Now()
 	r.mu.Lock()
--- a/internal/relay/expected.go
+++ b/internal/relay/expected.go
@@ -4,8 +4,8 @@
 	shed "jasmineshed"
 )
 
-// addExpectedPieces counts the pieces of all steps of a request that was let in: others are let
-// in by what waits and by what will come.
+// addExpectedPieces counts the pieces of all steps of an admitted request: admission of other
+// requests depends on both the queued and the expected pieces.
 func (r *Relay) addExpectedPieces(j *job, p plan) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -16,14 +16,14 @@
 	}
 }
 
-// removeExpectedPieces takes pieces that are asked for now out of the count.
+// removeExpectedPieces subtracts pieces that are being requested now.
 func (r *Relay) removeExpectedPieces(j *job, pool shed.PoolID, pieces int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.subtractExpected(j, pool, min(pieces, j.expected[pool]))
 }
 
-// clearExpectedPieces takes what is left of a request's pieces out of the count.
+// clearExpectedPieces subtracts a request's remaining expected pieces.
 func (r *Relay) clearExpectedPieces(j *job) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -39,7 +39,7 @@
 	}
 }
 
-// setPeerExpected takes in what a peer's requests will ask for. The caller holds mu.
+// setPeerExpected replaces the expected pieces reported by a peer. The caller holds mu.
 func (r *Relay) setPeerExpected(from shed.VM, expected map[shed.PoolID]int) {
 	for pool, n := range r.mesh.expected[from] {
 		r.mesh.expectedSum[pool] -= n
@@ -50,8 +50,8 @@
 	r.mesh.expected[from] = expected
 }
 
-// expectedPieces is how many pieces will be asked of a pool by all requests that were
-// let in, as far as is known. The caller holds mu.
+// expectedPieces returns how many pieces all admitted requests known here will still request
+// from a pool. The caller holds mu.
 func (r *Relay) expectedPieces(pool shed.PoolID) int {
 	return r.expected[pool] + r.mesh.expectedSum[pool]
 }
--- a/internal/relay/gossip.go
+++ b/internal/relay/gossip.go
@@ -15,20 +15,20 @@
 	"github.com/sirupsen/logrus"
 )
 
-// newsMost is how many bytes of changes go in a control message, which has to pass
-// within a second over a small link that has other messages, too. What is larger is
-// read by each peer in parts, so that it may take as long as it needs.
+// maxUpdateBytes bounds the changes in one control message, which has to arrive within a second
+// over a low-bandwidth link shared with other messages. Each peer reads larger changes in
+// parts, which may take as long as needed.
 const maxUpdateBytes = 32 << 10
 
-// forwardChanges tells peers what the store said has changed after a revision: each one is told
-// by one of the tellers. Who misses it learns of it by the next load message. A teller
-// may have heard the same from another one a moment before; its peers have not. The
-// caller holds mu.
+// forwardChanges sends peers the changes that the store reported after a revision: each peer is
+// notified by one of the watchers, and one that misses the message learns of the change from
+// the next load report. A watcher may itself have received the same update from another one a
+// moment before, but its peers have not. The caller holds mu.
 //
-// After an outage of the store all VMs read it at once, and each knows of no other
-// that has. Were each to tell all others, links would be full with copies of the
-// configuration, and peers and servers would seem dead. So the tellers are then those
-// that watch when all is well.
+// After an outage of the store all VMs read it at once, and each knows of no other that has. If
+// each notified all others, copies of the configuration would fill the links, and peers and
+// servers would appear dead. In that case the VMs that watch in normal operation forward the
+// changes.
 func (r *Relay) forwardChanges(after shed.Revision, watchers []shed.VM) {
 	var to []shed.VM
 	for _, vm := range r.alivePeers() {
@@ -51,11 +51,11 @@
 	})
 }
 
-// change is an item that a peer lacks, and the one of the same key that it has.
+// change is an item that a peer lacks, and the version of it that the peer has.
 type change struct{ item, base shed.Item }
 
-// changes are what has changed after a revision, for a peer that knows all up to
-// another. The caller holds mu.
+// changes returns the items changed after one revision, for a peer that has everything up to
+// another, known. The caller holds mu.
 func (r *Relay) changes(after, known shed.Revision) []change {
 	items := r.roster.Since(after)
 	out := make([]change, len(items))
@@ -65,7 +65,7 @@
 	return out
 }
 
-// packChanges packs changes for peers. The caller doesn't hold mu: a large value takes long.
+// packChanges encodes changes for peers. The caller must not hold mu: a large value takes long.
 func (r *Relay) packChanges(changes []change) []shed.ItemChange {
 	out := make([]shed.ItemChange, len(changes))
 	for i, c := range changes {
@@ -90,7 +90,7 @@
 	return peers.ItemsReply{AsOf: asOf, Items: r.packChanges(changes)}
 }
 
-// unpackChanges unpacks what a peer sent. What is held here already is left without a value.
+// unpackChanges decodes changes from a peer. Items already held here are left without a value.
 func (r *Relay) unpackChanges(changes []shed.ItemChange) ([]shed.Item, error) {
 	items := make([]shed.Item, len(changes))
 	for i, c := range changes {
@@ -109,19 +109,19 @@
 	return items, nil
 }
 
-// storeUpdate is what a peer passed on.
+// storeUpdate is an update of the store that a peer forwarded.
 type storeUpdate struct {
 	from shed.VM
 	shed.StoreNews
 }
 
-// newsWaiting bounds the news that wait to be taken in; what is behind it is read from
-// the peer in one piece.
+// maxQueuedUpdates bounds the queue of updates; what does not fit is read from the peer in one
+// pull.
 const maxQueuedUpdates = 32
 
-// receiveUpdate takes in what a peer passes on, one after the other: changes often come in
-// quick succession, and the second can't be applied before the first. The caller holds
-// mu.
+// receiveUpdate queues an update from a peer. Updates are applied one at a time: changes often
+// arrive in quick succession, and the second can't be applied before the first. The caller
+// holds mu.
 func (r *Relay) receiveUpdate(now time.Time, from shed.VM, m shed.StoreNews) {
 	if m.AsOf <= r.roster.AsOf() {
 		return
@@ -141,7 +141,7 @@
 	})
 }
 
-// applyNextUpdate takes in the first news that waits; false if there is no more.
+// applyNextUpdate applies the first queued update; it returns false once the queue is empty.
 func (r *Relay) applyNextUpdate() bool {
 	r.mu.Lock()
 	m, known := r.mesh.updates[0], r.roster.AsOf()
@@ -163,8 +163,7 @@
 	return len(r.mesh.updates) > 0
 }
 
-// receiveStoreState compares what a peer knows of the store with what this VM knows.
-// The caller holds mu.
+// receiveStoreState compares a peer's state of the store with this VM's. The caller holds mu.
 func (r *Relay) receiveStoreState(now time.Time, from shed.VM, m shed.RelayLoad) {
 	member, _ := r.group.Lookup(from)
 	r.handleFollowEvent(now, follow.Heard{From: from, Word: follow.Word{
@@ -172,7 +171,7 @@
 	}})
 }
 
-// handleFollowEvent performs what is decided about an event. The caller holds mu.
+// handleFollowEvent performs the follower's actions for an event. The caller holds mu.
 func (r *Relay) handleFollowEvent(now time.Time, ev follow.Event) {
 	own := follow.Own{
 		AsOf: r.roster.AsOf(), Digest: r.roster.Digest(), Contact: r.roster.Contact(), Taking: r.mesh.applying,
@@ -191,11 +190,12 @@
 	}
 }
 
-// pullFromPeer reads from a peer what it knows more, and tells that it has ended.
+// pullFromPeer reads the items that this VM lacks from a peer, and reports the end of the pull
+// to the follower.
 func (r *Relay) pullFromPeer(ctx context.Context, client *peers.Client, p follow.Pull) {
 	began, before := time.Now(), client.Received()
 	items, asOf, err := r.readPeer(ctx, client, p)
-	// What came tells a peer that sent too little from one that did not answer.
+	// received_bytes distinguishes a peer that sent too little from one that did not answer.
 	log := r.log.WithFields(logrus.Fields{
 		"peer": p.From, "after": p.After, "wanted": p.Wanted, "as_of": asOf, "items": len(items),
 		"took_ms": time.Since(began).Milliseconds(), "received_bytes": client.Received() - before,
@@ -220,8 +220,8 @@
 		}
 		items, err := r.unpackChanges(reply.Items)
 		if errors.Is(err, delta.ErrPacked) && call.Known > 0 {
-			// What is held here has changed meanwhile, or isn't what the peer took it
-			// for. Whole values need no base.
+			// The item held here has changed meanwhile or isn't the base that the peer assumed.
+			// Full values need no base.
 			call.Known = 0
 			continue
 		}
--- a/internal/relay/limit.go
+++ b/internal/relay/limit.go
@@ -9,7 +9,7 @@
 	"github.com/sirupsen/logrus"
 )
 
-// receiveAnswerLimit takes in what an answer says of the limit of its server.
+// receiveAnswerLimit applies the rate limit that an answer states for its server.
 func (r *Relay) receiveAnswerLimit(s shed.Listing, reply shed.Reply) {
 	if reply.OtherServer {
 		return
@@ -33,7 +33,8 @@
 	r.client.SendAll(r.alivePeers(), news)
 }
 
-// isLimited tells whether the server at an address has named a limit. The caller holds mu.
+// isLimited reports whether the server at an address has stated a rate limit. The caller holds
+// mu.
 func (r *Relay) isLimited(addr string) bool {
 	for _, start := range r.limits.Limited() {
 		if s, ok := r.roster.Server(start.Server); ok && s.Addr == addr && s.Born == start.Born {
@@ -43,7 +44,7 @@
 	return false
 }
 
-// logLimits logs limits that are believed anew, and who says so.
+// logLimits logs changed limits and their source.
 func (r *Relay) logLimits(changes []limit.Change, by string) {
 	for _, c := range changes {
 		r.stats.stateChanges.Inc(1)
@@ -53,7 +54,7 @@
 	}
 }
 
-// receivePeerLimits takes in the limits that a peer told at a time. The caller holds mu.
+// receivePeerLimits applies the limits that a peer reported at toldAt. The caller holds mu.
 func (r *Relay) receivePeerLimits(now, toldAt time.Time, from shed.VM, limits []shed.ServerLimit) {
 	for _, l := range limits {
 		l.Age += now.Sub(toldAt)
--- a/internal/relay/listen.go
+++ b/internal/relay/listen.go
@@ -8,12 +8,12 @@
 	"jasmineshed/internal/prefs"
 )
 
-// Listeners are what a Relay listens on.
+// Listeners are the sockets that a Relay serves.
 type Listeners struct {
 	Callers, Ready, Peers, Operators net.Listener
 }
 
-// Listen opens the listeners that the settings name.
+// Listen opens the listeners named in the settings.
 func Listen(ctx context.Context, p *prefs.Prefs) (Listeners, error) {
 	var l Listeners
 	err := httpd.ListenAll(ctx, p.Limits.WriteTimeout, []httpd.Opening{
@@ -29,7 +29,7 @@
 	return l, nil
 }
 
-// Close closes the listeners that were opened.
+// Close closes all listeners that were opened.
 func (l Listeners) Close() {
 	for _, listener := range []net.Listener{l.Callers, l.Ready, l.Peers, l.Operators} {
 		if listener != nil {
--- a/internal/relay/load.go
+++ b/internal/relay/load.go
@@ -9,18 +9,18 @@
 	"jasmineshed/internal/fanout"
 )
 
-// mostAge bounds how old a load that a peer passes on is taken to be; peers pass on what
-// they heard within a second or two.
+// maxForwardedLoadAge caps the stated age of a forwarded load report; peers forward what they
+// received within a second or two.
 const maxForwardedLoadAge = 5 * time.Second
 
-// peerForecast is what a peer foresees for a pool that it gathers pieces for.
+// peerForecast is a coordinator's forecast for one of its pools.
 type peerForecast struct {
 	from shed.VM
 	batch.Forecast
 	at time.Time
 }
 
-// reportLoad tells peers what is under way here, and what others told this VM.
+// reportLoad sends peers this VM's load and the load reports that it forwards.
 func (r *Relay) reportLoad(now time.Time) {
 	if now.Sub(r.mesh.startedAt) < settleTime {
 		return
@@ -36,13 +36,13 @@
 	r.mesh.sequence++
 	r.client.SendAll(turn.To, shed.RelayLoad{
 		Sequence: r.mesh.sequence, Held: r.batcher.Held(), Servers: shares, Waits: waits, Placed: turn.Placed,
-		// Messages are encoded later, in a goroutine of their own.
+		// Messages are encoded later, in another goroutine.
 		Coming: maps.Clone(r.expected), AsOf: r.roster.AsOf(), Digest: r.roster.Digest(), Confirmed: now.Sub(r.roster.Contact()),
 		Catalog: r.roster.CatalogRevision(), Limits: r.limits.Known(now), PassOn: turn.PassOn, Carried: turn.Carried,
 	})
 }
 
-// ownForecasts predicts the wait in the pools that this VM gathers pieces for.
+// ownForecasts forecasts the wait in the pools that this VM coordinates.
 func (r *Relay) ownForecasts(now time.Time) []shed.PieceWait {
 	var out []shed.PieceWait
 	for _, id := range r.batcher.Busy() {
@@ -53,13 +53,13 @@
 	return out
 }
 
-// ownForecast predicts the wait in one of them.
+// ownForecast forecasts the wait in one of these pools.
 func (r *Relay) ownForecast(now time.Time, pool *shed.RelayPool) shed.PieceWait {
 	f := r.batcher.Wait(now, pool.ID, *pool.Batch)
 	return shed.PieceWait{Pool: pool.ID, Timely: f.Timely, Last: f.Last, Slow: f.Slow, Rate: f.Rate}
 }
 
-// receiveLoad takes in a peer's load, and those that it passes on.
+// receiveLoad applies a peer's load report and the reports that it forwards.
 func (r *Relay) receiveLoad(now time.Time, from shed.Peer, m shed.RelayLoad) {
 	if m.Sequence > r.mesh.lastSequence[from] {
 		r.receiveStoreState(now, from.VM, m)
@@ -74,8 +74,8 @@
 	}
 }
 
-// receiveForwardedLoad takes in a load that a peer passes on. One of a process that has ended
-// would stay for good, since nothing more comes from it.
+// receiveForwardedLoad applies a forwarded load report. A report of an ended process is
+// dropped: it would never be replaced, since no later one arrives.
 func (r *Relay) receiveForwardedLoad(now time.Time, c shed.CarriedLoad) {
 	member, ok := r.group.Lookup(c.From.VM)
 	if !ok || member.Peer != c.From || member.Status > shed.StatusSuspect || c.From.VM == r.mesh.self.VM {
@@ -86,7 +86,7 @@
 	}
 }
 
-// applyLoad takes in a load that was told at a time.
+// applyLoad applies a load that was reported at toldAt.
 func (r *Relay) applyLoad(now, toldAt time.Time, from shed.Peer, m shed.RelayLoad) {
 	r.mesh.lastSequence[from] = m.Sequence
 	r.mesh.lastLoad[from.VM] = shed.Later(r.mesh.lastLoad[from.VM], toldAt)
@@ -107,8 +107,8 @@
 	}
 }
 
-// receiveForecast takes in what a peer foresees for a pool, which it tells with its answer: a
-// VM that asks often knows more by it than by load messages. nil says nothing.
+// receiveForecast applies a forecast that a coordinator attached to its answer: a VM that calls
+// often gets newer forecasts that way than by load reports. nil means no forecast.
 func (r *Relay) receiveForecast(from shed.VM, w *shed.PieceWait) {
 	if w == nil {
 		return
@@ -118,8 +118,8 @@
 	r.setForecast(from, time.Now(), *w)
 }
 
-// setForecast notes what a peer foresaw for a pool, unless it has told more since. The caller
-// holds mu.
+// setForecast stores a peer's forecast for a pool, unless a newer one from it is known. The
+// caller holds mu.
 func (r *Relay) setForecast(from shed.VM, at time.Time, w shed.PieceWait) {
 	if old := r.mesh.forecasts[w.Pool]; old.from == from && old.at.After(at) {
 		return
--- a/internal/relay/mesh.go
+++ b/internal/relay/mesh.go
@@ -18,74 +18,71 @@
 )
 
 const (
-	// meshZone is the one zone that member sees: any VM may reach any server
-	// here, so each VM has to know all others, in all zones.
+	// meshZone is the only zone in the membership protocol: any VM may call any server, so each
+	// VM has to know all others, in all zones.
 	meshZone shed.ZoneID = "fleet"
-	// The relay holds no state that a wrong verdict of death could double, so it
-	// takes a peer for dead sooner than member's defaults: 2.2 s instead of 5.1.
+	// The relay holds no state that a false death verdict could duplicate, so it declares a
+	// peer dead sooner than with member's defaults: after 2.2 s instead of 5.1 s.
 	probeEvery = 500 * time.Millisecond
 	ackAfter   = 300 * time.Millisecond
 	suspectFor = time.Second
-	// joinFor and joinEvery: a new process has short rounds at first. With syncMost
-	// members in an answer, it knows a fleet of 78 VMs after two of them.
+	// joinFor and joinEvery: a new process starts with short probe rounds. With syncMost
+	// members per answer, it knows a fleet of 78 VMs after two of them.
 	joinFor   = 1500 * time.Millisecond
 	joinEvery = 200 * time.Millisecond
 	syncMost  = 100
-	// peerBackoff is how long a peer that gave no answer gathers no pieces for this
-	// VM.
+	// peerBackoff is how long this VM sends no work to a peer that gave no answer.
 	peerBackoff = 1500 * time.Millisecond
-	// maxMissedLoads is how many of these may be missing before a peer gathers no
-	// pieces for this VM. By member alone, the VMs disagreed for two to four
-	// seconds after several had died at once; up to eight then gathered for the
-	// same servers and found them full.
+	// maxMissedLoads is how many load reports may be missing before a peer coordinates nothing
+	// for this VM. By membership alone, the VMs disagreed for two to four seconds after several
+	// had died at once; up to eight then coordinated calls to the same servers and found them
+	// full.
 	maxMissedLoads = 3
-	// settleTime is how long a new process gathers nothing and tells no load, so
-	// that it knows its peers first: a second gatherer for a pool knows nothing
-	// of the calls and the room of the first one.
+	// settleTime is how long a new process coordinates nothing and reports no load, so that it
+	// knows its peers first: a second coordinator of a pool knows nothing of the first one's
+	// calls and result capacity.
 	settleTime = 700 * time.Millisecond
-	// freshLoadPeriods is how many load messages a peer may be behind, as a factor of
-	// their period, once another peer has given no answer. A zone that is cut off
-	// falls silent at once: without it, a VM tried the peers there one after the
-	// other, each for half a second or more.
+	// freshLoadPeriods is how old a peer's last load report may be, in reporting periods, once
+	// another peer has given no answer. A partitioned zone falls silent all at once: without
+	// this check, a VM tried the peers there one after the other, each for half a second or
+	// more.
 	freshLoadPeriods = 1.4
-	// settlePoll is how often a request looks whether somebody gathers by now.
+	// settlePoll is how often a request checks whether a coordinator is known.
 	settlePoll = 50 * time.Millisecond
-	// incarnationBump is added to the incarnation of a process that was overruled: its
-	// VM's clock was set back after an earlier process had started.
+	// incarnationBump is added to the incarnation of a process that was overruled: the VM's
+	// clock was set back after an earlier process had started.
 	incarnationBump = 30 * time.Second
 )
 
-// mesh is what the relay knows of its peers.
+// mesh is the relay's state about its peers.
 type mesh struct {
-	self shed.Peer
-	// startedAt is when this process started.
+	self      shed.Peer
 	startedAt time.Time
-	// lastSequence is the last sequence of each process's load, heard is when a VM last
-	// told its load, to this VM or one that passed it on.
+	// lastSequence is the last load report sequence of each process, lastLoad when a VM last
+	// reported its load, to this VM or to one that forwarded it.
 	lastSequence map[shed.Peer]uint64
 	lastLoad     map[shed.VM]time.Time
-	// forecasts are what peers said of the pieces that they gather.
+	// forecasts are the coordinators' latest forecasts by pool.
 	forecasts map[shed.PoolID]peerForecast
-	// backoffUntil peers gather nothing for this VM until then.
+	// backoffUntil is until when a peer gets no work from this VM.
 	backoffUntil map[shed.VM]time.Time
-	// active are the VMs that are there, as of presentAt.
+	// active is the cached list of active VMs, computed at activeAt.
 	active   []shed.VM
 	activeAt time.Time
-	// follower decides when what peers know more of the store is read from them.
+	// follower decides when newer state of the store is pulled from peers.
 	follower *follow.Follower
-	// updates wait to be taken in, the first one is being taken in.
+	// updates is the queue of received updates; the first one is being applied.
 	updates []storeUpdate
-	// applying: something of the store is being taken in.
+	// applying: data from the store or a peer is being applied.
 	applying bool
-	// expected is what each peer said of the pieces that its requests will ask for,
-	// comingSum their sum.
+	// expected is what each peer reported as its expected pieces, expectedSum the sum.
 	expected    map[shed.VM]map[shed.PoolID]int
 	expectedSum map[shed.PoolID]int
-	// pieceCalls end the calls for pieces that are under way at each peer, by a number.
+	// pieceCalls cancels the piece calls in flight at each peer, by call number.
 	pieceCalls    map[shed.VM]map[uint64]context.CancelFunc
 	lastPieceCall uint64
 
-	// fanout decides whom this VM tells its load.
+	// fanout decides which peers get load reports, and when.
 	fanout   *fanout.Fanout
 	sequence uint64
 }
@@ -105,7 +102,7 @@
 	r.joinMesh()
 }
 
-// joinMesh starts with an empty view under the present incarnation.
+// joinMesh starts with an empty membership view under the current incarnation.
 func (r *Relay) joinMesh() {
 	r.client = peers.NewClient(peers.ClientConfig{Self: r.mesh.self, Dial: r.cfg.DialPeer})
 	r.group = member.New(member.Config{
@@ -132,7 +129,7 @@
 	if r.group.Overruled() {
 		r.mesh.self.Incarnation = shed.Incarnation(now.Add(incarnationBump).UnixNano())
 		r.log.WithField("incarnation", r.mesh.self.Incarnation).
-			Warn("an earlier process of this VM had a later clock; joining the peers anew")
+			Warn("an earlier process of this VM had a later clock; rejoining with a new incarnation")
 		old := r.client
 		r.joinMesh()
 		r.work.Go(old.Close)
@@ -142,7 +139,7 @@
 	r.reportLoad(now)
 }
 
-// performMesh does what member asks. The caller holds mu.
+// performMesh performs the membership protocol's actions. The caller holds mu.
 func (r *Relay) performMesh(acts []shed.Action) {
 	for _, act := range acts {
 		switch a := act.(type) {
@@ -151,7 +148,7 @@
 		case shed.Note:
 			r.log.WithFields(logrus.Fields{"reason": a.Reason, "peer": a.Peer}).Info("peer")
 			if a.Reason == member.ReasonPeerDead {
-				// What a dead process had on servers is over.
+				// A dead process has no requests on servers any more.
 				r.picker.PeerGone(a.Peer)
 				r.setPeerExpected(a.Peer, nil)
 				r.handleFollowEvent(time.Now(), follow.Gone{VM: a.Peer})
@@ -161,14 +158,14 @@
 	}
 }
 
-// alivePeers are the peers that are alive, without this one.
+// alivePeers returns the live peers by the membership protocol, without this VM.
 func (r *Relay) alivePeers() []shed.VM {
 	vms := r.group.View().VMs(meshZone)
 	return slices.DeleteFunc(vms, func(vm shed.VM) bool { return vm == r.mesh.self.VM })
 }
 
-// fleetSize is how many VMs share what only the whole fleet may use up: those
-// that the settings name, or more if more were ever seen.
+// fleetSize returns how many VMs share the budgets of the fleet: the number in the settings, or
+// the number of VMs ever seen if that is larger.
 func (r *Relay) fleetSize() int {
 	return max(r.prefs.Load().Relay.Fleet, len(r.group.Known())+1)
 }
@@ -194,8 +191,8 @@
 	}
 }
 
-// Unwanted implements peers.RelayHandler. Else the results would take up room at
-// their makers until they lapse there.
+// Unwanted implements peers.RelayHandler. It frees the results, which would otherwise take up
+// capacity at their producers until they expire.
 func (r *Relay) Unwanted(results []shed.PieceResult) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/relay/pieces.go
+++ b/internal/relay/pieces.go
@@ -12,7 +12,7 @@
 	"github.com/sirupsen/logrus"
 )
 
-// runPieces has pieces made, also if the VM that gathers them stops meanwhile.
+// runPieces has pieces run, also if their coordinator stops meanwhile.
 func (r *Relay) runPieces(ctx context.Context, j *job, pool shed.PoolID, pieces []shed.Piece) []shed.PieceResult {
 	out := uniformResults(len(pieces), shed.PieceMoved)
 	for ctx.Err() == nil {
@@ -38,8 +38,8 @@
 	return out
 }
 
-// requestPieces has pieces made by the servers of a pool, through the VM that
-// gathers them. If that VM doesn't answer, the next one does.
+// requestPieces has pieces run by the servers of a pool, through the pool's coordinator. If the
+// coordinator doesn't answer, the next one is tried.
 func (r *Relay) requestPieces(ctx context.Context, pool shed.PoolID, pieces []shed.Piece) ([]shed.PieceResult, shed.VM) {
 	own := r.mesh.self.VM
 	for ctx.Err() == nil {
@@ -69,8 +69,8 @@
 	return failedResults(len(pieces)), own
 }
 
-// requestPeerPieces calls a peer for pieces. The call ends sooner if the peer is found
-// silent by another one.
+// requestPeerPieces makes a piece call to a peer. The call is cancelled if the peer is found to
+// be silent by another call.
 func (r *Relay) requestPeerPieces(
 	ctx context.Context, client *peers.Client, vm shed.VM, call peers.PieceCall,
 ) (peers.PieceAnswer, error) {
@@ -92,7 +92,7 @@
 	return client.Pieces(ctx, vm, call)
 }
 
-// sleep waits for a time or the end of ctx.
+// sleep waits for d or until ctx is done.
 func sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -102,7 +102,7 @@
 	}
 }
 
-// recordCoordinator remembers through which VM results were made.
+// recordCoordinator stores which VM coordinated the results.
 func (r *Relay) recordCoordinator(j *job, results []shed.PieceResult, vm shed.VM) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -114,16 +114,15 @@
 	}
 }
 
-// releaseInputs gives the request's inputs up: its server has fetched them, or it
-// ended.
+// releaseInputs frees the request's inputs, after its server has fetched them or when it ends.
 func (r *Relay) releaseInputs(j *job) {
 	refs := j.inputs
 	j.inputs, j.inputsReady = nil, false
 	r.releaseResults(j, refs)
 }
 
-// releaseResults gives results up, through the VM that had them made: it counts the room
-// at their makers.
+// releaseResults frees results through their coordinator, which accounts for the producers'
+// capacity.
 func (r *Relay) releaseResults(j *job, refs []shed.ResultRef) {
 	if len(refs) == 0 {
 		return
--- a/internal/relay/plan.go
+++ b/internal/relay/plan.go
@@ -11,14 +11,14 @@
 	"jasmineshed/internal/prefs"
 )
 
-// plan is what a request's steps come to.
+// plan is the subset of a route's steps that a request uses.
 type plan struct {
 	steps []shed.RouteStep
-	// pieces is how many pieces each of steps has, at least one.
+	// pieces is the number of pieces of each step, at least one.
 	pieces []int
 }
 
-// newPlan leaves out steps that the request has no pieces of.
+// newPlan omits steps for which the request has no pieces.
 func newPlan(j *job) plan {
 	var p plan
 	for _, s := range j.route.Steps {
@@ -33,20 +33,20 @@
 	return p
 }
 
-// stepIndex finds the step with this index; -1 if the request omits it.
+// stepIndex returns the position of the step with this index; -1 if the request omits it.
 func (p plan) stepIndex(index int) int {
 	return slices.IndexFunc(p.steps, func(s shed.RouteStep) bool { return s.Index == index })
 }
 
-// isFinal tells whether no other step needs the results of this one.
+// isFinal reports whether no other step needs the results of this one.
 func (p plan) isFinal(at int) bool {
 	return !slices.ContainsFunc(p.steps, func(s shed.RouteStep) bool {
 		return slices.Contains(s.After, p.steps[at].Index)
 	})
 }
 
-// fetchedBytes is how many bytes of a step's results the pieces of other steps fetch:
-// each of them fetches all.
+// fetchedBytes returns how many bytes of a step's results the pieces of other steps fetch: each
+// of them fetches all.
 func (p plan) fetchedBytes(at int) int64 {
 	var bytes int64
 	for i, s := range p.steps {
@@ -57,17 +57,17 @@
 	return bytes
 }
 
-// minTimeAfter is the least time that a request takes after one of its steps. By
-// it, the first step of a long chain is due before the last one, and pieces are
-// not made for a request that can't be in time any more.
+// minTimeAfter returns the least time that a request takes after one of its steps. It makes the
+// first step of a long chain due before the last one, and prevents running pieces for a request
+// that can't meet its deadline any more.
 func (r *Relay) minTimeAfter(j *job, p plan, at int) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.chain(time.Now(), p).Rest(at) + j.answerTime
 }
 
-// chain puts together what is known of the pools of a plan's steps. The caller
-// holds mu.
+// chain collects the limits, forecasts and expected pieces of the pools of a plan's steps. The
+// caller holds mu.
 func (r *Relay) chain(now time.Time, p plan) chain.Chain {
 	c := make(chain.Chain, len(p.steps))
 	for i, s := range p.steps {
@@ -87,8 +87,8 @@
 	return c
 }
 
-// forecast is what this VM foresees for a pool that it gathers for, or what the
-// gatherer told, less what has passed since.
+// forecast returns this VM's forecast for a pool that it coordinates, or the coordinator's last
+// one less the time since.
 func (r *Relay) forecast(now time.Time, pool *shed.RelayPool) batch.Forecast {
 	if vm, _ := r.coordinator(now, pool.ID); vm == r.mesh.self.VM {
 		return r.batcher.Wait(now, pool.ID, *pool.Batch)
@@ -101,9 +101,9 @@
 	return batch.Forecast{Timely: w.Timely - age, Last: w.Last - age, Slow: w.Slow, Rate: w.Rate}
 }
 
-// estimate chooses near which server the pieces are best made, and foresees how long
-// they take, and would take at least. If no server can be reached that could answer,
-// away is when one may be tried again.
+// estimate picks the zone near which the pieces should run and predicts how long they take, and
+// the least that they can take. If no server that could answer is reachable, retryAfter is when
+// one may be tried again.
 func (r *Relay) estimate(j *job, p plan) (ask accept.Ask, retryAfter time.Duration) {
 	now := time.Now()
 	r.mu.Lock()
@@ -127,8 +127,8 @@
 	return ask, choice.Away
 }
 
-// moreUrgentRoutes are the routes of more urgent ranks that have steps in a pool, and how many
-// ranks they have. The caller holds mu.
+// moreUrgentRoutes returns the routes of more urgent ranks that have steps in a pool, and the
+// number of these ranks. The caller holds mu.
 func (r *Relay) moreUrgentRoutes(route *shed.Route, pool shed.PoolID) (routes []shed.RouteID, ranks int) {
 	seen := map[int]bool{}
 	for i := range r.roster.Catalog().Routes {
--- a/internal/relay/poison.go
+++ b/internal/relay/poison.go
@@ -16,14 +16,14 @@
 	"github.com/sirupsen/logrus"
 )
 
-// trialTurns is how many VMs take turns in trying a request after its quarantine.
+// trialCandidates is how many VMs may, in turn, try a request after its quarantine.
 const trialCandidates = 4
 
-// closesWithin is how soon a connection to a server that has ended is closed, where it is
-// taken at all.
+// closeProbeTimeout is how soon a connection to an ended server is closed, if it is accepted at
+// all.
 const closeProbeTimeout = 30 * time.Millisecond
 
-// rejectSuspect refuses a request that crashes servers before anything is done for it.
+// rejectSuspect refuses a request known to crash servers before any work is done for it.
 func (r *Relay) rejectSuspect(j *job) *refusal {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -31,8 +31,8 @@
 	return refused
 }
 
-// checkSuspect refuses a request that crashes servers, and tells whether one that may is to
-// run apart from others. The caller holds mu.
+// checkSuspect refuses a request known to crash servers, and reports whether a suspected one
+// has to run isolated from others. The caller holds mu.
 func (r *Relay) checkSuspect(now time.Time, j *job) (isolate bool, refused *refusal) {
 	if j.trial || r.poison.Empty() {
 		return j.trial, nil
@@ -48,8 +48,8 @@
 	return isolate, nil
 }
 
-// suspectFingerprints are what may end servers: the request itself, and its pieces, until they are
-// made.
+// suspectFingerprints returns what may crash servers: the request itself, and its pieces until
+// they are complete.
 func (j *job) suspectFingerprints() []shed.Fingerprint {
 	out := []shed.Fingerprint{j.fingerprint}
 	if j.inputsReady {
@@ -63,7 +63,8 @@
 	return out
 }
 
-// trialRank is this VM's place among those that try a request after its quarantine.
+// trialRank returns this VM's place among the trial candidates of a request after its
+// quarantine.
 func (r *Relay) trialRank(f shed.Fingerprint) int {
 	owners := rank.Owners(f.String(), append(r.alivePeers(), r.mesh.self.VM), trialCandidates)
 	if at := slices.Index(owners, r.mesh.self.VM); at >= 0 {
@@ -72,8 +73,7 @@
 	return trialCandidates
 }
 
-// assessAttempt takes in what an attempt shows of the request: whether its server ended
-// under it.
+// assessAttempt records whether the request's server crashed or survived the attempt.
 func (r *Relay) assessAttempt(a *attempt, v outcome) {
 	a.job.trial = a.job.trial && !v.sent
 	switch {
@@ -88,7 +88,7 @@
 	}
 }
 
-// recordCrash notes that a server ended while it ran a request. The caller holds mu.
+// recordCrash records that a server ended while it ran a request. The caller holds mu.
 func (r *Relay) recordCrash(id shed.RequestID, ref shed.RequestRef, s shed.Listing) {
 	r.stats.crashes.Inc(1)
 	r.log.WithFields(logrus.Fields{"request": id, "fingerprint": ref.Request, "server": s.ID, "born": s.Born}).
@@ -96,8 +96,8 @@
 	r.reportSuspects(r.poison.Crashed(time.Now(), ref.Request, ref.Workspace, startOf(s)))
 }
 
-// assessPieces takes in what a call for pieces shows of their requests. The caller holds
-// mu.
+// assessPieces records for each request of a piece call whether the server crashed or survived.
+// The caller holds mu.
 func (r *Relay) assessPieces(a batch.Send, end batch.CallEnded) {
 	if !end.Crashed && (end.Results == nil || r.poison.Empty()) {
 		return
@@ -116,13 +116,13 @@
 	}
 }
 
-// isCrash tells whether a connection broke since its server ended.
+// isCrash reports whether a connection broke because its server ended.
 func (r *Relay) isCrash(err error, s shed.Listing) bool {
 	return closedByServer(err) && r.serverEnded(s)
 }
 
-// closedByServer tells whether the server's side closed the connection: not one that fell
-// silent or was ended here.
+// closedByServer reports whether the server's side closed the connection, as opposed to a
+// connection that fell silent or was closed here.
 func closedByServer(err error) bool {
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) ||
 		errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)
@@ -130,8 +130,8 @@
 
 func startOf(s shed.Listing) shed.ServerStart { return shed.ServerStart{Server: s.ID, Born: s.Born} }
 
-// serverEnded tells whether a server whose connection broke has ended. Servers close
-// connections for other reasons as well; one that has ended takes none.
+// serverEnded reports whether a server whose connection broke has ended. Servers close
+// connections for other reasons as well; one that has ended accepts none.
 func (r *Relay) serverEnded(s shed.Listing) bool {
 	r.mu.Lock()
 	known := r.poison.Knows(time.Now(), startOf(s))
@@ -144,7 +144,7 @@
 		return errors.Is(err, syscall.ECONNREFUSED) || timedOut(err)
 	}
 	defer func() { _ = c.Close() }()
-	// Something in front of a server that has ended may take the connection, and close it.
+	// A proxy in front of an ended server may accept the connection and then close it.
 	if err := c.SetReadDeadline(time.Now().Add(closeProbeTimeout)); err != nil {
 		return false
 	}
@@ -152,15 +152,15 @@
 	return errors.Is(err, io.EOF)
 }
 
-// notifyCrashes tells peers of requests that crash servers. The caller holds mu.
+// notifyCrashes sends due crash updates to peers. The caller holds mu.
 func (r *Relay) notifyCrashes(now time.Time) {
 	for _, t := range r.poison.Due(now, r.alivePeers()) {
 		r.client.SendAll(t.To, t.News)
 	}
 }
 
-// reportSuspects logs what is believed anew of requests that may crash servers, and tells
-// peers at once. The caller holds mu.
+// reportSuspects logs changes about requests that may crash servers, and notifies peers at
+// once. The caller holds mu.
 func (r *Relay) reportSuspects(changes []poison.Change) {
 	if len(changes) > 0 {
 		r.notifyCrashes(time.Now())
--- a/internal/relay/receive.go
+++ b/internal/relay/receive.go
@@ -13,14 +13,14 @@
 	"jasmineshed/internal/roster"
 )
 
-// receiveRequest reads a request and finds out what it is. Its body is read whole before
-// anything is sent on: what is passed on is then always the whole request, and
-// can be sent to a second server.
+// receiveRequest reads and admits a request. The body is read completely before anything is
+// forwarded: what is forwarded is then always the whole request, and can be resent to a second
+// server.
 func (r *Relay) receiveRequest(req *http.Request) (*job, *refusal) {
 	j := &job{began: time.Now(), answerTime: picker.FirstOverrun}
 	ask, err := r.cfg.Dialect.Ask(req)
 	if err != nil {
-		r.log.WithError(err).Info("request head refused")
+		r.log.WithError(err).Info("invalid request head")
 		return j, &refusal{status: http.StatusBadRequest, reason: reasonBadHead}
 	}
 	j.ask = ask
@@ -51,7 +51,7 @@
 	return defaultBodyBytes
 }
 
-// admit finds the request's route, workspace and time.
+// admit determines the request's route, workspace, pool, target and deadline.
 func (r *Relay) admit(j *job) *refusal {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -92,10 +92,10 @@
 	return nil
 }
 
-// permanentRefusal refuses a request for good by what the configuration says. Callers don't come
-// back after that, so a VM that knows of a newer configuration than its own doesn't say
-// it: the newer one may have the route or key. Nor does one whose configuration nobody
-// has confirmed. The caller holds mu.
+// permanentRefusal refuses a request for good because of the configuration. Callers don't retry
+// after that, so a VM that knows of a newer configuration than its own refuses temporarily: the
+// newer one may have the route or key. So does a VM whose configuration nobody has confirmed.
+// The caller holds mu.
 func (r *Relay) permanentRefusal(status int, reason shed.Reason) *refusal {
 	if !r.roster.Sure() || r.mesh.follower.Behind(r.roster.AsOf()) {
 		return &refusal{status: http.StatusServiceUnavailable, reason: reasonStaleConfig, retryAfter: accept.ComeBack}
@@ -103,7 +103,7 @@
 	return &refusal{status: status, reason: reason}
 }
 
-// choosePool picks a pool by the weights of the route's split, in turn.
+// choosePool picks a pool by the weights of the route's split, round-robin.
 func (r *Relay) choosePool(route *shed.Route) shed.PoolID {
 	total := 0
 	for _, s := range route.Split {
@@ -113,7 +113,7 @@
 		return route.Split[0].Pool
 	}
 	r.splitCounter++
-	// A stride that is coprime to the usual total of 100 spreads the turns.
+	// A stride that is coprime to the usual total of 100 interleaves the pools.
 	at := int(r.splitCounter * 37 % uint64(total))
 	for _, s := range route.Split {
 		if at < s.Weight {
@@ -124,16 +124,16 @@
 	return route.Split[len(route.Split)-1].Pool
 }
 
-// repeatShare is the part of the fleet's budget of repeats that is used: VMs
-// that start or are not seen yet have a share too.
+// retryShare is the part of the fleet's retry budget that is used: VMs that are starting or not
+// seen yet have a share too.
 const retryShare = 0.6
 
-// retryBudget is this VM's share of the fleet's budget of repeats to a pool: over
-// any window, all VMs together stay below ratio x requests + slack.
+// retryBudget returns this VM's share of the fleet's retry budget for a pool: over any window,
+// all VMs together stay below ratio x requests + slack.
 //
-// The share is worked out anew each time: a process that starts knows few VMs, and
-// would else keep a share of the slack that is many times too large, as would all
-// others that started with it.
+// The share is recomputed on each call: a process that starts knows few VMs and would otherwise
+// keep a share of the slack that is many times too large, as would all others that started with
+// it.
 func (r *Relay) retryBudget(pool shed.PoolID) *retry.Budget {
 	p := r.prefs.Load().Relay
 	slack := retryShare * p.RepeatSlack / float64(r.fleetSize())
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -1,7 +1,7 @@
-// Package relay is the daemon that passes requests on unread: it finds the
-// route, has the pieces made that the request needs, chooses a server, and
-// brings the answer back whole. Decisions are taken by the pure packages
-// roster, picker, batch, member and retry; this package performs them.
+// Package relay implements the daemon that forwards requests without interpreting their bodies:
+// it finds the route, has the pieces run that the request needs, chooses a server, and returns
+// the complete answer. The pure packages roster, picker, batch, member and retry take the
+// decisions; this package performs them.
 package relay
 
 import (
@@ -39,20 +39,19 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Config is what a Relay needs.
+// Config configures a Relay.
 type Config struct {
 	Prefs *prefs.Prefs
-	// Reload reads the settings again; nil if they have no file.
+	// Reload rereads the settings; nil if they come from no file.
 	Reload  func() (*prefs.Prefs, error)
 	Store   shed.Store
 	Dialect shed.Dialect
-	// Log and Lines are the log and the writer below it, whose lines the relay
-	// writes out.
+	// Log writes to Lines, whose buffer the relay drains.
 	Log     *logrus.Logger
 	Lines   *telem.Async
 	Metrics *telem.Metrics
 	Tracing *telem.Tracing
-	// Listeners, opened by Listen.
+	// Listeners are opened by Listen.
 	Listeners Listeners
 	// Dial opens connections to backend servers; nil means TCP.
 	Dial func(ctx context.Context, network, addr string) (net.Conn, error)
@@ -60,7 +59,7 @@
 	DialPeer func(ctx context.Context, to shed.VM) (net.Conn, error)
 }
 
-// Relay is one relaying daemon.
+// Relay is a relay daemon.
 type Relay struct {
 	cfg    Config
 	log    *logrus.Entry
@@ -69,26 +68,25 @@
 	front  *httpd.Server
 	sender *engine.Sender
 	client *peers.Client
-	// base is the context of work that belongs to no request.
+	// base is the context of background work that belongs to no request.
 	base       context.Context
 	cancelBase context.CancelFunc
-	// work holds the goroutines that perform actions.
+	// work tracks the goroutines that perform actions.
 	work errgroup.Group
 
 	// prefs are the settings in force.
 	prefs    atomic.Pointer[prefs.Prefs]
 	stopping atomic.Bool
-	// forced is closed once a stop is to hurry.
+	// forced is closed once a forced stop is requested.
 	forced    chan struct{}
 	forceOnce sync.Once
 	// open counts requests being answered.
 	open atomic.Int64
 
-	// applyMu is held while something of the store is taken in. It is locked before mu.
+	// applyMu serializes applying data of the store. It is locked before mu.
 	applyMu sync.Mutex
 
-	// mu guards what follows: all decisions are taken under it, none of them
-	// blocks.
+	// mu guards the fields below: all decisions are taken under it, and none of them blocks.
 	mu      sync.Mutex
 	roster  *roster.Roster
 	picker  *picker.Picker
@@ -96,7 +94,7 @@
 	accept  *accept.Gate
 	poison  *poison.Table
 	limits  *limit.Table
-	// turnBook are the turns that this VM lends, waits those that it was denied.
+	// turnBook holds the turns that this VM grants, deniedTurns those that it was denied.
 	turnBook     *turns.Book
 	deniedTurns  *turns.Waits
 	retryBudgets map[shed.PoolID]*retry.Budget
@@ -105,21 +103,21 @@
 	packer       delta.Packer
 	jobs         map[batch.JobID]chan []shed.PieceResult
 	lastJob      batch.JobID
-	// expected is how many pieces the requests here will ask of each pool once the
-	// steps before are done; no entry is 0.
+	// expected is how many pieces the requests here will request from each pool once the
+	// preceding steps are done; entries of 0 are deleted.
 	expected map[shed.PoolID]int
-	// pendingFrees are results to be given up, by the address of their maker; freeing
-	// counts the calls that tell a maker of some.
+	// pendingFrees are results to be freed, by the address of their producer; activeFrees
+	// counts the free calls in flight per address.
 	pendingFrees map[string][]shed.ResultRef
 	activeFrees  map[string]int
-	// historyCompacted: the store's history is gone, so all of it is to be read. Used by
+	// historyCompacted: the store no longer has the history, so a full read is needed. Used by
 	// followStore only.
 	historyCompacted bool
-	// splitCounter counts requests, to share out splits of routes.
+	// splitCounter counts requests, to distribute them over the split of a route.
 	splitCounter uint64
 }
 
-// New puts a Relay together; Run runs it.
+// New creates a Relay; Run runs it.
 func New(cfg Config) *Relay {
 	if cfg.Dial == nil {
 		cfg.Dial = httpd.Dialer(cfg.Prefs.Relay.Connect, cfg.Prefs.Relay.Silence).DialContext
@@ -159,7 +157,7 @@
 	return r
 }
 
-// serverEntries gives batch the servers of a pool.
+// serverEntries returns the open servers of a pool, for the batcher.
 func (r *Relay) serverEntries(pool shed.PoolID) []shed.Listing {
 	open := r.roster.Open(pool)
 	out := make([]shed.Listing, len(open))
@@ -169,13 +167,13 @@
 	return out
 }
 
-// ErrFailed is returned by Run when the daemon ended though nobody asked.
+// ErrFailed is returned by Run when the daemon ended without a request to stop.
 var ErrFailed = errors.New("relay failed")
 
-// stopSlack is kept of the time that a stop may take, for the process to end.
+// stopSlack is the part of the stop time that is reserved for the process to exit.
 const stopSlack = time.Second
 
-// Run serves until ctx ends or a graceful stop is done.
+// Run serves until ctx is done or a graceful stop is complete.
 func (r *Relay) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -203,7 +201,7 @@
 	return fmt.Errorf("%w: %w", ErrFailed, err)
 }
 
-// service is a function as a service of the supervisor tree.
+// service adapts a function to a service of the supervisor tree.
 type service struct {
 	name string
 	run  func(context.Context) error
@@ -238,13 +236,14 @@
 	}
 }
 
-// noExplainer answers operators that ask for a request: the log tells.
+// noExplainer answers operators' queries for single requests with nothing: the relay keeps no
+// history but its log.
 type noExplainer struct{}
 
 // Explain implements oper.Explainer.
 func (noExplainer) Explain(shed.RequestID) (any, bool) { return nil, false }
 
-// serveReady answers the balancer.
+// serveReady answers the load balancer's readiness checks.
 func (r *Relay) serveReady(w http.ResponseWriter, _ *http.Request) {
 	if !r.ready() {
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -262,7 +261,7 @@
 	return r.roster.Usable()
 }
 
-// tickEvery is the period of the pure packages' ticks.
+// tickEvery is the tick period of the pure packages.
 const tickEvery = shed.TickEvery
 
 func (r *Relay) runTicks(ctx context.Context) error {
--- a/internal/relay/reload.go
+++ b/internal/relay/reload.go
@@ -9,7 +9,7 @@
 	"jasmineshed/internal/prefs"
 )
 
-// followSettings looks at the settings file now and then.
+// followSettings polls the settings file for changes.
 func (r *Relay) followSettings(ctx context.Context) error {
 	t := time.NewTicker(r.prefs.Load().Relay.Reload)
 	defer t.Stop()
@@ -23,16 +23,15 @@
 	}
 }
 
-// ReloadSettings reads the settings again. What can change in a process that
-// runs is put in force: the seeds and the shares of what the fleet may use up.
-// Settings with a fault change nothing.
+// ReloadSettings rereads the settings and applies what can change in a running process: the
+// seeds and the shares of fleet-wide budgets. Invalid settings change nothing.
 func (r *Relay) ReloadSettings(asked bool) {
 	if r.cfg.Reload == nil {
 		return
 	}
 	p, err := r.cfg.Reload()
 	if err != nil {
-		r.log.WithError(err).Warn("settings not reloaded; the last good ones stay in force")
+		r.log.WithError(err).Warn("settings not reloaded; the current ones stay in force")
 		return
 	}
 	r.mu.Lock()
@@ -40,7 +39,7 @@
 	old := r.prefs.Load()
 	if reflect.DeepEqual(old, p) {
 		if asked {
-			r.log.Info("settings reloaded; nothing has changed")
+			r.log.Info("settings reloaded; no changes")
 		}
 		return
 	}
@@ -52,7 +51,7 @@
 	r.log.WithField("seeds_changed", seeds).Info("settings reloaded")
 }
 
-// setPrefs puts settings in force. The caller holds mu.
+// setPrefs applies settings. The caller holds mu.
 func (r *Relay) setPrefs(p *prefs.Prefs, seeds bool) {
 	r.prefs.Store(p)
 	r.group.SetPower(p.Relay.Power)
--- a/internal/relay/send.go
+++ b/internal/relay/send.go
@@ -19,35 +19,34 @@
 )
 
 const (
-	// maxAnswer bounds an answer that is no stream, in bytes; it is held whole
-	// before it is passed on.
+	// maxAnswer bounds an answer that is no stream, in bytes; it is buffered before it is
+	// forwarded.
 	maxAnswer = 16 << 20
-	// maxDecisionAge is the longest that a decision to send may be old when the
-	// first byte leaves: after it, the process was paused, and what it knew of
-	// the server may no longer hold.
+	// maxDecisionAge is the maximum age of a routing decision when the first byte is sent: if
+	// it is exceeded, the process was paused, and its knowledge of the server may be stale.
 	maxDecisionAge = time.Second
 )
 
-// outcome is how one attempt ended.
+// outcome is the result of one attempt.
 type outcome struct {
-	// done: the caller has the whole answer.
+	// done: the caller has the complete answer.
 	done bool
-	// sent: a byte of the request may have left; mayHaveRun: it may have run.
+	// sent: a byte of the request may have been sent; mayHaveRun: it may have run.
 	sent, mayHaveRun bool
 	reason           shed.Reason
 }
 
-// output is the way back to the caller.
+// output is the response to the caller.
 type output struct {
 	w       http.ResponseWriter
 	control *http.ResponseController
-	// started: a part of the answer may have left.
+	// started: part of the answer may have been sent.
 	started bool
-	// lastEvent is the id of the last event passed on.
+	// lastEvent is the id of the last forwarded event.
 	lastEvent string
 }
 
-// attempt sends the request to the chosen server and passes the answer on.
+// attempt sends the request to the chosen server and forwards the answer.
 func (r *Relay) attempt(ctx context.Context, out *output, j *job, choice picker.Choice) outcome {
 	began := time.Now()
 	ctx, span := r.tracer.Start(ctx, "send")
@@ -86,8 +85,7 @@
 	return v
 }
 
-// timedOut tells whether an error is that of a limit of time: not that of a
-// server that is down and says so.
+// timedOut reports whether an error is a timeout, as opposed to a refused connection.
 func timedOut(err error) bool {
 	var timeout net.Error
 	return errors.As(err, &timeout) && timeout.Timeout()
@@ -101,11 +99,11 @@
 	choice picker.Choice
 	began  time.Time
 	cancel context.CancelFunc
-	// begun: the picker knows that the first event has come.
+	// begun: the picker has been told that the first event arrived.
 	begun bool
-	// silent: the attempt was ended since no event came.
+	// silent: the attempt was cancelled because no event arrived in time.
 	silent atomic.Bool
-	// serverFailed: the server is to blame.
+	// serverFailed: the failure is attributed to the server.
 	serverFailed bool
 	status       int
 	err          error
@@ -149,14 +147,14 @@
 	return a.handleAnswer(ctx, resp)
 }
 
-// handleAnswer looks at the head of an answer and passes it on.
+// handleAnswer checks the head of an answer and forwards it.
 func (a *attempt) handleAnswer(ctx context.Context, resp *http.Response) outcome {
 	j := a.job
 	a.status = resp.StatusCode
 	reply := a.relay.cfg.Dialect.Reply(resp)
 	if reply.ID != j.ask.ID {
-		// A second answer to an earlier request on this connection, or bytes
-		// that are no answer: they belong to nobody.
+		// This is a second answer to an earlier request on the connection, or bytes that are no
+		// answer: they belong to no request.
 		a.serverFailed = true
 		return outcome{sent: true, mayHaveRun: true, reason: reasonOtherAnswer}
 	}
@@ -188,7 +186,7 @@
 	return a.forwardWhole(ctx, resp)
 }
 
-// forwardWhole passes on an answer that is no stream, once it is all here.
+// forwardWhole forwards an answer that is no stream, once it is complete.
 func (a *attempt) forwardWhole(ctx context.Context, resp *http.Response) outcome {
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer+1))
 	if err != nil || len(body) > maxAnswer {
@@ -196,7 +194,7 @@
 		return outcome{sent: true, mayHaveRun: true, reason: shed.ReasonBroken}
 	}
 	if a.out.started {
-		// The server would not go on with the stream.
+		// The server did not resume the stream.
 		return outcome{sent: true, mayHaveRun: true, reason: shed.ReasonServerError}
 	}
 	if resp.StatusCode >= http.StatusInternalServerError && a.job.route.Repeatable && a.job.sends+1 < a.job.route.MostSends &&
@@ -215,7 +213,7 @@
 	return outcome{done: true, sent: true, mayHaveRun: true}
 }
 
-// hasOtherServer tells whether another server could try.
+// hasOtherServer reports whether another server could be tried.
 func (r *Relay) hasOtherServer(j *job, c picker.Choice) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -227,8 +225,8 @@
 	return false
 }
 
-// copyHeader passes the head of an answer on. What net/http would add by itself
-// is kept out.
+// copyHeader copies an answer's header. It suppresses the fields that net/http would add by
+// itself.
 func copyHeader(to, from http.Header) {
 	for name, values := range from {
 		if !slices.Contains(shed.HopHeaders, name) {
@@ -242,7 +240,7 @@
 	}
 }
 
-// markBegun tells the picker, once, that the prompt is read or given up. The
+// markBegun tells the picker, once, that the prompt has been read or the attempt given up. The
 // caller holds mu.
 func (a *attempt) markBegun() {
 	if !a.begun {
@@ -251,4 +249,4 @@
 	}
 }
 
-var errSilent = errors.New("no event in time")
+var errSilent = errors.New("no stream event within the time limit")
--- a/internal/relay/serve.go
+++ b/internal/relay/serve.go
@@ -14,15 +14,15 @@
 )
 
 const (
-	// defaultTimeout bounds a request whose route and caller name no time.
+	// defaultTimeout bounds a request if neither its route nor its caller sets a timeout.
 	defaultTimeout = 30 * time.Second
-	// defaultBodyBytes bounds a body if the configuration doesn't, in bytes.
+	// defaultBodyBytes bounds a body if the configuration sets no limit.
 	defaultBodyBytes = 4 << 20
-	// answerSlack is kept of a caller's time for the answer's way back.
+	// answerSlack is the part of a caller's timeout that is reserved for the answer's way back.
 	answerSlack = 30 * time.Millisecond
 )
 
-// job is one caller's request on its way through the relay.
+// job is the state of one caller's request.
 type job struct {
 	ask       shed.Ask
 	route     *shed.Route
@@ -32,44 +32,42 @@
 	version   string
 	body      []byte
 	began     time.Time
-	// target is when the answer should, deadline when it must be there.
+	// target is the soft time limit of the answer, deadline the hard one.
 	target, deadline time.Time
 
-	// sends counts the servers that the request was sent to, mayHaveRun tells
-	// whether one of them may have run it.
+	// sends counts the attempts that were sent to a server, mayHaveRun reports whether one of
+	// them may have run the request.
 	sends      int
 	mayHaveRun bool
 	avoid      []shed.ServerID
-	// inputsReady: the request's pieces are made, and not given up yet; inputs are
-	// the results that it needs, zone is where they lie.
+	// inputsReady: the request's pieces are complete and not freed yet; inputs are the results
+	// that it needs, zone is where they are held.
 	inputsReady bool
 	inputs      []shed.ResultRef
-	// coordinators tells through which VM each result was made: it counts the room
-	// at the makers, so it has to hear when the result is given up. Guarded by
-	// Relay.mu.
+	// coordinators maps each result to the VM that coordinated it: that VM accounts for the
+	// producers' capacity, so it has to know when the result is freed. Guarded by Relay.mu.
 	coordinators map[shed.ResultRef]shed.VM
 	zone         shed.ZoneID
 	largeInputs  bool
-	// expected are the pieces of steps that have not begun, by pool. Guarded by
-	// Relay.mu.
+	// expected are the pieces of steps that have not begun, by pool. Guarded by Relay.mu.
 	expected map[shed.PoolID]int
-	// answerTime is what its server is foreseen to take to the first event.
+	// answerTime is the predicted time to the server's first event.
 	answerTime time.Duration
-	// predicted is when the answer was foreseen when it was let in, for the log.
+	// predicted is the time to the answer as predicted at admission, for the log.
 	predicted time.Duration
 
 	fingerprint shed.Fingerprint
-	// trial: the request may crash its server, and is sent once to see.
+	// trial: the request may crash its server, and is sent once as a probe.
 	trial bool
 
-	// what the log tells of it
+	// Fields for the log and the metrics.
 	server      shed.ServerID
 	firstByte   time.Duration
 	prepareTime time.Duration
 	events      int
 }
 
-// Reasons of the relay's own answers, beside those of the root package.
+// Reasons of refusals and failed attempts, in addition to those of the root package.
 const (
 	reasonBadHead       shed.Reason = "bad_request_head"
 	reasonNoRoute       shed.Reason = "no_route"
@@ -90,7 +88,7 @@
 	reasonServed        shed.Reason = "served"
 )
 
-// serve answers one caller.
+// serve handles one caller's request.
 func (r *Relay) serve(w http.ResponseWriter, req *http.Request) {
 	r.open.Add(1)
 	defer r.open.Add(-1)
@@ -107,7 +105,7 @@
 	r.finish(ctx, w, j, refused)
 }
 
-// run serves the request; a refusal is its final answer if nothing was written.
+// run processes the request. A refusal is its final answer if nothing was written.
 func (r *Relay) run(ctx context.Context, w http.ResponseWriter, j *job) *refusal {
 	ctx, cancel := context.WithDeadline(ctx, j.deadline)
 	defer cancel()
@@ -137,7 +135,7 @@
 	}
 }
 
-// canRetry tells whether the request may be sent to another server after v.
+// canRetry reports whether the request may be sent to another server after v.
 func (r *Relay) canRetry(j *job, v outcome) bool {
 	if v.sent && j.sends >= j.route.MostSends {
 		return false
@@ -156,14 +154,13 @@
 	return r.retryBudget(j.pool.ID).Take(time.Now())
 }
 
-// maxTries bounds the servers tried, also those that could not be reached.
+// maxServersTried bounds the servers tried, including those that could not be reached.
 const maxServersTried = 6
 
-// turnPatience is how long a request waits for a turn at a server when none takes it
-// without.
+// maxTurnWait is how long a request waits for a turn if no server accepts it without one.
 const maxTurnWait = 400 * time.Millisecond
 
-// choose picks the server for the next attempt.
+// choose chooses the server for the next attempt.
 func (r *Relay) choose(ctx context.Context, j *job) (picker.Choice, *refusal) {
 	var maxWait time.Duration
 	var denied map[shed.ServerID]bool
@@ -210,7 +207,7 @@
 	servers := r.roster.Open(j.pool.ID)
 	choice := r.picker.Pick(now, want, servers)
 	if choice.Server == nil && len(j.avoid) > 0 && !choice.Held {
-		// Those that failed are better than none.
+		// A server that failed is better than none.
 		want.Avoid = nil
 		choice = r.picker.Pick(now, want, servers)
 	}
@@ -221,7 +218,7 @@
 	return choice, nil
 }
 
-// place places a request whose turn has come, if the server still takes new work.
+// place places a request that was granted a turn, if the server still accepts new work.
 func (r *Relay) place(j *job, choice picker.Choice) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -233,8 +230,8 @@
 	return true
 }
 
-// refuseUnreachable refuses a request that no server can be reached for; one may be tried
-// again after a while.
+// refuseUnreachable refuses a request for which no server can be reached; the caller may retry
+// after retryAfter.
 func (r *Relay) refuseUnreachable(ctx context.Context, j *job, retryAfter time.Duration) *refusal {
 	refused := r.refusalFor(ctx, j, outcome{reason: reasonUnreachable})
 	if refused.retryAfter > 0 {
@@ -243,8 +240,8 @@
 	return refused
 }
 
-// zoneCost is what it costs in the choice to fetch a heavy result from another
-// zone: far less than to read a large shared prefix again.
+// crossZoneCost is the routing cost of fetching a large result from another zone: far less than
+// reading a large shared prefix again.
 const crossZoneCost = 25 * time.Millisecond
 
 func (r *Relay) wantFor(j *job) picker.Want {
--- a/internal/relay/stats.go
+++ b/internal/relay/stats.go
@@ -21,7 +21,7 @@
 	pieceTime     tally.Histogram
 }
 
-// times are the bounds of the latency histograms.
+// latencyBuckets are the bounds of the latency histograms.
 var latencyBuckets = tally.MustMakeExponentialDurationBuckets(5*time.Millisecond, 1.6, 18)
 
 func newStats(scope tally.Scope) stats {
--- a/internal/relay/status.go
+++ b/internal/relay/status.go
@@ -29,7 +29,7 @@
 	return out
 }
 
-// Status is what a relay believes.
+// Status is the state that the relay shows to operators.
 type Status struct {
 	VM       shed.VM       `json:"vm"`
 	Zone     shed.ZoneID   `json:"zone"`
@@ -38,10 +38,10 @@
 	Open     int64         `json:"open"`
 	Version  string        `json:"version"`
 	AsOf     shed.Revision `json:"as_of"`
-	// StoreAgeMS is how long ago the store last answered.
+	// StoreAgeMS is the time since the store last answered.
 	StoreAgeMS int64                              `json:"store_age_ms"`
 	Peers      []shed.VM                          `json:"peers"`
 	Servers    map[shed.ServerID]shed.ServerShare `json:"servers"`
-	// Gathers are the pieces that wait here, by pool.
+	// Gathers is the number of pieces queued here, by pool.
 	Gathers map[shed.PoolID]int `json:"gathers"`
 }
--- a/internal/relay/steps.go
+++ b/internal/relay/steps.go
@@ -21,7 +21,7 @@
 	largeResultBytes = 500_000
 )
 
-// prepare has all pieces of the request made, and sets its inputs.
+// prepare has all pieces of the request run, and sets its inputs.
 func (r *Relay) prepare(ctx context.Context, j *job) *refusal {
 	p := newPlan(j)
 	if len(p.steps) == 0 {
@@ -41,7 +41,7 @@
 	err := r.runSteps(ctx, j, p)
 	var end stepError
 	if errors.As(err, &end) && end.end == shed.PieceInputsGone && time.Now().Before(j.target) {
-		// A server left or died with the results; there is time to make them anew.
+		// A server left or died with the results; there is time to run the pieces again.
 		err = r.runSteps(ctx, j, p)
 	}
 	if err == nil {
@@ -50,8 +50,7 @@
 	return r.stepRefusal(ctx, j, err)
 }
 
-// runSteps has the pieces of all steps made, each step as soon as those that it
-// needs are done.
+// runSteps runs all steps, each as soon as those that it depends on are done.
 func (r *Relay) runSteps(ctx context.Context, j *job, p plan) error {
 	results := make([][]shed.ResultRef, len(p.steps))
 	done := make([]chan struct{}, len(p.steps))
@@ -85,7 +84,7 @@
 	return err
 }
 
-// prerequisites are the steps that are to be done before each step begins.
+// prerequisites returns for each step the steps that must be done before it begins.
 func (r *Relay) prerequisites(p plan) [][]int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -119,9 +118,9 @@
 	return u
 }
 
-// release returns the results that nobody needs any more now that a step is done,
-// and takes them out of made. Servers have room for few results: kept until all
-// steps were done, they held up the steps of other requests.
+// release returns the results that nobody needs any more now that a step is done, and removes
+// them from results. Servers have capacity for few results: kept until all steps were done,
+// they blocked the steps of other requests.
 func (u *useCounts) release(p plan, done int, results [][]shed.ResultRef) []shed.ResultRef {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -139,7 +138,7 @@
 	return out
 }
 
-// admitSteps refuses at once what would be late.
+// admitSteps refuses a request at once if its pieces would be late.
 func (r *Relay) admitSteps(j *job, ask accept.Ask) *refusal {
 	now := time.Now()
 	ask.ToAim, ask.ToEnd = j.target.Sub(now), j.deadline.Sub(now)
@@ -159,8 +158,8 @@
 	return &refusal{status: http.StatusServiceUnavailable, reason: reasonPiecesLate, retryAfter: v.After}
 }
 
-// assignResults keeps the results that the request itself needs, and gives the
-// others up.
+// assignResults keeps the results that the request itself needs as its inputs, and frees the
+// others.
 func (r *Relay) assignResults(j *job, p plan, results [][]shed.ResultRef, discardAll bool) {
 	var unused []shed.ResultRef
 	for i, refs := range results {
@@ -174,7 +173,7 @@
 	r.setInputZone(j, p, results)
 }
 
-// setInputZone sets the zone where the request's heavy inputs lie.
+// setInputZone sets the zone that holds the request's large inputs.
 func (r *Relay) setInputZone(j *job, p plan, results [][]shed.ResultRef) {
 	for i, s := range p.steps {
 		if s.ResultBytes < largeResultBytes || !p.isFinal(i) {
@@ -198,13 +197,13 @@
 	return refused
 }
 
-// stepError says that a step has no result.
+// stepError reports that a step has no result.
 type stepError struct{ end shed.PieceEnd }
 
 // Error implements error.
 func (e stepError) Error() string { return "pieces not made" }
 
-// runStep has the pieces of one step made.
+// runStep runs the pieces of one step.
 func (r *Relay) runStep(ctx context.Context, j *job, p plan, at int, results [][]shed.ResultRef) ([]shed.ResultRef, error) {
 	s := p.steps[at]
 	r.removeExpectedPieces(j, s.Pool, p.pieces[at])
@@ -243,9 +242,8 @@
 	return refs, ctx.Err()
 }
 
-// timeToTarget is the time in which the request should be answered. One that broke off
-// and is sent again goes before all others: its caller has a part of the answer
-// and gives up soon.
+// timeToTarget returns the time in which the request should be answered. A request that is
+// being retried precedes all others: its caller has part of the answer and gives up soon.
 func (r *Relay) timeToTarget(j *job, now time.Time) time.Duration {
 	if j.sends > 0 {
 		return max(j.target.Sub(now), retryTarget)
@@ -253,12 +251,12 @@
 	return j.target.Sub(now)
 }
 
-// againAim is the aim of a request that is sent again.
+// retryTarget is the least time to target of a retried request.
 const retryTarget = 800 * time.Millisecond
 
-// nearZone is where the pieces of a step are best made: where their inputs lie,
-// if these are large, or where the server is that fetches large results; empty
-// if it doesn't matter.
+// nearZone returns the preferred zone for the pieces of a step: the one that holds their
+// inputs, if these are large, or the zone of the server that fetches large results; empty if
+// there is no preference.
 func (r *Relay) nearZone(j *job, p plan, at int, results [][]shed.ResultRef) shed.ZoneID {
 	s := p.steps[at]
 	if p.isFinal(at) && s.ResultBytes >= largeResultBytes {
@@ -273,7 +271,7 @@
 	return ""
 }
 
-// zoneOf is the zone where most of a pool's results lie; empty if none is known.
+// zoneOf returns the zone that holds most of a pool's results; empty if none is known.
 func (r *Relay) zoneOf(pool shed.PoolID, refs []shed.ResultRef) shed.ZoneID {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -294,12 +292,12 @@
 	return most
 }
 
-// discardStep gives up what was made of a step that failed.
+// discardStep frees the results of a failed step.
 func (r *Relay) discardStep(j *job, refs []shed.ResultRef, end shed.PieceEnd) ([]shed.ResultRef, error) {
 	r.releaseResults(j, slices.DeleteFunc(refs, func(ref shed.ResultRef) bool { return ref == "" }))
 	return nil, stepError{end}
 }
 
-// mostReading bounds the time foreseen for reading a prompt: a request with a very
+// maxPredictedAnswerTime bounds the predicted time for reading a prompt: a request with a very
 // long one must not have all its steps due at once.
 const maxPredictedAnswerTime = 600 * time.Millisecond
--- a/internal/relay/stop.go
+++ b/internal/relay/stop.go
@@ -11,15 +11,14 @@
 	"github.com/thejerf/suture/v4"
 )
 
-// noticeTime is how long the balancer may take to see that this VM isn't ready:
-// two questions, one a second, and a margin. Until then new connections come,
-// and each request on them is served. After it none is taken: where most VMs of
-// a zone stop at once, the balancer goes on sending, and what came late was cut
-// off at the end of the time for the stop.
+// balancerNoticeTime is how long the load balancer may take to see that this VM isn't ready:
+// two probes, one per second, and a margin. Until then new connections arrive, and each request
+// on them is served. After it none is accepted: if most VMs of a zone stop at once, the
+// balancer keeps sending, and late requests were cut off at the end of the drain time.
 const balancerNoticeTime = 2500 * time.Millisecond
 
-// Stop begins a graceful stop: not ready, but serving until nothing is open. With
-// hurry, requests in flight are cut off.
+// Stop begins a graceful stop: the VM isn't ready, but serves until no request is open. With
+// force, requests in flight are cut off.
 func (r *Relay) Stop(force bool) {
 	if force {
 		r.forceOnce.Do(func() { close(r.forced) })
@@ -37,8 +36,8 @@
 	r.mu.Unlock()
 }
 
-// awaitStop ends the daemon once a stop was asked for and all requests are
-// answered, or the time for it is over.
+// awaitStop ends the daemon once a stop was requested and either all requests are answered or
+// the drain time is over.
 func (r *Relay) awaitStop(ctx context.Context, end context.CancelFunc) error {
 	for !r.stopping.Load() {
 		if sleep(ctx, stopPoll); ctx.Err() != nil {
@@ -66,5 +65,5 @@
 	return suture.ErrTerminateSupervisorTree
 }
 
-// stopPoll is how often the daemon looks whether it was asked to stop.
+// stopPoll is how often the daemon checks for a stop request.
 const stopPoll = 50 * time.Millisecond
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -15,18 +15,17 @@
 const (
 	// maxEvent bounds one event of a stream, in bytes.
 	maxEvent = 1 << 20
-	// firstEventTimeout is how long the first event of a stream that may be resumed
-	// may stay out once the server has answered.
+	// firstEventTimeout is how long a resumable stream may take from the server's answer to its
+	// first event.
 	firstEventTimeout = 2500 * time.Millisecond
-	// nextEventTimeout is how long a later event may stay out: callers give a stream up
-	// after two seconds at the soonest, and another server needs a while to
+	// nextEventTimeout is how long a resumable stream may be silent between events: callers
+	// give up a stream after two seconds at the earliest, and another server needs a while to
 	// read the prompt.
 	nextEventTimeout = 1300 * time.Millisecond
 )
 
-// stream passes a stream of events on, each event whole as it arrives. The
-// head goes out with the first event: until then another server's answer can
-// still take its place.
+// stream forwards a stream event by event, each one complete. The header is sent with the first
+// event: until then another server's answer can still replace it.
 func (a *attempt) stream(ctx context.Context, resp *http.Response) outcome {
 	broken := outcome{sent: true, mayHaveRun: true, reason: shed.ReasonBroken}
 	silent := a.startSilenceTimer(firstEventTimeout)
@@ -53,8 +52,8 @@
 	}
 }
 
-// startSilenceTimer ends the attempt if it isn't reset in time, where the stream may go on
-// at another server.
+// startSilenceTimer returns a timer that cancels the attempt unless it is reset in time, if the
+// stream can be resumed at another server.
 func (a *attempt) startSilenceTimer(limit time.Duration) *time.Timer {
 	t := time.AfterFunc(limit, func() {
 		if a.job.route.Resumable {
@@ -89,8 +88,8 @@
 	return a.out.control.Flush()
 }
 
-// readEvent reads up to and with the empty line that ends an event. At the
-// stream's end it returns io.EOF with what is left of a broken event.
+// readEvent reads through the empty line that ends an event. At the stream's end it returns
+// io.EOF with the rest of a broken event.
 func readEvent(r *bufio.Reader) ([]byte, error) {
 	var event []byte
 	for {
@@ -109,4 +108,4 @@
 	}
 }
 
-var errEventTooBig = errors.New("event too big")
+var errEventTooBig = errors.New("stream event larger than 1 MiB")
--- a/internal/relay/sync.go
+++ b/internal/relay/sync.go
@@ -15,27 +15,26 @@
 )
 
 const (
-	// storeRetryDelay is the pause after a failed call to the store; all VMs together
-	// stay far below the store's rate with it.
+	// storeRetryDelay is the pause after a failed call to the store; with it, all VMs together
+	// stay far below the store's rate limit.
 	storeRetryDelay = 250 * time.Millisecond
-	// nonWatcherRetryDelay is that pause for a VM that knows a configuration and isn't one
-	// of those that watch for all: a store that turns all away would else get most calls
-	// when it bears fewest.
+	// nonWatcherRetryDelay is that pause for a VM that has a configuration and isn't a watcher:
+	// otherwise a store that rejects every call would get the most calls when it can handle the
+	// fewest.
 	nonWatcherRetryDelay = time.Second
-	// watcherCount is how many VMs watch the store; they tell the others. Each call
-	// to the store is paid for, and its rate is shared by all. Three, since one
-	// may be turned away by the store and one be restarted at the same time.
+	// watcherCount is how many VMs watch the store; they notify the others. Each call to the
+	// store costs money, and its rate limit is shared by all. Three, since the store may reject
+	// one while another is being restarted.
 	watcherCount = 3
-	// idlePoll is how often a VM that doesn't watch looks whether it should.
+	// idlePoll is how often a VM that doesn't watch checks whether it should.
 	idlePoll = 100 * time.Millisecond
-	// watcherTimeout is how old the store's last answer to a VM may be for it to count
-	// as one that watches.
+	// watcherTimeout is how old the store's last answer to a VM may be for it to count as a
+	// watcher.
 	watcherTimeout = 2 * time.Second
 )
 
-// followStore keeps the roster up to date: by watching the store, if this is
-// one of the VMs that do, or nobody's word of it is new enough; else by what
-// those VMs tell.
+// followStore keeps the roster up to date: by watching the store if this VM is a watcher or no
+// peer's state is recent enough, otherwise by the watchers' updates.
 func (r *Relay) followStore(ctx context.Context) error {
 	for ctx.Err() == nil {
 		call := r.nextCall(time.Now())
@@ -53,7 +52,7 @@
 	return ctx.Err()
 }
 
-// storeFailed notes that the store gave no answer, and turns to peers.
+// storeFailed records that the store gave no answer, and falls back to peers.
 func (r *Relay) storeFailed(cause error) {
 	r.stats.storeFailures.Inc(1)
 	r.mu.Lock()
@@ -66,8 +65,8 @@
 	r.handleFollowEvent(now, follow.StoreFailed{Peers: r.alivePeers()})
 }
 
-// retryPause is the pause after a failed call to the store. As long as it fails for
-// all, nobody counts as watching; the same VMs as ever ask often then.
+// retryPause returns the pause after a failed call to the store. While it fails for all, no VM
+// counts as a watcher; the standing watchers keep the short pause.
 func (r *Relay) retryPause(now time.Time) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -77,7 +76,7 @@
 	return nonWatcherRetryDelay
 }
 
-// nextCall is what this VM asks of the store now.
+// nextCall returns the call that this VM should make to the store now.
 func (r *Relay) nextCall(now time.Time) follow.StoreCall {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -87,7 +86,7 @@
 	})
 }
 
-// watchers are the VMs that watch the store for all.
+// watchers returns the VMs that watch the store on behalf of all.
 func (r *Relay) watchers(now time.Time) []shed.VM {
 	vms := slices.DeleteFunc(r.activeVMs(now), func(vm shed.VM) bool {
 		return vm != r.mesh.self.VM && now.Sub(r.mesh.follower.Contact(vm)) >= watcherTimeout
@@ -95,12 +94,12 @@
 	return rank.Owners("store", r.highCapacityVMs(vms), watcherCount)
 }
 
-// standingWatchers are the VMs that watch the store as long as it answers them.
+// standingWatchers returns the VMs that watch the store when it answers them.
 func (r *Relay) standingWatchers(now time.Time) []shed.VM {
 	return rank.Owners("store", r.highCapacityVMs(r.activeVMs(now)), watcherCount)
 }
 
-// readStore makes one call to the store and takes in what it says.
+// readStore makes one call to the store and applies its answer.
 func (r *Relay) readStore(ctx context.Context, call follow.StoreCall) error {
 	r.mu.Lock()
 	rd := storeReading{from: roster.FromStore, after: r.roster.AsOf()}
@@ -121,7 +120,7 @@
 	}
 	if errors.Is(err, shed.ErrHistoryGone) {
 		r.historyCompacted = true
-		r.log.WithField("after", rd.after).Info("store has no history since then; reading all of it")
+		r.log.WithField("after", rd.after).Info("store history was compacted; reading all items")
 		return nil
 	}
 	if err != nil {
@@ -138,8 +137,8 @@
 	return nil
 }
 
-// storeReading is what the store or a peer said: changes after a revision, or all items if
-// whole.
+// storeReading is an answer of the store or a peer: the changes after a revision, or all items
+// if whole.
 type storeReading struct {
 	from        roster.Source
 	items       []shed.Item
@@ -147,9 +146,9 @@
 	whole       bool
 }
 
-// applyReading takes in what the store or a peer said, and passes on what the store did. One
-// thing is taken in at a time: the same configuration often comes from two sides, and
-// the second finds it known.
+// applyReading applies an answer of the store or a peer, and forwards changes from the store.
+// Readings are applied one at a time: the same configuration often arrives from two sources,
+// and the second is then already known.
 func (r *Relay) applyReading(rd storeReading) {
 	r.applyMu.Lock()
 	defer r.applyMu.Unlock()
@@ -185,8 +184,8 @@
 	r.mesh.applying = taking
 }
 
-// parseItem finds out what an item says, unless it is known here: a configuration comes
-// from several sides, and each reading takes a small VM a good part of a second.
+// parseItem parses an item, unless it is already held here: a configuration arrives from
+// several sources, and parsing it takes a low-capacity VM a good part of a second.
 func (r *Relay) parseItem(item shed.Item) roster.Entry {
 	e := roster.Entry{Item: item}
 	if item.Gone || r.hasItem(item) {
@@ -194,21 +193,21 @@
 	}
 	fact, err := r.cfg.Store.Read(item)
 	if err != nil {
-		r.log.WithField("key", item.Key).WithError(err).Warn("item of the store is not used")
+		r.log.WithField("key", item.Key).WithError(err).Warn("invalid item of the store ignored")
 		return e
 	}
 	e.Fact = fact
 	return e
 }
 
-// hasItem tells whether this VM holds the item, or a newer one of its key.
+// hasItem reports whether this VM holds the item or a newer version of it.
 func (r *Relay) hasItem(item shed.Item) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.roster.Item(item.Key).Revision >= item.Revision
 }
 
-// logRosterChanges logs what the roster believes anew. The caller holds mu.
+// logRosterChanges logs changes of the roster's view. The caller holds mu.
 func (r *Relay) logRosterChanges(changes []roster.Change) {
 	for _, c := range changes {
 		r.stats.stateChanges.Inc(1)
--- a/internal/relay/turns.go
+++ b/internal/relay/turns.go
@@ -16,15 +16,16 @@
 	// turnTimeout bounds a call for a turn, which takes milliseconds: if the owner gives no
 	// answer, another one is asked.
 	turnTimeout = 150 * time.Millisecond
-	// ownerLostWait is how long a server waits for another owner then.
+	// ownerLostWait is how long requests to the server are held back in that case.
 	ownerLostWait = 50 * time.Millisecond
-	// coldRateShare is the part of a cold server's rate that is lent: for a moment two VMs may
-	// each hold themselves for the owner.
+	// coldRateShare is the part of a cold server's rate that is granted: for a moment two VMs
+	// may both consider themselves its owner.
 	coldRateShare = 0.9
 )
 
-// turnLimit is what a server takes from all VMs together, now: by what it said, or since it is
-// cold. bounded is false if it takes any number. The caller holds mu.
+// turnLimit returns the rate that a server accepts from all VMs together now: its stated limit,
+// or the one that applies while it is cold. limited is false if it has none. The caller holds
+// mu.
 func (r *Relay) turnLimit(now time.Time, pool *shed.RelayPool, s *roster.Server) (ask turns.Ask, limited bool) {
 	ask = turns.Ask{Start: startOf(s.Listing), Burst: 1}
 	if r.limits.Empty() && !s.Cold(now) {
@@ -39,8 +40,8 @@
 	return ask, ask.Rate > 0
 }
 
-// serverAccess tells the picker which servers need a turn, and which have none. The caller holds
-// mu.
+// serverAccess returns the function that tells the picker which servers need a turn, and which
+// have none. The caller holds mu.
 func (r *Relay) serverAccess(now time.Time, pool *shed.RelayPool, denied map[shed.ServerID]bool, maxWait time.Duration) func(*roster.Server) picker.Access {
 	return func(s *roster.Server) picker.Access {
 		ask, limited := r.turnLimit(now, pool, s)
@@ -54,7 +55,7 @@
 	}
 }
 
-// takeTurn asks for a turn at a server, and waits for it. It is false if there is none.
+// takeTurn requests a turn at a server and waits for it. It returns false if none was granted.
 func (r *Relay) takeTurn(ctx context.Context, pool *shed.RelayPool, s *roster.Server, maxWait time.Duration) bool {
 	now := time.Now()
 	r.mu.Lock()
@@ -98,7 +99,7 @@
 	return turns.Turn{Wait: ownerLostWait}
 }
 
-// recordTurn holds back requests to a server that has no turn. The caller holds mu.
+// recordTurn holds back requests to a server whose turn was denied. The caller holds mu.
 func (r *Relay) recordTurn(now time.Time, ask turns.Ask, got turns.Turn) {
 	if !got.Granted {
 		r.stats.turnsDenied.Inc(1)
@@ -106,7 +107,7 @@
 	}
 }
 
-// awaitTurn waits for a turn that was granted.
+// awaitTurn waits until a granted turn is due.
 func (r *Relay) awaitTurn(ctx context.Context, got turns.Turn) bool {
 	if got.Granted && got.Wait > 0 {
 		sleep(ctx, got.Wait)
@@ -125,9 +126,9 @@
 	return peers.TurnReply{Granted: got.Granted, Wait: got.Wait}
 }
 
-// owner is the VM that does something for all, by rendezvous among the strong ones that
-// are there. It is false as long as this process is new and knows no peer. The caller holds
-// mu.
+// owner returns the VM that does a task for all, by rendezvous hashing over the available
+// high-capacity VMs. It returns false while this process is new and knows no peer. The caller
+// holds mu.
 func (r *Relay) owner(now time.Time, key string) (shed.VM, bool) {
 	return rank.Owner(key, r.highCapacityVMs(r.availableVMs(now)))
 }
