--- a/internal/relay/limit.go
+++ b/internal/relay/limit.go
@@ -26,11 +26,11 @@
 		return
 	}
 	r.logLimits(changes, "answer")
-	news := shed.LimitNews{}
+	update := shed.LimitNews{}
 	for _, c := range changes {
-		news.Limits = append(news.Limits, shed.ServerLimit{Start: c.Start, Rate: c.Rate, Ended: c.Rate == 0})
+		update.Limits = append(update.Limits, shed.ServerLimit{Start: c.Start, Rate: c.Rate, Ended: c.Rate == 0})
 	}
-	r.client.SendAll(r.alivePeers(), news)
+	r.client.SendAll(r.alivePeers(), update)
 }
 
 // isLimited reports whether the server at an address has stated a rate limit. The caller holds
--- a/internal/relay/load.go
+++ b/internal/relay/load.go
@@ -25,17 +25,17 @@
 	if now.Sub(r.mesh.startedAt) < settleTime {
 		return
 	}
-	shares, waits := r.picker.Shares(), r.ownForecasts(now)
+	shares, forecasts := r.picker.Shares(), r.ownForecasts(now)
 	turn := r.mesh.fanout.Due(now, fanout.View{
 		Peers: r.alivePeers(), Strong: r.highCapacityVMs(r.group.View().VMs(meshZone)),
-		Busy: len(shares)+len(waits)+len(r.expected) > 0, Gathers: len(waits) > 0,
+		Busy: len(shares)+len(forecasts)+len(r.expected) > 0, Gathers: len(forecasts) > 0,
 	})
 	if len(turn.To) == 0 {
 		return
 	}
 	r.mesh.sequence++
 	r.client.SendAll(turn.To, shed.RelayLoad{
-		Sequence: r.mesh.sequence, Held: r.batcher.Held(), Servers: shares, Waits: waits, Placed: turn.Placed,
+		Sequence: r.mesh.sequence, Held: r.batcher.Held(), Servers: shares, Waits: forecasts, Placed: turn.Placed,
 		// Messages are encoded later, in another goroutine.
 		Coming: maps.Clone(r.expected), AsOf: r.roster.AsOf(), Digest: r.roster.Digest(), Confirmed: now.Sub(r.roster.Contact()),
 		Catalog: r.roster.CatalogRevision(), Limits: r.limits.Known(now), PassOn: turn.PassOn, Carried: turn.Carried,
--- a/internal/relay/steps.go
+++ b/internal/relay/steps.go
@@ -210,7 +210,7 @@
 	pieces := make([]shed.Piece, p.pieces[at])
 	now := time.Now()
 	after := r.minTimeAfter(j, p, at)
-	near := r.nearZone(j, p, at, results)
+	preferred := r.preferredZone(j, p, at, results)
 	var inputs []shed.ResultRef
 	for _, before := range s.After {
 		if i := p.stepIndex(before); i >= 0 {
@@ -221,7 +221,7 @@
 		pieces[n] = shed.Piece{
 			Request: j.ask.ID, Step: s.Index, Number: n, Inputs: inputs, Bytes: s.ResultBytes,
 			Left: j.deadline.Sub(now) - after, Aim: r.timeToTarget(j, now) - after,
-			Near: near, Together: p.fetchedBytes(at) >= largeResultBytes,
+			Near: preferred, Together: p.fetchedBytes(at) >= largeResultBytes,
 			Origin: shed.RequestRef{Request: j.fingerprint, Workspace: j.workspace},
 		}
 		if len(inputs) == 0 {
@@ -254,10 +254,10 @@
 // retryTarget is the least time to target of a retried request.
 const retryTarget = 800 * time.Millisecond
 
-// nearZone returns the preferred zone for the pieces of a step: the one that holds their
+// preferredZone returns the preferred zone for the pieces of a step: the one that holds their
 // inputs, if these are large, or the zone of the server that fetches large results; empty if
 // there is no preference.
-func (r *Relay) nearZone(j *job, p plan, at int, results [][]shed.ResultRef) shed.ZoneID {
+func (r *Relay) preferredZone(j *job, p plan, at int, results [][]shed.ResultRef) shed.ZoneID {
 	s := p.steps[at]
 	if p.isFinal(at) && s.ResultBytes >= largeResultBytes {
 		return j.zone
--- a/internal/relay/sync.go
+++ b/internal/relay/sync.go
@@ -47,7 +47,7 @@
 			continue
 		}
 		r.storeFailed(err)
-		sleep(ctx, r.retryPause(time.Now()))
+		sleep(ctx, r.retryDelay(time.Now()))
 	}
 	return ctx.Err()
 }
@@ -65,9 +65,9 @@
 	r.handleFollowEvent(now, follow.StoreFailed{Peers: r.alivePeers()})
 }
 
-// retryPause returns the pause after a failed call to the store. While it fails for all, no VM
+// retryDelay returns the pause after a failed call to the store. While it fails for all, no VM
 // counts as a watcher; the standing watchers keep the short pause.
-func (r *Relay) retryPause(now time.Time) time.Duration {
+func (r *Relay) retryDelay(now time.Time) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.roster.Catalog() == nil || !r.roster.Sure() || slices.Contains(r.standingWatchers(now), r.mesh.self.VM) {
