--- a/action.go
+++ b/action.go
@@ -13,36 +13,36 @@
 	URL    string
 	Stage  Stage
 	Model  ModelID
-	// Until is the last moment at which the driver may still send; past it the
+	// SendBy is the last moment at which the driver may still send; past it the
 	// call ends as EndNotStarted. It bounds what a process that was paused
 	// between the decision and the send can do.
-	Until time.Time
+	SendBy time.Time
 	// Deadline is when the result is worth nothing any more.
 	Deadline time.Time
 	// Priority for the engine: smaller is more urgent.
 	Priority int
-	// Silence is the longest time without a frame before the call is broken.
-	Silence time.Duration
+	// IdleTimeout is the longest time without a frame before the call is broken.
+	IdleTimeout time.Duration
 	// ResumeFrom is how many tokens are already here; above 0 the driver asks
 	// the engine to go on with the stream of call Resumes from there.
 	ResumeFrom Tokens
 	Resumes    Call
 }
 
-// HandStage asks to hand the stage call to a peer. The driver ends it with exactly one
+// ForwardStage asks to hand the stage call to a peer. The driver ends it with exactly one
 // CallEnded.
-type HandStage struct {
-	To       VM
-	Ask      StageAsk
-	Until    time.Time
-	Deadline time.Time
-	Silence  time.Duration
+type ForwardStage struct {
+	To          VM
+	Request     StageRequest
+	SendBy      time.Time
+	Deadline    time.Time
+	IdleTimeout time.Duration
 }
 
-// HandRequest asks to hand the whole request to the home of its ticket and pass the
+// ForwardRequest asks to hand the whole request to the home of its ticket and pass the
 // answer through. The driver finishes it by itself: with the home's answer, or
 // as OutcomeUnknown if the link breaks after a byte left.
-type HandRequest struct {
+type ForwardRequest struct {
 	Request  RequestID
 	To       Peer
 	Deadline time.Time
@@ -52,7 +52,7 @@
 // first one gets.
 type JoinRequest struct{ Request RequestID }
 
-// RefuseStage answers a StageAsked that was not run.
+// RefuseStage answers a StageRequested that was not run.
 type RefuseStage struct {
 	Call       Call
 	Reason     Reason
@@ -70,7 +70,7 @@
 type StageDone struct{ Call Call }
 
 // Finish gives the request its final answer. There is exactly one for each
-// Arrived, except where HandRequest or JoinRequest answers.
+// Arrived, except where ForwardRequest or JoinRequest answers.
 type Finish struct {
 	Request    RequestID
 	Outcome    Outcome
@@ -119,8 +119,8 @@
 	Role     string
 }
 
-// Ready tells the balancer whether this VM takes requests.
-type Ready struct{ Ready bool }
+// SetReady tells the balancer whether this VM takes requests.
+type SetReady struct{ SetReady bool }
 
 // Note records why something was decided, for explain, logs and metrics.
 type Note struct {
@@ -137,20 +137,20 @@
 // Exit says that everything is done; the process may end.
 type Exit struct{}
 
-func (StartCall) action()    {}
-func (HandStage) action()    {}
-func (HandRequest) action()  {}
-func (JoinRequest) action()  {}
-func (RefuseStage) action()  {}
-func (CancelCall) action()   {}
-func (StageDone) action()    {}
-func (Finish) action()       {}
-func (SendPeer) action()     {}
-func (ReadConfig) action()   {}
-func (ReadVMs) action()      {}
-func (RulesInForce) action() {}
-func (PollServer) action()   {}
-func (SendOrder) action()    {}
-func (Ready) action()        {}
-func (Note) action()         {}
-func (Exit) action()         {}
+func (StartCall) action()      {}
+func (ForwardStage) action()   {}
+func (ForwardRequest) action() {}
+func (JoinRequest) action()    {}
+func (RefuseStage) action()    {}
+func (CancelCall) action()     {}
+func (StageDone) action()      {}
+func (Finish) action()         {}
+func (SendPeer) action()       {}
+func (ReadConfig) action()     {}
+func (ReadVMs) action()        {}
+func (RulesInForce) action()   {}
+func (PollServer) action()     {}
+func (SendOrder) action()      {}
+func (SetReady) action()       {}
+func (Note) action()           {}
+func (Exit) action()           {}
--- a/crash.go
+++ b/crash.go
@@ -23,8 +23,8 @@
 // ServerStart names one start of a backend server.
 type ServerStart struct {
 	Server ServerID `cbor:"1,keyasint"`
-	// Born as in Listing.
-	Born int64 `cbor:"2,keyasint,omitempty"`
+	// StartedMs as in Listing.
+	StartedMs int64 `cbor:"2,keyasint,omitempty"`
 }
 
 // ServerCrash says that a server ended while it ran a request.
@@ -39,18 +39,18 @@
 	Request   Fingerprint   `cbor:"1,keyasint"`
 	Workspace WorkspaceID   `cbor:"2,keyasint,omitempty"`
 	Crashes   []ServerCrash `cbor:"3,keyasint,omitempty"`
-	// Ran is how long ago a server ran it and did not end; nil if none is known.
-	Ran *time.Duration `cbor:"4,keyasint,omitempty"`
+	// SurvivedAgo is how long ago a server ran it and did not end; nil if none is known.
+	SurvivedAgo *time.Duration `cbor:"4,keyasint,omitempty"`
 }
 
-// CrashNews tells peers what is known of requests that crash servers. Receivers take the
+// CrashUpdate tells peers what is known of requests that crash servers. Receivers take the
 // union of what they hear, so that it may come in any order and more than once.
-type CrashNews struct {
+type CrashUpdate struct {
 	Suspects []Suspect `cbor:"1,keyasint"`
 	// All: every peer is told the same.
 	All bool `cbor:"2,keyasint,omitempty"`
-	// Ended are servers that ended lately, under any request.
-	Ended []ServerCrash `cbor:"3,keyasint,omitempty"`
+	// RecentCrashes are servers that ended lately, under any request.
+	RecentCrashes []ServerCrash `cbor:"3,keyasint,omitempty"`
 }
 
-func (CrashNews) message() {}
+func (CrashUpdate) message() {}
--- a/event.go
+++ b/event.go
@@ -16,8 +16,8 @@
 // TickEvery is the period of Tick.
 const TickEvery = 100 * time.Millisecond
 
-// Arrived means that a request came in, from a caller, or handed over by peer From.
-type Arrived struct {
+// RequestArrived means that a request came in, from a caller, or handed over by peer From.
+type RequestArrived struct {
 	Request   RequestID
 	Ticketed  bool
 	Workspace WorkspaceID
@@ -26,33 +26,33 @@
 	Deadline time.Time
 	// Prefix hashes the start of the prompt, for cache affinity.
 	Prefix uint64
-	// Input estimates the size of the input.
-	Input Tokens
+	// InputTokens estimates the size of the input.
+	InputTokens Tokens
 	// From is the peer that handed the request over; zero for a caller.
 	From Peer
 }
 
-// HandedBack means that a HandRequest is over: the home's answer went to the
+// ForwardEnded means that a ForwardRequest is over: the home's answer went to the
 // caller, or none came.
-type HandedBack struct{ Request RequestID }
+type ForwardEnded struct{ Request RequestID }
 
 // CallerGone means that nobody waits for the request's answer any more.
 type CallerGone struct{ Request RequestID }
 
-// StageAsked means that peer From hands one stage call over to this daemon, which applies
+// StageRequested means that peer From hands one stage call over to this daemon, which applies
 // its own rules, limits and knowledge and makes one attempt at the most.
-type StageAsked struct {
-	Ask  StageAsk
-	From Peer
+type StageRequested struct {
+	Request StageRequest
+	From    Peer
 }
 
-// StageAsk describes a stage call well enough for any daemon to place it.
-type StageAsk struct {
-	Call      Call        `cbor:"1,keyasint"`
-	Pipeline  PipelineID  `cbor:"2,keyasint"`
-	Workspace WorkspaceID `cbor:"3,keyasint"`
-	Prefix    uint64      `cbor:"4,keyasint"`
-	Input     Tokens      `cbor:"5,keyasint"`
+// StageRequest describes a stage call well enough for any daemon to place it.
+type StageRequest struct {
+	Call        Call        `cbor:"1,keyasint"`
+	Pipeline    PipelineID  `cbor:"2,keyasint"`
+	Workspace   WorkspaceID `cbor:"3,keyasint"`
+	Prefix      uint64      `cbor:"4,keyasint"`
+	InputTokens Tokens      `cbor:"5,keyasint"`
 	// Budget is the time left; a duration, since clocks of VMs differ.
 	Budget time.Duration `cbor:"6,keyasint"`
 	// Hops counts the hand-overs so far.
@@ -101,16 +101,16 @@
 
 // ConfigRead means that the platform answered a ReadConfig.
 type ConfigRead struct {
-	Err   bool
-	Index ConfigIndex
+	Failed bool
+	Index  ConfigIndex
 	// Parts are those asked for, by hash.
 	Parts map[PartHash][]byte
 }
 
 // VMsRead means that the platform answered a ReadVMs.
 type VMsRead struct {
-	Err bool
-	VMs []VMEntry
+	Failed bool
+	VMs    []VMEntry
 }
 
 // VMEntry is one line of the platform's lagging list.
@@ -158,24 +158,24 @@
 	StaleFence bool
 }
 
-// StopAsked means that the process was told to stop; a second one asks to hurry.
-type StopAsked struct{ Hurry bool }
-
-func (Tick) event()         {}
-func (Arrived) event()      {}
-func (CallerGone) event()   {}
-func (HandedBack) event()   {}
-func (StageAsked) event()   {}
-func (CallProgress) event() {}
-func (CallEnded) event()    {}
-func (PeerMessage) event()  {}
-func (PeerLost) event()     {}
-func (ConfigRead) event()   {}
-func (VMsRead) event()      {}
-func (LoadReported) event() {}
-func (ServerSilent) event() {}
-func (OrderEnded) event()   {}
-func (StopAsked) event()    {}
+// StopRequested means that the process was told to stop; a second one asks to hurry.
+type StopRequested struct{ SkipNotice bool }
+
+func (Tick) event()           {}
+func (RequestArrived) event() {}
+func (CallerGone) event()     {}
+func (ForwardEnded) event()   {}
+func (StageRequested) event() {}
+func (CallProgress) event()   {}
+func (CallEnded) event()      {}
+func (PeerMessage) event()    {}
+func (PeerLost) event()       {}
+func (ConfigRead) event()     {}
+func (VMsRead) event()        {}
+func (LoadReported) event()   {}
+func (ServerSilent) event()   {}
+func (OrderEnded) event()     {}
+func (StopRequested) event()  {}
 
 // Later returns the later of two times.
 func Later(a, b time.Time) time.Time {
--- a/internal/admit/admit.go
+++ b/internal/admit/admit.go
@@ -201,7 +201,7 @@
 func Minimum(p *shed.Pipeline, from int) time.Duration {
 	var sum time.Duration
 	for i := from; i < len(p.Stages); i++ {
-		sum += p.Stages[i].Minimum
+		sum += p.Stages[i].MinDuration
 	}
 	return sum
 }
@@ -218,7 +218,7 @@
 // Likely is the time that one stage will likely take.
 func (g *Gate) Likely(now time.Time, p *shed.Pipeline, stage int) time.Duration {
 	_, high := g.quantiles(now, p, stage)
-	return max(p.Stages[stage].Minimum, high)
+	return max(p.Stages[stage].MinDuration, high)
 }
 
 // Least is the time below which the stages from one on hardly ever end.
@@ -226,7 +226,7 @@
 	var sum time.Duration
 	for i := from; i < len(p.Stages); i++ {
 		low, _ := g.quantiles(now, p, i)
-		sum += max(p.Stages[i].Minimum, low)
+		sum += max(p.Stages[i].MinDuration, low)
 	}
 	return sum
 }
--- a/internal/admit/admit_test.go
+++ b/internal/admit/admit_test.go
@@ -15,8 +15,8 @@
 
 func pipeline(minimum time.Duration) *shed.Pipeline {
 	return &shed.Pipeline{ID: "draft", Stages: []shed.Stage{
-		{ID: "encode", Pool: "enc", Minimum: minimum},
-		{ID: "write", Pool: "llm", Minimum: minimum},
+		{ID: "encode", Pool: "enc", MinDuration: minimum},
+		{ID: "write", Pool: "llm", MinDuration: minimum},
 	}}
 }
 
--- a/internal/batch/batch.go
+++ b/internal/batch/batch.go
@@ -101,8 +101,8 @@
 
 // wanted is the zone where the piece's result is wanted; empty if in any.
 func (p *piece) wanted() shed.ZoneID {
-	if p.Near != "" {
-		return p.Near
+	if p.PreferredZone != "" {
+		return p.PreferredZone
 	}
 	return p.job.near
 }
@@ -141,7 +141,7 @@
 
 // call is one call that a server runs.
 type call struct {
-	server   shed.Listing
+	server   shed.ServerEntry
 	group    *group
 	pieces   []*piece
 	began    time.Time
@@ -205,7 +205,7 @@
 	j := &job{id: ev.Job, group: g, results: make([]shed.PieceResult, len(ev.Pieces)), left: len(ev.Pieces)}
 	b.jobs[ev.Job] = j
 	for i, p := range ev.Pieces {
-		j.aim, j.deadline = now.Add(p.Aim), now.Add(p.Left)
+		j.aim, j.deadline = now.Add(p.Target), now.Add(p.Budget)
 		g.enqueue(&piece{Piece: p, job: j, at: i})
 	}
 }
@@ -264,16 +264,16 @@
 ) []Action {
 	p.out--
 	switch r.End {
-	case shed.PieceMade:
+	case shed.PieceComplete:
 		m.bytes += p.Bytes
-		b.held[r.Ref] = heldResult{server: c.server.ID, bytes: p.Bytes, until: now.Add(c.group.limits.KeepFor)}
+		b.held[r.Ref] = heldResult{server: c.server.ID, bytes: p.Bytes, until: now.Add(c.group.limits.ResultRetention)}
 		if p.settled || p.job.dropped {
 			return append(out, Free{Refs: []shed.ResultRef{r.Ref}})
 		}
 		return b.settle(out, p, r)
-	case shed.PieceNoRoom:
+	case shed.PieceNoCapacity:
 		// The server holds more than is known here, so it gets less for a while.
-		m.unseen = append(m.unseen, unseenBytes{bytes: p.Bytes, until: now.Add(c.group.limits.KeepFor / 2)})
+		m.unseen = append(m.unseen, unseenBytes{bytes: p.Bytes, until: now.Add(c.group.limits.ResultRetention / 2)})
 		return b.again(out, p)
 	case shed.PieceFailed:
 		p.failed()
--- a/internal/batch/batch_test.go
+++ b/internal/batch/batch_test.go
@@ -14,8 +14,8 @@
 var (
 	start  = time.Unix(1_700_000_000, 0)
 	limits = shed.BatchLimits{
-		Most: 4, CallTime: 150 * time.Millisecond, PieceTime: 10 * time.Millisecond,
-		Room: 1000, KeepFor: 4 * time.Second,
+		MaxPieces: 4, CallTime: 150 * time.Millisecond, PieceTime: 10 * time.Millisecond,
+		ResultCapacity: 1000, ResultRetention: 4 * time.Second,
 	}
 )
 
@@ -24,7 +24,7 @@
 	t       *testing.T
 	b       *batch.Batcher
 	now     time.Time
-	servers []shed.Listing
+	servers []shed.ServerEntry
 	sends   []batch.Send
 	done    map[batch.JobID][]shed.PieceResult
 	freed   []shed.ResultRef
@@ -34,9 +34,9 @@
 func newTable(t *testing.T, zones ...shed.ZoneID) *table {
 	tb := &table{t: t, now: start, done: map[batch.JobID][]shed.PieceResult{}}
 	for i, z := range zones {
-		tb.servers = append(tb.servers, shed.Listing{ID: shed.ServerID(fmt.Sprintf("s%d", i)), Pool: "p", Zone: z, Born: 1})
+		tb.servers = append(tb.servers, shed.ServerEntry{ID: shed.ServerID(fmt.Sprintf("s%d", i)), Pool: "p", Zone: z, StartedMs: 1})
 	}
-	tb.b = batch.New(func(shed.PoolID) []shed.Listing { return tb.servers })
+	tb.b = batch.New(func(shed.PoolID) []shed.ServerEntry { return tb.servers })
 	return tb
 }
 
@@ -58,7 +58,7 @@
 	pieces := make([]shed.Piece, n)
 	for i := range pieces {
 		pieces[i] = shed.Piece{
-			Request: shed.RequestID(fmt.Sprint("q", job)), Number: i, Bytes: 100, Left: 5 * time.Second, Aim: aim,
+			Request: shed.RequestID(fmt.Sprint("q", job)), Number: i, Bytes: 100, Budget: 5 * time.Second, Target: aim,
 		}
 		if change != nil {
 			change(&pieces[i])
@@ -79,7 +79,7 @@
 	results := make([]shed.PieceResult, len(s.Pieces))
 	for i := range results {
 		results[i].End = end
-		if end == shed.PieceMade {
+		if end == shed.PieceComplete {
 			tb.made++
 			results[i].Ref = shed.ResultRef(fmt.Sprintf("%s/%d", s.Server.ID, tb.made))
 		}
@@ -113,7 +113,7 @@
 	tb.ask(4, 2, time.Second, nil)
 	require.Empty(t, tb.sends, "one call at a time")
 	tb.now = tb.now.Add(160 * time.Millisecond)
-	tb.answer(batch.Send{Call: 1, Pieces: make([]shed.Piece, 1)}, shed.PieceMade)
+	tb.answer(batch.Send{Call: 1, Pieces: make([]shed.Piece, 1)}, shed.PieceComplete)
 	require.Equal(t, []shed.RequestID{"q4", "q4", "q3", "q2"}, requests(tb.take()))
 }
 
@@ -136,7 +136,7 @@
 			tb.ask(job, 4, 500*time.Millisecond, func(p *shed.Piece) { p.Bytes = 0 })
 		}
 		if running != nil && !tb.now.Before(ends) {
-			tb.answer(*running, shed.PieceMade)
+			tb.answer(*running, shed.PieceComplete)
 			running = nil
 		}
 		if running == nil && len(tb.sends) > 0 {
@@ -145,7 +145,7 @@
 		}
 		tb.handle(batch.Tick{})
 		for id, results := range tb.done {
-			if results[0].End == shed.PieceMade && tb.now.Sub(asked[id]) > 500*time.Millisecond {
+			if results[0].End == shed.PieceComplete && tb.now.Sub(asked[id]) > 500*time.Millisecond {
 				late++
 			}
 			if results[0].End == shed.PieceLate {
@@ -163,15 +163,15 @@
 // that it holds, until it was told that some are given up.
 func TestRoomIsCounted(t *testing.T) {
 	tb := newTable(t, "a")
-	tb.ask(1, 9, 20*time.Second, func(p *shed.Piece) { p.Left = 30 * time.Second })
-	tb.answer(tb.take(), shed.PieceMade)
-	tb.answer(tb.take(), shed.PieceMade)
+	tb.ask(1, 9, 20*time.Second, func(p *shed.Piece) { p.Budget = 30 * time.Second })
+	tb.answer(tb.take(), shed.PieceComplete)
+	tb.answer(tb.take(), shed.PieceComplete)
 	// 920 bytes are used at the most: one more piece fits.
 	s := tb.take()
 	require.Len(t, s.Pieces, 1)
-	tb.answer(s, shed.PieceMade)
+	tb.answer(s, shed.PieceComplete)
 	refs := []shed.ResultRef{tb.done[1][0].Ref, tb.done[1][1].Ref}
-	tb.ask(2, 2, 20*time.Second, func(p *shed.Piece) { p.Left = 30 * time.Second })
+	tb.ask(2, 2, 20*time.Second, func(p *shed.Piece) { p.Budget = 30 * time.Second })
 	require.Empty(t, tb.sends)
 	tb.handle(batch.Freed{Refs: refs})
 	require.Equal(t, refs, tb.freed)
@@ -185,8 +185,8 @@
 func TestRoomComesBack(t *testing.T) {
 	tb := newTable(t, "a")
 	tb.ask(1, 4, time.Second, func(p *shed.Piece) { p.Bytes = 230 })
-	tb.answer(tb.take(), shed.PieceMade)
-	tb.ask(2, 4, 5*time.Second, func(p *shed.Piece) { p.Bytes, p.Left = 230, 10*time.Second })
+	tb.answer(tb.take(), shed.PieceComplete)
+	tb.ask(2, 4, 5*time.Second, func(p *shed.Piece) { p.Bytes, p.Budget = 230, 10*time.Second })
 	require.Empty(t, tb.sends)
 	tb.pass(4200 * time.Millisecond)
 	require.Len(t, tb.take().Pieces, 4)
@@ -202,9 +202,9 @@
 	tb.pass(700 * time.Millisecond)
 	second := tb.take()
 	require.NotEqual(t, silent.Server.ID, second.Server.ID)
-	tb.answer(second, shed.PieceMade)
+	tb.answer(second, shed.PieceComplete)
 	require.Len(t, tb.done[1], 2)
-	tb.answer(silent, shed.PieceMade)
+	tb.answer(silent, shed.PieceComplete)
 	require.Len(t, tb.freed, 2)
 }
 
@@ -217,8 +217,8 @@
 	tb.pass(600 * time.Millisecond)
 	again := tb.take()
 	require.Equal(t, shed.RequestID("q1"), again.Pieces[0].Request)
-	tb.answer(again, shed.PieceMade)
-	require.Equal(t, shed.PieceMade, tb.done[1][0].End)
+	tb.answer(again, shed.PieceComplete)
+	require.Equal(t, shed.PieceComplete, tb.done[1][0].End)
 }
 
 // A refusal by a full server is no try: some other VM's calls are in its queue.
@@ -230,8 +230,8 @@
 		tb.handle(batch.CallEnded{Call: s.Call, NotRun: true, Busy: true})
 		tb.pass(200 * time.Millisecond)
 	}
-	tb.answer(tb.take(), shed.PieceMade)
-	require.Equal(t, shed.PieceMade, tb.done[1][0].End)
+	tb.answer(tb.take(), shed.PieceComplete)
+	require.Equal(t, shed.PieceComplete, tb.done[1][0].End)
 }
 
 // A server breaks off again and again. The piece isn't sent for ever: its
@@ -264,7 +264,7 @@
 	tb.ask(2, 1, time.Second, nil)
 	tb.handle(batch.Dropped{Job: 1})
 	tb.handle(batch.Dropped{Job: 2})
-	tb.answer(running, shed.PieceMade)
+	tb.answer(running, shed.PieceComplete)
 	require.Empty(t, tb.sends)
 	require.Empty(t, tb.done)
 	require.Len(t, tb.freed, 1)
@@ -279,20 +279,20 @@
 	tb.ask(2, 2, time.Second, nil)
 	tb.handle(batch.Stopped{})
 	require.Equal(t, shed.PieceMoved, tb.done[2][1].End)
-	tb.answer(running, shed.PieceMade)
-	require.Equal(t, shed.PieceMade, tb.done[1][0].End)
+	tb.answer(running, shed.PieceComplete)
+	require.Equal(t, shed.PieceComplete, tb.done[1][0].End)
 }
 
 // Each piece of the next step fetches all results of this one, so a step's
 // pieces stay in one zone though a server of another one is idle.
 func TestTogether(t *testing.T) {
 	tb := newTable(t, "a", "b")
-	together := func(p *shed.Piece) { p.Together, p.Bytes = true, 0 }
+	together := func(p *shed.Piece) { p.SameZone, p.Bytes = true, 0 }
 	tb.ask(1, 6, 3*time.Second, together)
 	first := tb.take()
 	require.Equal(t, shed.ZoneID("a"), first.Server.Zone)
 	require.Empty(t, tb.sends, "zone b gets none of them")
-	tb.answer(first, shed.PieceMade)
+	tb.answer(first, shed.PieceComplete)
 	require.Equal(t, shed.ZoneID("a"), tb.take().Server.Zone)
 }
 
@@ -300,7 +300,7 @@
 // be in time, the idle one in zone a gets none of them.
 func TestNearUnlessLate(t *testing.T) {
 	tb := newTable(t, "a", "b")
-	near := func(p *shed.Piece) { p.Near, p.Bytes = "b", 0 }
+	near := func(p *shed.Piece) { p.PreferredZone, p.Bytes = "b", 0 }
 	tb.ask(1, 1, 3*time.Second, near)
 	require.Equal(t, shed.ZoneID("b"), tb.take().Server.Zone)
 	tb.ask(2, 1, 3*time.Second, near)
@@ -315,8 +315,8 @@
 // room counts as taken, and comes back as those results lapse.
 func TestRoomHeldForAnotherVM(t *testing.T) {
 	tb := newTable(t, "a")
-	tb.handle(batch.HeldElsewhere{From: "vm2", Held: map[shed.ServerID]int64{"s0": 920}, Keep: limits.KeepFor})
-	tb.ask(1, 4, 5*time.Second, func(p *shed.Piece) { p.Left = 10 * time.Second })
+	tb.handle(batch.HeldElsewhere{From: "vm2", Held: map[shed.ServerID]int64{"s0": 920}, Keep: limits.ResultRetention})
+	tb.ask(1, 4, 5*time.Second, func(p *shed.Piece) { p.Budget = 10 * time.Second })
 	require.Empty(t, tb.sends)
 	tb.pass(2 * time.Second)
 	require.Len(t, tb.take().Pieces, 1)
@@ -341,7 +341,7 @@
 		tb.ask(job+1, 1, 5*time.Second, nil)
 		s := tb.take()
 		tb.pass(320 * time.Millisecond)
-		tb.answer(s, shed.PieceMade)
+		tb.answer(s, shed.PieceComplete)
 		tb.handle(batch.Freed{Refs: []shed.ResultRef{tb.done[job+1][0].Ref}})
 		tb.handle(batch.FreeEnded{Refs: tb.freed})
 	}
--- a/internal/batch/crash_test.go
+++ b/internal/batch/crash_test.go
@@ -17,10 +17,10 @@
 	tb := newTable(t, "a")
 	const culprit = batch.JobID(5)
 	limits := limits
-	limits.Most = 8
+	limits.MaxPieces = 8
 	for id := batch.JobID(1); id <= 8; id++ {
 		tb.handle(batch.Asked{Job: id, Pool: "p", Limits: limits, Pieces: []shed.Piece{{
-			Request: requestOf(id), Bytes: 10, Left: 20 * time.Second, Aim: 10 * time.Second,
+			Request: requestOf(id), Bytes: 10, Budget: 20 * time.Second, Target: 10 * time.Second,
 		}}})
 	}
 	ended, innocent := 0, map[shed.RequestID]bool{}
@@ -31,18 +31,18 @@
 				for _, request := range requests(s) {
 					innocent[request] = true
 				}
-				tb.answer(s, shed.PieceMade)
+				tb.answer(s, shed.PieceComplete)
 				continue
 			}
 			ended++
-			tb.servers = []shed.Listing{{ID: s.Server.ID + "x", Pool: "p", Zone: "a", Born: 1}}
+			tb.servers = []shed.ServerEntry{{ID: s.Server.ID + "x", Pool: "p", Zone: "a", StartedMs: 1}}
 			tb.handle(batch.CallEnded{Call: s.Call, Crashed: true})
 		}
 		tb.pass(100 * time.Millisecond)
 	}
 	require.Len(t, innocent, 7)
 	for id := batch.JobID(1); id <= 8; id++ {
-		want := shed.PieceMade
+		want := shed.PieceComplete
 		if id == culprit {
 			want = shed.PieceFailed
 		}
--- a/internal/batch/dispatch.go
+++ b/internal/batch/dispatch.go
@@ -17,7 +17,7 @@
 	out = b.giveUpLate(now, out, g)
 	servers := b.servers(g.pool)
 	usable, sound := 0, 0
-	var idle []shed.Listing
+	var idle []shed.ServerEntry
 	for _, s := range servers {
 		m := b.maker(s)
 		if !m.unreached {
@@ -38,7 +38,7 @@
 	if usable == 0 {
 		return b.failAll(out, g)
 	}
-	slices.SortStableFunc(idle, func(x, y shed.Listing) int {
+	slices.SortStableFunc(idle, func(x, y shed.ServerEntry) int {
 		mx, my := b.makers[x.ID], b.makers[y.ID]
 		if mx.unreached != my.unreached {
 			// Tries come first: they leave the pieces to the others.
@@ -133,7 +133,7 @@
 
 // soonest is when a call that is sent now could be done.
 func (g *group) soonest(now time.Time) time.Time {
-	return now.Add(scale(expected(g.limits, min(len(g.waiting), g.limits.Most)), g.slow) + wayTime)
+	return now.Add(scale(expected(g.limits, min(len(g.waiting), g.limits.MaxPieces)), g.slow) + wayTime)
 }
 
 func expected(l shed.BatchLimits, pieces int) time.Duration {
@@ -142,12 +142,12 @@
 
 // worthWaiting tells whether a busy server would be done with the pieces before
 // the idle, slow server s.
-func (b *Batcher) worthWaiting(now time.Time, g *group, servers []shed.Listing, s shed.Listing) bool {
-	n := min(len(g.waiting), g.limits.Most)
+func (b *Batcher) worthWaiting(now time.Time, g *group, servers []shed.ServerEntry, s shed.ServerEntry) bool {
+	n := min(len(g.waiting), g.limits.MaxPieces)
 	own := scale(expected(g.limits, n), b.makers[s.ID].slow)
 	for _, other := range servers {
 		m := b.makers[other.ID]
-		if m.running == 0 || now.Before(m.shunned) || len(g.waiting) > g.limits.Most {
+		if m.running == 0 || now.Before(m.shunned) || len(g.waiting) > g.limits.MaxPieces {
 			continue
 		}
 		c := b.calls[m.running]
@@ -167,7 +167,7 @@
 // reach, to see whether it can be reached again. The piece goes on waiting for a
 // sound server: in a zone that was cut off from the others, pieces went from one
 // server beyond the cut to the next, 0.2 s each, for up to 1.3 s.
-func (b *Batcher) try(now time.Time, out []Action, g *group, s shed.Listing) []Action {
+func (b *Batcher) try(now time.Time, out []Action, g *group, s shed.ServerEntry) []Action {
 	at := len(g.waiting) - 1
 	for at >= 0 && (g.waiting[at].settled || g.waiting[at].out > 0) {
 		at--
@@ -181,7 +181,7 @@
 
 // send fills a call for the server with the most urgent pieces that it has room
 // for.
-func (b *Batcher) send(now time.Time, out []Action, g *group, servers []shed.Listing, s shed.Listing) []Action {
+func (b *Batcher) send(now time.Time, out []Action, g *group, servers []shed.ServerEntry, s shed.ServerEntry) []Action {
 	room := b.makers[s.ID].room(now, g.limits)
 	near := b.nearness(now, g, servers)
 	var taken, rest []*piece
@@ -191,14 +191,14 @@
 			continue
 		}
 		apart := len(taken) > 0 && p.lot != taken[0].lot
-		if apart || len(taken) == g.limits.Most || !near.mayMake(p, s) || p.Bytes > room-bytes && g.limits.Room > 0 {
+		if apart || len(taken) == g.limits.MaxPieces || !near.mayMake(p, s) || p.Bytes > room-bytes && g.limits.ResultCapacity > 0 {
 			rest = append(rest, p)
 			continue
 		}
 		p.queued = false
 		taken = append(taken, p)
 		bytes += p.Bytes
-		if p.Together && p.Near == "" {
+		if p.SameZone && p.PreferredZone == "" {
 			p.job.near = s.Zone
 		}
 	}
@@ -210,7 +210,7 @@
 }
 
 // call sends pieces to a server.
-func (b *Batcher) call(now time.Time, out []Action, g *group, s shed.Listing, pieces []*piece) []Action {
+func (b *Batcher) call(now time.Time, out []Action, g *group, s shed.ServerEntry, pieces []*piece) []Action {
 	m := b.makers[s.ID]
 	c := &call{server: s, group: g, began: now, pieces: pieces, expected: expected(g.limits, len(pieces))}
 	for _, p := range pieces {
@@ -225,7 +225,7 @@
 	for _, p := range c.pieces {
 		p.out++
 		piece := p.Piece
-		piece.Left = p.job.deadline.Sub(now)
+		piece.Budget = p.job.deadline.Sub(now)
 		send.Pieces = append(send.Pieces, piece)
 	}
 	return append(out, send)
@@ -240,7 +240,7 @@
 	room map[shed.ZoneID]int
 }
 
-func (b *Batcher) nearness(now time.Time, g *group, servers []shed.Listing) nearness {
+func (b *Batcher) nearness(now time.Time, g *group, servers []shed.ServerEntry) nearness {
 	n := nearness{done: map[shed.ZoneID]time.Time{}, room: map[shed.ZoneID]int{}}
 	for _, s := range servers {
 		m := b.maker(s)
@@ -251,11 +251,11 @@
 		if c := b.calls[m.running]; c != nil {
 			done = shed.Later(now, c.began.Add(scale(c.expected, m.slow)))
 		}
-		done = done.Add(scale(expected(g.limits, g.limits.Most), m.slow))
+		done = done.Add(scale(expected(g.limits, g.limits.MaxPieces), m.slow))
 		if old, ok := n.done[s.Zone]; !ok || done.Before(old) {
 			n.done[s.Zone] = done
 		}
-		n.room[s.Zone] += g.limits.Most
+		n.room[s.Zone] += g.limits.MaxPieces
 	}
 	return n
 }
@@ -264,7 +264,7 @@
 // others, as long as the next calls there have room for them and will be in
 // time: fetching large results from another zone is what users pay most for. A
 // piece that is kept back takes its place in those calls.
-func (n nearness) mayMake(p *piece, s shed.Listing) bool {
+func (n nearness) mayMake(p *piece, s shed.ServerEntry) bool {
 	zone := p.wanted()
 	if zone == "" || zone == s.Zone {
 		return true
--- a/internal/batch/event.go
+++ b/internal/batch/event.go
@@ -69,7 +69,7 @@
 // Send asks to run a call. The driver ends it with one CallEnded.
 type Send struct {
 	Call   CallID
-	Server shed.Listing
+	Server shed.ServerEntry
 	Pieces []shed.Piece
 	// Limit is the time after which the call is given up.
 	Limit time.Duration
@@ -87,4 +87,4 @@
 type Free struct{ Refs []shed.ResultRef }
 
 // Servers gives the servers of a pool that may have new work, sorted by id.
-type Servers func(shed.PoolID) []shed.Listing
+type Servers func(shed.PoolID) []shed.ServerEntry
--- a/internal/batch/machine_test.go
+++ b/internal/batch/machine_test.go
@@ -25,7 +25,7 @@
 			refs := map[shed.ResultRef]int{}
 			for _, results := range tb.done {
 				for _, r := range results {
-					if r.End == shed.PieceMade {
+					if r.End == shed.PieceComplete {
 						refs[r.Ref]++
 					}
 				}
@@ -40,20 +40,20 @@
 				return
 			}
 			s := tb.take()
-			require.LessOrEqual(t, len(s.Pieces), limits.Most)
+			require.LessOrEqual(t, len(s.Pieces), limits.MaxPieces)
 			switch rapid.IntRange(0, 7).Draw(rt, "end") {
 			case 0:
 				tb.handle(batch.CallEnded{Call: s.Call})
 			case 1:
 				tb.handle(batch.CallEnded{Call: s.Call, NotRun: true, Busy: true})
 			case 2:
-				tb.answer(s, shed.PieceNoRoom)
+				tb.answer(s, shed.PieceNoCapacity)
 			case 4:
 				tb.handle(batch.CallEnded{Call: s.Call, Crashed: true})
 			case 3:
 				tb.answer(s, shed.PieceInputsGone)
 			default:
-				tb.answer(s, shed.PieceMade)
+				tb.answer(s, shed.PieceComplete)
 			}
 		}
 		rt.Repeat(map[string]func(*rapid.T){
@@ -63,9 +63,9 @@
 				asked[next] = n
 				aim := time.Duration(rapid.IntRange(100, 2000).Draw(rt, "aim")) * time.Millisecond
 				tb.ask(next, n, aim, func(p *shed.Piece) {
-					p.Together = n%2 == 0
+					p.SameZone = n%2 == 0
 					if n%3 == 0 {
-						p.Near = "b"
+						p.PreferredZone = "b"
 					}
 				})
 			},
@@ -85,7 +85,7 @@
 			"free": func(*rapid.T) {
 				for id, results := range tb.done {
 					for _, r := range results {
-						if r.End == shed.PieceMade && id == next {
+						if r.End == shed.PieceComplete && id == next {
 							tb.handle(batch.FreeEnded{Refs: []shed.ResultRef{r.Ref}})
 						}
 					}
@@ -105,7 +105,7 @@
 		tb.servers = all
 		for range 200 {
 			for len(tb.sends) > 0 {
-				tb.answer(tb.take(), shed.PieceMade)
+				tb.answer(tb.take(), shed.PieceComplete)
 			}
 			tb.pass(100 * time.Millisecond)
 		}
--- a/internal/batch/maker.go
+++ b/internal/batch/maker.go
@@ -63,12 +63,12 @@
 
 // room is how many bytes of results it has room for.
 func (m *maker) room(now time.Time, l shed.BatchLimits) int64 {
-	return int64(float64(l.Room)*roomShare) - m.taken(now)
+	return int64(float64(l.ResultCapacity)*roomShare) - m.taken(now)
 }
 
 // mayHold tells whether it has room for one more result.
 func (m *maker) mayHold(now time.Time, l shed.BatchLimits, bytes int64) bool {
-	return l.Room == 0 || bytes <= m.room(now, l)
+	return l.ResultCapacity == 0 || bytes <= m.room(now, l)
 }
 
 type heldResult struct {
@@ -86,7 +86,7 @@
 		return
 	}
 	if !ev.NotRun {
-		m.unseen = append(m.unseen, unseenBytes{bytes: c.bytes, until: now.Add(c.group.limits.KeepFor)})
+		m.unseen = append(m.unseen, unseenBytes{bytes: c.bytes, until: now.Add(c.group.limits.ResultRetention)})
 	}
 	if c.doubted && m.fails == 0 {
 		// The server answered a later call: it lives, only this answer was lost.
@@ -152,18 +152,18 @@
 	}
 }
 
-func (b *Batcher) maker(s shed.Listing) *maker {
+func (b *Batcher) maker(s shed.ServerEntry) *maker {
 	m := b.makers[s.ID]
 	if m == nil {
-		m = &maker{born: s.Born, slow: 1}
+		m = &maker{born: s.StartedMs, slow: 1}
 		b.makers[s.ID] = m
 	}
 	if m.born == 0 {
-		m.born = s.Born
+		m.born = s.StartedMs
 	}
-	if m.born != s.Born {
+	if m.born != s.StartedMs {
 		// A new start holds nothing of before.
-		*m = maker{born: s.Born, slow: 1, running: m.running, bytes: b.runningBytes(m.running)}
+		*m = maker{born: s.StartedMs, slow: 1, running: m.running, bytes: b.runningBytes(m.running)}
 		for ref, h := range b.held {
 			if h.server == s.ID {
 				delete(b.held, ref)
@@ -181,7 +181,7 @@
 }
 
 // mayLive lets a server have a call beside the one in doubt.
-func (b *Batcher) mayLive(s shed.Listing) {
+func (b *Batcher) mayLive(s shed.ServerEntry) {
 	m := b.makers[s.ID]
 	if m.doubted++; m.doubted == 1 {
 		m.running = 0
--- a/internal/batch/reach_test.go
+++ b/internal/batch/reach_test.go
@@ -22,11 +22,11 @@
 		if s := tb.take(); s.Server.Zone == "b" {
 			tb.handle(batch.CallEnded{Call: s.Call, NotRun: true})
 		} else {
-			tb.answer(s, shed.PieceMade)
+			tb.answer(s, shed.PieceComplete)
 		}
 	}
 	for len(tb.done) == 0 {
-		tb.answer(tb.take(), shed.PieceMade)
+		tb.answer(tb.take(), shed.PieceComplete)
 	}
 	tb.pass(2 * time.Second)
 	tb.ask(2, 9, time.Second, small)
@@ -41,7 +41,7 @@
 			continue
 		}
 		made += len(s.Pieces)
-		tb.answer(s, shed.PieceMade)
+		tb.answer(s, shed.PieceComplete)
 	}
 	require.Equal(t, 9, made)
 	require.Positive(t, tried)
@@ -49,7 +49,7 @@
 	tb.pass(4 * time.Second)
 	tb.ask(3, 1, time.Second, small)
 	for len(tb.sends) > 0 {
-		tb.answer(tb.take(), shed.PieceMade)
+		tb.answer(tb.take(), shed.PieceComplete)
 	}
 	tb.ask(4, 16, time.Second, small)
 	require.GreaterOrEqual(t, len(tb.sends), 2, "a server that answered a try gets full calls again")
@@ -74,6 +74,6 @@
 	tb.pass(time.Second)
 	require.Less(t, tb.b.Wait(tb.now, "p", limits).Timely, time.Second)
 	tb.ask(2, 1, 5*time.Second, nil)
-	tb.answer(tb.take(), shed.PieceMade)
-	require.Equal(t, shed.PieceMade, tb.done[2][0].End)
+	tb.answer(tb.take(), shed.PieceComplete)
+	require.Equal(t, shed.PieceComplete, tb.done[2][0].End)
 }
--- a/internal/batch/wait.go
+++ b/internal/batch/wait.go
@@ -54,7 +54,7 @@
 		if m.away(now) {
 			continue
 		}
-		rate += float64(limits.Most) / (float64(expected(limits, limits.Most)) * m.slow)
+		rate += float64(limits.MaxPieces) / (float64(expected(limits, limits.MaxPieces)) * m.slow)
 		left := time.Duration(0)
 		if c := b.calls[m.running]; c != nil {
 			left = max(c.began.Add(scale(c.expected, m.slow)).Sub(now), 0)
@@ -71,10 +71,10 @@
 	timely, all := b.backlog(now, pool)
 	wait := func(n int) time.Duration {
 		queue := time.Duration(0)
-		if n >= limits.Most {
+		if n >= limits.MaxPieces {
 			queue = time.Duration(float64(n) / rate)
 		}
-		return soonest + queue + scale(expected(limits, min(n+1, limits.Most)), slow) + wayTime
+		return soonest + queue + scale(expected(limits, min(n+1, limits.MaxPieces)), slow) + wayTime
 	}
 	return Forecast{Timely: wait(timely), Last: wait(all), Slow: slow, Rate: rate * float64(time.Second)}
 }
--- a/internal/chain/chain.go
+++ b/internal/chain/chain.go
@@ -33,7 +33,7 @@
 // least is the shortest time that the step takes, with servers as fast as they
 // have been lately.
 func (s *Step) least() time.Duration {
-	least := s.Limits.CallTime + time.Duration(min(s.Pieces, s.Limits.Most))*s.Limits.PieceTime
+	least := s.Limits.CallTime + time.Duration(min(s.Pieces, s.Limits.MaxPieces))*s.Limits.PieceTime
 	if s.Wait.Slow > 0 {
 		return time.Duration(float64(least) * s.Wait.Slow)
 	}
@@ -46,8 +46,8 @@
 	if s.Wait.Rate > 0 {
 		return s.Wait.Rate
 	}
-	full := s.Limits.CallTime + time.Duration(s.Limits.Most)*s.Limits.PieceTime
-	return float64(s.Servers*s.Limits.Most) / max(full, time.Millisecond).Seconds()
+	full := s.Limits.CallTime + time.Duration(s.Limits.MaxPieces)*s.Limits.PieceTime
+	return float64(s.Servers*s.Limits.MaxPieces) / max(full, time.Millisecond).Seconds()
 }
 
 // end foresees when the step is done that can begin at start.
--- a/internal/chain/chain_test.go
+++ b/internal/chain/chain_test.go
@@ -13,7 +13,7 @@
 
 const ms = time.Millisecond
 
-var limits = shed.BatchLimits{Most: 10, CallTime: 150 * ms, PieceTime: 10 * ms, KeepFor: 4 * time.Second}
+var limits = shed.BatchLimits{MaxPieces: 10, CallTime: 150 * ms, PieceTime: 10 * ms, ResultRetention: 4 * time.Second}
 
 func TestLongestPath(t *testing.T) {
 	c := chain.Chain{
--- a/internal/chain/replay_test.go
+++ b/internal/chain/replay_test.go
@@ -96,10 +96,10 @@
 		now: time.Unix(1_700_000_000, 0), pools: pools, parts: map[batch.JobID]part{}, tally: map[string]*tally{},
 		coming: map[shed.PoolID]int{},
 	}
-	r.b = batch.New(func(pool shed.PoolID) []shed.Listing {
-		var out []shed.Listing
+	r.b = batch.New(func(pool shed.PoolID) []shed.ServerEntry {
+		var out []shed.ServerEntry
 		for i := range pools[pool].servers {
-			out = append(out, shed.Listing{ID: shed.ServerID(fmt.Sprint(pool, i)), Born: 1, Zone: shed.ZoneID(fmt.Sprint("z", i))})
+			out = append(out, shed.ServerEntry{ID: shed.ServerID(fmt.Sprint(pool, i)), StartedMs: 1, Zone: shed.ZoneID(fmt.Sprint("z", i))})
 		}
 		return out
 	})
@@ -179,8 +179,8 @@
 		pieces := make([]shed.Piece, q.kind.steps[i].Pieces)
 		for n := range pieces {
 			pieces[n] = shed.Piece{
-				Bytes: q.kind.bytes[i], Left: 5 * time.Second, Aim: q.began.Add(q.kind.aim - c.Rest(i)).Sub(r.now),
-				Together: q.kind.bytes[i] > 0,
+				Bytes: q.kind.bytes[i], Budget: 5 * time.Second, Target: q.began.Add(q.kind.aim - c.Rest(i)).Sub(r.now),
+				SameZone: q.kind.bytes[i] > 0,
 			}
 		}
 		pool := q.kind.pools[i]
@@ -215,7 +215,7 @@
 			r.free([]shed.ResultRef{res.Ref})
 			continue
 		}
-		if res.End != shed.PieceMade {
+		if res.End != shed.PieceComplete {
 			r.tally[q.kind.name].given++
 			r.giveUp(q)
 			return
@@ -285,7 +285,7 @@
 		results := make([]shed.PieceResult, len(c.send.Pieces))
 		for i := range results {
 			r.made++
-			results[i] = shed.PieceResult{End: shed.PieceMade, Ref: shed.ResultRef(fmt.Sprint(r.made))}
+			results[i] = shed.PieceResult{End: shed.PieceComplete, Ref: shed.ResultRef(fmt.Sprint(r.made))}
 		}
 		r.perform(r.b.Handle(r.now, batch.CallEnded{Call: c.send.Call, Results: results}))
 	}
@@ -349,8 +349,8 @@
 
 func largeBesidePath(atOnce bool) map[string]*tally {
 	r := newReplay(map[shed.PoolID]makers{
-		"large": {limits: shed.BatchLimits{Most: 8, CallTime: 200 * ms, PieceTime: 20 * ms, Room: 18_000_000, KeepFor: 4 * time.Second}, servers: 2},
-		"small": {limits: shed.BatchLimits{Most: 16, CallTime: 200 * ms, PieceTime: 11 * ms, KeepFor: 4 * time.Second}, servers: 2},
+		"large": {limits: shed.BatchLimits{MaxPieces: 8, CallTime: 200 * ms, PieceTime: 20 * ms, ResultCapacity: 18_000_000, ResultRetention: 4 * time.Second}, servers: 2},
+		"small": {limits: shed.BatchLimits{MaxPieces: 16, CallTime: 200 * ms, PieceTime: 11 * ms, ResultRetention: 4 * time.Second}, servers: 2},
 	})
 	r.atOnce = atOnce
 	r.play([]kind{
--- a/internal/cmds/cmds_test.go
+++ b/internal/cmds/cmds_test.go
@@ -140,7 +140,7 @@
 		Request: "r1",
 		Outcome: shed.OutcomeNotRun,
 		Reason:  shed.ReasonNotAllowed,
-		Rule:    shed.Origin{Line: 12, Asked: "the board, May"},
+		Rule:    shed.Origin{Line: 12, RequestedBy: "the board, May"},
 	}}}
 	_, errs, err := execute("", true, "request", "caption", "x", "--workspace", "weer", "--url", f.start(t))
 	require.EqualError(t, err, "not_run (pipeline_not_allowed): The rules don't let this workspace run this pipeline.")
--- a/internal/config/bench_test.go
+++ b/internal/config/bench_test.go
@@ -44,7 +44,7 @@
 		st.now = st.now.Add(shed.TickEvery)
 		st.do(shed.Tick{Wall: st.now, Mono: st.now.Sub(time.Unix(simStart, 0))})
 		if i < asked {
-			st.do(shed.PeerMessage{From: shed.Peer{VM: "10.0.0.9:70"}, Message: shed.ConfigDigest{Revision: 1, Ask: true, Sequence: 9}})
+			st.do(shed.PeerMessage{From: shed.Peer{VM: "10.0.0.9:70"}, Message: shed.ConfigDigest{Revision: 1, WantReply: true, Sequence: 9}})
 		}
 	}
 }
@@ -56,8 +56,8 @@
 			st.do(shed.ConfigRead{Index: st.s.held.index})
 		case shed.SendPeer:
 			st.bytes += messageBytes(a.Message)
-			if m, ok := a.Message.(shed.ConfigDigest); ok && m.Ask {
-				st.do(shed.PeerMessage{From: shed.Peer{VM: a.To}, Message: shed.ConfigDigest{Revision: 1, Confirmed: time.Second, Sequence: m.Sequence}})
+			if m, ok := a.Message.(shed.ConfigDigest); ok && m.WantReply {
+				st.do(shed.PeerMessage{From: shed.Peer{VM: a.To}, Message: shed.ConfigDigest{Revision: 1, ConfirmedAgo: time.Second, Sequence: m.Sequence}})
 			}
 		}
 	}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -167,9 +167,9 @@
 func (s *State) Digest(now time.Time) shed.ConfigDigest {
 	age, known := s.fresh.age(now)
 	return shed.ConfigDigest{
-		Revision:  s.held.index.Revision,
-		Confirmed: age,
-		Never:     !known,
+		Revision:       s.held.index.Revision,
+		ConfirmedAgo:   age,
+		NeverConfirmed: !known,
 	}
 }
 
@@ -223,8 +223,8 @@
 		Revision:  digest.Revision,
 		Ready:     s.Ready(),
 		Fresh:     s.Fresh(now),
-		Confirmed: digest.Confirmed,
-		Never:     digest.Never,
+		Confirmed: digest.ConfirmedAgo,
+		Never:     digest.NeverConfirmed,
 		Watching:  s.near.level == 0,
 		Asked:     len(s.start.asked),
 		Heard:     s.start.heard,
--- a/internal/config/fresh.go
+++ b/internal/config/fresh.go
@@ -156,14 +156,14 @@
 	f.asks = append(f.asks, ask{to, now, f.sequence})
 	s.counts.Asks++
 	m := s.Digest(now)
-	m.Ask = true
+	m.WantReply = true
 	m.Sequence = f.sequence
 	return shed.SendPeer{To: to, Message: m}
 }
 
 // answered finds the ask that a digest answers.
 func (s *State) answered(from shed.VM, m shed.ConfigDigest) (ask, bool) {
-	if m.Ask || m.Sequence == 0 {
+	if m.WantReply || m.Sequence == 0 {
 		return ask{}, false
 	}
 	for i, a := range s.fresh.asks {
@@ -185,13 +185,13 @@
 		// The peer worked out its age after the ask had left, so counting back
 		// from the ask is safe however late the answer is. A digest that was
 		// not asked for confirms nothing: it may have waited in a socket.
-		if !m.Never && m.Confirmed >= 0 && m.Confirmed < maxClaimed {
-			s.confirm(m.Revision, a.at.Add(-m.Confirmed))
-			s.reads.alone = s.reads.alone && m.Confirmed > s.cfg.FreshFor
+		if !m.NeverConfirmed && m.ConfirmedAgo >= 0 && m.ConfirmedAgo < maxClaimed {
+			s.confirm(m.Revision, a.at.Add(-m.ConfirmedAgo))
+			s.reads.alone = s.reads.alone && m.ConfirmedAgo > s.cfg.FreshFor
 		}
 	}
 	switch {
-	case m.Ask:
+	case m.WantReply:
 		back := s.Digest(now)
 		back.Sequence = m.Sequence
 		out = append(out, shed.SendPeer{To: from, Message: back})
--- a/internal/config/read.go
+++ b/internal/config/read.go
@@ -154,7 +154,7 @@
 // read takes in the platform's answer.
 func (s *State) read(now time.Time, ev shed.ConfigRead) []shed.Action {
 	sent, expected := s.reads.answer(now)
-	if ev.Err {
+	if ev.Failed {
 		return s.readFailed(now)
 	}
 	s.reads.fails = 0
--- a/internal/config/sim_test.go
+++ b/internal/config/sim_test.go
@@ -237,7 +237,7 @@
 	var poll func(end time.Time)
 	poll = func(end time.Time) {
 		if s.noPlat[n.zone] {
-			reply(shed.ConfigRead{Err: true})
+			reply(shed.ConfigRead{Failed: true})
 			return
 		}
 		shown, any := s.shown()
--- a/internal/core/arrive.go
+++ b/internal/core/arrive.go
@@ -10,7 +10,7 @@
 )
 
 // arrived takes in a request from a caller or from a peer that handed it over.
-func (c *Core) arrived(now time.Time, a shed.Arrived) {
+func (c *Core) arrived(now time.Time, a shed.RequestArrived) {
 	if reason := c.notNow(now); reason != shed.ReasonNone {
 		c.refuse(a, reason, shed.Origin{}, comeBack)
 		return
@@ -41,7 +41,7 @@
 }
 
 // notAllowed is why the rules don't let the request run.
-func (c *Core) notAllowed(a shed.Arrived) (shed.Reason, shed.Origin) {
+func (c *Core) notAllowed(a shed.RequestArrived) (shed.Reason, shed.Origin) {
 	p := c.rules.Pipelines[a.Pipeline]
 	if p == nil {
 		return shed.ReasonUnknownPipeline, shed.Origin{}
@@ -62,7 +62,7 @@
 // refuse answers a request of which nothing was started here. It is not_run
 // only for a request without a ticket: with one, an earlier repeat may have run
 // it, here or elsewhere.
-func (c *Core) refuse(a shed.Arrived, reason shed.Reason, rule shed.Origin, after time.Duration) {
+func (c *Core) refuse(a shed.RequestArrived, reason shed.Reason, rule shed.Origin, after time.Duration) {
 	outcome := shed.OutcomeNotRun
 	if a.Ticketed {
 		outcome = shed.OutcomeUnknown
@@ -70,7 +70,7 @@
 	c.end(a, outcome, reason, rule, after)
 }
 
-func (c *Core) end(a shed.Arrived, outcome shed.Outcome, reason shed.Reason, rule shed.Origin, after time.Duration) {
+func (c *Core) end(a shed.RequestArrived, outcome shed.Outcome, reason shed.Reason, rule shed.Origin, after time.Duration) {
 	c.out = append(c.out,
 		shed.Note{Reason: reason, Request: a.Request, Rule: rule},
 		shed.Finish{Request: a.Request, Outcome: outcome, Reason: reason, Rule: rule, RetryAfter: after})
@@ -78,7 +78,7 @@
 
 // ticketed runs a request at its ticket's home, which is this process or
 // another one, and nowhere else.
-func (c *Core) ticketed(now time.Time, a shed.Arrived) {
+func (c *Core) ticketed(now time.Time, a shed.RequestArrived) {
 	home := c.Locate(a.Request)
 	switch {
 	case home.Self || c.fromIssuer(a):
@@ -98,18 +98,18 @@
 // fromIssuer tells whether the process that gave out the ticket handed the
 // request over itself: it has left the ticket here, even if word of its leaving
 // has not come yet.
-func (c *Core) fromIssuer(a shed.Arrived) bool {
+func (c *Core) fromIssuer(a shed.RequestArrived) bool {
 	issuer, err := ticket.Home(a.Request)
 	return err == nil && a.From == issuer
 }
 
-func (c *Core) handOver(a shed.Arrived, home shed.Peer) {
+func (c *Core) handOver(a shed.RequestArrived, home shed.Peer) {
 	c.away[a.Request] = true
-	c.out = append(c.out, shed.HandRequest{Request: a.Request, To: home, Deadline: a.Deadline})
+	c.out = append(c.out, shed.ForwardRequest{Request: a.Request, To: home, Deadline: a.Deadline})
 }
 
 // start runs a ticketed request here, if this is its first time.
-func (c *Core) start(now time.Time, a shed.Arrived) {
+func (c *Core) start(now time.Time, a shed.RequestArrived) {
 	v := c.tickets.Start(now, a.Request, a.Workspace, a.Pipeline)
 	switch v.Kind {
 	case ticket.VerdictRun:
@@ -132,7 +132,7 @@
 
 // stored gives a repeat the answer of the first one. Only a complete one has a
 // payload, which the driver kept.
-func (c *Core) stored(a shed.Arrived, f shed.Finish) {
+func (c *Core) stored(a shed.RequestArrived, f shed.Finish) {
 	if f.Outcome == shed.OutcomeComplete {
 		c.out = append(c.out, shed.JoinRequest{Request: a.Request})
 		return
@@ -174,7 +174,7 @@
 
 // Issue gives out a ticket whose id embeds this process and random.
 func (c *Core) Issue(now time.Time, ws shed.WorkspaceID, pipeline shed.PipelineID, random [16]byte) (shed.Ticket, *shed.Finish) {
-	a := shed.Arrived{Workspace: ws, Pipeline: pipeline, Ticketed: true}
+	a := shed.RequestArrived{Workspace: ws, Pipeline: pipeline, Ticketed: true}
 	reason := c.notNow(now)
 	after := comeBack
 	if c.stop.asked {
--- a/internal/core/bench_test.go
+++ b/internal/core/bench_test.go
@@ -26,13 +26,13 @@
 	r := &shed.Rules{
 		Revision: 1, Pipelines: map[shed.PipelineID]*shed.Pipeline{}, Pools: map[shed.PoolID]*shed.Pool{},
 		Servers: map[shed.ServerID]*shed.Server{}, Workspaces: map[shed.WorkspaceID]*shed.Workspace{},
-		Zones: map[shed.ZoneID]*shed.Zone{}, WeightLoads: 13,
+		Zones: map[shed.ZoneID]*shed.Zone{}, MaxWeightLoads: 13,
 	}
 	p := &shed.Pipeline{ID: "p", Deadline: 6 * time.Second}
 	for i := range 4 {
 		id := shed.PoolID(fmt.Sprintf("pool%d", i))
-		r.Pools[id] = &shed.Pool{ID: id, Kind: shed.KindRerank, Unit: 1}
-		p.Stages = append(p.Stages, shed.Stage{ID: shed.StageID(id), Kind: shed.KindRerank, Pool: id, Minimum: time.Millisecond, Idempotent: true})
+		r.Pools[id] = &shed.Pool{ID: id, Kind: shed.KindRerank, UnitPrice: 1}
+		p.Stages = append(p.Stages, shed.Stage{ID: shed.StageID(id), Kind: shed.KindRerank, Pool: id, MinDuration: time.Millisecond, Idempotent: true})
 	}
 	r.Pipelines["p"] = p
 	for z := range benchZones {
@@ -42,7 +42,7 @@
 			pool := r.Pools[shed.PoolID(fmt.Sprintf("pool%d", i%4))]
 			srv := &shed.Server{
 				ID: shed.ServerID(fmt.Sprintf("s-%02d-%03d", z, i)), Pool: pool.ID, Zone: zone,
-				URL: "http://127.0.0.1:1", Capacity: 16, ColdBears: 2,
+				URL: "http://127.0.0.1:1", Capacity: 16, ColdCapacity: 2,
 			}
 			r.Servers[srv.ID] = srv
 			pool.Servers = append(pool.Servers, srv)
@@ -132,7 +132,7 @@
 	each(b, func(b *testing.B, c *Core) {
 		stage := c.rules.Pipelines["p"].Stages[3]
 		for i := range b.N {
-			ask := shed.PlaceAsk{Stage: stage, Deadline: benchStart.Add(time.Minute)}
+			ask := shed.PlaceRequest{Stage: stage, Deadline: benchStart.Add(time.Minute)}
 			ask.Prefix = uint64(i)
 			ask.Pipeline = "p"
 			c.placeHere(benchStart, ask, c.pools[stage.Pool], "")
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -203,15 +203,15 @@
 	switch e := ev.(type) {
 	case shed.Tick:
 		c.tick(now, e)
-	case shed.Arrived:
+	case shed.RequestArrived:
 		c.arrived(now, e)
-	case shed.StageAsked:
+	case shed.StageRequested:
 		c.stageAsked(now, e)
 	case shed.CallProgress:
 		c.callProgress(now, e)
 	case shed.CallEnded:
 		c.callEnded(now, e)
-	case shed.HandedBack:
+	case shed.ForwardEnded:
 		delete(c.away, e.Request)
 	case shed.CallerGone:
 		c.book(now, c.flow.Handle(now, e))
@@ -230,7 +230,7 @@
 		c.take(c.orders.Handle(now, ev))
 	case shed.OrderEnded:
 		c.take(c.orders.Handle(now, e))
-	case shed.StopAsked:
+	case shed.StopRequested:
 		c.stopAsked(now, e)
 	}
 }
@@ -284,8 +284,8 @@
 		case shed.StartCall:
 			c.bookStart(now, a)
 			started = true
-		case shed.HandStage:
-			c.hand(a.Ask.Call, a.To)
+		case shed.ForwardStage:
+			c.hand(a.Request.Call, a.To)
 			started = true
 		case shed.Finish:
 			c.tickets.Finished(now, a.Request, a)
--- a/internal/core/guest.go
+++ b/internal/core/guest.go
@@ -27,14 +27,14 @@
 // whose own servers are leaving then waited for another zone until their
 // deadlines, though both others served all of theirs.
 type waitingGuest struct {
-	event shed.StageAsked
+	event shed.StageRequested
 	until time.Time
 }
 
 // stageAsked places a stage call that a peer handed over: under this daemon's
 // own rules, at once or not at all, and one attempt at the most.
-func (c *Core) stageAsked(now time.Time, e shed.StageAsked) {
-	ask := e.Ask
+func (c *Core) stageAsked(now time.Time, e shed.StageRequested) {
+	ask := e.Request
 	stage, reason := c.stageOf(now, ask)
 	switch {
 	case reason != shed.ReasonNone:
@@ -62,9 +62,9 @@
 
 // placeGuest starts the guest's call, or passes it on, if that can be done now.
 func (c *Core) placeGuest(now time.Time, w waitingGuest, stage shed.Stage) shed.Placement {
-	ask := w.event.Ask
+	ask := w.event.Request
 	ask.Budget -= now.Sub(w.until.Add(-min(guestWait, ask.Budget/4)))
-	q := shed.PlaceAsk{StageAsk: ask, Stage: stage, Deadline: now.Add(ask.Budget)}
+	q := shed.PlaceRequest{StageRequest: ask, Stage: stage, Deadline: now.Add(ask.Budget)}
 	p := c.placeHere(now, q, c.pools[stage.Pool], w.event.From.VM)
 	switch p.Kind {
 	case shed.PlaceLocal:
@@ -80,7 +80,7 @@
 	if p.Kind == shed.PlaceLocal || p.Kind == shed.PlacePeer {
 		return
 	}
-	call := w.event.Ask.Call
+	call := w.event.Request.Call
 	delete(c.guests, call)
 	c.out = append(c.out, shed.Note{Reason: p.Reason, Request: call.Request, Zone: c.cfg.Zone, Rule: p.Rule})
 	c.refuseStage(call, p.Reason, guestComeBack)
@@ -93,7 +93,7 @@
 	started := false
 	keep := c.waiting[:0]
 	for _, w := range c.waiting {
-		stage, reason := c.stageOf(now, w.event.Ask)
+		stage, reason := c.stageOf(now, w.event.Request)
 		p := shed.Placement{Kind: shed.PlaceNowhere, Reason: reason}
 		if reason == shed.ReasonNone {
 			p = shed.Placement{Kind: shed.PlaceWait, Reason: shed.ReasonServersBusy}
@@ -115,7 +115,7 @@
 
 // stageOf finds the stage in the rules in force here, which may be older or
 // newer than the sender's.
-func (c *Core) stageOf(now time.Time, ask shed.StageAsk) (shed.Stage, shed.Reason) {
+func (c *Core) stageOf(now time.Time, ask shed.StageRequest) (shed.Stage, shed.Reason) {
 	if c.rules == nil {
 		return shed.Stage{}, shed.ReasonNoConfig
 	}
@@ -145,33 +145,33 @@
 	c.out = append(c.out, shed.RefuseStage{Call: call, Reason: reason, RetryAfter: after})
 }
 
-func (c *Core) startGuest(now time.Time, q shed.PlaceAsk, s *shed.Server) {
+func (c *Core) startGuest(now time.Time, q shed.PlaceRequest, s *shed.Server) {
 	a := shed.StartCall{
-		Call:     q.Call,
-		Server:   s.ID,
-		URL:      s.URL,
-		Stage:    q.Stage,
-		Model:    c.rules.Pools[q.Stage.Pool].Model,
-		Until:    earlier(now.Add(guestLease), q.Deadline),
-		Deadline: q.Deadline,
-		Priority: int(q.Budget / (100 * time.Millisecond)),
-		Silence:  guestSilence,
+		Call:        q.Call,
+		Server:      s.ID,
+		URL:         s.URL,
+		Stage:       q.Stage,
+		Model:       c.rules.Pools[q.Stage.Pool].Model,
+		SendBy:      earlier(now.Add(guestLease), q.Deadline),
+		Deadline:    q.Deadline,
+		Priority:    int(q.Budget / (100 * time.Millisecond)),
+		IdleTimeout: guestSilence,
 	}
 	c.guests[q.Call] = true
 	c.bookStart(now, a)
 	c.out = append(c.out, a)
 }
 
-func (c *Core) passOn(now time.Time, q shed.PlaceAsk, to shed.VM) {
+func (c *Core) passOn(now time.Time, q shed.PlaceRequest, to shed.VM) {
 	q.Hops++
 	c.guests[q.Call] = true
 	c.hand(q.Call, to)
-	c.out = append(c.out, shed.HandStage{
-		To:       to,
-		Ask:      q.StageAsk,
-		Until:    earlier(now.Add(guestLease), q.Deadline),
-		Deadline: q.Deadline,
-		Silence:  guestSilence,
+	c.out = append(c.out, shed.ForwardStage{
+		To:          to,
+		Request:     q.StageRequest,
+		SendBy:      earlier(now.Add(guestLease), q.Deadline),
+		Deadline:    q.Deadline,
+		IdleTimeout: guestSilence,
 	})
 }
 
--- a/internal/core/place.go
+++ b/internal/core/place.go
@@ -24,7 +24,7 @@
 
 // Place implements shed.Placer: a server of this zone first, then a peer of
 // the zone that may use a cold one, then another zone.
-func (c *Core) Place(now time.Time, ask shed.PlaceAsk) shed.Placement {
+func (c *Core) Place(now time.Time, ask shed.PlaceRequest) shed.Placement {
 	if reason := c.unsure(now); reason != shed.ReasonNone {
 		return shed.Placement{Kind: shed.PlaceWait, Reason: reason}
 	}
@@ -92,9 +92,9 @@
 }
 
 // placeHere looks at this zone only. not is a peer that must not get the call.
-func (c *Core) placeHere(now time.Time, ask shed.PlaceAsk, pool *pool, not shed.VM) shed.Placement {
+func (c *Core) placeHere(now time.Time, ask shed.PlaceRequest, pool *pool, not shed.VM) shed.Placement {
 	nowhere := shed.Placement{Kind: shed.PlaceNowhere, Reason: shed.ReasonNoServer, RetryAfter: comeBack}
-	if !ask.Stage.MayRun(c.cfg.Zone) {
+	if !ask.Stage.MayRunIn(c.cfg.Zone) {
 		nowhere.Rule = ask.Stage.Origin
 		return nowhere
 	}
@@ -121,7 +121,7 @@
 		case !known:
 		case !cand.Cold && c.load.Room(s.ID) > 0 && c.load.MaySend(now, s.ID, unseenShare(s, sharers)):
 			room = append(room, cand)
-		case cand.Cold && c.load.Settled(s.ID) && cand.Running < s.ColdBears && c.slots.Free(now, s.ID) > 0:
+		case cand.Cold && c.load.Settled(s.ID) && cand.Running < s.ColdCapacity && c.slots.Free(now, s.ID) > 0:
 			room = append(room, cand)
 		case cand.Cold:
 			cold = append(cold, s)
@@ -150,7 +150,7 @@
 // daemons' unseen calls together are then what hits it before anyone knows, so
 // each takes its share of what the server bears cold.
 func unseenShare(s *shed.Server, daemons int) int {
-	return max(1, s.ColdBears/max(1, daemons))
+	return max(1, s.ColdCapacity/max(1, daemons))
 }
 
 // sharers is how many daemons may send to the zone's servers; all too many if
@@ -164,14 +164,14 @@
 
 // closedBy says why the rules keep new work from the server.
 func (c *Core) closedBy(s *shed.Server) shed.Reason {
-	if z := c.rules.Zones[s.Zone]; z != nil && z.Out {
+	if z := c.rules.Zones[s.Zone]; z != nil && z.OutOfService {
 		return shed.ReasonZoneOut
 	}
 	return shed.ReasonServerLeaving
 }
 
 // slotOwner finds a peer of this zone that may use one of the cold servers.
-func (c *Core) slotOwner(now time.Time, ask shed.PlaceAsk, cold []*shed.Server, not shed.VM) (shed.VM, bool) {
+func (c *Core) slotOwner(now time.Time, ask shed.PlaceRequest, cold []*shed.Server, not shed.VM) (shed.VM, bool) {
 	if ask.Hops >= maxHops {
 		return "", false
 	}
@@ -187,7 +187,7 @@
 // placeFar finds a daemon of another zone. A daemon that is not sure of its
 // configuration hands nothing to other zones: it can't know whether operators
 // have taken them out.
-func (c *Core) placeFar(now time.Time, ask shed.PlaceAsk, pool *pool) (shed.Placement, bool) {
+func (c *Core) placeFar(now time.Time, ask shed.PlaceRequest, pool *pool) (shed.Placement, bool) {
 	if ask.Hops > 0 || !c.config.Fresh(now) {
 		return shed.Placement{}, false
 	}
@@ -207,11 +207,11 @@
 
 // farZones are the other zones where the rules let the stage run, those of
 // this region first, and each daemon's requests in an order of their own.
-func (c *Core) farZones(ask shed.PlaceAsk, pool *pool) []shed.ZoneID {
+func (c *Core) farZones(ask shed.PlaceRequest, pool *pool) []shed.ZoneID {
 	var near, far []shed.ZoneID
 	for _, z := range pool.far {
 		switch {
-		case !ask.Stage.MayRun(z):
+		case !ask.Stage.MayRunIn(z):
 		case c.sameRegion(z):
 			near = append(near, z)
 		default:
@@ -238,6 +238,6 @@
 	return own != nil && other != nil && own.Region == other.Region
 }
 
-func (c *Core) openElsewhere(ask shed.PlaceAsk, pool *pool) bool {
+func (c *Core) openElsewhere(ask shed.PlaceRequest, pool *pool) bool {
 	return ask.Hops == 0 && len(c.farZones(ask, pool)) > 0
 }
--- a/internal/core/status.go
+++ b/internal/core/status.go
@@ -94,7 +94,7 @@
 		}
 		cand, _ := c.load.Candidate(now, id)
 		s.Servers = append(s.Servers, ServerStatus{
-			Server: id, Cold: cand.Cold, Running: cand.Running, Own: cand.Own,
+			Server: id, Cold: cand.Cold, Running: cand.Running, Own: cand.OwnCalls,
 			Slots: c.slots.Free(now, id), ReportAge: cand.Age,
 		})
 	}
--- a/internal/core/stop.go
+++ b/internal/core/stop.go
@@ -25,13 +25,13 @@
 	return s.asked && (s.hurry || !now.Before(s.until))
 }
 
-func (c *Core) stopAsked(now time.Time, e shed.StopAsked) {
+func (c *Core) stopAsked(now time.Time, e shed.StopRequested) {
 	if !c.stop.asked {
 		c.stop = stop{asked: true, until: now.Add(c.cfg.Notice), latest: now.Add(c.cfg.MaxDrain)}
 		c.leave(now)
 		c.tellReady(now)
 	}
-	c.stop.hurry = c.stop.hurry || e.Hurry
+	c.stop.hurry = c.stop.hurry || e.SkipNotice
 }
 
 // leave gives the unused tickets to a peer of the zone and tells the others.
@@ -71,7 +71,7 @@
 		// A later process claims this VM's address, and peers drop all that this
 		// one says. What it runs may still end; it must start nothing.
 		c.out = append(c.out, shed.Note{Reason: member.ReasonOverruled, Peer: c.cfg.Self.VM})
-		c.stopAsked(now, shed.StopAsked{Hurry: true})
+		c.stopAsked(now, shed.StopRequested{SkipNotice: true})
 	}
 	if !c.stop.asked || c.stop.exited {
 		return
--- a/internal/core/view.go
+++ b/internal/core/view.go
@@ -73,6 +73,6 @@
 	ready := c.surveyed && !c.stop.asked && c.unsure(now) == shed.ReasonNone
 	if ready != c.ready {
 		c.ready = ready
-		c.out = append(c.out, shed.Ready{Ready: ready})
+		c.out = append(c.out, shed.SetReady{SetReady: ready})
 	}
 }
--- a/internal/daemon/call.go
+++ b/internal/daemon/call.go
@@ -116,18 +116,18 @@
 }
 
 // handStage hands a call over to a peer. The caller holds d.mu.
-func (d *Daemon) handStage(a shed.HandStage) {
-	c, ctx := d.newCall(a.Ask.Call, shed.Call{}, 0)
+func (d *Daemon) handStage(a shed.ForwardStage) {
+	c, ctx := d.newCall(a.Request.Call, shed.Call{}, 0)
 	in := d.input(c)
-	ctx, span := d.span(ctx, "peer_call", a.Ask.Call, attribute.String("peer", string(a.To)))
-	msg := peers.StageCall{Ask: a.Ask, Payload: in, Trace: map[string]string{}}
+	ctx, span := d.span(ctx, "peer_call", a.Request.Call, attribute.String("peer", string(a.To)))
+	msg := peers.StageCall{Ask: a.Request, Payload: in, Trace: map[string]string{}}
 	propagator.Inject(ctx, propagation.MapCarrier(msg.Trace))
-	fresh := !d.idempotent(a.Ask)
+	fresh := !d.idempotent(a.Request)
 	d.work.Go(func() error {
-		end := shed.CallEnded{Call: a.Ask.Call, End: shed.EndNotStarted, Reason: shed.ReasonDeadline}
+		end := shed.CallEnded{Call: a.Request.Call, End: shed.EndNotStarted, Reason: shed.ReasonDeadline}
 		// A process that was paused since the decision may find its rules long
 		// out of date; past Until it must not send any more.
-		if time.Now().Before(a.Until) {
+		if time.Now().Before(a.SendBy) {
 			sendCtx, cancel := context.WithDeadline(ctx, a.Deadline)
 			end = d.cfg.Peers.Stage(sendCtx, a.To, msg, fresh, c.sink(d))
 			cancel()
@@ -139,7 +139,7 @@
 
 // idempotent tells whether the stage may run twice; one that the rules don't
 // know is treated as if it may not.
-func (d *Daemon) idempotent(ask shed.StageAsk) bool {
+func (d *Daemon) idempotent(ask shed.StageRequest) bool {
 	rules := d.rules.Load()
 	if rules == nil {
 		return false
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -163,7 +163,7 @@
 
 // Stop asks for a graceful stop; asked twice, it hurries.
 func (d *Daemon) Stop(hurry bool) {
-	d.handle(shed.StopAsked{Hurry: hurry})
+	d.handle(shed.StopRequested{SkipNotice: hurry})
 }
 
 // Ready implements shed.Serving.
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -22,7 +22,7 @@
 }
 
 func (s *script) Handle(_ time.Time, ev shed.Event) []shed.Action {
-	if _, ok := ev.(shed.Arrived); !ok {
+	if _, ok := ev.(shed.RequestArrived); !ok {
 		return nil
 	}
 	acts := s.acts[0]
--- a/internal/daemon/guest.go
+++ b/internal/daemon/guest.go
@@ -37,7 +37,7 @@
 	ctx = propagator.Extract(ctx, propagation.MapCarrier(in.Trace))
 	g := &guest{ctx: ctx, payload: in.Payload, send: send, ended: make(chan struct{})}
 	id := in.Ask.Call
-	if !d.admit(id, g, shed.StageAsked{Ask: in.Ask, From: in.From}) {
+	if !d.admit(id, g, shed.StageRequested{Request: in.Ask, From: in.From}) {
 		// The same attempt is here already: a doubled message must not run twice.
 		return shed.CallEnded{Call: id, End: shed.EndNotStarted, Reason: shed.ReasonDuplicate}
 	}
@@ -50,7 +50,7 @@
 }
 
 // admit registers the guest and tells core of it; false if the call is here.
-func (d *Daemon) admit(id shed.Call, g *guest, ev shed.StageAsked) bool {
+func (d *Daemon) admit(id shed.Call, g *guest, ev shed.StageRequested) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.guests[id] != nil || d.calls[id] != nil {
--- a/internal/daemon/home.go
+++ b/internal/daemon/home.go
@@ -84,7 +84,7 @@
 
 // handRequest hands a request over to the home of its ticket. The caller holds
 // d.mu.
-func (d *Daemon) handRequest(a shed.HandRequest) {
+func (d *Daemon) handRequest(a shed.ForwardRequest) {
 	r := d.runs[a.Request]
 	if r == nil {
 		return
@@ -102,7 +102,7 @@
 		d.endRun(r, answer)
 		// This process holds no answer for others' tickets; their home does.
 		delete(d.runs, r.id)
-		d.perform(d.cfg.Core.Handle(time.Now(), shed.HandedBack{Request: r.id}))
+		d.perform(d.cfg.Core.Handle(time.Now(), shed.ForwardEnded{Request: r.id}))
 		return nil
 	})
 }
--- a/internal/daemon/loop.go
+++ b/internal/daemon/loop.go
@@ -20,9 +20,9 @@
 		switch a := act.(type) {
 		case shed.StartCall:
 			d.startCall(a)
-		case shed.HandStage:
+		case shed.ForwardStage:
 			d.handStage(a)
-		case shed.HandRequest:
+		case shed.ForwardRequest:
 			d.handRequest(a)
 		case shed.CancelCall:
 			d.cancelCall(a)
@@ -54,9 +54,9 @@
 	case shed.RulesInForce:
 		d.rules.Store(a.Rules)
 		d.cfg.Log.WithField("revision", a.Rules.Revision).Info("rules in force")
-	case shed.Ready:
-		d.ready.Store(a.Ready)
-		d.cfg.Log.WithField("ready", a.Ready).Info("readiness")
+	case shed.SetReady:
+		d.ready.Store(a.SetReady)
+		d.cfg.Log.WithField("ready", a.SetReady).Info("readiness")
 	case shed.Note:
 		d.note(a)
 	case shed.Exit:
@@ -88,7 +88,7 @@
 	if err != nil {
 		d.cfg.Log.WithError(err).WithField("parts", len(got.Parts)).Debug("read configuration")
 		// Parts that came are kept, or a large configuration is never whole.
-		got.Err = len(got.Parts) == 0
+		got.Failed = len(got.Parts) == 0
 	}
 	d.handle(got)
 }
@@ -100,7 +100,7 @@
 	if err != nil {
 		d.cfg.Log.WithError(err).Debug("read VM list")
 	}
-	d.handle(shed.VMsRead{Err: err != nil, VMs: vms})
+	d.handle(shed.VMsRead{Failed: err != nil, VMs: vms})
 }
 
 func (d *Daemon) pollServer(ctx context.Context, a shed.PollServer) {
--- a/internal/daemon/notes.go
+++ b/internal/daemon/notes.go
@@ -61,7 +61,7 @@
 	d.stats.note(n.Reason, count)
 	d.notes.add(Entry{
 		At: time.Now(), Reason: n.Reason, Request: n.Request, Server: n.Server,
-		Zone: n.Zone, Peer: n.Peer, Line: n.Rule.Line, Asked: n.Rule.Asked,
+		Zone: n.Zone, Peer: n.Peer, Line: n.Rule.Line, Asked: n.Rule.RequestedBy,
 	})
 	d.cfg.Log.WithFields(logrus.Fields{
 		"reason": n.Reason, "request_id": n.Request, "server": n.Server,
--- a/internal/daemon/serve.go
+++ b/internal/daemon/serve.go
@@ -104,15 +104,15 @@
 // only.
 func (d *Daemon) arrive(r *run, req shed.Request, from shed.Peer) (*run, *shed.Answer) {
 	now := time.Now()
-	ev := shed.Arrived{
-		Request:   r.id,
-		Ticketed:  r.ticketed,
-		Workspace: req.Workspace,
-		Pipeline:  req.Pipeline,
-		Deadline:  now.Add(req.Budget),
-		Prefix:    prefixOf(req),
-		Input:     shed.Tokens(len(req.Payload.Input)/bytesPerToken + 1),
-		From:      from,
+	ev := shed.RequestArrived{
+		Request:     r.id,
+		Ticketed:    r.ticketed,
+		Workspace:   req.Workspace,
+		Pipeline:    req.Pipeline,
+		Deadline:    now.Add(req.Budget),
+		Prefix:      prefixOf(req),
+		InputTokens: shed.Tokens(len(req.Payload.Input)/bytesPerToken + 1),
+		From:        from,
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -153,7 +153,7 @@
 	refused := other
 	for _, act := range acts {
 		switch a := act.(type) {
-		case shed.JoinRequest, shed.HandRequest:
+		case shed.JoinRequest, shed.ForwardRequest:
 			refused = nil
 		case shed.Finish:
 			// The same step may have ended other requests, and, after the repeat
--- a/internal/delta/packer.go
+++ b/internal/delta/packer.go
@@ -31,7 +31,7 @@
 }
 
 // Large tells whether an item's value is packed.
-func Large(item shed.Item) bool { return !item.Gone && len(item.Value) >= packFrom }
+func Large(item shed.Item) bool { return !item.Deleted && len(item.Value) >= packFrom }
 
 // Pack puts an item into the form in which VMs pass it on; base is the same key's
 // item that the receiver has, its zero value if it has none.
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -127,7 +127,7 @@
 		start:  start,
 		in:     in,
 		sink:   sink,
-		watch:  watchSilence(start.Silence, func() { cancel(errSilent) }),
+		watch:  watchSilence(start.IdleTimeout, func() { cancel(errSilent) }),
 	}
 	defer c.watch.stop()
 	end := c.run(ctx)
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -24,12 +24,12 @@
 
 func startOf(url string, kind shed.StageKind) shed.StartCall {
 	return shed.StartCall{
-		Call:     shed.Call{Request: "q1", Attempt: 1},
-		Server:   "s1",
-		URL:      url,
-		Stage:    shed.Stage{ID: "st", Kind: kind, Idempotent: kind != shed.KindService},
-		Deadline: time.Now().Add(time.Minute),
-		Silence:  10 * time.Second,
+		Call:        shed.Call{Request: "q1", Attempt: 1},
+		Server:      "s1",
+		URL:         url,
+		Stage:       shed.Stage{ID: "st", Kind: kind, Idempotent: kind != shed.KindService},
+		Deadline:    time.Now().Add(time.Minute),
+		IdleTimeout: 10 * time.Second,
 	}
 }
 
--- a/internal/engine/fault_test.go
+++ b/internal/engine/fault_test.go
@@ -60,7 +60,7 @@
 		eng := stand.NewEngine(stand.EngineConfig{ID: "s1", TokenTime: 50 * time.Millisecond})
 		b := newBench(t, eng)
 		start := startOf(benchURL, shed.KindGenerate)
-		start.Silence = 2 * time.Second
+		start.IdleTimeout = 2 * time.Second
 		began := time.Now()
 		end := b.engine.Call(t.Context(), start, shed.Payload{Input: "x", MaxTokens: 40}, func(f shed.Frame) error {
 			if f.Sequence == 9 {
@@ -97,7 +97,7 @@
 			return b.net.Dial(ctx, network, addr)
 		}})
 		start := startOf(benchURL, shed.KindGenerate)
-		start.Until = time.Now().Add(300 * time.Millisecond)
+		start.SendBy = time.Now().Add(300 * time.Millisecond)
 		end := late.Call(t.Context(), start, shed.Payload{Input: "x"}, ignore)
 		require.Equal(t, shed.EndNotStarted, end.End)
 		require.Equal(t, shed.ReasonWoke, end.Reason)
@@ -327,10 +327,10 @@
 	start := startOf(s.URL, shed.KindEncode)
 	end := e.Call(t.Context(), start, shed.Payload{Input: "x"}, ignore)
 	require.Equal(t, shed.EndComplete, end.End, end.Reason)
-	start.Until = time.Now().Add(-time.Second)
+	start.SendBy = time.Now().Add(-time.Second)
 	end = e.Call(t.Context(), start, shed.Payload{Input: "x"}, ignore)
 	require.Equal(t, shed.EndNotStarted, end.End)
-	start.Until = time.Time{}
+	start.SendBy = time.Time{}
 	cut.Store(true)
 	end = e.Call(t.Context(), start, shed.Payload{Input: "x"}, ignore)
 	require.Equal(t, shed.EndBroken, end.End)
--- a/internal/engine/send.go
+++ b/internal/engine/send.go
@@ -54,7 +54,7 @@
 		return c.end(shed.EndNotStarted, shed.ReasonBroken)
 	}
 	c.header(ctx, req.Header)
-	send := &sending{until: c.start.Until, accepted: c.accepted}
+	send := &sending{until: c.start.SendBy, accepted: c.accepted}
 	resp, sent, err := c.engine.sender.do(req, !c.start.Stage.Idempotent, send)
 	if err != nil {
 		return c.failed(ctx, err, sent)
--- a/internal/fanout/fanout.go
+++ b/internal/fanout/fanout.go
@@ -54,10 +54,10 @@
 // Turn is what a VM tells now.
 type Turn struct {
 	To []shed.VM
-	// PassOn: the one that is told passes it on to all.
+	// ForwardToAll: the one that is told passes it on to all.
 	PassOn bool
 	// Carried are the loads that this VM passes on.
-	Carried []shed.CarriedLoad
+	Carried []shed.ForwardedLoad
 	// Placed are the prompts placed since the VMs in To were told last.
 	Placed []shed.PromptPlaced
 }
@@ -100,14 +100,14 @@
 	}
 }
 
-// PassOn notes a load that this VM is asked to pass on.
+// ForwardToAll notes a load that this VM is asked to pass on.
 func (f *Fanout) PassOn(now time.Time, from shed.Peer, load shed.RelayLoad) {
 	for _, p := range load.Placed {
 		f.Placed(now, p)
 	}
-	load.Placed, load.Carried, load.PassOn = nil, nil, false
+	load.Placed, load.Forwarded, load.ForwardToAll = nil, nil, false
 	// What the VM knows of the store is of use to its hub only.
-	load.AsOf, load.Digest, load.Confirmed, load.Catalog = 0, 0, 0, 0
+	load.AsOf, load.Digest, load.ConfirmedAgo, load.Catalog = 0, 0, 0, 0
 	// So is what it knows of limits: the hub takes that in, and tells what it knows itself.
 	load.Limits = nil
 	f.carry[from.VM] = heard{from: from, load: load, at: now}
@@ -155,12 +155,12 @@
 }
 
 // carried are the loads to pass on, sorted by VM.
-func (f *Fanout) carried(now time.Time) []shed.CarriedLoad {
-	var out []shed.CarriedLoad
+func (f *Fanout) carried(now time.Time) []shed.ForwardedLoad {
+	var out []shed.ForwardedLoad
 	for _, h := range f.carry {
-		out = append(out, shed.CarriedLoad{From: h.from, Age: now.Sub(h.at), Load: h.load})
+		out = append(out, shed.ForwardedLoad{From: h.from, Age: now.Sub(h.at), Load: h.load})
 	}
-	slices.SortFunc(out, func(a, b shed.CarriedLoad) int { return cmp.Compare(a.From.VM, b.From.VM) })
+	slices.SortFunc(out, func(a, b shed.ForwardedLoad) int { return cmp.Compare(a.From.VM, b.From.VM) })
 	return out
 }
 
--- a/internal/fanout/fanout_test.go
+++ b/internal/fanout/fanout_test.go
@@ -121,10 +121,10 @@
 // that gather what they foresee.
 func (v *node) load(t fanout.Turn) shed.RelayLoad {
 	load := shed.RelayLoad{
-		Sequence: v.sequence, PassOn: t.PassOn, Carried: t.Carried, Placed: t.Placed,
-		AsOf: 1 << 20, Digest: 1 << 60, Confirmed: time.Second, Catalog: 1 << 20,
-		Servers: map[shed.ServerID]shed.ServerShare{"i-0123456789": {Running: 1, Reading: 12000}, "i-1123456789": {Running: 1}},
-		Coming:  map[shed.PoolID]int{"pool-a": 16, "pool-b": 8},
+		Sequence: v.sequence, ForwardToAll: t.PassOn, Forwarded: t.Carried, Placed: t.Placed,
+		AsOf: 1 << 20, Digest: 1 << 60, ConfirmedAgo: time.Second, Catalog: 1 << 20,
+		Servers:        map[shed.ServerID]shed.ServerShare{"i-0123456789": {Running: 1, Reading: 12000}, "i-1123456789": {Running: 1}},
+		ExpectedPieces: map[shed.PoolID]int{"pool-a": 16, "pool-b": 8},
 	}
 	if v.gathers {
 		load.Waits = []shed.PieceWait{{Pool: "pool-a", Timely: time.Second, Last: time.Second, Slow: 1.5, Rate: 80.5}}
@@ -138,10 +138,10 @@
 func (f *fleet) hear(to, from *node, load shed.RelayLoad) {
 	at := f.now.Add(latency)
 	to.knows[from.id] = f.now
-	if load.PassOn {
+	if load.ForwardToAll {
 		to.fan.PassOn(at, peerOf(from), load)
 	}
-	for _, c := range load.Carried {
+	for _, c := range load.Forwarded {
 		if told := f.now.Add(-c.Age); told.After(to.knows[c.From.VM]) {
 			to.knows[c.From.VM] = told
 		}
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -107,7 +107,7 @@
 // DefaultEngine is a quick engine that has long been warm.
 func DefaultEngine(s *shed.Server, _ shed.StageKind) stand.EngineConfig {
 	return stand.EngineConfig{
-		ID: s.ID, Capacity: s.Capacity, ColdBears: s.ColdBears,
+		ID: s.ID, Capacity: s.Capacity, ColdBears: s.ColdCapacity,
 		TokenTime: 2 * time.Millisecond, PrefillTime: 50 * time.Microsecond, CallTime: 5 * time.Millisecond,
 		ChecksFence: s.Fenced, CacheEntries: 256, Done: longRun,
 	}
--- a/internal/fleet/hop_test.go
+++ b/internal/fleet/hop_test.go
@@ -69,7 +69,7 @@
 		}
 		start := shed.StartCall{
 			Server: "enc-a-1", URL: f.Rules.Servers["enc-a-1"].URL, Stage: shed.Stage{Kind: shed.KindEncode, Idempotent: true},
-			Deadline: time.Now().Add(time.Second), Silence: time.Second,
+			Deadline: time.Now().Add(time.Second), IdleTimeout: time.Second,
 		}
 		end := e.Call(context.Background(), start, req.Payload, func(shed.Frame) error { return nil })
 		require.Equal(b, shed.EndComplete, end.End)
--- a/internal/flow/flow.go
+++ b/internal/flow/flow.go
@@ -60,7 +60,7 @@
 // Flow holds the live requests. It is not safe for concurrent use.
 //
 // Every slice of actions that it returns holds at most one StartCall or
-// HandStage: the Placer reserves nothing, so two placements in one step could
+// ForwardStage: the Placer reserves nothing, so two placements in one step could
 // both be given the last place of a cold server. The caller books a start
 // first and then calls Freed until that returns no start.
 type Flow struct {
@@ -135,7 +135,7 @@
 func (f *Flow) Handle(now time.Time, ev shed.Event) []shed.Action {
 	f.begin()
 	switch e := ev.(type) {
-	case shed.Arrived:
+	case shed.RequestArrived:
 		f.arrived(now, e)
 	case shed.CallerGone:
 		f.callerGone(now, e.Request)
@@ -164,7 +164,7 @@
 
 func (f *Flow) emit(a shed.Action) { f.out = append(f.out, a) }
 
-func (f *Flow) arrived(now time.Time, a shed.Arrived) {
+func (f *Flow) arrived(now time.Time, a shed.RequestArrived) {
 	if f.requests[a.Request] != nil {
 		f.emit(shed.Note{Reason: shed.ReasonDuplicate, Request: a.Request})
 		return
@@ -196,7 +196,7 @@
 	f.advance(now, r)
 }
 
-func (f *Flow) pipeline(a shed.Arrived) (*shed.Pipeline, trail.End) {
+func (f *Flow) pipeline(a shed.RequestArrived) (*shed.Pipeline, trail.End) {
 	if f.stopping != shed.ReasonNone {
 		return nil, trail.End{Reason: f.stopping}
 	}
--- a/internal/flow/flow_test.go
+++ b/internal/flow/flow_test.go
@@ -18,18 +18,18 @@
 // fakePlacer places by a function; it counts the calls on each server, as core
 // does, from what the flow emits.
 type fakePlacer struct {
-	place func(shed.PlaceAsk) shed.Placement
+	place func(shed.PlaceRequest) shed.Placement
 }
 
-func (p *fakePlacer) Place(_ time.Time, ask shed.PlaceAsk) shed.Placement { return p.place(ask) }
+func (p *fakePlacer) Place(_ time.Time, ask shed.PlaceRequest) shed.Placement { return p.place(ask) }
 
 func server(id shed.ServerID) *shed.Server {
-	return &shed.Server{ID: id, Pool: "p", Zone: "a", Capacity: 4, ColdBears: 1}
+	return &shed.Server{ID: id, Pool: "p", Zone: "a", Capacity: 4, ColdCapacity: 1}
 }
 
-func onServer(id shed.ServerID) func(shed.PlaceAsk) shed.Placement {
+func onServer(id shed.ServerID) func(shed.PlaceRequest) shed.Placement {
 	s := server(id)
-	return func(shed.PlaceAsk) shed.Placement {
+	return func(shed.PlaceRequest) shed.Placement {
 		return shed.Placement{Kind: shed.PlaceLocal, Server: s}
 	}
 }
@@ -37,9 +37,9 @@
 // testRules has a drafting pipeline whose stages may be repeated and a
 // publishing one whose second stage must run at most once.
 func testRules() *shed.Rules {
-	encode := shed.Stage{ID: "encode", Kind: shed.KindEncode, Pool: "p", Minimum: 10 * time.Millisecond, Idempotent: true}
-	write := shed.Stage{ID: "write", Kind: shed.KindGenerate, Pool: "p", Minimum: 100 * time.Millisecond, Idempotent: true}
-	publish := shed.Stage{ID: "publish", Kind: shed.KindService, Pool: "p", Minimum: 10 * time.Millisecond}
+	encode := shed.Stage{ID: "encode", Kind: shed.KindEncode, Pool: "p", MinDuration: 10 * time.Millisecond, Idempotent: true}
+	write := shed.Stage{ID: "write", Kind: shed.KindGenerate, Pool: "p", MinDuration: 100 * time.Millisecond, Idempotent: true}
+	publish := shed.Stage{ID: "publish", Kind: shed.KindService, Pool: "p", MinDuration: 10 * time.Millisecond}
 	return &shed.Rules{
 		Revision: 1,
 		Pipelines: map[shed.PipelineID]*shed.Pipeline{
@@ -50,7 +50,7 @@
 	}
 }
 
-func newFlow(place func(shed.PlaceAsk) shed.Placement) *Flow {
+func newFlow(place func(shed.PlaceRequest) shed.Placement) *Flow {
 	f := New(Config{
 		Placer: &fakePlacer{place: place},
 		Budget: retry.New(retry.Config{}),
@@ -61,8 +61,8 @@
 	return f
 }
 
-func arrived(id shed.RequestID, p shed.PipelineID) shed.Arrived {
-	return shed.Arrived{Request: id, Pipeline: p, Workspace: "w", Deadline: start.Add(6 * time.Second)}
+func arrived(id shed.RequestID, p shed.PipelineID) shed.RequestArrived {
+	return shed.RequestArrived{Request: id, Pipeline: p, Workspace: "w", Deadline: start.Add(6 * time.Second)}
 }
 
 // only returns the actions of one type.
@@ -84,7 +84,7 @@
 		calls := only[shed.StartCall](acts)
 		require.Len(t, calls, 1)
 		require.Equal(t, shed.Call{Request: "r", Stage: stage, Attempt: 1}, calls[0].Call)
-		require.Equal(t, now.Add(DefaultLease), calls[0].Until)
+		require.Equal(t, now.Add(DefaultLease), calls[0].SendBy)
 		now = now.Add(400 * time.Millisecond)
 		acts = f.Handle(now, shed.CallEnded{Call: calls[0].Call, End: shed.EndComplete, Server: "s1", Zone: "a"})
 		require.Equal(t, []shed.StageDone{{Call: calls[0].Call}}, only[shed.StageDone](acts))
--- a/internal/flow/machine_test.go
+++ b/internal/flow/machine_test.go
@@ -52,7 +52,7 @@
 }
 
 // place gives a server that has room, by the load that the world has seen.
-func (w *world) place(ask shed.PlaceAsk) shed.Placement {
+func (w *world) place(ask shed.PlaceRequest) shed.Placement {
 	switch w.placing() {
 	case 0:
 		return shed.Placement{Kind: shed.PlaceNowhere, Reason: shed.ReasonZoneOut}
@@ -89,8 +89,8 @@
 			if w.load[a.Server] > worldCapacity {
 				w.o.fault("%s got more than it bears", a.Server)
 			}
-		case shed.HandStage:
-			w.open = append(w.open, a.Ask.Call)
+		case shed.ForwardStage:
+			w.open = append(w.open, a.Request.Call)
 		}
 	}
 }
@@ -100,7 +100,7 @@
 	for {
 		acts := w.f.Freed(w.now)
 		w.did(acts)
-		if len(only[shed.StartCall](acts))+len(only[shed.HandStage](acts)) == 0 {
+		if len(only[shed.StartCall](acts))+len(only[shed.ForwardStage](acts)) == 0 {
 			return
 		}
 	}
--- a/internal/flow/oracle_test.go
+++ b/internal/flow/oracle_test.go
@@ -42,7 +42,7 @@
 	o.faults = append(o.faults, fmt.Sprintf(format, args...))
 }
 
-func (o *oracle) arrived(a shed.Arrived, p *shed.Pipeline) {
+func (o *oracle) arrived(a shed.RequestArrived, p *shed.Pipeline) {
 	if o.requests[a.Request] == nil {
 		o.requests[a.Request] = &seen{pipeline: p, deadline: a.Deadline, ticketed: a.Ticketed}
 	}
@@ -75,10 +75,10 @@
 		switch a := a.(type) {
 		case shed.StartCall:
 			starts++
-			o.sent(&send{call: a.Call, resumed: a.ResumeFrom > 0}, a.Until)
-		case shed.HandStage:
+			o.sent(&send{call: a.Call, resumed: a.ResumeFrom > 0}, a.SendBy)
+		case shed.ForwardStage:
 			starts++
-			o.sent(&send{call: a.Ask.Call}, a.Until)
+			o.sent(&send{call: a.Request.Call}, a.SendBy)
 		case shed.CancelCall:
 			o.cancelled(a.Call)
 		case shed.StageDone:
--- a/internal/flow/place.go
+++ b/internal/flow/place.go
@@ -89,20 +89,20 @@
 	return max(least, likely)
 }
 
-func (f *Flow) question(now time.Time, r *request) shed.PlaceAsk {
-	ask := shed.StageAsk{
-		Call:      r.trail.Next(r.stage),
-		Pipeline:  r.pipeline.ID,
-		Workspace: r.arrived.Workspace,
-		Prefix:    r.arrived.Prefix,
-		Input:     r.arrived.Input,
-		Budget:    r.cutoff().Sub(now),
-		Avoid:     r.avoid,
+func (f *Flow) question(now time.Time, r *request) shed.PlaceRequest {
+	ask := shed.StageRequest{
+		Call:        r.trail.Next(r.stage),
+		Pipeline:    r.pipeline.ID,
+		Workspace:   r.arrived.Workspace,
+		Prefix:      r.arrived.Prefix,
+		InputTokens: r.arrived.InputTokens,
+		Budget:      r.cutoff().Sub(now),
+		Avoid:       r.avoid,
 	}
 	if f.rules != nil {
 		ask.Revision = f.rules.Revision
 	}
-	return shed.PlaceAsk{StageAsk: ask, Stage: *r.at(), Deadline: r.cutoff()}
+	return shed.PlaceRequest{StageRequest: ask, Stage: *r.at(), Deadline: r.cutoff()}
 }
 
 func (f *Flow) start(now time.Time, r *request, s *shed.Server) {
@@ -112,12 +112,12 @@
 
 func (f *Flow) startCall(now time.Time, r *request) shed.StartCall {
 	a := shed.StartCall{
-		Call:     r.trail.Next(r.stage),
-		Stage:    *r.at(),
-		Until:    f.until(now, r),
-		Deadline: r.cutoff(),
-		Priority: priority(r.cutoff().Sub(now)),
-		Silence:  f.cfg.Silence,
+		Call:        r.trail.Next(r.stage),
+		Stage:       *r.at(),
+		SendBy:      f.until(now, r),
+		Deadline:    r.cutoff(),
+		Priority:    priority(r.cutoff().Sub(now)),
+		IdleTimeout: f.cfg.Silence,
 	}
 	if f.rules == nil {
 		return a
@@ -139,16 +139,16 @@
 }
 
 func (f *Flow) hand(now time.Time, r *request, to shed.VM) {
-	a := r.trail.Hand(now, shed.HandStage{
-		To:       to,
-		Ask:      f.question(now, r).StageAsk,
-		Until:    f.until(now, r),
-		Deadline: r.cutoff(),
-		Silence:  f.cfg.Silence,
+	a := r.trail.Hand(now, shed.ForwardStage{
+		To:          to,
+		Request:     f.question(now, r).StageRequest,
+		SendBy:      f.until(now, r),
+		Deadline:    r.cutoff(),
+		IdleTimeout: f.cfg.Silence,
 	})
-	a.Ask.Hops++
+	a.Request.Hops++
 	f.started = true
-	r.call = a.Ask.Call
+	r.call = a.Request.Call
 	r.local = nil
 	r.offset = 0
 	f.setState(r, stateRunning, r.cutoff())
@@ -218,7 +218,7 @@
 	}
 }
 
-func (f *Flow) waiting(a shed.Arrived, latest time.Time) admit.Waiting {
+func (f *Flow) waiting(a shed.RequestArrived, latest time.Time) admit.Waiting {
 	return admit.Waiting{
 		Request:   a.Request,
 		Workspace: a.Workspace,
--- a/internal/flow/request.go
+++ b/internal/flow/request.go
@@ -25,7 +25,7 @@
 
 // request is one accepted request.
 type request struct {
-	arrived  shed.Arrived
+	arrived  shed.RequestArrived
 	pipeline *shed.Pipeline
 	trail    *trail.Trail
 	state    state
--- a/internal/flow/story_test.go
+++ b/internal/flow/story_test.go
@@ -146,7 +146,7 @@
 // Requests wait for a full server. Those whose time runs out while they wait
 // are told at once that nothing was run, not when the server has room again.
 func TestWaitingEndsWhenHopeless(t *testing.T) {
-	f := newFlow(func(shed.PlaceAsk) shed.Placement {
+	f := newFlow(func(shed.PlaceRequest) shed.Placement {
 		return shed.Placement{Kind: shed.PlaceWait, Reason: shed.ReasonServerCold}
 	})
 	require.Empty(t, f.Handle(start, arrived("r", "draft")))
@@ -162,7 +162,7 @@
 // draft goes to s2 at once and does not wait behind it.
 func TestOneThatAvoidsAServerHoldsUpNobody(t *testing.T) {
 	for _, off := range []bool{false, true} {
-		f := newFlow(func(ask shed.PlaceAsk) shed.Placement {
+		f := newFlow(func(ask shed.PlaceRequest) shed.Placement {
 			if len(ask.Avoid) > 0 {
 				return shed.Placement{Kind: shed.PlaceWait, Reason: shed.ReasonServersBusy}
 			}
@@ -181,7 +181,7 @@
 // The only other server stays full. The draft does not avoid the one that
 // failed it until its deadline: after a while any server is better than none.
 func TestAvoidingEndsWhereNothingElseFrees(t *testing.T) {
-	f := newFlow(func(ask shed.PlaceAsk) shed.Placement {
+	f := newFlow(func(ask shed.PlaceRequest) shed.Placement {
 		if len(ask.Avoid) > 0 {
 			return shed.Placement{Kind: shed.PlaceWait, Reason: shed.ReasonServersBusy}
 		}
@@ -201,18 +201,18 @@
 // has none for it. The caller is not kept from that zone until the deadline: the
 // next try may use the server again.
 func TestAvoidingEndsWhereAPeerHasNothingElse(t *testing.T) {
-	f := newFlow(func(shed.PlaceAsk) shed.Placement {
+	f := newFlow(func(shed.PlaceRequest) shed.Placement {
 		return shed.Placement{Kind: shed.PlacePeer, Peer: "10.0.0.2:1"}
 	})
-	first := only[shed.HandStage](f.Handle(start, arrived("r", "draft")))[0]
-	failed := ended(first.Ask.Call, shed.EndOverloaded, 0)
+	first := only[shed.ForwardStage](f.Handle(start, arrived("r", "draft")))[0]
+	failed := ended(first.Request.Call, shed.EndOverloaded, 0)
 	failed.Server = "s2"
-	second := only[shed.HandStage](f.Handle(start, failed))[0]
-	require.Equal(t, []shed.ServerID{"s2"}, second.Ask.Avoid)
-	f.Handle(start, shed.CallEnded{Call: second.Ask.Call, End: shed.EndNotStarted, Reason: shed.ReasonNoServer})
-	third := only[shed.HandStage](f.Handle(start.Add(time.Second), shed.Tick{}))
+	second := only[shed.ForwardStage](f.Handle(start, failed))[0]
+	require.Equal(t, []shed.ServerID{"s2"}, second.Request.Avoid)
+	f.Handle(start, shed.CallEnded{Call: second.Request.Call, End: shed.EndNotStarted, Reason: shed.ReasonNoServer})
+	third := only[shed.ForwardStage](f.Handle(start.Add(time.Second), shed.Tick{}))
 	require.Len(t, third, 1)
-	require.Empty(t, third[0].Ask.Avoid)
+	require.Empty(t, third[0].Request.Avoid)
 }
 
 // Publishing takes a second of late, and a publication comes to that stage with
--- a/internal/flow/trail/trail.go
+++ b/internal/flow/trail/trail.go
@@ -81,9 +81,9 @@
 }
 
 // Hand records the call as sent, then returns the action that hands it over.
-func (t *Trail) Hand(now time.Time, a shed.HandStage) shed.HandStage {
-	a.Ask.Call = t.Next(int(a.Ask.Call.Stage))
-	t.record(a.Ask.Call, call{at: now})
+func (t *Trail) Hand(now time.Time, a shed.ForwardStage) shed.ForwardStage {
+	a.Request.Call = t.Next(int(a.Request.Call.Stage))
+	t.record(a.Request.Call, call{at: now})
 	return a
 }
 
--- a/internal/follow/store.go
+++ b/internal/follow/store.go
@@ -31,7 +31,7 @@
 const (
 	// NoCall: peers tell what the store says.
 	NoCall StoreCall = iota
-	// ListCopy reads all items from any copy of the store, which may be behind.
+	// ListReplica reads all items from any copy of the store, which may be behind.
 	ListCopy
 	// List reads all items as they are now.
 	List
--- a/internal/front/answer.go
+++ b/internal/front/answer.go
@@ -88,7 +88,7 @@
 		Stages:    newStages(fin.Stages),
 	}
 	if fin.Rule.Line > 0 {
-		out.Rule = &pipelines.Rule{Line: fin.Rule.Line, Asked: fin.Rule.Asked}
+		out.Rule = &pipelines.Rule{Line: fin.Rule.Line, Asked: fin.Rule.RequestedBy}
 	}
 	if out.Status == statusUnavailable {
 		seconds, ms := retryAfter(fin.RetryAfter)
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -158,7 +158,7 @@
 	Finish: shed.Finish{
 		Request: "r1",
 		Outcome: shed.OutcomeComplete,
-		Rule:    shed.Origin{Line: 12, Asked: "board, May"},
+		Rule:    shed.Origin{Line: 12, RequestedBy: "board, May"},
 		Stages: []shed.StageReport{{
 			Stage: "draft", Server: "gen-1", Zone: "nl-west-a", Attempts: 2, Ran: true,
 			Took: 81500 * time.Microsecond, Tokens: 3, Useful: 20, Wasted: 7,
--- a/internal/gauge/rig.go
+++ b/internal/gauge/rig.go
@@ -85,7 +85,7 @@
 	cfg := stand.EngineConfig{
 		ID:           server.ID,
 		Capacity:     server.Capacity,
-		ColdBears:    server.ColdBears,
+		ColdBears:    server.ColdCapacity,
 		CallTime:     s.CallTime,
 		LoadLag:      loadLag,
 		CacheEntries: 256,
--- a/internal/gauge/scenario.go
+++ b/internal/gauge/scenario.go
@@ -44,7 +44,7 @@
 	// Daemons, Drafters (language models) and Others (of each other pool) are
 	// counts in each zone.
 	Daemons, Drafters, Others int
-	// Capacity and ColdBears of a drafter.
+	// Capacity and ColdCapacity of a drafter.
 	Capacity, ColdBears int
 	// WarmAfter calls a drafter is warm; 0 starts warm.
 	WarmAfter int
--- a/internal/limit/limit.go
+++ b/internal/limit/limit.go
@@ -53,7 +53,7 @@
 	var out []Change
 	for _, l := range limits {
 		s := saying{rate: l.Rate, at: now.Add(-max(l.Age, 0))}
-		if l.Ended {
+		if l.Lifted {
 			s.rate = 0
 		}
 		out = append(out, t.take(l.Start, s)...)
@@ -94,10 +94,10 @@
 func (t *Table) Known(now time.Time) []shed.ServerLimit {
 	var out []shed.ServerLimit
 	for start, s := range t.said {
-		out = append(out, shed.ServerLimit{Start: start, Rate: s.rate, Ended: s.rate == 0, Age: now.Sub(s.at)})
+		out = append(out, shed.ServerLimit{Start: start, Rate: s.rate, Lifted: s.rate == 0, Age: now.Sub(s.at)})
 	}
 	slices.SortFunc(out, func(a, b shed.ServerLimit) int {
-		return cmp.Or(cmp.Compare(a.Start.Server, b.Start.Server), cmp.Compare(a.Start.Born, b.Start.Born))
+		return cmp.Or(cmp.Compare(a.Start.Server, b.Start.Server), cmp.Compare(a.Start.StartedMs, b.Start.StartedMs))
 	})
 	return out
 }
--- a/internal/limit/limit_test.go
+++ b/internal/limit/limit_test.go
@@ -14,7 +14,7 @@
 
 var (
 	start = time.Unix(1_700_000_000, 0)
-	one   = shed.ServerStart{Server: "s1", Born: 1}
+	one   = shed.ServerStart{Server: "s1", StartedMs: 1}
 )
 
 func at(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
@@ -26,7 +26,7 @@
 	require.Empty(t, tb.Answered(at(2), one, 2))
 	require.Equal(t, []limit.Change{{Start: one, Rate: 3}}, tb.Answered(at(3), one, 3))
 	require.Equal(t, shed.Rate(3), tb.Of(one))
-	require.Zero(t, tb.Of(shed.ServerStart{Server: "s1", Born: 2}), "a new start has named none")
+	require.Zero(t, tb.Of(shed.ServerStart{Server: "s1", StartedMs: 2}), "a new start has named none")
 	require.Equal(t, []limit.Change{{Start: one}}, tb.Answered(at(4), one, 0))
 	require.Zero(t, tb.Of(one))
 }
@@ -59,7 +59,7 @@
 			rate := shed.Rate(rapid.IntRange(0, 3).Draw(rt, "rate"))
 			news = append(news, shed.ServerLimit{
 				Start: shed.ServerStart{Server: shed.ServerID(fmt.Sprint(rapid.IntRange(0, 2).Draw(rt, "server")))},
-				Rate:  rate, Ended: rate == 0, Age: time.Duration(i) * time.Second,
+				Rate:  rate, Lifted: rate == 0, Age: time.Duration(i) * time.Second,
 			})
 		}
 		a, b := limit.New(), limit.New()
--- a/internal/load/book.go
+++ b/internal/load/book.go
@@ -36,7 +36,7 @@
 	// server.
 	LeapFactor int
 	LeapLeast  time.Duration
-	// WarmCalls is how many calls per ColdBears a server has to complete before
+	// WarmCalls is how many calls per ColdCapacity a server has to complete before
 	// it is held warm.
 	WarmCalls int
 }
@@ -291,12 +291,12 @@
 		return shed.Candidate{}, false
 	}
 	return shed.Candidate{
-		Server:  e.server,
-		Running: e.running(),
-		Own:     len(e.flight),
-		Cold:    e.cold.on,
-		Age:     now.Sub(e.at),
-		Slow:    e.whole.median(),
+		Server:         e.server,
+		Running:        e.running(),
+		OwnCalls:       len(e.flight),
+		Cold:           e.cold.on,
+		Age:            now.Sub(e.at),
+		MedianCallTime: e.whole.median(),
 	}, true
 }
 
@@ -328,7 +328,7 @@
 }
 
 // Room returns how many more calls the server can take: while it is cold up to
-// ColdBears in all, then one more for each call that it completed since, up to
+// ColdCapacity in all, then one more for each call that it completed since, up to
 // its Capacity. So a server or zone that returns gets its full load only as it
 // shows that it can carry it.
 func (b *Book) Room(server shed.ServerID) int {
--- a/internal/load/book_test.go
+++ b/internal/load/book_test.go
@@ -28,7 +28,7 @@
 
 func newBench(self shed.VM, vms ...shed.VM) *bench {
 	b := &bench{Book: load.New(load.Config{Self: self}), now: start, notes: map[shed.Reason]int{}}
-	b.SetServers(b.now, []*shed.Server{{ID: engine, Capacity: 16, ColdBears: 2}})
+	b.SetServers(b.now, []*shed.Server{{ID: engine, Capacity: 16, ColdCapacity: 2}})
 	b.SetView(b.now, append(vms, self))
 	return b
 }
@@ -210,7 +210,7 @@
 	b.Sent(b.now, engine, after)
 	c, _ := b.Candidate(b.now, engine)
 	require.Equal(t, 6, c.Running, "sent since")
-	require.Equal(t, 2, c.Own)
+	require.Equal(t, 2, c.OwnCalls)
 	b.pass(time.Second)
 	b.do(b.Ended(b.now, before, shed.EndComplete))
 	c, _ = b.Candidate(b.now, engine)
@@ -288,7 +288,7 @@
 	var servers []*shed.Server
 	truth := map[shed.ServerID]*shed.LoadReport{}
 	for i := range n {
-		s := &shed.Server{ID: shed.ServerID(fmt.Sprintf("drafting-%03d", i)), Capacity: capacity, ColdBears: 2}
+		s := &shed.Server{ID: shed.ServerID(fmt.Sprintf("drafting-%03d", i)), Capacity: capacity, ColdCapacity: 2}
 		servers = append(servers, s)
 		truth[s.ID] = &shed.LoadReport{Boot: fmt.Sprintf("%08x", i), Warm: true, Done: 1000, Model: "draft-13b@4", Running: 8}
 	}
@@ -337,7 +337,7 @@
 	}
 	var servers []*shed.Server
 	for i := range 192 {
-		servers = append(servers, &shed.Server{ID: shed.ServerID(fmt.Sprintf("drafting-%03d", i)), Capacity: 16, ColdBears: 2})
+		servers = append(servers, &shed.Server{ID: shed.ServerID(fmt.Sprintf("drafting-%03d", i)), Capacity: 16, ColdCapacity: 2})
 	}
 	book.SetServers(start, servers)
 	book.SetView(start, vms)
--- a/internal/load/cold.go
+++ b/internal/load/cold.go
@@ -71,7 +71,7 @@
 
 // need is how many calls a cold server has to complete.
 func (b *Book) need(e *entry) uint64 {
-	return uint64(b.cfg.WarmCalls * e.server.ColdBears)
+	return uint64(b.cfg.WarmCalls * e.server.ColdCapacity)
 }
 
 func (b *Book) turnCold(now time.Time, out []shed.Action, e *entry, done uint64) []shed.Action {
@@ -106,13 +106,13 @@
 // level is how many calls the server can carry by now.
 func (e *entry) level() int {
 	if e.cold.on {
-		return e.server.ColdBears
+		return e.server.ColdCapacity
 	}
 	shown := e.cold.completed
 	if e.report.Done > e.cold.done {
 		shown = max(shown, e.report.Done-e.cold.done)
 	}
-	return e.server.ColdBears + int(min(shown, uint64(e.server.Capacity-e.server.ColdBears)))
+	return e.server.ColdCapacity + int(min(shown, uint64(e.server.Capacity-e.server.ColdCapacity)))
 }
 
 // symptom turns the server cold by what this daemon itself saw of it, and lets
--- a/internal/member/cold_test.go
+++ b/internal/member/cold_test.go
@@ -39,7 +39,7 @@
 }
 
 var coldServers = []*shed.Server{
-	{ID: "s1", Capacity: 9, ColdBears: 1}, {ID: "s2", Capacity: 9, ColdBears: 2}, {ID: "s3", Capacity: 9, ColdBears: 4},
+	{ID: "s1", Capacity: 9, ColdCapacity: 1}, {ID: "s2", Capacity: 9, ColdCapacity: 2}, {ID: "s3", Capacity: 9, ColdCapacity: 4},
 }
 
 func newColdZone(seed uint64, size int, weak weak) *coldZone {
@@ -127,7 +127,7 @@
 				who += fmt.Sprintf(" %s from %s", c.by.self.VM, c.from.Sub(start))
 			}
 		}
-		if running > s.ColdBears && z.err == nil {
+		if running > s.ColdCapacity && z.err == nil {
 			z.err = fmt.Errorf("%s after: %s ran %d calls at once:%s", z.now.Sub(start), s.ID, running, who)
 		}
 		if z.now.Sub(start)%(2*time.Second) != 0 {
@@ -169,7 +169,7 @@
 		z.join(n)
 	case 8:
 		if z.awake(n) {
-			z.perform(n, n.Handle(z.now, shed.StopAsked{}))
+			z.perform(n, n.Handle(z.now, shed.StopRequested{}))
 		}
 	}
 }
--- a/internal/member/group.go
+++ b/internal/member/group.go
@@ -217,7 +217,7 @@
 	return c.ProbeEvery + 2*c.AckAfter + c.SuspectFor + shed.TickEvery
 }
 
-// Handle takes Tick, VMsRead, PeerMessage, PeerLost and StopAsked.
+// Handle takes Tick, VMsRead, PeerMessage, PeerLost and StopRequested.
 func (g *Group) Handle(now time.Time, ev shed.Event) []shed.Action {
 	switch ev := ev.(type) {
 	case shed.Tick:
@@ -228,7 +228,7 @@
 		return g.message(now, ev)
 	case shed.PeerLost:
 		return g.peerLost(now, ev.Peer)
-	case shed.StopAsked:
+	case shed.StopRequested:
 		return g.Leave(shed.Peer{})
 	}
 	return nil
@@ -239,7 +239,7 @@
 func (g *Group) Leave(heir shed.Peer) []shed.Action {
 	g.self.Status = shed.StatusLeaving
 	if heir != (shed.Peer{}) {
-		g.self.Heir = heir
+		g.self.Successor = heir
 	}
 	g.dirty = true
 	var out []shed.Action
@@ -302,7 +302,7 @@
 // vmsRead takes in the platform's list. It lags, so it only adds VMs to try and
 // takes away those that are dead anyway.
 func (g *Group) vmsRead(now time.Time, ev shed.VMsRead) {
-	if ev.Err {
+	if ev.Failed {
 		return
 	}
 	clear(g.listed)
--- a/internal/member/group_test.go
+++ b/internal/member/group_test.go
@@ -205,7 +205,7 @@
 	w := converged(t, 7, 6, 3)
 	n, heir := w.nodes[1], w.nodes[2].self
 	old := n.self
-	w.perform(n, n.Handle(w.now, shed.StopAsked{}))
+	w.perform(n, n.Handle(w.now, shed.StopRequested{}))
 	w.run(time.Second)
 	state, _ := w.nodes[4].Home(old)
 	require.Equal(t, member.HomeAlive, state, "it still has its tickets")
--- a/internal/member/merge.go
+++ b/internal/member/merge.go
@@ -61,17 +61,17 @@
 }
 
 func (g *Group) answer(now time.Time, out []shed.Action, to shed.VM, m shed.Probe) []shed.Action {
-	if m.For != "" {
+	if m.Target != "" {
 		if len(g.pending) > maxPending {
 			return out
 		}
-		return g.probeFor(now, out, pending{to: m.For, asker: to, askSequence: m.Sequence})
+		return g.probeFor(now, out, pending{to: m.Target, asker: to, askSequence: m.Sequence})
 	}
 	return append(out, shed.SendPeer{To: to, Message: shed.ProbeAck{
 		Sequence: m.Sequence,
 		Self:     g.self,
-		Gossip:   g.gossip(to, g.room(to, m.View)),
-		View:     g.currentView().Hash(g.cfg.Zone),
+		Gossip:   g.gossip(to, g.room(to, m.ViewHash)),
+		ViewHash: g.currentView().Hash(g.cfg.Zone),
 	}})
 }
 
@@ -88,7 +88,7 @@
 }
 
 func (g *Group) ack(now time.Time, from shed.Peer, m shed.ProbeAck) []shed.Action {
-	if m.For != "" {
+	if m.Target != "" {
 		return g.relayedAck(now, from, m)
 	}
 	out, ok := g.heard(now, from, m.Self, m.Gossip)
@@ -109,7 +109,7 @@
 		return append(out, shed.SendPeer{To: p.asker, Message: shed.ProbeAck{
 			Sequence: p.askSequence,
 			Self:     g.self,
-			For:      from.VM,
+			Target:   from.VM,
 			Gossip:   []shed.Member{r.Member},
 		}})
 	}
@@ -125,11 +125,11 @@
 	at, found := slices.BinarySearchFunc(g.pending, m.Sequence, func(p pending, seq uint64) int {
 		return cmp.Compare(p.sequence, seq)
 	})
-	if !found || g.pending[at].to != m.For || !g.pending[at].relayed {
+	if !found || g.pending[at].to != m.Target || !g.pending[at].relayed {
 		return out
 	}
 	g.pending = slices.Delete(g.pending, at, at+1)
-	if r := g.members[m.For]; r != nil {
+	if r := g.members[m.Target]; r != nil {
 		r.heard = now
 	}
 	return out
@@ -158,8 +158,8 @@
 
 // take replaces what is known of a VM by newer word.
 func (g *Group) take(now time.Time, out []shed.Action, r *record, m shed.Member) []shed.Action {
-	if m.Peer == r.Peer && m.Heir == (shed.Peer{}) {
-		m.Heir = r.Heir
+	if m.Peer == r.Peer && m.Successor == (shed.Peer{}) {
+		m.Successor = r.Successor
 	}
 	if m.Peer != r.Peer {
 		*r = record{}
@@ -206,7 +206,7 @@
 	if a.Status != b.Status {
 		return a.Status > b.Status
 	}
-	return a.Heir != b.Heir && b.Heir == (shed.Peer{})
+	return a.Successor != b.Successor && b.Successor == (shed.Peer{})
 }
 
 // aboutSelf denies the own death with a higher Refute. Until peers have heard
@@ -230,13 +230,13 @@
 // learnHeir remembers where the tickets of a process went, also after a later
 // process has taken its VM.
 func (g *Group) learnHeir(now time.Time, m shed.Member) {
-	if m.Heir == (shed.Peer{}) {
+	if m.Successor == (shed.Peer{}) {
 		return
 	}
 	if _, known := g.heirs[m.Peer]; known {
 		return
 	}
-	g.heirs[m.Peer] = left{heir: m.Heir, at: now}
+	g.heirs[m.Peer] = left{heir: m.Successor, at: now}
 	g.heirOrder = append(g.heirOrder, m.Peer)
 	for len(g.heirOrder) > 0 && (len(g.heirOrder) > heirsMax || now.Sub(g.heirs[g.heirOrder[0]].at) > g.cfg.KeepDead) {
 		delete(g.heirs, g.heirOrder[0])
@@ -263,7 +263,7 @@
 	near := g.zoneOf(to) == g.cfg.Zone || g.zoneOf(to) == ""
 	for i := len(g.news) - 1; i >= 0 && len(out) < n; i-- {
 		m := &g.news[i]
-		if !near && m.Heir == (shed.Peer{}) {
+		if !near && m.Successor == (shed.Peer{}) {
 			continue
 		}
 		m.left--
--- a/internal/member/probe.go
+++ b/internal/member/probe.go
@@ -142,7 +142,7 @@
 		Sequence: p.sequence,
 		Self:     g.self,
 		Gossip:   g.gossip(p.to, gossipMax),
-		View:     g.currentView().Hash(g.cfg.Zone),
+		ViewHash: g.currentView().Hash(g.cfg.Zone),
 	}})
 }
 
@@ -185,8 +185,8 @@
 		out = append(out, shed.SendPeer{To: vm, Message: shed.Probe{
 			Sequence: p.sequence,
 			Self:     g.self,
-			For:      p.to,
-			View:     g.currentView().Hash(g.cfg.Zone),
+			Target:   p.to,
+			ViewHash: g.currentView().Hash(g.cfg.Zone),
 		}})
 	}
 	return out
--- a/internal/member/view.go
+++ b/internal/member/view.go
@@ -223,7 +223,7 @@
 	if listed {
 		return !e.Leaving
 	}
-	return r.Heir == (shed.Peer{}) && g.listedAt.Before(r.deadAt.Add(listLag))
+	return r.Successor == (shed.Peer{}) && g.listedAt.Before(r.deadAt.Add(listLag))
 }
 
 // HomeState is what became of the process that issued a ticket. The set is
--- a/internal/order/giver.go
+++ b/internal/order/giver.go
@@ -185,13 +185,13 @@
 func (g *Giver) setLoads(now time.Time) []shed.Action {
 	share := 0
 	if n := len(g.rules.Zones); n > 0 {
-		share = g.rules.WeightLoads / n
+		share = g.rules.MaxWeightLoads / n
 	}
 	g.loads = share > 0
 	n := max(1, share)
 	g.groups = uint64(n)
 	g.key = shed.ServerID(weights + strconv.Itoa(n))
-	g.table.SetServers(now, []*shed.Server{{ID: g.key, Capacity: n, ColdBears: n}})
+	g.table.SetServers(now, []*shed.Server{{ID: g.key, Capacity: n, ColdCapacity: n}})
 	if !g.loads {
 		return []shed.Action{shed.Note{Reason: ReasonNoWeights, Zone: g.cfg.Zone}}
 	}
--- a/internal/order/giver_test.go
+++ b/internal/order/giver_test.go
@@ -60,12 +60,12 @@
 
 func rulesAt(rev shed.Revision, version string, servers, weightLoads int, change func(*shed.Server)) *shed.Rules {
 	r := &shed.Rules{
-		Revision:    rev,
-		Pools:       map[shed.PoolID]*shed.Pool{"drafting": {ID: "drafting", Model: "draft"}},
-		Models:      map[shed.ModelID]*shed.Model{"draft": {ID: "draft", Version: version}},
-		Servers:     map[shed.ServerID]*shed.Server{},
-		Zones:       map[shed.ZoneID]*shed.Zone{zone: {}, "nl-west-b": {}, "nl-west-c": {}},
-		WeightLoads: weightLoads,
+		Revision:       rev,
+		Pools:          map[shed.PoolID]*shed.Pool{"drafting": {ID: "drafting", Model: "draft"}},
+		Models:         map[shed.ModelID]*shed.Model{"draft": {ID: "draft", Version: version}},
+		Servers:        map[shed.ServerID]*shed.Server{},
+		Zones:          map[shed.ZoneID]*shed.Zone{zone: {}, "nl-west-b": {}, "nl-west-c": {}},
+		MaxWeightLoads: weightLoads,
 	}
 	for i := range servers {
 		s := &shed.Server{ID: shed.ServerID(fmt.Sprintf("engine-%02d", i)), Pool: "drafting", Zone: zone, Fenced: true, ChecksCaller: true}
--- a/internal/peers/calls.go
+++ b/internal/peers/calls.go
@@ -23,9 +23,9 @@
 
 // StageCall hands one stage call over.
 type StageCall struct {
-	From    shed.Peer     `cbor:"1,keyasint"`
-	Ask     shed.StageAsk `cbor:"2,keyasint"`
-	Payload shed.Payload  `cbor:"3,keyasint"`
+	From    shed.Peer         `cbor:"1,keyasint"`
+	Ask     shed.StageRequest `cbor:"2,keyasint"`
+	Payload shed.Payload      `cbor:"3,keyasint"`
 	// Trace carries the trace context, by header name.
 	Trace map[string]string `cbor:"4,keyasint,omitempty"`
 }
--- a/internal/peers/codec.go
+++ b/internal/peers/codec.go
@@ -85,11 +85,11 @@
 	TicketMove   *shed.TicketMove   `cbor:"9,keyasint,omitempty"`
 	RelayLoad    *shed.RelayLoad    `cbor:"10,keyasint,omitempty"`
 	ResultsFreed *shed.ResultsFreed `cbor:"11,keyasint,omitempty"`
-	// StoreNews has a new number since its items come packed: a daemon of an older
+	// StoreUpdate has a new number since its items come packed: a daemon of an older
 	// version, as while a fleet is upgraded, would take packed bytes for a value.
-	StoreNews *shed.StoreNews `cbor:"13,keyasint,omitempty"`
-	CrashNews *shed.CrashNews `cbor:"14,keyasint,omitempty"`
-	LimitNews *shed.LimitNews `cbor:"15,keyasint,omitempty"`
+	StoreNews *shed.StoreUpdate `cbor:"13,keyasint,omitempty"`
+	CrashNews *shed.CrashUpdate `cbor:"14,keyasint,omitempty"`
+	LimitNews *shed.LimitUpdate `cbor:"15,keyasint,omitempty"`
 }
 
 // seal puts a control message into an envelope.
@@ -116,11 +116,11 @@
 		e.RelayLoad = &m
 	case shed.ResultsFreed:
 		e.ResultsFreed = &m
-	case shed.StoreNews:
+	case shed.StoreUpdate:
 		e.StoreNews = &m
-	case shed.CrashNews:
+	case shed.CrashUpdate:
 		e.CrashNews = &m
-	case shed.LimitNews:
+	case shed.LimitUpdate:
 		e.LimitNews = &m
 	default:
 		return envelope{}, fmt.Errorf("%w: no envelope for %T", ErrBadMessage, msg)
--- a/internal/peers/crash_test.go
+++ b/internal/peers/crash_test.go
@@ -11,8 +11,8 @@
 
 func TestCrashNewsOnTheWire(t *testing.T) {
 	ran := time.Second
-	news := shed.CrashNews{All: true, Ended: []shed.ServerCrash{{Start: shed.ServerStart{Server: "i-1", Born: 7}, Age: time.Minute}}, Suspects: []shed.Suspect{{
-		Request: shed.Fingerprint{1, 2}, Workspace: "w", Ran: &ran,
+	news := shed.CrashUpdate{All: true, RecentCrashes: []shed.ServerCrash{{Start: shed.ServerStart{Server: "i-1", StartedMs: 7}, Age: time.Minute}}, Suspects: []shed.Suspect{{
+		Request: shed.Fingerprint{1, 2}, Workspace: "w", SurvivedAgo: &ran,
 		Crashes: []shed.ServerCrash{{Start: shed.ServerStart{Server: "i-2"}, Age: time.Second}},
 	}}}
 	sealed, err := seal(shed.Peer{VM: "vm", Incarnation: 1}, news)
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -72,7 +72,7 @@
 	c := newClient(t, ClientConfig{})
 	for _, fresh := range []bool{false, true} {
 		var got []uint32
-		call := StageCall{Ask: shed.StageAsk{Call: shed.Call{Request: "r", Attempt: 1}}, Payload: shed.Payload{Input: "x"}}
+		call := StageCall{Ask: shed.StageRequest{Call: shed.Call{Request: "r", Attempt: 1}}, Payload: shed.Payload{Input: "x"}}
 		end := c.Stage(context.Background(), to, call, fresh, func(f shed.Frame) error {
 			got = append(got, f.Sequence)
 			return nil
@@ -135,7 +135,7 @@
 	for _, msg := range []shed.Message{
 		shed.Probe{Sequence: 1, Self: shed.Member{Zone: "a"}},
 		shed.ProbeAck{Sequence: 2},
-		shed.ConfigDigest{Revision: 3, Confirmed: time.Second},
+		shed.ConfigDigest{Revision: 3, ConfirmedAgo: time.Second},
 		shed.ConfigPull{Have: []shed.PartHash{part}},
 		shed.ConfigPush{Index: shed.ConfigIndex{Revision: 4, Parts: []shed.PartHash{part}}, Parts: map[shed.PartHash][]byte{part: []byte("x")}},
 		shed.SlotRelease{Servers: []shed.ServerID{"s"}},
--- a/internal/peers/relay_test.go
+++ b/internal/peers/relay_test.go
@@ -22,10 +22,10 @@
 	for _, n := range []int{0, 3, 30} {
 		b.Run(fmt.Sprint(n, "_servers"), func(b *testing.B) {
 			load := shed.RelayLoad{
-				Sequence: 1 << 20, AsOf: 1 << 16, Digest: 1 << 60, Confirmed: 200 * time.Millisecond,
-				Servers: map[shed.ServerID]shed.ServerShare{},
-				Waits:   []shed.PieceWait{{Pool: "model-ingest", Timely: time.Second, Last: time.Second, Slow: 1.2, Rate: 537}},
-				Coming:  map[shed.PoolID]int{"kaart-render": 3, "model-ingest": 40, "editor-desk": 100},
+				Sequence: 1 << 20, AsOf: 1 << 16, Digest: 1 << 60, ConfirmedAgo: 200 * time.Millisecond,
+				Servers:        map[shed.ServerID]shed.ServerShare{},
+				Waits:          []shed.PieceWait{{Pool: "model-ingest", Timely: time.Second, Last: time.Second, Slow: 1.2, Rate: 537}},
+				ExpectedPieces: map[shed.PoolID]int{"kaart-render": 3, "model-ingest": 40, "editor-desk": 100},
 			}
 			for i := range n {
 				id := shed.ServerID(fmt.Sprintf("i-%010x", i))
--- a/internal/picker/picker_test.go
+++ b/internal/picker/picker_test.go
@@ -17,8 +17,8 @@
 func servers(n int, change func(i int, s *roster.Server)) []*roster.Server {
 	var out []*roster.Server
 	for i := range n {
-		s := &roster.Server{Listing: shed.Listing{
-			ID: shed.ServerID(fmt.Sprintf("s%02d", i)), Zone: shed.ZoneID(string(rune('a' + i%3))), Slots: 64, Born: 1,
+		s := &roster.Server{ServerEntry: shed.ServerEntry{
+			ID: shed.ServerID(fmt.Sprintf("s%02d", i)), Zone: shed.ZoneID(string(rune('a' + i%3))), Slots: 64, StartedMs: 1,
 		}}
 		if change != nil {
 			change(i, s)
@@ -119,7 +119,7 @@
 	c := p.Pick(start, prompt("x", 0), from)
 	p.Placed(start, prompt("x", 0), c)
 	require.Equal(t, shed.Tokens(3000), p.Pick(start, prompt("x", 1), from).Missing)
-	from[0].Born = 2
+	from[0].StartedMs = 2
 	require.Equal(t, shed.Tokens(16000), p.Pick(start, prompt("x", 1), from).Missing)
 }
 
--- a/internal/picker/state.go
+++ b/internal/picker/state.go
@@ -31,9 +31,9 @@
 
 func (p *Picker) state(s *roster.Server) *state {
 	st := p.servers[s.ID]
-	if st == nil || st.born != s.Born {
+	if st == nil || st.born != s.StartedMs {
 		// A new start holds and knows nothing of before.
-		next := &state{born: s.Born, prefixes: map[uint64]time.Time{}}
+		next := &state{born: s.StartedMs, prefixes: map[uint64]time.Time{}}
 		if st != nil {
 			next.own, next.peers = st.own, st.peers
 		}
--- a/internal/plat/plat.go
+++ b/internal/plat/plat.go
@@ -97,18 +97,18 @@
 func (p *Platform) Config(ctx context.Context, read shed.ReadConfig) (shed.ConfigRead, error) {
 	got, err := p.value(ctx, rules.IndexKey, read.After, read.Wait)
 	if err != nil {
-		return shed.ConfigRead{Err: true}, err
+		return shed.ConfigRead{Failed: true}, err
 	}
 	if !got.newer {
 		return shed.ConfigRead{Index: shed.ConfigIndex{Revision: got.revision}}, nil
 	}
 	index, err := rules.ParseIndex(got.revision, got.data)
 	if err != nil {
-		return shed.ConfigRead{Err: true}, fmt.Errorf("%w: %w", ErrBadReply, err)
+		return shed.ConfigRead{Failed: true}, fmt.Errorf("%w: %w", ErrBadReply, err)
 	}
 	parts, err := p.parts(ctx, index.Parts, read.Have)
 	if err != nil && len(parts) == 0 {
-		return shed.ConfigRead{Err: true}, err
+		return shed.ConfigRead{Failed: true}, err
 	}
 	return shed.ConfigRead{Index: index, Parts: parts}, err
 }
--- a/internal/plat/plat_test.go
+++ b/internal/plat/plat_test.go
@@ -210,7 +210,7 @@
 			stood.Publish(map[string][]byte{rules.IndexKey: []byte(c.index), name: []byte(c.part)})
 			got, err := reader(t, stood).Config(context.Background(), shed.ReadConfig{})
 			require.ErrorIs(t, err, plat.ErrBadReply)
-			require.Equal(t, shed.ConfigRead{Err: true}, got)
+			require.Equal(t, shed.ConfigRead{Failed: true}, got)
 		})
 	}
 }
--- a/internal/poison/fingerprint.go
+++ b/internal/poison/fingerprint.go
@@ -22,7 +22,7 @@
 // body. The order of query arguments isn't compared, nor are the id, the deadline and
 // other headers. The workspace is a part of it, so that no caller can make another one's
 // request look like its own.
-func Fingerprint(workspace shed.WorkspaceID, ask *shed.Ask, body []byte) shed.Fingerprint {
+func Fingerprint(workspace shed.WorkspaceID, ask *shed.RequestHead, body []byte) shed.Fingerprint {
 	path, query, _ := strings.Cut(ask.Target, "?")
 	h := sha256.New()
 	for _, field := range []string{string(workspace), ask.Method, ask.Host, path, sortedQuery(query)} {
--- a/internal/poison/fingerprint_test.go
+++ b/internal/poison/fingerprint_test.go
@@ -10,8 +10,8 @@
 )
 
 func TestFingerprint(t *testing.T) {
-	ask := shed.Ask{ID: "1", Method: "POST", Host: "h", Target: "/a/b?x=1&y=2"}
-	of := func(ws shed.WorkspaceID, body string, change func(*shed.Ask)) shed.Fingerprint {
+	ask := shed.RequestHead{ID: "1", Method: "POST", Host: "h", Target: "/a/b?x=1&y=2"}
+	of := func(ws shed.WorkspaceID, body string, change func(*shed.RequestHead)) shed.Fingerprint {
 		changed := ask
 		if change != nil {
 			change(&changed)
@@ -19,18 +19,18 @@
 		return poison.Fingerprint(ws, &changed, []byte(body))
 	}
 	same := of("w", "body", nil)
-	require.Equal(t, same, of("w", "body", func(a *shed.Ask) { a.ID, a.Resume = "2", "7" }))
-	require.Equal(t, same, of("w", "body", func(a *shed.Ask) { a.Target = "/a/b?y=2&x=1" }))
+	require.Equal(t, same, of("w", "body", func(a *shed.RequestHead) { a.ID, a.LastEventID = "2", "7" }))
+	require.Equal(t, same, of("w", "body", func(a *shed.RequestHead) { a.Target = "/a/b?y=2&x=1" }))
 	for name, other := range map[string]shed.Fingerprint{
 		"workspace": of("v", "body", nil),
 		"body":      of("w", "bodY", nil),
 		"no body":   of("w", "", nil),
-		"method":    of("w", "body", func(a *shed.Ask) { a.Method = "PUT" }),
-		"host":      of("w", "body", func(a *shed.Ask) { a.Host = "g" }),
-		"path":      of("w", "body", func(a *shed.Ask) { a.Target = "/a/c?x=1&y=2" }),
-		"argument":  of("w", "body", func(a *shed.Ask) { a.Target = "/a/b?x=1&y=3" }),
-		"bad query": of("w", "body", func(a *shed.Ask) { a.Target = "/a/b?%zz" }),
-		"boundary":  of("wP", "body", func(a *shed.Ask) { a.Method = "OST" }),
+		"method":    of("w", "body", func(a *shed.RequestHead) { a.Method = "PUT" }),
+		"host":      of("w", "body", func(a *shed.RequestHead) { a.Host = "g" }),
+		"path":      of("w", "body", func(a *shed.RequestHead) { a.Target = "/a/c?x=1&y=2" }),
+		"argument":  of("w", "body", func(a *shed.RequestHead) { a.Target = "/a/b?x=1&y=3" }),
+		"bad query": of("w", "body", func(a *shed.RequestHead) { a.Target = "/a/b?%zz" }),
+		"boundary":  of("wP", "body", func(a *shed.RequestHead) { a.Method = "OST" }),
 	} {
 		require.NotEqual(t, same, other, name)
 	}
@@ -38,7 +38,7 @@
 
 // BenchmarkFingerprint is what each request pays.
 func BenchmarkFingerprint(b *testing.B) {
-	ask := shed.Ask{Method: "POST", Host: "pule25.example", Target: "/puxa400/2f"}
+	ask := shed.RequestHead{Method: "POST", Host: "pule25.example", Target: "/puxa400/2f"}
 	body := make([]byte, 4<<10)
 	b.SetBytes(int64(len(body)))
 	for range b.N {
--- a/internal/poison/sim_test.go
+++ b/internal/poison/sim_test.go
@@ -89,7 +89,7 @@
 		s.every(tick, func() { s.tick(v) })
 	}
 	for i := range servers {
-		s.servers = append(s.servers, &simServer{start: shed.ServerStart{Server: shed.ServerID(fmt.Sprintf("s%d", i)), Born: 1}})
+		s.servers = append(s.servers, &simServer{start: shed.ServerStart{Server: shed.ServerID(fmt.Sprintf("s%d", i)), StartedMs: 1}})
 	}
 	return s
 }
@@ -254,7 +254,7 @@
 	}
 	s.After(downFor, func() {
 		server.down = false
-		server.start.Born++
+		server.start.StartedMs++
 	})
 }
 
@@ -339,5 +339,5 @@
 
 // print makes up a fingerprint.
 func print(kind string, n int) shed.Fingerprint {
-	return poison.Fingerprint("w", &shed.Ask{Target: fmt.Sprintf("/%s/%d", kind, n)}, nil)
+	return poison.Fingerprint("w", &shed.RequestHead{Target: fmt.Sprintf("/%s/%d", kind, n)}, nil)
 }
--- a/internal/poison/table.go
+++ b/internal/poison/table.go
@@ -166,12 +166,12 @@
 )
 
 // Heard takes in what a peer tells.
-func (t *Table) Heard(now time.Time, m shed.CrashNews) []Change {
+func (t *Table) Heard(now time.Time, m shed.CrashUpdate) []Change {
 	from := fromPeer
 	if m.All {
 		from = fromAll
 	}
-	for _, e := range m.Ended {
+	for _, e := range m.RecentCrashes {
 		t.noteEnd(e.Start, now.Add(-max(e.Age, 0)))
 	}
 	var out []Change
@@ -197,8 +197,8 @@
 	for _, c := range in.Crashes {
 		changed = t.takeCrash(s, c.Start, now.Add(-max(c.Age, 0))) || changed
 	}
-	if in.Ran != nil {
-		changed = s.takeRan(now.Add(-max(*in.Ran, 0))) || changed
+	if in.SurvivedAgo != nil {
+		changed = s.takeRan(now.Add(-max(*in.SurvivedAgo, 0))) || changed
 	}
 	if s.takeRan(t.ranHere(in.Request)) {
 		changed, from = true, fromHere
@@ -280,7 +280,7 @@
 
 func (s *suspect) oldest() shed.ServerStart {
 	return slices.MinFunc(slices.Collect(maps.Keys(s.crashes)), func(a, b shed.ServerStart) int {
-		return cmp.Or(s.crashes[a].Compare(s.crashes[b]), cmp.Compare(a.Server, b.Server), cmp.Compare(a.Born, b.Born))
+		return cmp.Or(s.crashes[a].Compare(s.crashes[b]), cmp.Compare(a.Server, b.Server), cmp.Compare(a.StartedMs, b.StartedMs))
 	})
 }
 
--- a/internal/poison/table_test.go
+++ b/internal/poison/table_test.go
@@ -258,7 +258,7 @@
 // the same.
 func TestNewsInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		var news []shed.CrashNews
+		var news []shed.CrashUpdate
 		for i := range rapid.IntRange(1, 12).Draw(rt, "news") {
 			s := shed.Suspect{Request: print("r", rapid.IntRange(0, 2).Draw(rt, "request")), Workspace: "w"}
 			for range rapid.IntRange(0, 3).Draw(rt, "crashes") {
@@ -269,9 +269,9 @@
 			}
 			if rapid.IntRange(0, 5).Draw(rt, "ran") == 0 && len(s.Crashes) > 0 {
 				age := time.Duration(rapid.IntRange(1, 50).Draw(rt, "ran_age")) * time.Second
-				s.Ran = &age
+				s.SurvivedAgo = &age
 			}
-			news = append(news, shed.CrashNews{Suspects: []shed.Suspect{s}, All: i%2 == 0})
+			news = append(news, shed.CrashUpdate{Suspects: []shed.Suspect{s}, All: i%2 == 0})
 		}
 		one, other := newTable(), newTable()
 		for _, n := range news {
--- a/internal/poison/tell.go
+++ b/internal/poison/tell.go
@@ -29,7 +29,7 @@
 // Tell is a message and who gets it.
 type Tell struct {
 	To   []shed.VM
-	News shed.CrashNews
+	News shed.CrashUpdate
 }
 
 // Due is what peers, sorted, are to be told now. It is asked at each tick.
@@ -105,18 +105,18 @@
 	return out[:min(len(out), mostTold)]
 }
 
-func (t *Table) message(now time.Time, suspects []*suspect, all bool) shed.CrashNews {
-	m := shed.CrashNews{All: all}
+func (t *Table) message(now time.Time, suspects []*suspect, all bool) shed.CrashUpdate {
+	m := shed.CrashUpdate{All: all}
 	if all {
-		m.Ended = ends(now, t.ended)
-		m.Ended = m.Ended[:min(len(m.Ended), mostEnded)]
+		m.RecentCrashes = ends(now, t.ended)
+		m.RecentCrashes = m.RecentCrashes[:min(len(m.RecentCrashes), mostEnded)]
 	}
 	for _, s := range suspects {
 		out := shed.Suspect{Request: s.request, Workspace: s.workspace}
 		out.Crashes = ends(now, s.crashes)
 		if !s.ran.IsZero() {
 			age := now.Sub(s.ran)
-			out.Ran = &age
+			out.SurvivedAgo = &age
 		}
 		m.Suspects = append(m.Suspects, out)
 	}
@@ -130,7 +130,7 @@
 		out = append(out, shed.ServerCrash{Start: start, Age: now.Sub(at)})
 	}
 	slices.SortFunc(out, func(a, b shed.ServerCrash) int {
-		return cmp.Or(cmp.Compare(a.Age, b.Age), cmp.Compare(a.Start.Server, b.Start.Server), cmp.Compare(a.Start.Born, b.Start.Born))
+		return cmp.Or(cmp.Compare(a.Age, b.Age), cmp.Compare(a.Start.Server, b.Start.Server), cmp.Compare(a.Start.StartedMs, b.Start.StartedMs))
 	})
 	return out
 }
--- a/internal/procs/fleet_test.go
+++ b/internal/procs/fleet_test.go
@@ -150,7 +150,7 @@
 		return append([]string{"service"}, args...)
 	}
 	args = append(args,
-		"--cold-bears", strconv.Itoa(s.ColdBears), "--token-time", "2ms", "--call-time", "5ms",
+		"--cold-bears", strconv.Itoa(s.ColdCapacity), "--token-time", "2ms", "--call-time", "5ms",
 		"--cache", "256", "--checks-fence="+strconv.FormatBool(s.Fenced))
 	if m := r.Models[pool.Model]; m != nil {
 		args = append(args, "--model", string(m.ID)+"@"+m.Version, "--role", s.Role)
--- a/internal/proof/calls_test.go
+++ b/internal/proof/calls_test.go
@@ -97,7 +97,7 @@
 		if x.over {
 			return
 		}
-		if !w.now.Before(a.Until) {
+		if !w.now.Before(a.SendBy) {
 			finish(shed.EndNotStarted, shed.ReasonDeadline, "")
 			return
 		}
@@ -107,7 +107,7 @@
 		}
 		x.cancel = func() { w.after(w.travel(), func() { s.cancel(a.Call) }) }
 		w.after(w.travel(), func() { n.arriveAt(s, a, x, in, finish) })
-		n.at(a.Silence, func() { finish(shed.EndBroken, shed.ReasonSilent, "") })
+		n.at(a.IdleTimeout, func() { finish(shed.EndBroken, shed.ReasonSilent, "") })
 	})
 }
 
@@ -151,9 +151,9 @@
 }
 
 // handStage hands a call over to a peer.
-func (n *node) handStage(a shed.HandStage) {
+func (n *node) handStage(a shed.ForwardStage) {
 	w := n.w
-	call := a.Ask.Call
+	call := a.Request.Call
 	x := &calling{}
 	n.calls[call] = x
 	finish := func(e shed.CallEnded, result string) {
@@ -166,7 +166,7 @@
 		if x.over {
 			return
 		}
-		if !w.now.Before(a.Until) {
+		if !w.now.Before(a.SendBy) {
 			finish(shed.CallEnded{End: shed.EndNotStarted, Reason: shed.ReasonDeadline}, "")
 			return
 		}
@@ -182,7 +182,7 @@
 		})
 		from, life := n.self, to.life
 		w.after(w.travel(), func() {
-			to.now(life, func() { to.host(n, from, a.Ask, x, in, finish) })
+			to.now(life, func() { to.host(n, from, a.Request, x, in, finish) })
 		})
 	})
 }
@@ -235,7 +235,7 @@
 }
 
 // host takes in a call that peer n handed over.
-func (n *node) host(from *node, peer shed.Peer, ask shed.StageAsk, x *calling, in string, finish func(shed.CallEnded, string)) {
+func (n *node) host(from *node, peer shed.Peer, ask shed.StageRequest, x *calling, in string, finish func(shed.CallEnded, string)) {
 	if n.guests[ask.Call] != nil || n.calls[ask.Call] != nil {
 		return
 	}
@@ -247,7 +247,7 @@
 	}}
 	n.guests[ask.Call] = g
 	x.cancel = func() { n.at(n.w.travel(), func() { n.cancelCall(ask.Call) }) }
-	n.handle(shed.StageAsked{Ask: ask, From: peer})
+	n.handle(shed.StageRequested{Request: ask, From: peer})
 }
 
 func (n *node) refuseStage(a shed.RefuseStage) {
--- a/internal/proof/home_test.go
+++ b/internal/proof/home_test.go
@@ -8,7 +8,7 @@
 const homeTries = 3
 
 // handRequest hands a request over to its ticket's home.
-func (n *node) handRequest(a shed.HandRequest, try int) {
+func (n *node) handRequest(a shed.ForwardRequest, try int) {
 	w := n.w
 	r := n.runs[a.Request]
 	if r == nil || r.final != nil {
@@ -20,7 +20,7 @@
 		}
 		r.end(ans)
 		delete(n.runs, a.Request)
-		n.handle(shed.HandedBack{Request: a.Request})
+		n.handle(shed.ForwardEnded{Request: a.Request})
 	}
 	give := func(reason shed.Reason) {
 		finish(answer{at: w.now, outcome: shed.OutcomeUnknown, reason: reason, request: a.Request})
@@ -83,7 +83,7 @@
 }
 
 // arrive takes a request in, from a caller or a peer.
-func (n *node) arrive(ev shed.Arrived, input string, reply func(answer)) {
+func (n *node) arrive(ev shed.RequestArrived, input string, reply func(answer)) {
 	life := n.life
 	n.w.step(n)
 	if !n.up || n.life != life {
@@ -111,11 +111,11 @@
 }
 
 // arriveAgain is a repeat; a refusal of it concerns only the repeat.
-func (n *node) arriveAgain(first *run, ev shed.Arrived, reply func(answer), life int) {
+func (n *node) arriveAgain(first *run, ev shed.RequestArrived, reply func(answer), life int) {
 	joined := false
 	for _, act := range n.core.Handle(n.w.now, ev) {
 		switch a := act.(type) {
-		case shed.JoinRequest, shed.HandRequest:
+		case shed.JoinRequest, shed.ForwardRequest:
 			joined = true
 		case shed.Finish:
 			if a.Request != ev.Request || joined {
--- a/internal/proof/node_test.go
+++ b/internal/proof/node_test.go
@@ -39,7 +39,7 @@
 
 // run is one request accepted by the process.
 type run struct {
-	ask     shed.Arrived
+	ask     shed.RequestArrived
 	payload string
 	results map[shed.Call]string
 	waiters []func(answer)
@@ -189,9 +189,9 @@
 		switch a := act.(type) {
 		case shed.StartCall:
 			n.startCall(a)
-		case shed.HandStage:
+		case shed.ForwardStage:
 			n.handStage(a)
-		case shed.HandRequest:
+		case shed.ForwardRequest:
 			n.handRequest(a, 1)
 		case shed.CancelCall:
 			n.cancelCall(a.Call)
@@ -216,7 +216,7 @@
 		w.plat.readConfig(n, a)
 	case shed.ReadVMs:
 		if w.plat.down || !w.reach(n.labels(), []string{"platform"}) {
-			n.at(2*time.Second, func() { n.handle(shed.VMsRead{Err: true}) })
+			n.at(2*time.Second, func() { n.handle(shed.VMsRead{Failed: true}) })
 			return
 		}
 		n.at(2*w.travel(), func() { n.handle(shed.VMsRead{VMs: w.plat.listed()}) })
@@ -225,8 +225,8 @@
 	case shed.RulesInForce:
 		n.rev = a.Rules.Revision
 		n.noteRevision()
-	case shed.Ready:
-		n.ready = a.Ready
+	case shed.SetReady:
+		n.ready = a.SetReady
 		n.noteRevision()
 	case shed.Exit:
 		n.exit()
@@ -290,13 +290,13 @@
 		return
 	}
 	if n.stop != nil {
-		n.handle(shed.StopAsked{})
+		n.handle(shed.StopRequested{})
 		return
 	}
 	n.stop = &plannedStop{vm: n.vm, inc: n.self.Incarnation, asked: n.w.now}
 	n.w.stops = append(n.w.stops, *n.stop)
 	i := len(n.w.stops) - 1
-	n.handle(shed.StopAsked{})
+	n.handle(shed.StopRequested{})
 	// The journal's copy is brought up to date when the process ends.
 	stop := n.stop
 	var watch func()
--- a/internal/proof/scenario_test.go
+++ b/internal/proof/scenario_test.go
@@ -176,9 +176,9 @@
 func (w *world) send(n *node, id shed.RequestID, p shed.PipelineID, ticketed bool, more int) {
 	a := &ask{request: id, pipeline: p, input: "in", vm: n.vm, at: w.now}
 	w.asked = append(w.asked, a)
-	ev := shed.Arrived{
+	ev := shed.RequestArrived{
 		Request: id, Ticketed: ticketed, Workspace: "w", Pipeline: p,
-		Deadline: w.now.Add(deadline), Prefix: uint64(len(w.asked)), Input: 4,
+		Deadline: w.now.Add(deadline), Prefix: uint64(len(w.asked)), InputTokens: 4,
 	}
 	reply := func(ans answer) {
 		w.after(w.travel(), func() {
--- a/internal/proof/world_test.go
+++ b/internal/proof/world_test.go
@@ -205,7 +205,7 @@
 	w := p.world
 	w.reads++
 	if p.down || !w.reach(n.labels(), []string{"platform"}) {
-		n.at(a.Wait+2*time.Second, func() { n.handle(shed.ConfigRead{Err: true}) })
+		n.at(a.Wait+2*time.Second, func() { n.handle(shed.ConfigRead{Failed: true}) })
 		return
 	}
 	answered := false
@@ -215,7 +215,7 @@
 		}
 		answered = true
 		if p.down || !w.reach([]string{"platform"}, n.labels()) {
-			n.at(2*time.Second, func() { n.handle(shed.ConfigRead{Err: true}) })
+			n.at(2*time.Second, func() { n.handle(shed.ConfigRead{Failed: true}) })
 			return
 		}
 		got := p.answer(a)
--- a/internal/relay/coordinate.go
+++ b/internal/relay/coordinate.go
@@ -30,7 +30,7 @@
 	done := make(chan []shed.PieceResult, 1)
 	r.mu.Lock()
 	pool := r.pool(poolID)
-	if !pool.MakesPieces() {
+	if !pool.RunsPieces() {
 		r.mu.Unlock()
 		return failedResults(len(pieces))
 	}
@@ -72,7 +72,7 @@
 func completeRefs(results []shed.PieceResult) []shed.ResultRef {
 	var out []shed.ResultRef
 	for _, res := range results {
-		if res.End == shed.PieceMade {
+		if res.End == shed.PieceComplete {
 			out = append(out, res.Ref)
 		}
 	}
@@ -103,7 +103,7 @@
 			}
 		case batch.Free:
 			for _, ref := range a.Refs {
-				addr := r.cfg.Dialect.Maker(ref)
+				addr := r.cfg.Dialect.Producer(ref)
 				r.pendingFrees[addr] = append(r.pendingFrees[addr], ref)
 			}
 			r.flushFrees()
@@ -143,9 +143,9 @@
 	}
 	entry = entry.WithFields(logrus.Fields{
 		"late": count[shed.PieceLate], "inputs_gone": count[shed.PieceInputsGone],
-		"no_room": count[shed.PieceNoRoom], "failed": count[shed.PieceFailed],
+		"no_room": count[shed.PieceNoCapacity], "failed": count[shed.PieceFailed],
 	})
-	if count[shed.PieceMade] == len(results) {
+	if count[shed.PieceComplete] == len(results) {
 		entry.Debug("call for pieces")
 		return
 	}
@@ -157,10 +157,10 @@
 	defer cancel()
 	ctx, span := r.tracer.Start(ctx, "call for pieces")
 	defer span.End()
-	if !r.takeTurn(ctx, &shed.RelayPool{ID: a.Server.Pool}, &roster.Server{Listing: a.Server}, 0) {
+	if !r.takeTurn(ctx, &shed.RelayPool{ID: a.Server.Pool}, &roster.Server{ServerEntry: a.Server}, 0) {
 		return batch.CallEnded{NotRun: true, Busy: true}, 0, errNoTurn
 	}
-	req, err := r.cfg.Dialect.RunPieces(a.Server, a.Pieces)
+	req, err := r.cfg.Dialect.NewPiecesRequest(a.Server, a.Pieces)
 	if err != nil {
 		return batch.CallEnded{NotRun: true}, 0, err
 	}
@@ -169,7 +169,7 @@
 		return batch.CallEnded{NotRun: !sent, Crashed: sent && r.isCrash(err, a.Server)}, 0, err
 	}
 	defer func() { _ = resp.Body.Close() }()
-	reply := r.cfg.Dialect.Reply(resp)
+	reply := r.cfg.Dialect.ParseReply(resp)
 	r.receiveAnswerLimit(a.Server, reply)
 	if resp.StatusCode != http.StatusOK {
 		return batch.CallEnded{NotRun: reply.NotRun, Busy: reply.NotRun && !reply.OtherServer}, resp.StatusCode, nil
@@ -178,7 +178,7 @@
 	if err != nil {
 		return batch.CallEnded{Crashed: r.isCrash(err, a.Server)}, resp.StatusCode, err
 	}
-	results, err := r.cfg.Dialect.Results(body, len(a.Pieces))
+	results, err := r.cfg.Dialect.ParseResults(body, len(a.Pieces))
 	return batch.CallEnded{Results: results}, resp.StatusCode, err
 }
 
@@ -225,7 +225,7 @@
 func (r *Relay) sendFree(addr string, refs []shed.ResultRef) {
 	ctx, cancel := context.WithTimeout(r.base, freeTimeout)
 	defer cancel()
-	req, err := r.cfg.Dialect.FreeResults(addr, refs)
+	req, err := r.cfg.Dialect.NewFreeRequest(addr, refs)
 	if err == nil {
 		var resp *http.Response
 		resp, _, err = r.sender.Do(req.WithContext(ctx), false, time.Time{})
--- a/internal/relay/gossip.go
+++ b/internal/relay/gossip.go
@@ -39,7 +39,7 @@
 	if len(to) == 0 {
 		return
 	}
-	msg := shed.StoreNews{After: after, AsOf: r.roster.AsOf()}
+	msg := shed.StoreUpdate{After: after, AsOf: r.roster.AsOf()}
 	changes, client := r.changes(after, after), r.client
 	r.work.Go(func() error {
 		msg.Items = r.packChanges(changes)
@@ -112,7 +112,7 @@
 // storeUpdate is an update of the store that a peer forwarded.
 type storeUpdate struct {
 	from shed.VM
-	shed.StoreNews
+	shed.StoreUpdate
 }
 
 // maxQueuedUpdates bounds the queue of updates; what does not fit is read from the peer in one
@@ -122,7 +122,7 @@
 // receiveUpdate queues an update from a peer. Updates are applied one at a time: changes often
 // arrive in quick succession, and the second can't be applied before the first. The caller
 // holds mu.
-func (r *Relay) receiveUpdate(now time.Time, from shed.VM, m shed.StoreNews) {
+func (r *Relay) receiveUpdate(now time.Time, from shed.VM, m shed.StoreUpdate) {
 	if m.AsOf <= r.roster.AsOf() {
 		return
 	}
@@ -130,7 +130,7 @@
 		r.handleFollowEvent(now, follow.Missed{From: from, AsOf: m.AsOf})
 		return
 	}
-	r.mesh.updates = append(r.mesh.updates, storeUpdate{from: from, StoreNews: m})
+	r.mesh.updates = append(r.mesh.updates, storeUpdate{from: from, StoreUpdate: m})
 	if len(r.mesh.updates) > 1 {
 		return
 	}
@@ -167,7 +167,7 @@
 func (r *Relay) receiveStoreState(now time.Time, from shed.VM, m shed.RelayLoad) {
 	member, _ := r.group.Lookup(from)
 	r.handleFollowEvent(now, follow.Heard{From: from, Word: follow.Word{
-		AsOf: m.AsOf, Digest: m.Digest, Catalog: m.Catalog, Contact: now.Add(-m.Confirmed), Power: member.Power,
+		AsOf: m.AsOf, Digest: m.Digest, Catalog: m.Catalog, Contact: now.Add(-m.ConfirmedAgo), Power: member.Power,
 	}})
 }
 
--- a/internal/relay/limit.go
+++ b/internal/relay/limit.go
@@ -10,7 +10,7 @@
 )
 
 // receiveAnswerLimit applies the rate limit that an answer states for its server.
-func (r *Relay) receiveAnswerLimit(s shed.Listing, reply shed.Reply) {
+func (r *Relay) receiveAnswerLimit(s shed.ServerEntry, reply shed.ReplyHead) {
 	if reply.OtherServer {
 		return
 	}
@@ -26,9 +26,9 @@
 		return
 	}
 	r.logLimits(changes, "answer")
-	update := shed.LimitNews{}
+	update := shed.LimitUpdate{}
 	for _, c := range changes {
-		update.Limits = append(update.Limits, shed.ServerLimit{Start: c.Start, Rate: c.Rate, Ended: c.Rate == 0})
+		update.Limits = append(update.Limits, shed.ServerLimit{Start: c.Start, Rate: c.Rate, Lifted: c.Rate == 0})
 	}
 	r.client.SendAll(r.alivePeers(), update)
 }
@@ -37,7 +37,7 @@
 // mu.
 func (r *Relay) isLimited(addr string) bool {
 	for _, start := range r.limits.Limited() {
-		if s, ok := r.roster.Server(start.Server); ok && s.Addr == addr && s.Born == start.Born {
+		if s, ok := r.roster.Server(start.Server); ok && s.Addr == addr && s.StartedMs == start.StartedMs {
 			return true
 		}
 	}
@@ -49,7 +49,7 @@
 	for _, c := range changes {
 		r.stats.stateChanges.Inc(1)
 		r.log.WithFields(logrus.Fields{
-			"server": c.Start.Server, "born": c.Start.Born, "per_second": c.Rate, "ended": c.Rate == 0, "by": by,
+			"server": c.Start.Server, "born": c.Start.StartedMs, "per_second": c.Rate, "ended": c.Rate == 0, "by": by,
 		}).Info("server limit")
 	}
 }
--- a/internal/relay/load.go
+++ b/internal/relay/load.go
@@ -35,10 +35,10 @@
 	}
 	r.mesh.sequence++
 	r.client.SendAll(turn.To, shed.RelayLoad{
-		Sequence: r.mesh.sequence, Held: r.batcher.Held(), Servers: shares, Waits: forecasts, Placed: turn.Placed,
+		Sequence: r.mesh.sequence, HeldBytes: r.batcher.Held(), Servers: shares, Waits: forecasts, Placed: turn.Placed,
 		// Messages are encoded later, in another goroutine.
-		Coming: maps.Clone(r.expected), AsOf: r.roster.AsOf(), Digest: r.roster.Digest(), Confirmed: now.Sub(r.roster.Contact()),
-		Catalog: r.roster.CatalogRevision(), Limits: r.limits.Known(now), PassOn: turn.PassOn, Carried: turn.Carried,
+		ExpectedPieces: maps.Clone(r.expected), AsOf: r.roster.AsOf(), Digest: r.roster.Digest(), ConfirmedAgo: now.Sub(r.roster.Contact()),
+		Catalog: r.roster.CatalogRevision(), Limits: r.limits.Known(now), ForwardToAll: turn.PassOn, Forwarded: turn.Carried,
 	})
 }
 
@@ -46,7 +46,7 @@
 func (r *Relay) ownForecasts(now time.Time) []shed.PieceWait {
 	var out []shed.PieceWait
 	for _, id := range r.batcher.Busy() {
-		if pool := r.pool(id); pool.MakesPieces() {
+		if pool := r.pool(id); pool.RunsPieces() {
 			out = append(out, r.ownForecast(now, pool))
 		}
 	}
@@ -65,18 +65,18 @@
 		r.receiveStoreState(now, from.VM, m)
 		delete(r.mesh.backoffUntil, from.VM)
 		r.applyLoad(now, now, from, m)
-		if m.PassOn {
+		if m.ForwardToAll {
 			r.mesh.fanout.PassOn(now, from, m)
 		}
 	}
-	for _, c := range m.Carried {
+	for _, c := range m.Forwarded {
 		r.receiveForwardedLoad(now, c)
 	}
 }
 
 // receiveForwardedLoad applies a forwarded load report. A report of an ended process is
 // dropped: it would never be replaced, since no later one arrives.
-func (r *Relay) receiveForwardedLoad(now time.Time, c shed.CarriedLoad) {
+func (r *Relay) receiveForwardedLoad(now time.Time, c shed.ForwardedLoad) {
 	member, ok := r.group.Lookup(c.From.VM)
 	if !ok || member.Peer != c.From || member.Status > shed.StatusSuspect || c.From.VM == r.mesh.self.VM {
 		return
@@ -91,8 +91,8 @@
 	r.mesh.lastSequence[from] = m.Sequence
 	r.mesh.lastLoad[from.VM] = shed.Later(r.mesh.lastLoad[from.VM], toldAt)
 	r.picker.PeerShares(from.VM, m.Servers)
-	r.receiveHeldBytes(now, from.VM, m.Held)
-	r.setPeerExpected(from.VM, m.Coming)
+	r.receiveHeldBytes(now, from.VM, m.HeldBytes)
+	r.setPeerExpected(from.VM, m.ExpectedPieces)
 	r.receivePeerLimits(now, toldAt, from.VM, m.Limits)
 	for _, p := range m.Placed {
 		r.picker.Seen(now, p.Server, p.Chain)
@@ -136,8 +136,8 @@
 	keep := time.Duration(0)
 	if c := r.roster.Catalog(); c != nil {
 		for _, p := range c.Pools {
-			if p.MakesPieces() {
-				keep = max(keep, p.Batch.KeepFor)
+			if p.RunsPieces() {
+				keep = max(keep, p.Batch.ResultRetention)
 			}
 		}
 	}
--- a/internal/relay/mesh.go
+++ b/internal/relay/mesh.go
@@ -180,11 +180,11 @@
 		r.performMesh(r.group.Handle(now, shed.PeerMessage{From: from, Message: msg}))
 	case shed.RelayLoad:
 		r.receiveLoad(now, from, m)
-	case shed.StoreNews:
+	case shed.StoreUpdate:
 		r.receiveUpdate(now, from.VM, m)
-	case shed.LimitNews:
+	case shed.LimitUpdate:
 		r.logLimits(r.limits.Heard(now, m.Limits), string(from.VM))
-	case shed.CrashNews:
+	case shed.CrashUpdate:
 		r.reportSuspects(r.poison.Heard(now, m))
 	case shed.ResultsFreed:
 		r.performBatch(r.batcher.Handle(now, batch.Freed{Refs: m.Refs}))
@@ -208,7 +208,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	answer := peers.PieceAnswer{Results: results}
-	if pool := r.pool(call.Pool); pool.MakesPieces() {
+	if pool := r.pool(call.Pool); pool.RunsPieces() {
 		wait := r.ownForecast(time.Now(), pool)
 		answer.Wait = &wait
 	}
--- a/internal/relay/plan.go
+++ b/internal/relay/plan.go
@@ -41,7 +41,7 @@
 // isFinal reports whether no other step needs the results of this one.
 func (p plan) isFinal(at int) bool {
 	return !slices.ContainsFunc(p.steps, func(s shed.RouteStep) bool {
-		return slices.Contains(s.After, p.steps[at].Index)
+		return slices.Contains(s.DependsOn, p.steps[at].Index)
 	})
 }
 
@@ -50,7 +50,7 @@
 func (p plan) fetchedBytes(at int) int64 {
 	var bytes int64
 	for i, s := range p.steps {
-		if slices.Contains(s.After, p.steps[at].Index) {
+		if slices.Contains(s.DependsOn, p.steps[at].Index) {
 			bytes += p.steps[at].ResultBytes * int64(p.pieces[at]) * int64(p.pieces[i])
 		}
 	}
@@ -72,13 +72,13 @@
 	c := make(chain.Chain, len(p.steps))
 	for i, s := range p.steps {
 		c[i].Pieces = p.pieces[i]
-		for _, before := range s.After {
+		for _, before := range s.DependsOn {
 			if at := p.stepIndex(before); at >= 0 {
 				c[i].After = append(c[i].After, at)
 			}
 		}
 		pool := r.pool(s.Pool)
-		if !pool.MakesPieces() {
+		if !pool.RunsPieces() {
 			continue
 		}
 		c[i].Limits, c[i].Servers = *pool.Batch, len(r.roster.Open(s.Pool))
@@ -133,7 +133,7 @@
 	seen := map[int]bool{}
 	for i := range r.roster.Catalog().Routes {
 		other := &r.roster.Catalog().Routes[i]
-		if other.Rank >= route.Rank || !other.Uses(pool) {
+		if other.Rank >= route.Rank || !other.UsesPool(pool) {
 			continue
 		}
 		routes = append(routes, other.ID)
--- a/internal/relay/poison.go
+++ b/internal/relay/poison.go
@@ -81,17 +81,17 @@
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		r.reportSuspects(r.poison.Ran(time.Now(), a.job.fingerprint))
-	case v.sent && a.serverFailed && r.isCrash(a.err, a.choice.Server.Listing):
+	case v.sent && a.serverFailed && r.isCrash(a.err, a.choice.Server.ServerEntry):
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		r.recordCrash(a.job.ask.ID, shed.RequestRef{Request: a.job.fingerprint, Workspace: a.job.workspace}, a.choice.Server.Listing)
+		r.recordCrash(a.job.ask.ID, shed.RequestRef{Request: a.job.fingerprint, Workspace: a.job.workspace}, a.choice.Server.ServerEntry)
 	}
 }
 
 // recordCrash records that a server ended while it ran a request. The caller holds mu.
-func (r *Relay) recordCrash(id shed.RequestID, ref shed.RequestRef, s shed.Listing) {
+func (r *Relay) recordCrash(id shed.RequestID, ref shed.RequestRef, s shed.ServerEntry) {
 	r.stats.crashes.Inc(1)
-	r.log.WithFields(logrus.Fields{"request": id, "fingerprint": ref.Request, "server": s.ID, "born": s.Born}).
+	r.log.WithFields(logrus.Fields{"request": id, "fingerprint": ref.Request, "server": s.ID, "born": s.StartedMs}).
 		Info("server ended under a request")
 	r.reportSuspects(r.poison.Crashed(time.Now(), ref.Request, ref.Workspace, startOf(s)))
 }
@@ -117,7 +117,7 @@
 }
 
 // isCrash reports whether a connection broke because its server ended.
-func (r *Relay) isCrash(err error, s shed.Listing) bool {
+func (r *Relay) isCrash(err error, s shed.ServerEntry) bool {
 	return closedByServer(err) && r.serverEnded(s)
 }
 
@@ -128,11 +128,13 @@
 		errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)
 }
 
-func startOf(s shed.Listing) shed.ServerStart { return shed.ServerStart{Server: s.ID, Born: s.Born} }
+func startOf(s shed.ServerEntry) shed.ServerStart {
+	return shed.ServerStart{Server: s.ID, StartedMs: s.StartedMs}
+}
 
 // serverEnded reports whether a server whose connection broke has ended. Servers close
 // connections for other reasons as well; one that has ended accepts none.
-func (r *Relay) serverEnded(s shed.Listing) bool {
+func (r *Relay) serverEnded(s shed.ServerEntry) bool {
 	r.mu.Lock()
 	known := r.poison.Knows(time.Now(), startOf(s))
 	r.mu.Unlock()
--- a/internal/relay/receive.go
+++ b/internal/relay/receive.go
@@ -18,7 +18,7 @@
 // server.
 func (r *Relay) receiveRequest(req *http.Request) (*job, *refusal) {
 	j := &job{began: time.Now(), answerTime: picker.FirstOverrun}
-	ask, err := r.cfg.Dialect.Ask(req)
+	ask, err := r.cfg.Dialect.ParseRequest(req)
 	if err != nil {
 		r.log.WithError(err).Info("invalid request head")
 		return j, &refusal{status: http.StatusBadRequest, reason: reasonBadHead}
@@ -65,8 +65,8 @@
 		return r.permanentRefusal(http.StatusNotFound, reasonNoRoute)
 	}
 	j.rank = j.route.Rank
-	if len(c.Keys) > 0 {
-		ws, ok := c.Keys[j.ask.Key]
+	if len(c.APIKeys) > 0 {
+		ws, ok := c.APIKeys[j.ask.Key]
 		if !ok && !j.route.Public {
 			return r.permanentRefusal(http.StatusUnauthorized, reasonBadKey)
 		}
@@ -80,8 +80,8 @@
 		return &refusal{status: http.StatusServiceUnavailable, reason: shed.ReasonNoServer, retryAfter: accept.ComeBack}
 	}
 	wait := j.route.Timeout
-	if j.ask.Wait > 0 && (wait == 0 || j.ask.Wait < wait) {
-		wait = j.ask.Wait
+	if j.ask.Budget > 0 && (wait == 0 || j.ask.Budget < wait) {
+		wait = j.ask.Budget
 	}
 	if wait == 0 {
 		wait = defaultTimeout
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -158,11 +158,11 @@
 }
 
 // serverEntries returns the open servers of a pool, for the batcher.
-func (r *Relay) serverEntries(pool shed.PoolID) []shed.Listing {
+func (r *Relay) serverEntries(pool shed.PoolID) []shed.ServerEntry {
 	open := r.roster.Open(pool)
-	out := make([]shed.Listing, len(open))
+	out := make([]shed.ServerEntry, len(open))
 	for i, s := range open {
-		out[i] = s.Listing
+		out[i] = s.ServerEntry
 	}
 	return out
 }
--- a/internal/relay/send.go
+++ b/internal/relay/send.go
@@ -112,19 +112,19 @@
 func (a *attempt) run(ctx context.Context) outcome {
 	j := a.job
 	hop := shed.Hop{
-		Server: a.choice.Server.Listing, Left: time.Until(j.deadline) - answerSlack,
-		Workspace: j.workspace, Urgency: j.rank, Resume: j.ask.Resume, Inputs: j.inputs,
+		Server: a.choice.Server.ServerEntry, Budget: time.Until(j.deadline) - answerSlack,
+		Workspace: j.workspace, Urgency: j.rank, LastEventID: j.ask.LastEventID, Inputs: j.inputs,
 	}
 	if a.out.lastEvent != "" {
-		hop.Resume = a.out.lastEvent
+		hop.LastEventID = a.out.lastEvent
 	}
 	if !j.route.Streaming {
 		hop.Urgency = -1
 	}
 	if a.choice.Donor != nil {
-		hop.Donor = a.choice.Donor.Addr
+		hop.CacheSource = a.choice.Donor.Addr
 	}
-	req, err := a.relay.cfg.Dialect.Forward(&j.ask, hop)
+	req, err := a.relay.cfg.Dialect.NewForwardRequest(&j.ask, hop)
 	if err != nil {
 		a.err = err
 		return outcome{reason: reasonBadHead}
@@ -151,17 +151,17 @@
 func (a *attempt) handleAnswer(ctx context.Context, resp *http.Response) outcome {
 	j := a.job
 	a.status = resp.StatusCode
-	reply := a.relay.cfg.Dialect.Reply(resp)
+	reply := a.relay.cfg.Dialect.ParseReply(resp)
 	if reply.ID != j.ask.ID {
 		// This is a second answer to an earlier request on the connection, or bytes that are no
 		// answer: they belong to no request.
 		a.serverFailed = true
 		return outcome{sent: true, mayHaveRun: true, reason: reasonOtherAnswer}
 	}
-	a.relay.receiveAnswerLimit(a.choice.Server.Listing, reply)
-	if reply.Cold > 0 {
+	a.relay.receiveAnswerLimit(a.choice.Server.ServerEntry, reply)
+	if reply.ColdRemaining > 0 {
 		a.relay.mu.Lock()
-		a.relay.roster.TurnedCold(time.Now(), a.choice.Server.ID, reply.Cold)
+		a.relay.roster.TurnedCold(time.Now(), a.choice.Server.ID, reply.ColdRemaining)
 		a.relay.mu.Unlock()
 	}
 	if reply.NotRun {
@@ -197,7 +197,7 @@
 		// The server did not resume the stream.
 		return outcome{sent: true, mayHaveRun: true, reason: shed.ReasonServerError}
 	}
-	if resp.StatusCode >= http.StatusInternalServerError && a.job.route.Repeatable && a.job.sends+1 < a.job.route.MostSends &&
+	if resp.StatusCode >= http.StatusInternalServerError && a.job.route.Repeatable && a.job.sends+1 < a.job.route.MaxSends &&
 		a.relay.hasOtherServer(a.job, a.choice) {
 		a.serverFailed = true
 		return outcome{sent: true, mayHaveRun: true, reason: shed.ReasonServerError}
--- a/internal/relay/serve.go
+++ b/internal/relay/serve.go
@@ -24,7 +24,7 @@
 
 // job is the state of one caller's request.
 type job struct {
-	ask       shed.Ask
+	ask       shed.RequestHead
 	route     *shed.Route
 	pool      *shed.RelayPool
 	workspace shed.WorkspaceID
@@ -137,7 +137,7 @@
 
 // canRetry reports whether the request may be sent to another server after v.
 func (r *Relay) canRetry(j *job, v outcome) bool {
-	if v.sent && j.sends >= j.route.MostSends {
+	if v.sent && j.sends >= j.route.MaxSends {
 		return false
 	}
 	if v.mayHaveRun && !j.route.Repeatable && !j.route.Resumable {
@@ -246,7 +246,7 @@
 
 func (r *Relay) wantFor(j *job) picker.Want {
 	w := picker.Want{
-		Prompt: j.ask.Prompt, Input: j.ask.Input, Engine: j.pool.Engine != nil, Avoid: j.avoid,
+		Prompt: j.ask.Prompt, Input: j.ask.InputTokens, Engine: j.pool.Engine != nil, Avoid: j.avoid,
 	}
 	if j.pool.Engine != nil && r.prefs.Load().Relay.Has(prefs.KVFetch) {
 		w.FetchRate = j.pool.Engine.FetchRate
--- a/internal/relay/steps.go
+++ b/internal/relay/steps.go
@@ -109,7 +109,7 @@
 func newUseCounts(p plan) *useCounts {
 	u := &useCounts{remaining: make([]int, len(p.steps))}
 	for _, s := range p.steps {
-		for _, before := range s.After {
+		for _, before := range s.DependsOn {
 			if at := p.stepIndex(before); at >= 0 {
 				u.remaining[at]++
 			}
@@ -125,7 +125,7 @@
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	var out []shed.ResultRef
-	for _, before := range p.steps[done].After {
+	for _, before := range p.steps[done].DependsOn {
 		at := p.stepIndex(before)
 		if at < 0 {
 			continue
@@ -212,7 +212,7 @@
 	after := r.minTimeAfter(j, p, at)
 	preferred := r.preferredZone(j, p, at, results)
 	var inputs []shed.ResultRef
-	for _, before := range s.After {
+	for _, before := range s.DependsOn {
 		if i := p.stepIndex(before); i >= 0 {
 			inputs = append(inputs, results[i]...)
 		}
@@ -220,8 +220,8 @@
 	for n := range pieces {
 		pieces[n] = shed.Piece{
 			Request: j.ask.ID, Step: s.Index, Number: n, Inputs: inputs, Bytes: s.ResultBytes,
-			Left: j.deadline.Sub(now) - after, Aim: r.timeToTarget(j, now) - after,
-			Near: preferred, Together: p.fetchedBytes(at) >= largeResultBytes,
+			Budget: j.deadline.Sub(now) - after, Target: r.timeToTarget(j, now) - after,
+			PreferredZone: preferred, SameZone: p.fetchedBytes(at) >= largeResultBytes,
 			Origin: shed.RequestRef{Request: j.fingerprint, Workspace: j.workspace},
 		}
 		if len(inputs) == 0 {
@@ -229,14 +229,14 @@
 		}
 	}
 	refs := make([]shed.ResultRef, len(pieces))
-	end := shed.PieceMade
+	end := shed.PieceComplete
 	for n, res := range r.runPieces(ctx, j, s.Pool, pieces) {
 		refs[n] = res.Ref
-		if res.End != shed.PieceMade {
+		if res.End != shed.PieceComplete {
 			end = res.End
 		}
 	}
-	if end != shed.PieceMade {
+	if end != shed.PieceComplete {
 		return r.discardStep(j, refs, end)
 	}
 	return refs, ctx.Err()
@@ -262,7 +262,7 @@
 	if p.isFinal(at) && s.ResultBytes >= largeResultBytes {
 		return j.zone
 	}
-	for _, before := range s.After {
+	for _, before := range s.DependsOn {
 		i := p.stepIndex(before)
 		if i >= 0 && p.fetchedBytes(i) >= largeResultBytes {
 			return r.zoneOf(p.steps[i].Pool, results[i])
@@ -278,7 +278,7 @@
 	count := map[shed.ZoneID]int{}
 	most := shed.ZoneID("")
 	for _, ref := range refs {
-		addr := r.cfg.Dialect.Maker(ref)
+		addr := r.cfg.Dialect.Producer(ref)
 		for _, server := range r.roster.Open(pool) {
 			if server.Addr != addr {
 				continue
--- a/internal/relay/sync.go
+++ b/internal/relay/sync.go
@@ -109,7 +109,7 @@
 	switch call {
 	case follow.ListCopy:
 		rd.from, rd.whole = roster.FromCopy, true
-		rd.items, rd.asOf, err = r.cfg.Store.ListCopy(ctx)
+		rd.items, rd.asOf, err = r.cfg.Store.ListReplica(ctx)
 	case follow.List:
 		rd.whole = true
 		rd.items, rd.asOf, err = r.cfg.Store.List(ctx)
@@ -156,7 +156,7 @@
 	defer r.setApplying(false)
 	l := roster.Learned{Source: rd.from, AsOf: rd.asOf, Whole: rd.whole}
 	for _, item := range rd.items {
-		if r.cfg.Store.Owns(item.Key) {
+		if r.cfg.Store.IsRecordKey(item.Key) {
 			l.Items = append(l.Items, r.parseItem(item))
 		}
 	}
@@ -188,10 +188,10 @@
 // several sources, and parsing it takes a low-capacity VM a good part of a second.
 func (r *Relay) parseItem(item shed.Item) roster.Entry {
 	e := roster.Entry{Item: item}
-	if item.Gone || r.hasItem(item) {
+	if item.Deleted || r.hasItem(item) {
 		return e
 	}
-	fact, err := r.cfg.Store.Read(item)
+	fact, err := r.cfg.Store.ParseRecord(item)
 	if err != nil {
 		r.log.WithField("key", item.Key).WithError(err).Warn("invalid item of the store ignored")
 		return e
--- a/internal/relay/turns.go
+++ b/internal/relay/turns.go
@@ -27,7 +27,7 @@
 // or the one that applies while it is cold. limited is false if it has none. The caller holds
 // mu.
 func (r *Relay) turnLimit(now time.Time, pool *shed.RelayPool, s *roster.Server) (ask turns.Ask, limited bool) {
-	ask = turns.Ask{Start: startOf(s.Listing), Burst: 1}
+	ask = turns.Ask{Start: startOf(s.ServerEntry), Burst: 1}
 	if r.limits.Empty() && !s.Cold(now) {
 		return ask, false
 	}
--- a/internal/roster/learn.go
+++ b/internal/roster/learn.go
@@ -22,7 +22,7 @@
 // Entry is an item with what it says; Fact is nil if that is nothing known.
 type Entry struct {
 	shed.Item
-	Fact shed.Fact
+	Fact shed.Record
 }
 
 // Change is one change of belief, for the log.
@@ -50,7 +50,7 @@
 	}
 	r.copied = r.copied || l.Source == FromCopy
 	for _, e := range l.Items {
-		if e.Gone {
+		if e.Deleted {
 			out = r.remove(now, out, from, e.Key, e.Revision)
 		} else {
 			out = r.put(now, out, e)
@@ -111,11 +111,11 @@
 		out = append(out, Change{What: CatalogInForce, Key: e.Key, Revision: e.Revision, Version: f.Version})
 	case shed.ZoneClosed:
 		out = append(out, Change{What: ZoneClosed, Key: e.Key, Revision: e.Revision, Zone: f.Zone})
-	case shed.Listing:
+	case shed.ServerEntry:
 		out = r.listed(now, out, e, f)
 	default:
 		if old := r.items[e.Key]; old != nil && old.Fact != nil {
-			if l, ok := old.Fact.(shed.Listing); ok {
+			if l, ok := old.Fact.(shed.ServerEntry); ok {
 				// The entry names no server any more.
 				delete(r.servers, l.ID)
 				delete(r.items, e.Key)
@@ -134,13 +134,13 @@
 // listed takes in a server's entry. It was written a while ago, so the server
 // is cold for less than it says; until ColdUntil is surely over it counts as
 // cold.
-func (r *Roster) listed(now time.Time, out []Change, e Entry, l shed.Listing) []Change {
+func (r *Roster) listed(now time.Time, out []Change, e Entry, l shed.ServerEntry) []Change {
 	old := r.servers[l.ID]
-	s := &Server{Listing: l}
-	if old != nil && old.Born == l.Born {
+	s := &Server{ServerEntry: l}
+	if old != nil && old.StartedMs == l.StartedMs {
 		s.ColdUntil = old.ColdUntil
 	}
-	if until := now.Add(l.Cold); l.Cold > 0 && until.After(s.ColdUntil) {
+	if until := now.Add(l.ColdRemaining); l.ColdRemaining > 0 && until.After(s.ColdUntil) {
 		s.ColdUntil = until
 	}
 	r.servers[l.ID] = s
@@ -159,7 +159,7 @@
 	if old == nil || rev != 0 && rev < old.Revision {
 		return out
 	}
-	if l, ok := old.Fact.(shed.Listing); ok && from == FromStore && !l.Leaving && now.Before(r.backAt.Add(r.cfg.LapseGrace)) {
+	if l, ok := old.Fact.(shed.ServerEntry); ok && from == FromStore && !l.Leaving && now.Before(r.backAt.Add(r.cfg.LapseGrace)) {
 		if old.lapsedAt.IsZero() {
 			old.lapsedAt = now
 			out = append(out, Change{What: ServerLapsed, Key: key, Revision: rev, Server: l.ID, Zone: l.Zone})
@@ -174,7 +174,7 @@
 	old := r.items[key]
 	delete(r.items, key)
 	switch f := old.Fact.(type) {
-	case shed.Listing:
+	case shed.ServerEntry:
 		delete(r.servers, f.ID)
 		out = append(out, Change{What: ServerGone, Key: key, Revision: old.Revision, Server: f.ID, Zone: f.Zone})
 	case shed.ZoneClosed:
@@ -189,8 +189,8 @@
 func (r *Roster) reopened(now time.Time, zone shed.ZoneID) {
 	for _, s := range r.servers {
 		pool := r.pool(s.Pool)
-		if s.Zone == zone && pool != nil && pool.ColdFor > 0 {
-			s.ColdUntil = shed.Later(s.ColdUntil, now.Add(pool.ColdFor))
+		if s.Zone == zone && pool != nil && pool.ColdDuration > 0 {
+			s.ColdUntil = shed.Later(s.ColdUntil, now.Add(pool.ColdDuration))
 		}
 	}
 }
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -46,7 +46,7 @@
 
 // Server is one backend server as the roster believes it to be.
 type Server struct {
-	shed.Listing
+	shed.ServerEntry
 	// ColdUntil is when it will be warm by what is known; zero: it is.
 	ColdUntil time.Time
 	// Lapsed: its entry vanished while the store was away; it is used until
@@ -150,7 +150,7 @@
 		switch f := r.items[key].Fact.(type) {
 		case shed.ZoneClosed:
 			r.closed[f.Zone] = true
-		case shed.Listing:
+		case shed.ServerEntry:
 			s := r.servers[f.ID]
 			s.Lapsed = !r.items[key].lapsedAt.IsZero()
 			r.pools[f.Pool] = append(r.pools[f.Pool], s)
--- a/internal/roster/roster_test.go
+++ b/internal/roster/roster_test.go
@@ -14,8 +14,8 @@
 
 var start = time.Unix(1_700_000_000, 0)
 
-func server(id string, rev shed.Revision, change func(*shed.Listing)) roster.Entry {
-	l := shed.Listing{ID: shed.ServerID(id), Pool: "lm", Addr: id + ":1", Zone: "a", Born: 1}
+func server(id string, rev shed.Revision, change func(*shed.ServerEntry)) roster.Entry {
+	l := shed.ServerEntry{ID: shed.ServerID(id), Pool: "lm", Addr: id + ":1", Zone: "a", StartedMs: 1}
 	if change != nil {
 		change(&l)
 	}
@@ -23,11 +23,11 @@
 }
 
 func gone(id string, rev shed.Revision) roster.Entry {
-	return roster.Entry{Item: shed.Item{Key: "s/" + id, Revision: rev, Gone: true}}
+	return roster.Entry{Item: shed.Item{Key: "s/" + id, Revision: rev, Deleted: true}}
 }
 
 func closed(zone shed.ZoneID, rev shed.Revision, isGone bool) roster.Entry {
-	e := roster.Entry{Item: shed.Item{Key: "z/" + string(zone), Revision: rev, Gone: isGone}}
+	e := roster.Entry{Item: shed.Item{Key: "z/" + string(zone), Revision: rev, Deleted: isGone}}
 	if !isGone {
 		e.Fact = shed.ZoneClosed{Zone: zone}
 	}
@@ -36,7 +36,7 @@
 
 func catalog(version string, rev shed.Revision) roster.Entry {
 	return roster.Entry{Item: shed.Item{Key: "c", Revision: rev}, Fact: &shed.Catalog{
-		Version: version, Pools: map[shed.PoolID]*shed.RelayPool{"lm": {ID: "lm", ColdFor: 3 * time.Second, ColdRate: 8}},
+		Version: version, Pools: map[shed.PoolID]*shed.RelayPool{"lm": {ID: "lm", ColdDuration: 3 * time.Second, ColdRate: 8}},
 	}}
 }
 
@@ -70,7 +70,7 @@
 func TestLeavingServersGetNoNewWork(t *testing.T) {
 	r, now := healthy(catalog("1", 1), server("x", 2, nil), server("y", 3, nil))
 	require.Equal(t, []shed.ServerID{"x", "y"}, open(r))
-	r.Learn(now, store(11, server("x", 11, func(l *shed.Listing) { l.Leaving = true })))
+	r.Learn(now, store(11, server("x", 11, func(l *shed.ServerEntry) { l.Leaving = true })))
 	require.Equal(t, []shed.ServerID{"y"}, open(r))
 	r.Learn(now, store(12, gone("y", 12)))
 	require.Empty(t, open(r))
@@ -140,7 +140,7 @@
 
 func TestNewServerIsColdForAsLongAsItSays(t *testing.T) {
 	r, now := healthy(catalog("1", 1))
-	r.Learn(now, store(11, server("x", 11, func(l *shed.Listing) { l.Cold = time.Second })))
+	r.Learn(now, store(11, server("x", 11, func(l *shed.ServerEntry) { l.ColdRemaining = time.Second })))
 	require.True(t, r.Open("lm")[0].Cold(now))
 	r.TurnedCold(now, "x", 2*time.Second)
 	require.True(t, r.Open("lm")[0].Cold(now.Add(1900*time.Millisecond)))
@@ -193,7 +193,7 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		first, second := roster.New(roster.Config{}), roster.New(roster.Config{})
 		now, rev := start, shed.Revision(1)
-		facts := map[string]shed.Fact{}
+		facts := map[string]shed.Record{}
 		entries := func(items []shed.Item) []roster.Entry {
 			var out []roster.Entry
 			for _, it := range items {
--- a/internal/roster/share.go
+++ b/internal/roster/share.go
@@ -32,7 +32,7 @@
 	}
 	slices.Sort(gone)
 	for _, key := range gone {
-		out = append(out, shed.Item{Key: key, Revision: r.deleted[key], Gone: true})
+		out = append(out, shed.Item{Key: key, Revision: r.deleted[key], Deleted: true})
 	}
 	return out
 }
--- a/internal/route/affinity.go
+++ b/internal/route/affinity.go
@@ -83,10 +83,10 @@
 	var slow time.Duration
 	known := 0
 	for i := range from {
-		running += float64(max(from[i].Running, from[i].Own))
+		running += float64(max(from[i].Running, from[i].OwnCalls))
 		room += bears(&from[i])
-		if from[i].Slow > 0 {
-			slow += from[i].Slow
+		if from[i].MedianCallTime > 0 {
+			slow += from[i].MedianCallTime
 			known++
 		}
 	}
@@ -119,7 +119,7 @@
 		scores[at], ranks[at] = score, i
 	}
 	for _, i := range ranks[:n] {
-		if slow > 0 && from[i].Slow > slow {
+		if slow > 0 && from[i].MedianCallTime > slow {
 			continue
 		}
 		// A server with one place free of many is never above the bound only
@@ -139,7 +139,7 @@
 	for k := range p.cfg.Draws {
 		i := p.rng.IntN(len(from))
 		load := relative(&from[i])
-		if slow > 0 && from[i].Slow > slow {
+		if slow > 0 && from[i].MedianCallTime > slow {
 			load++
 		}
 		if k == 0 || load < bestLoad {
--- a/internal/route/base.go
+++ b/internal/route/base.go
@@ -28,7 +28,7 @@
 	best := p.next % len(from)
 	for k := range from {
 		i := (p.next + k) % len(from)
-		if from[i].Own < from[best].Own {
+		if from[i].OwnCalls < from[best].OwnCalls {
 			best = i
 		}
 	}
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -44,7 +44,7 @@
 // bears is how many calls the candidate carries at once as it is now.
 func bears(c *shed.Candidate) float64 {
 	if c.Cold {
-		return float64(max(c.Server.ColdBears, 1))
+		return float64(max(c.Server.ColdCapacity, 1))
 	}
 	return float64(max(c.Server.Capacity, 1))
 }
@@ -52,5 +52,5 @@
 // relative is the candidate's load once it has one call more, as a share of
 // what it bears.
 func relative(c *shed.Candidate) float64 {
-	return float64(max(c.Running, c.Own)+1) / bears(c)
+	return float64(max(c.Running, c.OwnCalls)+1) / bears(c)
 }
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -15,7 +15,7 @@
 func candidates(n, capacity int) []shed.Candidate {
 	out := make([]shed.Candidate, n)
 	for i := range out {
-		out[i].Server = &shed.Server{ID: shed.ServerID(fmt.Sprintf("s%03d", i)), Capacity: capacity, ColdBears: 1}
+		out[i].Server = &shed.Server{ID: shed.ServerID(fmt.Sprintf("s%03d", i)), Capacity: capacity, ColdCapacity: 1}
 	}
 	return out
 }
@@ -51,14 +51,14 @@
 	p := NewAffinity(AffinityConfig{Seed: 1})
 	cases := map[string]func(*shed.Candidate){
 		"to load":     func(c *shed.Candidate) { c.Running = 7 },
-		"to own work": func(c *shed.Candidate) { c.Own = 7 },
-		"to slowness": func(c *shed.Candidate) { c.Slow = 10 * time.Second },
+		"to own work": func(c *shed.Candidate) { c.OwnCalls = 7 },
+		"to slowness": func(c *shed.Candidate) { c.MedianCallTime = 10 * time.Second },
 	}
 	for name, burden := range cases {
 		t.Run(name, func(t *testing.T) {
 			from := candidates(16, 8)
 			for i := range from {
-				from[i].Slow = time.Second
+				from[i].MedianCallTime = time.Second
 			}
 			first := p.Pick(zero, 42, from)
 			burden(&from[first])
@@ -78,7 +78,7 @@
 	for range 60 {
 		i := p.Pick(zero, 42, from)
 		from[i].Running++
-		from[i].Own++
+		from[i].OwnCalls++
 	}
 	for i := range from {
 		require.LessOrEqual(t, from[i].Running, 9)
--- a/internal/route/trial_test.go
+++ b/internal/route/trial_test.go
@@ -96,7 +96,7 @@
 	}
 	t.actual[s]++
 	t.seen[daemon][s].Running++
-	t.seen[daemon][s].Own++
+	t.seen[daemon][s].OwnCalls++
 	end := step + trialCall/2 + t.rng.IntN(trialCall)
 	t.ends[end] = append(t.ends[end], daemon*trialServers+s)
 }
@@ -105,7 +105,7 @@
 	for _, e := range t.ends[step] {
 		daemon, s := e/trialServers, e%trialServers
 		t.actual[s]--
-		t.seen[daemon][s].Own--
+		t.seen[daemon][s].OwnCalls--
 		t.seen[daemon][s].Running = max(t.seen[daemon][s].Running-1, 0)
 	}
 	for s := range t.actual {
--- a/internal/rules/build.go
+++ b/internal/rules/build.go
@@ -72,15 +72,15 @@
 func newBuilder(rev shed.Revision, rows int, faults Faults) *builder {
 	return &builder{
 		rules: &shed.Rules{
-			Revision:    rev,
-			Pipelines:   map[shed.PipelineID]*shed.Pipeline{},
-			Pools:       map[shed.PoolID]*shed.Pool{},
-			Servers:     map[shed.ServerID]*shed.Server{},
-			Workspaces:  map[shed.WorkspaceID]*shed.Workspace{},
-			Zones:       map[shed.ZoneID]*shed.Zone{},
-			Suppliers:   map[shed.SupplierID]*shed.Supplier{},
-			Models:      map[shed.ModelID]*shed.Model{},
-			WeightLoads: 1,
+			Revision:       rev,
+			Pipelines:      map[shed.PipelineID]*shed.Pipeline{},
+			Pools:          map[shed.PoolID]*shed.Pool{},
+			Servers:        map[shed.ServerID]*shed.Server{},
+			Workspaces:     map[shed.WorkspaceID]*shed.Workspace{},
+			Zones:          map[shed.ZoneID]*shed.Zone{},
+			Suppliers:      map[shed.SupplierID]*shed.Supplier{},
+			Models:         map[shed.ModelID]*shed.Model{},
+			MaxWeightLoads: 1,
 		},
 		faults: faults,
 		first:  make(map[ruleName]int, rows),
@@ -118,7 +118,7 @@
 func (b *builder) zone(f *fields) {
 	z := &shed.Zone{Origin: f.row.Origin, ID: shed.ZoneID(f.row.key)}
 	z.Region = f.id("region")
-	z.Out = f.yes("out", false)
+	z.OutOfService = f.yes("out", false)
 	f.done("region", "out")
 	b.rules.Zones[z.ID] = z
 }
@@ -144,7 +144,7 @@
 	if f.has("model") {
 		p.Model = shed.ModelID(f.id("model"))
 	}
-	p.Unit = f.price("unit", maxUnit)
+	p.UnitPrice = f.price("unit", maxUnit)
 	f.done("kind", "model", "unit")
 	b.rules.Pools[p.ID] = p
 }
@@ -168,9 +168,9 @@
 	s.Supplier = shed.SupplierID(f.id("supplier"))
 	s.URL = f.base("url")
 	s.Capacity = f.count("capacity", 0, maxCapacity)
-	s.ColdBears = f.count("cold_bears", 0, maxCapacity)
-	if s.Capacity > 0 && s.ColdBears > s.Capacity {
-		f.fault(fmt.Sprintf("cold_bears %d is above capacity %d", s.ColdBears, s.Capacity),
+	s.ColdCapacity = f.count("cold_bears", 0, maxCapacity)
+	if s.Capacity > 0 && s.ColdCapacity > s.Capacity {
+		f.fault(fmt.Sprintf("cold_bears %d is above capacity %d", s.ColdCapacity, s.Capacity),
 			"a cold server never bears more than a warm one; lower cold_bears")
 	}
 	s.ChecksCaller = f.yes("checks_caller", false)
@@ -212,7 +212,7 @@
 	s.Kind = f.kind()
 	s.Pool = shed.PoolID(f.id("pool"))
 	s.Zones = sortedIDs[shed.ZoneID](f.ids("zones"))
-	s.Minimum = f.duration("minimum", minTime, maxDeadline)
+	s.MinDuration = f.duration("minimum", minTime, maxDeadline)
 	// A service call that is repeated unasked may push a warning twice, so
 	// whoever writes the rule has to say that it may.
 	if s.Kind == shed.KindService && !f.has("idempotent") {
@@ -242,5 +242,5 @@
 		f.fault("unknown limit", "use weight_loads")
 		return
 	}
-	b.rules.WeightLoads = f.checkCount("weight_loads", strings.TrimSpace(f.row.value), maxWeightLoads)
+	b.rules.MaxWeightLoads = f.checkCount("weight_loads", strings.TrimSpace(f.row.value), maxWeightLoads)
 }
--- a/internal/rules/explain.go
+++ b/internal/rules/explain.go
@@ -17,7 +17,7 @@
 
 // String gives the line as it is shown to operators.
 func (l Line) String() string {
-	return fmt.Sprintf("line %d: %s (asked for by %s)", l.Line, l.Effect, l.Asked)
+	return fmt.Sprintf("line %d: %s (asked for by %s)", l.Line, l.Effect, l.RequestedBy)
 }
 
 // Explain lists the lines that decide about a subject, sorted by line. The
@@ -99,11 +99,11 @@
 	if !s.Idempotent {
 		often = "runs at most once"
 	}
-	e.add(s.Origin, "stage %s/%s runs on pool %s %s, takes at least %s and %s", p.ID, s.ID, s.Pool, where, s.Minimum, often)
+	e.add(s.Origin, "stage %s/%s runs on pool %s %s, takes at least %s and %s", p.ID, s.ID, s.Pool, where, s.MinDuration, often)
 	pool := e.rules.Pools[s.Pool]
 	e.pool(pool)
 	for _, server := range pool.Servers {
-		if s.MayRun(server.Zone) {
+		if s.MayRunIn(server.Zone) {
 			e.closed(server)
 		}
 	}
@@ -111,10 +111,10 @@
 
 func (e *explainer) pool(p *shed.Pool) {
 	if p.Model == "" {
-		e.add(p.Origin, "pool %s (servers: %d) costs %g for a second of a whole server", p.ID, len(p.Servers), p.Unit)
+		e.add(p.Origin, "pool %s (servers: %d) costs %g for a second of a whole server", p.ID, len(p.Servers), p.UnitPrice)
 		return
 	}
-	e.add(p.Origin, "pool %s (servers: %d) has model %s and costs %g for a second of a whole server", p.ID, len(p.Servers), p.Model, p.Unit)
+	e.add(p.Origin, "pool %s (servers: %d) has model %s and costs %g for a second of a whole server", p.ID, len(p.Servers), p.Model, p.UnitPrice)
 	m := e.rules.Models[p.Model]
 	e.add(m.Origin, "model %s is of version %s", m.ID, m.Version)
 }
@@ -127,13 +127,13 @@
 	if sup := e.rules.Suppliers[s.Supplier]; sup.Leaving {
 		e.add(sup.Origin, "supplier %s is leaving, so server %s gets no new work", sup.ID, s.ID)
 	}
-	if z := e.rules.Zones[s.Zone]; z.Out {
+	if z := e.rules.Zones[s.Zone]; z.OutOfService {
 		e.add(z.Origin, "zone %s is out, so server %s gets no new work", z.ID, s.ID)
 	}
 }
 
 func (e *explainer) server(s *shed.Server) {
-	e.add(s.Origin, "server %s of pool %s carries %d calls, and %d while cold", s.ID, s.Pool, s.Capacity, s.ColdBears)
+	e.add(s.Origin, "server %s of pool %s carries %d calls, and %d while cold", s.ID, s.Pool, s.Capacity, s.ColdCapacity)
 	orders := "does not check who gives it orders"
 	if s.ChecksCaller {
 		orders = "checks who gives it orders"
@@ -160,7 +160,7 @@
 }
 
 func (e *explainer) zone(z *shed.Zone) {
-	e.add(z.Origin, "zone %s is of region %s and is %s", z.ID, z.Region, choose(z.Out, "out: no new work", "in service"))
+	e.add(z.Origin, "zone %s is of region %s and is %s", z.ID, z.Region, choose(z.OutOfService, "out: no new work", "in service"))
 }
 
 func (e *explainer) supplier(s *shed.Supplier) {
--- a/internal/rules/link.go
+++ b/internal/rules/link.go
@@ -169,7 +169,7 @@
 			b.dangling(r, "stage", string(p.ID)+"/"+string(id), sectionStages)
 			continue
 		}
-		least += s.Minimum
+		least += s.MinDuration
 		p.Stages = append(p.Stages, *s)
 		b.runnable(r, s)
 	}
@@ -186,7 +186,7 @@
 		return
 	}
 	for _, server := range pool.Servers {
-		if s.MayRun(server.Zone) {
+		if s.MayRunIn(server.Zone) {
 			return
 		}
 	}
--- a/internal/rules/row.go
+++ b/internal/rules/row.go
@@ -193,7 +193,7 @@
 	// A rule without its comment is refused but still read, so that the rules
 	// that refer to it bring no faults of their own.
 	rd.rows = append(rd.rows, row{
-		Origin:  shed.Origin{Line: n, Asked: asked},
+		Origin:  shed.Origin{Line: n, RequestedBy: asked},
 		section: rd.section,
 		key:     name,
 		value:   p.value,
--- a/internal/slots/compare_test.go
+++ b/internal/slots/compare_test.go
@@ -59,7 +59,7 @@
 	for i := range n {
 		c.vms = append(c.vms, shed.VM(fmt.Sprintf("10.0.0.%d:1", i)))
 		t := New(Config{Self: c.vms[i], LongestCall: 2 * contestCall, ReleaseUpTo: -1})
-		t.SetServers(c.now, []*shed.Server{{ID: "s1", ColdBears: bears, Capacity: 9}})
+		t.SetServers(c.now, []*shed.Server{{ID: "s1", ColdCapacity: bears, Capacity: 9}})
 		c.tables = append(c.tables, t)
 	}
 	// All have long been up when the server turns cold.
--- a/internal/slots/early.go
+++ b/internal/slots/early.go
@@ -66,16 +66,16 @@
 // present turn, so it was sent after this daemon's last change of view: a late
 // one from an earlier, equal view could hide calls started in between.
 func (t *Table) release(now time.Time, from shed.VM, m shed.SlotRelease) []shed.Action {
-	if m.View == t.hash && (m.Seen == t.turn || t.off.noTurn) {
+	if m.ViewHash == t.hash && (m.SeenEpoch == t.turn || t.off.noTurn) {
 		if _, ok := t.released[from]; !ok {
 			t.released[from] = now
 		}
 	}
-	if t.heard[from] == m.Turn {
+	if t.heard[from] == m.Epoch {
 		return nil
 	}
-	t.heard[from] = m.Turn
-	if m.View != t.hash || !t.mayTell(now) {
+	t.heard[from] = m.Epoch
+	if m.ViewHash != t.hash || !t.mayTell(now) {
 		return nil
 	}
 	return []shed.Action{t.releaseTo(from)}
@@ -101,9 +101,9 @@
 
 func (t *Table) releaseTo(vm shed.VM) shed.Action {
 	return shed.SendPeer{To: vm, Message: shed.SlotRelease{
-		View: t.hash,
-		Turn: t.turn,
-		Seen: t.heard[vm],
+		ViewHash:  t.hash,
+		Epoch:     t.turn,
+		SeenEpoch: t.heard[vm],
 	}}
 }
 
--- a/internal/slots/table.go
+++ b/internal/slots/table.go
@@ -210,7 +210,7 @@
 }
 
 func (t *Table) resize(e *entry) {
-	n := e.server.ColdBears
+	n := e.server.ColdCapacity
 	if n < len(e.slots) {
 		e.slots = e.slots[:n]
 	}
--- a/internal/slots/table_test.go
+++ b/internal/slots/table_test.go
@@ -91,7 +91,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			now := time.Unix(1000, 0)
-			server := &shed.Server{ID: "s1", Capacity: 4, ColdBears: 4}
+			server := &shed.Server{ID: "s1", Capacity: 4, ColdCapacity: 4}
 			table := New(Config{Self: "a"})
 			table.off = tc.off
 			table.SetServers(now, []*shed.Server{server})
@@ -101,7 +101,7 @@
 				table.SetView(now, vms, hash, false)
 			}
 			see(1, "a", "b")
-			old := shed.SlotRelease{View: 1, Turn: 5, Seen: table.turn}
+			old := shed.SlotRelease{ViewHash: 1, Epoch: 5, SeenEpoch: table.turn}
 			see(2, "a")
 			see(1, "a", "b")
 			for range 50 {
@@ -144,7 +144,7 @@
 		vm := shed.VM(fmt.Sprintf("10.0.0.%d:1", i))
 		vms = append(vms, vm)
 		tables[vm] = New(Config{Self: vm})
-		tables[vm].SetServers(now, []*shed.Server{{ID: "s1", Capacity: 9, ColdBears: 4}})
+		tables[vm].SetServers(now, []*shed.Server{{ID: "s1", Capacity: 9, ColdCapacity: 4}})
 		tables[vm].SetKnown(now, vms)
 	}
 	for free == 0 {
@@ -187,7 +187,7 @@
 	}
 	var servers []*shed.Server
 	for i := range 192 {
-		servers = append(servers, &shed.Server{ID: shed.ServerID(fmt.Sprintf("drafting-%03d", i)), Capacity: 16, ColdBears: 4})
+		servers = append(servers, &shed.Server{ID: shed.ServerID(fmt.Sprintf("drafting-%03d", i)), Capacity: 16, ColdCapacity: 4})
 	}
 	table.SetServers(now, servers)
 	table.SetKnown(now, vms)
--- a/internal/slots/world_test.go
+++ b/internal/slots/world_test.go
@@ -100,7 +100,7 @@
 	p.table.off = w.off
 	known := []*shed.Server{}
 	for _, id := range servers {
-		known = append(known, &shed.Server{ID: id, ColdBears: w.bears[id], Capacity: 9})
+		known = append(known, &shed.Server{ID: id, ColdCapacity: w.bears[id], Capacity: 9})
 	}
 	p.table.SetServers(w.now, known)
 }
--- a/internal/stand/engine.go
+++ b/internal/stand/engine.go
@@ -18,7 +18,7 @@
 	ID shed.ServerID
 	// Capacity is how many calls run at once when warm; 0 means 8.
 	Capacity int
-	// ColdBears is how many it bears at once while cold; 0 means 1.
+	// ColdCapacity is how many it bears at once while cold; 0 means 1.
 	ColdBears int
 	// WarmAfter is how many calls must be done before it is warm; it starts warm
 	// if Done is no less.
--- a/internal/turns/turns_test.go
+++ b/internal/turns/turns_test.go
@@ -77,7 +77,7 @@
 	s.After(0, again)
 }
 
-var server = shed.ServerStart{Server: "s", Born: 1}
+var server = shed.ServerStart{Server: "s", StartedMs: 1}
 
 // owner is whom a VM takes for the server's owner.
 func (s *sim) owner(v *vm) *vm {
--- a/message.go
+++ b/message.go
@@ -19,12 +19,12 @@
 // that was known to be the newest, by the platform itself or by a chain of
 // peers back to it.
 type ConfigDigest struct {
-	Revision  Revision      `cbor:"1,keyasint"`
-	Confirmed time.Duration `cbor:"2,keyasint"`
-	// Never is true if the sender was never confirmed; Confirmed is then void.
-	Never bool `cbor:"3,keyasint,omitempty"`
-	// Ask wants a ConfigDigest back.
-	Ask bool `cbor:"4,keyasint,omitempty"`
+	Revision     Revision      `cbor:"1,keyasint"`
+	ConfirmedAgo time.Duration `cbor:"2,keyasint"`
+	// NeverConfirmed is true if the sender was never confirmed; Confirmed is then void.
+	NeverConfirmed bool `cbor:"3,keyasint,omitempty"`
+	// WantReply wants a ConfigDigest back.
+	WantReply bool `cbor:"4,keyasint,omitempty"`
 	// Sequence of an Ask comes back in its answer; 0 in a digest that nobody
 	// asked for. An answer can't be older than its ask, so the asker knows how
 	// old Confirmed is at the most, however long the answer was on its way.
@@ -60,8 +60,8 @@
 	Peer   Peer   `cbor:"1,keyasint"`
 	Zone   ZoneID `cbor:"2,keyasint"`
 	Status Status `cbor:"3,keyasint"`
-	// Heir holds the unused tickets of a process that left; zero if none.
-	Heir Peer `cbor:"4,keyasint,omitempty"`
+	// Successor holds the unused tickets of a process that left; zero if none.
+	Successor Peer `cbor:"4,keyasint,omitempty"`
 	// Refute counts how often the process denied being dead; a higher one wins
 	// within an incarnation.
 	Refute uint32 `cbor:"5,keyasint,omitempty"`
@@ -74,11 +74,11 @@
 	Sequence uint64   `cbor:"1,keyasint"`
 	Self     Member   `cbor:"2,keyasint"`
 	Gossip   []Member `cbor:"3,keyasint,omitempty"`
-	// For, if set, asks the receiver to probe that VM on the sender's behalf.
-	For VM `cbor:"4,keyasint,omitempty"`
-	// View is the sender's view of its zone, as a hash. If the receiver is of
+	// Target, if set, asks the receiver to probe that VM on the sender's behalf.
+	Target VM `cbor:"4,keyasint,omitempty"`
+	// ViewHash is the sender's view of its zone, as a hash. If the receiver is of
 	// the same zone and has another, it adds more gossip to its ack.
-	View uint64 `cbor:"5,keyasint,omitempty"`
+	ViewHash uint64 `cbor:"5,keyasint,omitempty"`
 }
 
 // ProbeAck answers a Probe.
@@ -86,23 +86,23 @@
 	Sequence uint64   `cbor:"1,keyasint"`
 	Self     Member   `cbor:"2,keyasint"`
 	Gossip   []Member `cbor:"3,keyasint,omitempty"`
-	// For is set if the ack is passed on for another VM.
-	For VM `cbor:"4,keyasint,omitempty"`
-	// View as in Probe.
-	View uint64 `cbor:"5,keyasint,omitempty"`
+	// Target is set if the ack is passed on for another VM.
+	Target VM `cbor:"4,keyasint,omitempty"`
+	// ViewHash as in Probe.
+	ViewHash uint64 `cbor:"5,keyasint,omitempty"`
 }
 
 // SlotRelease says that the sender uses no slot of these servers any more but
 // for those that its view gives it; no servers means all of the zone.
 type SlotRelease struct {
 	Servers []ServerID `cbor:"1,keyasint"`
-	// View is the sender's view, as a hash, for which it let go.
-	View uint64 `cbor:"2,keyasint"`
-	// Turn is new after each change of the sender's view; Seen is the last Turn
+	// ViewHash is the sender's view, as a hash, for which it let go.
+	ViewHash uint64 `cbor:"2,keyasint"`
+	// Epoch is new after each change of the sender's view; Seen is the last Epoch
 	// that the sender heard from the receiver, so a late release is known as
 	// such.
-	Turn uint64 `cbor:"3,keyasint,omitempty"`
-	Seen uint64 `cbor:"4,keyasint,omitempty"`
+	Epoch     uint64 `cbor:"3,keyasint,omitempty"`
+	SeenEpoch uint64 `cbor:"4,keyasint,omitempty"`
 }
 
 // LoadDigest spreads load reports within a zone.
@@ -126,7 +126,7 @@
 	ID        RequestID     `cbor:"1,keyasint"`
 	Workspace WorkspaceID   `cbor:"2,keyasint"`
 	Pipeline  PipelineID    `cbor:"3,keyasint"`
-	Left      time.Duration `cbor:"4,keyasint"`
+	ExpiresIn time.Duration `cbor:"4,keyasint"`
 }
 
 // RelayLoad tells peers what the sender has under way: on backend servers, and
@@ -141,27 +141,27 @@
 	// AsOf is up to which revision of the store the sender knows everything,
 	// Digest a hash of what it holds of it, Confirmed how long ago the store
 	// answered, to the sender or to a peer of its that knew no more.
-	AsOf      Revision      `cbor:"5,keyasint,omitempty"`
-	Digest    uint64        `cbor:"7,keyasint,omitempty"`
-	Confirmed time.Duration `cbor:"8,keyasint,omitempty"`
+	AsOf         Revision      `cbor:"5,keyasint,omitempty"`
+	Digest       uint64        `cbor:"7,keyasint,omitempty"`
+	ConfirmedAgo time.Duration `cbor:"8,keyasint,omitempty"`
 	// Catalog is the revision of the configuration in force at the sender.
 	Catalog Revision `cbor:"11,keyasint,omitempty"`
-	// Held are the bytes of results that servers hold for the sender, which
+	// HeldBytes are the bytes of results that servers hold for the sender, which
 	// gathers pieces.
-	Held map[ServerID]int64 `cbor:"6,keyasint,omitempty"`
-	// Coming is how many pieces the sender's requests will ask of each pool once
+	HeldBytes map[ServerID]int64 `cbor:"6,keyasint,omitempty"`
+	// ExpectedPieces is how many pieces the sender's requests will ask of each pool once
 	// the steps before are done.
-	Coming map[PoolID]int `cbor:"10,keyasint,omitempty"`
+	ExpectedPieces map[PoolID]int `cbor:"10,keyasint,omitempty"`
 	// Limits are what servers said that they take, as the sender has heard.
 	Limits []ServerLimit `cbor:"14,keyasint,omitempty"`
-	// PassOn: only the receiver is told; it passes the load on to all.
-	PassOn bool `cbor:"12,keyasint,omitempty"`
-	// Carried are loads of other VMs that the sender passes on.
-	Carried []CarriedLoad `cbor:"13,keyasint,omitempty"`
+	// ForwardToAll: only the receiver is told; it passes the load on to all.
+	ForwardToAll bool `cbor:"12,keyasint,omitempty"`
+	// Forwarded are loads of other VMs that the sender passes on.
+	Forwarded []ForwardedLoad `cbor:"13,keyasint,omitempty"`
 }
 
-// CarriedLoad is the load of another VM than the one that sends it.
-type CarriedLoad struct {
+// ForwardedLoad is the load of another VM than the one that sends it.
+type ForwardedLoad struct {
 	// From is the process whose load it is.
 	From Peer `cbor:"1,keyasint"`
 	// Age is how long ago the sender heard it.
@@ -202,8 +202,8 @@
 	Refs []ResultRef `cbor:"1,keyasint"`
 }
 
-// StoreNews passes on what has changed in the platform's store after a revision.
-type StoreNews struct {
+// StoreUpdate passes on what has changed in the platform's store after a revision.
+type StoreUpdate struct {
 	After Revision     `cbor:"1,keyasint"`
 	AsOf  Revision     `cbor:"2,keyasint"`
 	Items []ItemChange `cbor:"3,keyasint"`
@@ -212,7 +212,7 @@
 	Unsent bool `cbor:"4,keyasint,omitempty"`
 }
 
-func (StoreNews) message()    {}
+func (StoreUpdate) message()  {}
 func (RelayLoad) message()    {}
 func (ResultsFreed) message() {}
 func (ConfigDigest) message() {}
--- a/names.go
+++ b/names.go
@@ -40,8 +40,8 @@
 // String is the kind's name in the rules.
 func (k StageKind) String() string { return named(kindNames[k], uint8(k)) }
 
-// KindNamed is the kind that the rules call name.
-func KindNamed(name string) (StageKind, bool) {
+// ParseStageKind is the kind that the rules call name.
+func ParseStageKind(name string) (StageKind, bool) {
 	for k := KindEncode; k <= KindService; k++ {
 		if kindNames[k] == name {
 			return k, true
--- a/placing.go
+++ b/placing.go
@@ -5,12 +5,12 @@
 // Placer decides where one stage call runs. It reserves nothing; the caller
 // acts on the answer in the same step.
 type Placer interface {
-	Place(now time.Time, ask PlaceAsk) Placement
+	Place(now time.Time, ask PlaceRequest) Placement
 }
 
-// PlaceAsk is the question to a Placer.
-type PlaceAsk struct {
-	StageAsk
+// PlaceRequest is the question to a Placer.
+type PlaceRequest struct {
+	StageRequest
 	Stage    Stage
 	Deadline time.Time
 }
@@ -47,14 +47,14 @@
 	// Running is the estimate of calls on it: the last report, corrected by
 	// what this daemon has sent and seen end since.
 	Running int
-	// Own is how many of this daemon's calls run on it.
-	Own int
-	// Cold servers bear only Server.ColdBears calls.
+	// OwnCalls is how many of this daemon's calls run on it.
+	OwnCalls int
+	// Cold servers bear only Server.ColdCapacity calls.
 	Cold bool
 	// Age of the last report.
 	Age time.Duration
-	// Slow is the recent median time per call, or 0 if unknown.
-	Slow time.Duration
+	// MedianCallTime is the recent median time per call, or 0 if unknown.
+	MedianCallTime time.Duration
 }
 
 // Policy picks a server among candidates that all have room. Implementations
--- a/relay.go
+++ b/relay.go
@@ -24,10 +24,10 @@
 	Version string
 	Routes  []Route
 	Pools   map[PoolID]*RelayPool
-	// Keys are the workspaces' API keys; empty if callers need none.
-	Keys   map[string]WorkspaceID
-	Ranks  map[WorkspaceID]int
-	Limits RelayLimits
+	// APIKeys are the workspaces' API keys; empty if callers need none.
+	APIKeys map[string]WorkspaceID
+	Ranks   map[WorkspaceID]int
+	Limits  RelayLimits
 }
 
 // RelayLimits bound what a caller may send; 0 means not limited here.
@@ -51,8 +51,8 @@
 	Target time.Duration
 	// Rank orders routes by urgency; 0 is the most urgent.
 	Rank int
-	// MostSends is how many servers one request may be sent to; 1 or more.
-	MostSends int
+	// MaxSends is how many servers one request may be sent to; 1 or more.
+	MaxSends int
 	// Streaming: the answer is a stream of events.
 	Streaming bool
 	// Repeatable: running a request twice does no harm. Resumable: the same,
@@ -65,8 +65,8 @@
 	Steps []RouteStep
 }
 
-// Uses tells whether a step of the route runs in the pool.
-func (r *Route) Uses(pool PoolID) bool {
+// UsesPool tells whether a step of the route runs in the pool.
+func (r *Route) UsesPool(pool PoolID) bool {
 	return slices.ContainsFunc(r.Steps, func(s RouteStep) bool { return s.Pool == pool })
 }
 
@@ -81,8 +81,8 @@
 	// Index is the step's number on the wire.
 	Index int
 	Pool  PoolID
-	// After are the Index of the steps whose results it needs.
-	After []int
+	// DependsOn are the Index of the steps whose results it needs.
+	DependsOn []int
 	// ResultBytes is about how large the result of one piece is.
 	ResultBytes int64
 }
@@ -90,8 +90,8 @@
 // RelayPool is what the configuration says of the servers that do the same work.
 type RelayPool struct {
 	ID PoolID
-	// ColdFor is how long a server stays cold after its start; 0 if it never is.
-	ColdFor time.Duration
+	// ColdDuration is how long a server stays cold after its start; 0 if it never is.
+	ColdDuration time.Duration
 	// ColdRate is how many requests a second a cold server bears, from all VMs
 	// together.
 	ColdRate float64
@@ -101,15 +101,15 @@
 	Engine *EngineLimits
 }
 
-// MakesPieces tells whether this is a pool whose servers make pieces.
-func (p *RelayPool) MakesPieces() bool { return p != nil && p.Batch != nil }
+// RunsPieces tells whether this is a pool whose servers make pieces.
+func (p *RelayPool) RunsPieces() bool { return p != nil && p.Batch != nil }
 
 // EngineLimits say what one model engine bears.
 type EngineLimits struct {
 	// Slots is how many requests it runs at once.
 	Slots int
-	// Memory is how many tokens of prompts and answers it holds.
-	Memory Tokens
+	// TokenCapacity is how many tokens of prompts and answers it holds.
+	TokenCapacity Tokens
 	// FetchRate is how many tokens of a prompt's KV cache it fetches from another
 	// engine in a millisecond; 0 if it can't.
 	FetchRate float64
@@ -117,19 +117,19 @@
 
 // BatchLimits say how one server makes pieces.
 type BatchLimits struct {
-	// Most is the most pieces in one call.
-	Most int
+	// MaxPieces is the most pieces in one call.
+	MaxPieces int
 	// CallTime is what a call takes however little it holds; PieceTime what
 	// each piece adds, about.
 	CallTime, PieceTime time.Duration
-	// Room is how many bytes of results the server holds at once.
-	Room int64
-	// KeepFor is how long it keeps a result that nobody freed.
-	KeepFor time.Duration
+	// ResultCapacity is how many bytes of results the server holds at once.
+	ResultCapacity int64
+	// ResultRetention is how long it keeps a result that nobody freed.
+	ResultRetention time.Duration
 }
 
-// Listing is a backend server as it has listed itself on the platform.
-type Listing struct {
+// ServerEntry is a backend server as it has listed itself on the platform.
+type ServerEntry struct {
 	ID   ServerID
 	Pool PoolID
 	// Addr is where it takes requests, as ip:port.
@@ -139,24 +139,24 @@
 	Slots int
 	// Leaving: it takes no new work.
 	Leaving bool
-	// Cold is how much longer it said that it stays cold.
-	Cold time.Duration
-	// Born tells two starts under one id apart: the Unix millisecond of the
+	// ColdRemaining is how much longer it said that it stays cold.
+	ColdRemaining time.Duration
+	// StartedMs tells two starts under one id apart: the Unix millisecond of the
 	// start, 0 if it doesn't say.
-	Born int64
+	StartedMs int64
 }
 
 // ZoneClosed says that operators took a zone out: nothing more is sent to its
 // servers.
 type ZoneClosed struct{ Zone ZoneID }
 
-// Fact is what one item of the platform's store says: *Catalog, Listing or
+// Record is what one item of the platform's store says: *Catalog, Listing or
 // ZoneClosed.
-type Fact interface{ fact() }
+type Record interface{ fact() }
 
-func (*Catalog) fact()   {}
-func (Listing) fact()    {}
-func (ZoneClosed) fact() {}
+func (*Catalog) fact()    {}
+func (ServerEntry) fact() {}
+func (ZoneClosed) fact()  {}
 
 // Item is one item of the platform's store, as it is kept there. Peers pass
 // items on to VMs that don't reach the store.
@@ -164,8 +164,8 @@
 	Key      string   `cbor:"1,keyasint"`
 	Value    []byte   `cbor:"2,keyasint,omitempty"`
 	Revision Revision `cbor:"3,keyasint"`
-	// Gone: the item was deleted at this revision.
-	Gone bool `cbor:"4,keyasint,omitempty"`
+	// Deleted: the item was deleted at this revision.
+	Deleted bool `cbor:"4,keyasint,omitempty"`
 }
 
 // ItemChange is an Item on its way between VMs.
@@ -185,10 +185,10 @@
 	ErrStoreBusy = errors.New("store busy")
 	// ErrHistoryGone: the store no longer knows all changes since then; read anew.
 	ErrHistoryGone = errors.New("store history gone")
-	// ErrStoreReply: the answer makes no sense.
-	ErrStoreReply = errors.New("bad reply of the store")
-	// ErrNoFact: the item says nothing that the system knows.
-	ErrNoFact = errors.New("item says nothing known")
+	// ErrBadStoreReply: the answer makes no sense.
+	ErrBadStoreReply = errors.New("bad reply of the store")
+	// ErrUnknownRecord: the item says nothing that the system knows.
+	ErrUnknownRecord = errors.New("item says nothing known")
 )
 
 // Store reads the platform's store. Implementations are safe for use by many
@@ -197,17 +197,17 @@
 	// List reads all items. Changes after the returned revision may or may not
 	// be in them.
 	List(ctx context.Context) ([]Item, Revision, error)
-	// ListCopy is List from any copy of the store. The copy may be seconds behind; the
+	// ListReplica is List from any copy of the store. The copy may be seconds behind; the
 	// revision is then an earlier one, and Watch tells what the copy lacks. It costs a
 	// small part of List.
-	ListCopy(ctx context.Context) ([]Item, Revision, error)
+	ListReplica(ctx context.Context) ([]Item, Revision, error)
 	// Watch returns the changes after a revision, waiting for one at most for
 	// wait, and the revision up to which these are all.
 	Watch(ctx context.Context, after Revision, wait time.Duration) ([]Item, Revision, error)
-	// Read tells what an item says; ErrNoFact if nothing.
-	Read(item Item) (Fact, error)
-	// Owns tells whether an item with this key can say a Fact.
-	Owns(key string) bool
+	// ParseRecord tells what an item says; ErrUnknownRecord if nothing.
+	ParseRecord(item Item) (Record, error)
+	// IsRecordKey tells whether an item with this key can say a Fact.
+	IsRecordKey(key string) bool
 }
 
 // PromptPart is a part of a prompt that requests may share.
@@ -216,8 +216,8 @@
 	Tokens Tokens
 }
 
-// Ask is what the head of a relayed request says.
-type Ask struct {
+// RequestHead is what the head of a relayed request says.
+type RequestHead struct {
 	// ID is the caller's own name for this attempt; each attempt has another.
 	ID RequestID
 	// Method, Host and Target are passed on unchanged; Target is the path with
@@ -228,15 +228,15 @@
 	Header http.Header
 	// Key is the caller's API key; empty if it gave none.
 	Key string
-	// Wait is how long the caller waits; 0 if it doesn't say.
-	Wait time.Duration
-	// Resume is the id of the last event that the caller has; empty if none.
-	Resume string
+	// Budget is how long the caller waits; 0 if it doesn't say.
+	Budget time.Duration
+	// LastEventID is the id of the last event that the caller has; empty if none.
+	LastEventID string
 	// Prompt are the parts of the prompt in order; the last one is the
 	// request's or its session's own.
 	Prompt []PromptPart
-	// Input and Output are the prompt's tokens and the most tokens of the answer.
-	Input, Output Tokens
+	// InputTokens and MaxOutputTokens are the prompt's tokens and the most tokens of the answer.
+	InputTokens, MaxOutputTokens Tokens
 	// Pieces is how many pieces each step of the route has, by Index.
 	Pieces []int
 	// PieceKey goes with pieces of steps that need no other.
@@ -245,26 +245,26 @@
 
 // Hop is what the system adds to a relayed request on its way to one server.
 type Hop struct {
-	Server Listing
-	// Left is how long the server may take.
-	Left      time.Duration
+	Server ServerEntry
+	// Budget is how long the server may take.
+	Budget    time.Duration
 	Workspace WorkspaceID
 	// Urgency is 0 for the most urgent to 9, below 0 to leave it out.
 	Urgency int
-	// Resume is the id of the last event that the caller has; empty if none.
-	Resume string
+	// LastEventID is the id of the last event that the caller has; empty if none.
+	LastEventID string
 	// Inputs are the results that the server is to fetch.
 	Inputs []ResultRef
-	// Donor is the address of the server whose KV cache has more of the prompt;
+	// CacheSource is the address of the server whose KV cache has more of the prompt;
 	// empty if none is to be asked.
-	Donor string
+	CacheSource string
 }
 
 // ResultRef names a piece's result at the server that made it.
 type ResultRef string
 
-// Reply is what the head of a server's answer says.
-type Reply struct {
+// ReplyHead is what the head of a server's answer says.
+type ReplyHead struct {
 	// ID is the request that it answers; empty if it doesn't say.
 	ID RequestID
 	// Sealed: the answer has the server's own mark, without which a success
@@ -279,8 +279,8 @@
 	// Running and Waiting are the server's load; Running is below 0 if it
 	// doesn't say.
 	Running, Waiting int
-	// Cold is how much longer the server stays cold.
-	Cold time.Duration
+	// ColdRemaining is how much longer the server stays cold.
+	ColdRemaining time.Duration
 	// Limit is how many requests it takes from all VMs together; 0 if any number. BadLimit
 	// is what it said of that if it can't be read; Limit is void then.
 	Limit    Rate
@@ -298,14 +298,14 @@
 	Inputs []ResultRef `cbor:"5,keyasint,omitempty"`
 	// Bytes is about how large the result will be.
 	Bytes int64 `cbor:"6,keyasint,omitempty"`
-	// Left is the time after which the result is worth nothing, Aim the time by
+	// Budget is the time after which the result is worth nothing, Aim the time by
 	// which it should be there; durations, since clocks of VMs differ.
-	Left time.Duration `cbor:"7,keyasint"`
-	Aim  time.Duration `cbor:"8,keyasint"`
-	// Near is the zone where the result is wanted; empty if it doesn't matter.
-	Near ZoneID `cbor:"9,keyasint,omitempty"`
-	// Together: all pieces of the step are wanted in one zone, whichever it is.
-	Together bool `cbor:"10,keyasint,omitempty"`
+	Budget time.Duration `cbor:"7,keyasint"`
+	Target time.Duration `cbor:"8,keyasint"`
+	// PreferredZone is the zone where the result is wanted; empty if it doesn't matter.
+	PreferredZone ZoneID `cbor:"9,keyasint,omitempty"`
+	// SameZone: all pieces of the step are wanted in one zone, whichever it is.
+	SameZone bool `cbor:"10,keyasint,omitempty"`
 	// Origin is the caller's request; the same for all pieces of a step, so that it goes
 	// once with the call for them.
 	Origin RequestRef `cbor:"-"`
@@ -316,14 +316,14 @@
 
 // The ends of a piece.
 const (
-	// PieceMade: the result is there.
-	PieceMade PieceEnd = iota + 1
+	// PieceComplete: the result is there.
+	PieceComplete PieceEnd = iota + 1
 	// PieceLate: its time was over, or would have been.
 	PieceLate
 	// PieceInputsGone: a result that it needs no longer exists.
 	PieceInputsGone
-	// PieceNoRoom: the server has no room for the result.
-	PieceNoRoom
+	// PieceNoCapacity: the server has no room for the result.
+	PieceNoCapacity
 	// PieceFailed: no server made it.
 	PieceFailed
 	// PieceMoved: the VM that was asked gathers no more; ask another one.
@@ -347,23 +347,23 @@
 // names and formats, no decisions. Implementations are safe for use by many
 // goroutines.
 type Dialect interface {
-	// Ask reads the head of a caller's request.
-	Ask(r *http.Request) (Ask, error)
-	// Forward writes the head of the request to a server.
-	Forward(ask *Ask, hop Hop) (*http.Request, error)
-	// Reply reads the head of a server's answer.
-	Reply(r *http.Response) Reply
-	// RunPieces writes a call for pieces, and Results reads its answer, which
+	// ParseRequest reads the head of a caller's request.
+	ParseRequest(r *http.Request) (RequestHead, error)
+	// NewForwardRequest writes the head of the request to a server.
+	NewForwardRequest(ask *RequestHead, hop Hop) (*http.Request, error)
+	// ParseReply reads the head of a server's answer.
+	ParseReply(r *http.Response) ReplyHead
+	// NewPiecesRequest writes a call for pieces, and Results reads its answer, which
 	// has a result for each piece.
-	RunPieces(server Listing, pieces []Piece) (*http.Request, error)
-	Results(body []byte, pieces int) ([]PieceResult, error)
-	// FreeResults writes a call that gives results up.
-	FreeResults(addr string, refs []ResultRef) (*http.Request, error)
-	// Maker is the address of the server that holds the result.
-	Maker(ref ResultRef) string
+	NewPiecesRequest(server ServerEntry, pieces []Piece) (*http.Request, error)
+	ParseResults(body []byte, pieces int) ([]PieceResult, error)
+	// NewFreeRequest writes a call that gives results up.
+	NewFreeRequest(addr string, refs []ResultRef) (*http.Request, error)
+	// Producer is the address of the server that holds the result.
+	Producer(ref ResultRef) string
 	// EventID returns the id of an event of a stream; empty if it has none.
 	EventID(event []byte) string
 }
 
-// ErrBadAsk is returned by a Dialect for a request that names itself wrongly.
-var ErrBadAsk = errors.New("bad request head")
+// ErrBadRequestHead is returned by a Dialect for a request that names itself wrongly.
+var ErrBadRequestHead = errors.New("bad request head")
--- a/rules.go
+++ b/rules.go
@@ -19,8 +19,8 @@
 type Origin struct {
 	// Line in the rules file, from 1.
 	Line int
-	// Asked is the comment that names who asked for the rule.
-	Asked string
+	// RequestedBy is the comment that names who asked for the rule.
+	RequestedBy string
 }
 
 // Rules is one accepted configuration, compiled. It is never changed after it
@@ -35,9 +35,9 @@
 	Zones      map[ZoneID]*Zone
 	Suppliers  map[SupplierID]*Supplier
 	Models     map[ModelID]*Model
-	// WeightLoads is how many model loads may run at once against the weight
+	// MaxWeightLoads is how many model loads may run at once against the weight
 	// store, in all zones together.
-	WeightLoads int
+	MaxWeightLoads int
 }
 
 // Pipeline is a chain of stages under one deadline.
@@ -68,9 +68,9 @@
 	Pool PoolID
 	// Zones are where the stage may run, sorted; empty means every zone.
 	Zones []ZoneID
-	// Minimum is the least time the stage can take; the deadline of its
+	// MinDuration is the least time the stage can take; the deadline of its
 	// pipeline is never below the sum of these.
-	Minimum time.Duration
+	MinDuration time.Duration
 	// Idempotent is false for a stage that must run at most once.
 	Idempotent bool
 }
@@ -84,8 +84,8 @@
 	Model ModelID
 	// Servers are the pool's servers, sorted by id.
 	Servers []*Server
-	// Unit prices one second of a whole server, for cost by stage.
-	Unit float64
+	// UnitPrice prices one second of a whole server, for cost by stage.
+	UnitPrice float64
 }
 
 // Server is one backend server.
@@ -99,9 +99,9 @@
 	URL string
 	// Capacity is how many calls a warm server carries at once; 1 or more.
 	Capacity int
-	// ColdBears is how many calls it bears at once while cold; 1 or more and
+	// ColdCapacity is how many calls it bears at once while cold; 1 or more and
 	// never above Capacity.
-	ColdBears int
+	ColdCapacity int
 	// ChecksCaller: the server refuses orders from those who may not give them.
 	ChecksCaller bool
 	// Fenced: the server refuses an order with an old fencing number.
@@ -129,8 +129,8 @@
 	Origin
 	ID     ZoneID
 	Region string
-	// Out: operators took the zone out; no new work.
-	Out bool
+	// OutOfService: operators took the zone out; no new work.
+	OutOfService bool
 }
 
 // Supplier supplies backend servers.
@@ -158,14 +158,14 @@
 	if sup := r.Suppliers[s.Supplier]; sup != nil && sup.Leaving {
 		return false, sup.Origin
 	}
-	if z := r.Zones[s.Zone]; z != nil && z.Out {
+	if z := r.Zones[s.Zone]; z != nil && z.OutOfService {
 		return false, z.Origin
 	}
 	return true, Origin{}
 }
 
-// MayRun tells whether the stage may run in zone z.
-func (s *Stage) MayRun(z ZoneID) bool {
+// MayRunIn tells whether the stage may run in zone z.
+func (s *Stage) MayRunIn(z ZoneID) bool {
 	if len(s.Zones) == 0 {
 		return true
 	}
