--- a/internal/batch/batch.go
+++ b/internal/batch/batch.go
@@ -49,10 +49,10 @@
 	roomShare = 0.92
 )
 
-func (Asked) event()         {}
-func (Dropped) event()       {}
+func (JobAdded) event()      {}
+func (JobDropped) event()    {}
 func (CallEnded) event()     {}
-func (Freed) event()         {}
+func (FreeRequested) event() {}
 func (FreeEnded) event()     {}
 func (HeldElsewhere) event() {}
 func (Stopped) event()       {}
@@ -168,13 +168,13 @@
 func (b *Batcher) Handle(now time.Time, ev Event) []Action {
 	var out []Action
 	switch ev := ev.(type) {
-	case Asked:
+	case JobAdded:
 		b.ask(now, ev)
-	case Dropped:
+	case JobDropped:
 		b.drop(ev.Job)
 	case CallEnded:
 		out = b.ended(now, out, ev)
-	case Freed:
+	case FreeRequested:
 		out = b.free(out, ev.Refs)
 	case Stopped:
 		out = b.moveAll(out)
@@ -194,7 +194,7 @@
 	return out
 }
 
-func (b *Batcher) ask(now time.Time, ev Asked) {
+func (b *Batcher) ask(now time.Time, ev JobAdded) {
 	g := b.groups[ev.Pool]
 	if g == nil {
 		g = &group{pool: ev.Pool, slow: 1}
--- a/internal/batch/batch_test.go
+++ b/internal/batch/batch_test.go
@@ -64,7 +64,7 @@
 			change(&pieces[i])
 		}
 	}
-	tb.handle(batch.Asked{Job: job, Pool: "p", Limits: limits, Pieces: pieces})
+	tb.handle(batch.JobAdded{Job: job, Pool: "p", Limits: limits, Pieces: pieces})
 }
 
 // take returns the oldest call that was sent.
@@ -173,7 +173,7 @@
 	refs := []shed.ResultRef{tb.done[1][0].Ref, tb.done[1][1].Ref}
 	tb.ask(2, 2, 20*time.Second, func(p *shed.Piece) { p.Budget = 30 * time.Second })
 	require.Empty(t, tb.sends)
-	tb.handle(batch.Freed{Refs: refs})
+	tb.handle(batch.FreeRequested{Refs: refs})
 	require.Equal(t, refs, tb.freed)
 	require.Empty(t, tb.sends, "the server has not been told yet")
 	tb.handle(batch.FreeEnded{Refs: refs})
@@ -252,7 +252,7 @@
 	tb := newTable(t)
 	tb.ask(1, 2, time.Second, nil)
 	require.Equal(t, shed.PieceFailed, tb.done[1][0].End)
-	require.Equal(t, batch.NoServers, tb.b.Wait(tb.now, "p", limits).Timely)
+	require.Equal(t, batch.NoServers, tb.b.PredictWait(tb.now, "p", limits).Timely)
 }
 
 // The caller has gone: its pieces are not sent any more, and what was made for
@@ -262,8 +262,8 @@
 	tb.ask(1, 1, time.Second, nil)
 	running := tb.take()
 	tb.ask(2, 1, time.Second, nil)
-	tb.handle(batch.Dropped{Job: 1})
-	tb.handle(batch.Dropped{Job: 2})
+	tb.handle(batch.JobDropped{Job: 1})
+	tb.handle(batch.JobDropped{Job: 2})
 	tb.answer(running, shed.PieceComplete)
 	require.Empty(t, tb.sends)
 	require.Empty(t, tb.done)
@@ -315,7 +315,7 @@
 // room counts as taken, and comes back as those results lapse.
 func TestRoomHeldForAnotherVM(t *testing.T) {
 	tb := newTable(t, "a")
-	tb.handle(batch.HeldElsewhere{From: "vm2", Held: map[shed.ServerID]int64{"s0": 920}, Keep: limits.ResultRetention})
+	tb.handle(batch.HeldElsewhere{From: "vm2", Held: map[shed.ServerID]int64{"s0": 920}, Retention: limits.ResultRetention})
 	tb.ask(1, 4, 5*time.Second, func(p *shed.Piece) { p.Budget = 10 * time.Second })
 	require.Empty(t, tb.sends)
 	tb.pass(2 * time.Second)
@@ -326,7 +326,7 @@
 // four pieces each in 0.19 s.
 func TestForecastOfAnIdlePool(t *testing.T) {
 	tb := newTable(t, "a", "b")
-	f := tb.b.Wait(tb.now, "p", limits)
+	f := tb.b.PredictWait(tb.now, "p", limits)
 	require.InDelta(t, 8/0.19, f.Rate, 0.1)
 	require.InDelta(t, 1, f.Slow, 0.01)
 	require.InDelta(t, 0.18, f.Timely.Seconds(), 0.001, "a call with one piece, and its way")
@@ -342,10 +342,10 @@
 		s := tb.take()
 		tb.pass(320 * time.Millisecond)
 		tb.answer(s, shed.PieceComplete)
-		tb.handle(batch.Freed{Refs: []shed.ResultRef{tb.done[job+1][0].Ref}})
+		tb.handle(batch.FreeRequested{Refs: []shed.ResultRef{tb.done[job+1][0].Ref}})
 		tb.handle(batch.FreeEnded{Refs: tb.freed})
 	}
-	f := tb.b.Wait(tb.now, "p", limits)
+	f := tb.b.PredictWait(tb.now, "p", limits)
 	require.InDelta(t, 2, f.Slow, 0.1)
 	require.InDelta(t, 0.34, f.Timely.Seconds(), 0.02)
 	require.InDelta(t, 4/0.38, f.Rate, 1)
--- a/internal/batch/crash_test.go
+++ b/internal/batch/crash_test.go
@@ -19,7 +19,7 @@
 	limits := limits
 	limits.MaxPieces = 8
 	for id := batch.JobID(1); id <= 8; id++ {
-		tb.handle(batch.Asked{Job: id, Pool: "p", Limits: limits, Pieces: []shed.Piece{{
+		tb.handle(batch.JobAdded{Job: id, Pool: "p", Limits: limits, Pieces: []shed.Piece{{
 			Request: requestOf(id), Bytes: 10, Budget: 20 * time.Second, Target: 10 * time.Second,
 		}}})
 	}
--- a/internal/batch/dispatch.go
+++ b/internal/batch/dispatch.go
@@ -73,7 +73,7 @@
 // server need work on them.
 func (b *Batcher) giveUpLate(now time.Time, out []Action, g *group) []Action {
 	var keep []*piece
-	crowded := b.Wait(now, g.pool, g.limits).Last > crowdedFrom
+	crowded := b.PredictWait(now, g.pool, g.limits).Last > crowdedFrom
 	for _, p := range g.waiting {
 		if p.settled || p.job.dropped {
 			continue
@@ -221,7 +221,7 @@
 	m.running = b.nextID
 	b.calls[b.nextID] = c
 	c.doubt = now.Add(doubtTimes*scale(c.expected, max(m.slow, 1)) + doubtExtra)
-	send := Send{Call: b.nextID, Server: s, Limit: limitTimes*c.expected + limitExtra, Left: len(g.waiting)}
+	send := Send{Call: b.nextID, Server: s, Limit: limitTimes*c.expected + limitExtra, Pending: len(g.waiting)}
 	for _, p := range c.pieces {
 		p.out++
 		piece := p.Piece
--- a/internal/batch/event.go
+++ b/internal/batch/event.go
@@ -15,16 +15,16 @@
 // Event is what the driver tells.
 type Event interface{ event() }
 
-// Asked means that pieces are wanted. The driver answers the job with Done.
-type Asked struct {
+// JobAdded means that pieces are wanted. The driver answers the job with Done.
+type JobAdded struct {
 	Job    JobID
 	Pool   shed.PoolID
 	Limits shed.BatchLimits
 	Pieces []shed.Piece
 }
 
-// Dropped means that nobody wants the job any more.
-type Dropped struct{ Job JobID }
+// JobDropped means that nobody wants the job any more.
+type JobDropped struct{ Job JobID }
 
 // CallEnded means that a call is over. Results is nil if it gave none.
 type CallEnded struct {
@@ -39,8 +39,8 @@
 	Busy bool
 }
 
-// Freed means that results are given up.
-type Freed struct{ Refs []shed.ResultRef }
+// FreeRequested means that results are given up.
+type FreeRequested struct{ Refs []shed.ResultRef }
 
 // FreeEnded means that the servers have been told, and have room again.
 type FreeEnded struct{ Refs []shed.ResultRef }
@@ -51,8 +51,8 @@
 type HeldElsewhere struct {
 	From shed.VM
 	Held map[shed.ServerID]int64
-	// Keep is how long servers keep results.
-	Keep time.Duration
+	// Retention is how long servers keep results.
+	Retention time.Duration
 }
 
 // Stopped means that this VM gathers no more: what waits goes back to those who
@@ -73,8 +73,8 @@
 	Pieces []shed.Piece
 	// Limit is the time after which the call is given up.
 	Limit time.Duration
-	// Left is how many pieces go on waiting.
-	Left int
+	// Pending is how many pieces go on waiting.
+	Pending int
 }
 
 // Done answers a job, with a result for each piece.
--- a/internal/batch/machine_test.go
+++ b/internal/batch/machine_test.go
@@ -76,7 +76,7 @@
 					return
 				}
 				id := batch.JobID(rapid.Uint64Range(1, uint64(next)).Draw(rt, "job"))
-				tb.handle(batch.Dropped{Job: id})
+				tb.handle(batch.JobDropped{Job: id})
 				if _, done := tb.done[id]; !done {
 					delete(asked, id)
 				}
--- a/internal/batch/maker.go
+++ b/internal/batch/maker.go
@@ -128,12 +128,12 @@
 		if m.others == nil {
 			m.others = map[shed.VM]heldElsewhere{}
 		}
-		m.others[ev.From] = heldElsewhere{bytes: bytes, at: now, keep: ev.Keep}
+		m.others[ev.From] = heldElsewhere{bytes: bytes, at: now, keep: ev.Retention}
 	}
 }
 
-// Held are the bytes that servers hold for this VM.
-func (b *Batcher) Held() map[shed.ServerID]int64 {
+// HeldBytes are the bytes that servers hold for this VM.
+func (b *Batcher) HeldBytes() map[shed.ServerID]int64 {
 	out := map[shed.ServerID]int64{}
 	for id, m := range b.makers {
 		if m.bytes > 0 {
--- a/internal/batch/reach_test.go
+++ b/internal/batch/reach_test.go
@@ -70,9 +70,9 @@
 	}
 	require.Equal(t, shed.PieceFailed, tb.done[1][0].End)
 	require.LessOrEqual(t, tb.now.Sub(start), 600*time.Millisecond)
-	require.Equal(t, batch.NoServers, tb.b.Wait(tb.now, "p", limits).Timely)
+	require.Equal(t, batch.NoServers, tb.b.PredictWait(tb.now, "p", limits).Timely)
 	tb.pass(time.Second)
-	require.Less(t, tb.b.Wait(tb.now, "p", limits).Timely, time.Second)
+	require.Less(t, tb.b.PredictWait(tb.now, "p", limits).Timely, time.Second)
 	tb.ask(2, 1, 5*time.Second, nil)
 	tb.answer(tb.take(), shed.PieceComplete)
 	require.Equal(t, shed.PieceComplete, tb.done[2][0].End)
--- a/internal/batch/wait.go
+++ b/internal/batch/wait.go
@@ -45,8 +45,8 @@
 	return min(max(float64(n)/speed, slowLow), slowHigh)
 }
 
-// Wait predicts how long one more piece of the pool would take.
-func (b *Batcher) Wait(now time.Time, pool shed.PoolID, limits shed.BatchLimits) Forecast {
+// PredictWait predicts how long one more piece of the pool would take.
+func (b *Batcher) PredictWait(now time.Time, pool shed.PoolID, limits shed.BatchLimits) Forecast {
 	var rate float64
 	soonest := time.Duration(-1)
 	for _, s := range b.servers(pool) {
@@ -101,9 +101,9 @@
 // NoServers is what Wait predicts for a pool without servers.
 const NoServers = time.Hour
 
-// Busy are the pools with pieces that wait or run, in the order of their first
+// ActivePools are the pools with pieces that wait or run, in the order of their first
 // use.
-func (b *Batcher) Busy() []shed.PoolID {
+func (b *Batcher) ActivePools() []shed.PoolID {
 	running := map[*group]bool{}
 	for _, c := range b.calls {
 		running[c.group] = true
@@ -117,8 +117,8 @@
 	return out
 }
 
-// Waiting is how many pieces of a pool wait here.
-func (b *Batcher) Waiting(pool shed.PoolID) int {
+// PendingCount is how many pieces of a pool wait here.
+func (b *Batcher) PendingCount(pool shed.PoolID) int {
 	if g := b.groups[pool]; g != nil {
 		return len(g.waiting)
 	}
--- a/internal/chain/replay_test.go
+++ b/internal/chain/replay_test.go
@@ -135,7 +135,7 @@
 	c := slices.Clone(chain.Chain(k.steps))
 	for i := range c {
 		p := r.pools[k.pools[i]]
-		c[i].Limits, c[i].Servers, c[i].Wait = p.limits, p.servers, r.b.Wait(r.now, k.pools[i], p.limits)
+		c[i].Limits, c[i].Servers, c[i].Wait = p.limits, p.servers, r.b.PredictWait(r.now, k.pools[i], p.limits)
 		if !r.blind {
 			c[i].Coming = r.coming[k.pools[i]]
 		}
@@ -184,7 +184,7 @@
 			}
 		}
 		pool := q.kind.pools[i]
-		r.perform(r.b.Handle(r.now, batch.Asked{Job: r.last, Pool: pool, Limits: r.pools[pool].limits, Pieces: pieces}))
+		r.perform(r.b.Handle(r.now, batch.JobAdded{Job: r.last, Pool: pool, Limits: r.pools[pool].limits, Pieces: pieces}))
 	}
 }
 
@@ -257,7 +257,7 @@
 }
 
 func (r *replay) free(refs []shed.ResultRef) {
-	r.perform(r.b.Handle(r.now, batch.Freed{Refs: refs}))
+	r.perform(r.b.Handle(r.now, batch.FreeRequested{Refs: refs}))
 }
 
 func (r *replay) endLying() {
--- a/internal/picker/fetch.go
+++ b/internal/picker/fetch.go
@@ -37,7 +37,7 @@
 	keeps shed.Tokens
 }
 
-func (p *Picker) donors(now time.Time, w *Want, from []*roster.Server, chain []uint64) donors {
+func (p *Picker) donors(now time.Time, w *Request, from []*roster.Server, chain []uint64) donors {
 	var out donors
 	if !w.Engine || w.FetchRate <= 0 || len(chain) == 0 {
 		return out
@@ -72,7 +72,7 @@
 const mostFaults = 0.1
 
 // keeps is how many tokens of the prompt's shared parts the server has.
-func (st *state) keeps(now time.Time, w *Want, chain []uint64) shed.Tokens {
+func (st *state) keeps(now time.Time, w *Request, chain []uint64) shed.Tokens {
 	var out shed.Tokens
 	for i, h := range chain {
 		at, ok := st.prefixes[h]
--- a/internal/picker/fetch_test.go
+++ b/internal/picker/fetch_test.go
@@ -18,7 +18,7 @@
 // millisecond, in these tests.
 const fetchRate = 250
 
-func fetching(shared string, own int) picker.Want {
+func fetching(shared string, own int) picker.Request {
 	w := prompt(shared, own)
 	w.FetchRate = fetchRate
 	return w
@@ -31,8 +31,8 @@
 	p := picker.New(picker.Config{Zone: "a"})
 	home := p.Pick(start, fetching("x", 0), from)
 	require.Nil(t, home.Donor, "nobody has it yet")
-	p.Placed(start, fetching("x", 0), home)
-	p.PeerShares("vm2", map[shed.ServerID]shed.ServerShare{home.Server.ID: {Running: 20, Reading: 20000}})
+	p.RecordPlacement(start, fetching("x", 0), home)
+	p.SetPeerShares("vm2", map[shed.ServerID]shed.ServerShare{home.Server.ID: {Running: 20, Reading: 20000}})
 	next := p.Pick(start, fetching("x", 1), from)
 	require.NotEqual(t, home.Server.ID, next.Server.ID)
 	require.Equal(t, home.Server.ID, next.Donor.ID)
@@ -52,9 +52,9 @@
 	}
 	p.Pick(start, fetching("x", 0), from)
 	for _, s := range from[:3] {
-		p.Seen(start, s.ID, picker.Chains(fetching("x", 0).Prompt))
+		p.RecordPeerPrefix(start, s.ID, picker.PrefixChains(fetching("x", 0).Prompt))
 	}
-	p.PeerShares("vm2", crowded)
+	p.SetPeerShares("vm2", crowded)
 	c := p.Pick(start, fetching("x", 1), from)
 	require.Equal(t, from[5].ID, c.Server.ID)
 	require.Equal(t, c.Server.Zone, c.Donor.Zone)
@@ -68,8 +68,8 @@
 	seen := func() *picker.Picker {
 		p := picker.New(picker.Config{Zone: "a"})
 		p.Pick(start, fetching("x", 0), from)
-		p.Seen(start, home.ID, picker.Chains(fetching("x", 0).Prompt))
-		p.PeerShares("vm2", map[shed.ServerID]shed.ServerShare{home.ID: {Running: 90, Reading: 90000}})
+		p.RecordPeerPrefix(start, home.ID, picker.PrefixChains(fetching("x", 0).Prompt))
+		p.SetPeerShares("vm2", map[shed.ServerID]shed.ServerShare{home.ID: {Running: 90, Reading: 90000}})
 		return p
 	}
 	c := seen().Pick(start, fetching("x", 1), from)
@@ -83,7 +83,7 @@
 	w.Avoid = []shed.ServerID{home.ID}
 	require.Nil(t, seen().Pick(start, w, from).Donor)
 	p := seen()
-	p.Ended(start, picker.Choice{Server: home}, picker.End{Failed: true, Unreached: true})
+	p.RecordEnd(start, picker.Choice{Server: home}, picker.End{Failed: true, Unreached: true})
 	require.Nil(t, p.Pick(start, fetching("x", 1), from).Donor)
 	require.Nil(t, seen().Pick(start.Add(time.Minute), fetching("x", 1), from).Donor, "it is no longer taken to be in memory")
 }
@@ -125,15 +125,15 @@
 			if now.Before(r.at) {
 				return false
 			}
-			p.Began(r.c)
-			p.Ended(r.at, r.c, picker.End{})
+			p.RecordPromptRead(r.c)
+			p.RecordEnd(r.at, r.c, picker.End{})
 			return true
 		})
 		name := fmt.Sprint("hot", rng.IntN(6))
 		w := prompt(name, int(now.UnixNano()))
 		w.FetchRate = rate
 		c := p.Pick(now, w, from)
-		p.Placed(now, w, c)
+		p.RecordPlacement(now, w, c)
 		missing := shed.Tokens(3000)
 		if key := string(c.Server.ID) + name; !has[key] {
 			has[key] = true
--- a/internal/picker/overrun.go
+++ b/internal/picker/overrun.go
@@ -3,9 +3,9 @@
 import "time"
 
 const (
-	// FirstOverrun is about what a server takes to the first event beyond reading
+	// DefaultOverrun is about what a server takes to the first event beyond reading
 	// the prompts that are known, as long as none was measured.
-	FirstOverrun = 40 * time.Millisecond
+	DefaultOverrun = 40 * time.Millisecond
 	// overrunShare is the weight of the newest sample: the last 16 count.
 	overrunShare = 1.0 / 16
 	// mostOverrun bounds a sample: a server that is ill says nothing of the others.
@@ -27,5 +27,5 @@
 // Overrun is what a first event takes beyond Choice.Time, for most requests.
 func (p *Picker) Overrun() time.Duration { return p.overrun.mean + p.overrun.spread }
 
-// First notes that the first event of a request came so long after it was sent.
-func (p *Picker) First(c Choice, took time.Duration) { p.overrun.add(took - c.Time) }
+// RecordFirstEvent notes that the first event of a request came so long after it was sent.
+func (p *Picker) RecordFirstEvent(c Choice, took time.Duration) { p.overrun.add(took - c.Time) }
--- a/internal/picker/picker.go
+++ b/internal/picker/picker.go
@@ -67,12 +67,12 @@
 	return &Picker{
 		cfg: cfg, servers: map[shed.ServerID]*state{}, zones: map[shed.ZoneID]*faults{},
 		told:    map[shed.VM]map[shed.ServerID]shed.ServerShare{},
-		overrun: overrun{mean: FirstOverrun},
+		overrun: overrun{mean: DefaultOverrun},
 	}
 }
 
-// Want is what is to be placed.
-type Want struct {
+// Request is what is to be placed.
+type Request struct {
 	Prompt []shed.PromptPart
 	Input  shed.Tokens
 	// Engine: the pool's servers are model engines.
@@ -101,8 +101,8 @@
 	Free Access = iota
 	// ByTurn means that it takes so many from all daemons together, so a turn is needed.
 	ByTurn
-	// Held means that it has no turn for this daemon yet.
-	Held
+	// NoTurn means that it has no turn for this daemon yet.
+	NoTurn
 )
 
 // Choice is a chosen server and why.
@@ -119,16 +119,16 @@
 	Donor            *roster.Server
 	// ByTurn: the server may be sent the request in its turn.
 	ByTurn bool
-	// Held: all servers that could serve have no turn for this daemon.
-	Held bool
-	// Away: no server that could serve can be reached; one may be tried again after
+	// NoTurn: all servers that could serve have no turn for this daemon.
+	NoTurn bool
+	// UnreachableFor: no server that could serve can be reached; one may be tried again after
 	// that time. 0 if that is not the reason.
-	Away time.Duration
+	UnreachableFor time.Duration
 }
 
 // Pick returns the server with the least cost among from, which is sorted by
 // id; Server is nil if there is none.
-func (p *Picker) Pick(now time.Time, w Want, from []*roster.Server) Choice {
+func (p *Picker) Pick(now time.Time, w Request, from []*roster.Server) Choice {
 	var best Choice
 	chain := chains(w.Prompt)
 	usual := p.usual(from)
@@ -149,7 +149,7 @@
 		if w.Access != nil {
 			access = w.Access(s)
 		}
-		if access == Held {
+		if access == NoTurn {
 			held = true
 			continue
 		}
@@ -160,7 +160,7 @@
 		}
 	}
 	if best.Server == nil {
-		best.Held, best.Away = held, away
+		best.NoTurn, best.UnreachableFor = held, away
 	}
 	return best
 }
@@ -190,7 +190,7 @@
 }
 
 func (p *Picker) cost(
-	now time.Time, w *Want, s *roster.Server, st *state, chain []uint64, usual time.Duration, donors donors,
+	now time.Time, w *Request, s *roster.Server, st *state, chain []uint64, usual time.Duration, donors donors,
 ) Choice {
 	running, reading := st.own+st.peers.Running, st.reading+st.peers.Reading
 	c := Choice{Server: s}
--- a/internal/picker/picker_test.go
+++ b/internal/picker/picker_test.go
@@ -28,8 +28,8 @@
 	return out
 }
 
-func prompt(shared string, own int) picker.Want {
-	return picker.Want{Engine: true, Prompt: []shed.PromptPart{
+func prompt(shared string, own int) picker.Request {
+	return picker.Request{Engine: true, Prompt: []shed.PromptPart{
 		{ID: shared, Tokens: 13000}, {ID: fmt.Sprint("own", own), Tokens: 3000},
 	}}
 }
@@ -49,17 +49,17 @@
 	from := servers(12, nil)
 	p := picker.New(picker.Config{Zone: "a"})
 	home := p.Pick(start, prompt("x", 0), from)
-	p.Placed(start, prompt("x", 0), home)
+	p.RecordPlacement(start, prompt("x", 0), home)
 	require.Equal(t, shed.Tokens(16000), home.Missing)
-	p.Began(home)
+	p.RecordPromptRead(home)
 	next := p.Pick(start, prompt("x", 1), from)
 	require.Equal(t, home.Server.ID, next.Server.ID)
 	require.Equal(t, shed.Tokens(3000), next.Missing)
 	// Peers have so many prompts waiting there that reading the prefix
 	// elsewhere is sooner done.
-	p.PeerShares("vm2", map[shed.ServerID]shed.ServerShare{home.Server.ID: {Running: 40, Reading: 40000}})
+	p.SetPeerShares("vm2", map[shed.ServerID]shed.ServerShare{home.Server.ID: {Running: 40, Reading: 40000}})
 	require.NotEqual(t, home.Server.ID, p.Pick(start, prompt("x", 2), from).Server.ID)
-	p.PeerShares("vm2", nil)
+	p.SetPeerShares("vm2", nil)
 	require.Equal(t, home.Server.ID, p.Pick(start, prompt("x", 2), from).Server.ID)
 }
 
@@ -69,7 +69,7 @@
 	p := picker.New(picker.Config{Zone: "a"})
 	p.Pick(start, prompt("x", 0), from)
 	other := from[7]
-	p.Seen(start, other.ID, picker.Chains(prompt("x", 0).Prompt))
+	p.RecordPeerPrefix(start, other.ID, picker.PrefixChains(prompt("x", 0).Prompt))
 	require.Equal(t, other.ID, p.Pick(start, prompt("x", 1), from).Server.ID)
 }
 
@@ -78,15 +78,15 @@
 func TestServersThatTakeOnlySoMany(t *testing.T) {
 	from := servers(3, nil)
 	p := picker.New(picker.Config{Zone: "a"})
-	access := map[shed.ServerID]picker.Access{from[0].ID: picker.Held, from[1].ID: picker.ByTurn, from[2].ID: picker.Held}
-	w := picker.Want{Access: func(s *roster.Server) picker.Access { return access[s.ID] }}
+	access := map[shed.ServerID]picker.Access{from[0].ID: picker.NoTurn, from[1].ID: picker.ByTurn, from[2].ID: picker.NoTurn}
+	w := picker.Request{Access: func(s *roster.Server) picker.Access { return access[s.ID] }}
 	c := p.Pick(start, w, from)
 	require.Equal(t, from[1], c.Server)
 	require.True(t, c.ByTurn)
-	access[from[1].ID] = picker.Held
+	access[from[1].ID] = picker.NoTurn
 	c = p.Pick(start, w, from)
 	require.Nil(t, c.Server)
-	require.True(t, c.Held)
+	require.True(t, c.NoTurn)
 	access[from[2].ID] = picker.Free
 	require.False(t, p.Pick(start, w, from).ByTurn)
 }
@@ -96,17 +96,17 @@
 func TestFailingServerIsAvoided(t *testing.T) {
 	from := servers(2, func(_ int, s *roster.Server) { s.Zone, s.Slots = "a", 6 })
 	p := picker.New(picker.Config{Zone: "a"})
-	first := p.Pick(start, picker.Want{}, from)
-	p.Placed(start, picker.Want{}, first)
-	p.Ended(start, first, picker.End{Failed: true})
-	require.NotEqual(t, first.Server.ID, p.Pick(start, picker.Want{}, from).Server.ID)
-	require.Equal(t, first.Server.ID, p.Pick(start.Add(time.Minute), picker.Want{}, from).Server.ID)
+	first := p.Pick(start, picker.Request{}, from)
+	p.RecordPlacement(start, picker.Request{}, first)
+	p.RecordEnd(start, first, picker.End{Failed: true})
+	require.NotEqual(t, first.Server.ID, p.Pick(start, picker.Request{}, from).Server.ID)
+	require.Equal(t, first.Server.ID, p.Pick(start.Add(time.Minute), picker.Request{}, from).Server.ID)
 }
 
 func TestAvoided(t *testing.T) {
 	from := servers(2, nil)
 	p := picker.New(picker.Config{Zone: "a"})
-	w := picker.Want{Avoid: []shed.ServerID{"s00"}}
+	w := picker.Request{Avoid: []shed.ServerID{"s00"}}
 	require.Equal(t, shed.ServerID("s01"), p.Pick(start, w, from).Server.ID)
 	w.Avoid = append(w.Avoid, "s01")
 	require.Nil(t, p.Pick(start, w, from).Server)
@@ -117,7 +117,7 @@
 	from := servers(1, nil)
 	p := picker.New(picker.Config{Zone: "a"})
 	c := p.Pick(start, prompt("x", 0), from)
-	p.Placed(start, prompt("x", 0), c)
+	p.RecordPlacement(start, prompt("x", 0), c)
 	require.Equal(t, shed.Tokens(3000), p.Pick(start, prompt("x", 1), from).Missing)
 	from[0].StartedMs = 2
 	require.Equal(t, shed.Tokens(16000), p.Pick(start, prompt("x", 1), from).Missing)
@@ -128,10 +128,10 @@
 func TestInputsPullTheirZone(t *testing.T) {
 	from := servers(3, nil)
 	p := picker.New(picker.Config{Zone: "a"})
-	w := picker.Want{Engine: true, Zone: "b", ZoneCost: 100 * time.Millisecond}
+	w := picker.Request{Engine: true, Zone: "b", ZoneCost: 100 * time.Millisecond}
 	require.Equal(t, shed.ZoneID("b"), p.Pick(start, w, from).Server.Zone)
 	w.Prompt = prompt("x", 0).Prompt
-	p.Seen(start, "s02", picker.Chains(w.Prompt))
+	p.RecordPeerPrefix(start, "s02", picker.PrefixChains(w.Prompt))
 	require.Equal(t, shed.ServerID("s02"), p.Pick(start, w, from).Server.ID)
 }
 
@@ -140,19 +140,19 @@
 func TestPeerSharesAddUp(t *testing.T) {
 	from := servers(2, nil)
 	p := picker.New(picker.Config{Zone: "a"})
-	w := picker.Want{Engine: true}
+	w := picker.Request{Engine: true}
 	p.Pick(start, w, from)
 	busy := map[shed.ServerID]shed.ServerShare{"s00": {Running: 50, Reading: 9000}}
 	for range 3 {
-		p.PeerShares("vm2", busy)
-		p.PeerShares("vm3", busy)
+		p.SetPeerShares("vm2", busy)
+		p.SetPeerShares("vm3", busy)
 	}
 	require.Equal(t, shed.ServerID("s01"), p.Pick(start, w, from).Server.ID)
-	p.PeerShares("vm2", nil)
+	p.SetPeerShares("vm2", nil)
 	require.Equal(t, shed.ServerID("s01"), p.Pick(start, w, from).Server.ID)
-	p.PeerGone("vm3")
+	p.RemovePeer("vm3")
 	require.Equal(t, shed.ServerID("s00"), p.Pick(start, w, from).Server.ID)
-	p.PeerGone("vm3")
+	p.RemovePeer("vm3")
 	require.Equal(t, shed.ServerID("s00"), p.Pick(start, w, from).Server.ID)
 }
 
@@ -169,7 +169,7 @@
 		for _, s := range from {
 			shares[s.ID] = shed.ServerShare{Running: 1, Reading: 100}
 		}
-		p.PeerShares(shed.VM(fmt.Sprint("vm", vm)), shares)
+		p.SetPeerShares(shed.VM(fmt.Sprint("vm", vm)), shares)
 	}
 	for b.Loop() {
 		p.Pick(start, w, from)
@@ -186,8 +186,8 @@
 	for _, s := range from {
 		if s.Zone == "b" {
 			p.Pick(start, prompt("x", 0), from)
-			p.Seen(start, s.ID, picker.Chains(prompt("x", 0).Prompt))
-			p.Seen(start, s.ID, picker.Chains(prompt("y", 0).Prompt))
+			p.RecordPeerPrefix(start, s.ID, picker.PrefixChains(prompt("x", 0).Prompt))
+			p.RecordPeerPrefix(start, s.ID, picker.PrefixChains(prompt("y", 0).Prompt))
 		}
 	}
 	now := start
@@ -195,16 +195,16 @@
 	for i := range 20 {
 		w := prompt("x", i)
 		c := p.Pick(now, w, from)
-		p.Placed(now, w, c)
-		p.Began(c)
+		p.RecordPlacement(now, w, c)
+		p.RecordPromptRead(c)
 		if c.Server.Zone != "b" {
 			now = now.Add(20 * time.Millisecond)
-			p.Ended(now, c, picker.End{})
+			p.RecordEnd(now, c, picker.End{})
 			continue
 		}
 		lost++
 		now = now.Add(200 * time.Millisecond)
-		p.Ended(now, c, picker.End{Failed: true, Unreached: true})
+		p.RecordEnd(now, c, picker.End{Failed: true, Unreached: true})
 	}
 	require.LessOrEqual(t, lost, 2)
 	now = now.Add(6 * time.Second)
@@ -215,13 +215,13 @@
 // were due too late by that much, and answers came just after their target.
 func TestFirstEventsAreForeseenAsTheyCame(t *testing.T) {
 	p := picker.New(picker.Config{Zone: "a"})
-	require.Equal(t, picker.FirstOverrun, p.Overrun())
+	require.Equal(t, picker.DefaultOverrun, p.Overrun())
 	c := picker.Choice{Time: 100 * time.Millisecond}
 	for range 100 {
-		p.First(c, 300*time.Millisecond)
+		p.RecordFirstEvent(c, 300*time.Millisecond)
 	}
 	require.InDelta(t, 0.2, p.Overrun().Seconds(), 0.01)
-	p.First(c, 20*time.Second)
+	p.RecordFirstEvent(c, 20*time.Second)
 	require.Less(t, p.Overrun(), 300*time.Millisecond, "one server that is ill")
 }
 
@@ -232,30 +232,30 @@
 	from := servers(1, nil)
 	p := picker.New(picker.Config{Zone: "a"})
 	lost := func(now time.Time) {
-		c := p.Pick(now, picker.Want{}, from)
+		c := p.Pick(now, picker.Request{}, from)
 		require.NotNil(t, c.Server)
-		p.Placed(now, picker.Want{}, c)
-		p.Ended(now, c, picker.End{Failed: true, Unreached: true})
+		p.RecordPlacement(now, picker.Request{}, c)
+		p.RecordEnd(now, c, picker.End{Failed: true, Unreached: true})
 	}
 	lost(start)
 	lost(start.Add(200 * time.Millisecond))
 	now := start.Add(210 * time.Millisecond)
-	c := p.Pick(now, picker.Want{}, from)
+	c := p.Pick(now, picker.Request{}, from)
 	require.Nil(t, c.Server)
-	require.Positive(t, c.Away)
-	require.LessOrEqual(t, c.Away, time.Second)
-	require.False(t, c.Held)
-	now = now.Add(c.Away)
+	require.Positive(t, c.UnreachableFor)
+	require.LessOrEqual(t, c.UnreachableFor, time.Second)
+	require.False(t, c.NoTurn)
+	now = now.Add(c.UnreachableFor)
 	lost(now)
-	c = p.Pick(now, picker.Want{}, from)
-	require.Greater(t, c.Away, 500*time.Millisecond, "longer each time")
-	now = now.Add(c.Away)
-	c = p.Pick(now, picker.Want{}, from)
-	p.Placed(now, picker.Want{}, c)
-	p.Ended(now, c, picker.End{Took: time.Millisecond})
-	require.NotNil(t, p.Pick(now, picker.Want{}, from).Server, "it is back")
+	c = p.Pick(now, picker.Request{}, from)
+	require.Greater(t, c.UnreachableFor, 500*time.Millisecond, "longer each time")
+	now = now.Add(c.UnreachableFor)
+	c = p.Pick(now, picker.Request{}, from)
+	p.RecordPlacement(now, picker.Request{}, c)
+	p.RecordEnd(now, c, picker.End{Took: time.Millisecond})
+	require.NotNil(t, p.Pick(now, picker.Request{}, from).Server, "it is back")
 	lost(now)
-	require.NotNil(t, p.Pick(now, picker.Want{}, from).Server, "one lost packet says little")
+	require.NotNil(t, p.Pick(now, picker.Request{}, from).Server, "one lost packet says little")
 }
 
 // A request under which a server may end goes where fewest run, though another server has
@@ -265,7 +265,7 @@
 	p := picker.New(picker.Config{Zone: "a"})
 	w := prompt("shared", 1)
 	first := p.Pick(start, w, from)
-	p.Placed(start, w, first)
+	p.RecordPlacement(start, w, first)
 	require.Equal(t, first.Server, p.Pick(start, w, from).Server)
 	w.Isolate = true
 	require.NotEqual(t, first.Server, p.Pick(start, w, from).Server)
--- a/internal/picker/prefix.go
+++ b/internal/picker/prefix.go
@@ -42,5 +42,5 @@
 	return out
 }
 
-// Chains are the hashes by which peers tell each other of prefixes.
-func Chains(prompt []shed.PromptPart) []uint64 { return chains(prompt) }
+// PrefixChains are the hashes by which peers tell each other of prefixes.
+func PrefixChains(prompt []shed.PromptPart) []uint64 { return chains(prompt) }
--- a/internal/picker/state.go
+++ b/internal/picker/state.go
@@ -45,7 +45,7 @@
 
 // missing is how many tokens the server would have to read, and how many of
 // them belong to parts that requests share.
-func (st *state) missing(now time.Time, w *Want, chain []uint64) (left, again shed.Tokens) {
+func (st *state) missing(now time.Time, w *Request, chain []uint64) (left, again shed.Tokens) {
 	var all, shared shed.Tokens
 	for i, part := range w.Prompt {
 		all += part.Tokens
@@ -57,8 +57,8 @@
 	return max(w.Input, all) - keeps, shared - keeps
 }
 
-// Placed notes that a request goes to the server.
-func (p *Picker) Placed(now time.Time, w Want, c Choice) {
+// RecordPlacement notes that a request goes to the server.
+func (p *Picker) RecordPlacement(now time.Time, w Request, c Choice) {
 	st := p.state(c.Server)
 	st.own++
 	if !w.Engine {
@@ -71,8 +71,8 @@
 	st.bound(now)
 }
 
-// Seen notes that a peer placed a request with this prefix.
-func (p *Picker) Seen(now time.Time, id shed.ServerID, chain []uint64) {
+// RecordPeerPrefix notes that a peer placed a request with this prefix.
+func (p *Picker) RecordPeerPrefix(now time.Time, id shed.ServerID, chain []uint64) {
 	st := p.servers[id]
 	if st == nil {
 		return
@@ -98,8 +98,8 @@
 	}
 }
 
-// Began notes that a request's first event has come: its prompt is read.
-func (p *Picker) Began(c Choice) {
+// RecordPromptRead notes that a request's first event has come: its prompt is read.
+func (p *Picker) RecordPromptRead(c Choice) {
 	if st := p.servers[c.Server.ID]; st != nil {
 		st.reading -= min(st.reading, c.Missing)
 	}
@@ -113,19 +113,19 @@
 	Failed bool
 	// Unreached: no connection to it came about in time; Failed is set too.
 	Unreached bool
-	// Forgotten: the request ended for reasons that say nothing of the server.
-	Forgotten bool
+	// Inconclusive: the request ended for reasons that say nothing of the server.
+	Inconclusive bool
 }
 
-// Ended notes that the request is no longer on the server. Began was called
+// RecordEnd notes that the request is no longer on the server. Began was called
 // before if its first event came.
-func (p *Picker) Ended(now time.Time, c Choice, end End) {
+func (p *Picker) RecordEnd(now time.Time, c Choice, end End) {
 	st := p.servers[c.Server.ID]
 	if st == nil {
 		return
 	}
 	st.own = max(st.own-1, 0)
-	if end.Forgotten {
+	if end.Inconclusive {
 		return
 	}
 	p.judge(now, st, c.Server.Zone, end)
@@ -164,9 +164,9 @@
 	return out
 }
 
-// PeerShares takes in what a peer has on the servers; it replaces what the peer
+// SetPeerShares takes in what a peer has on the servers; it replaces what the peer
 // said before.
-func (p *Picker) PeerShares(from shed.VM, shares map[shed.ServerID]shed.ServerShare) {
+func (p *Picker) SetPeerShares(from shed.VM, shares map[shed.ServerID]shed.ServerShare) {
 	for id, old := range p.told[from] {
 		if st := p.servers[id]; st != nil {
 			st.peers.Running -= old.Running
@@ -184,15 +184,15 @@
 	p.told[from] = kept
 }
 
-// PeerGone forgets what a peer said.
-func (p *Picker) PeerGone(vm shed.VM) {
-	p.PeerShares(vm, nil)
+// RemovePeer forgets what a peer said.
+func (p *Picker) RemovePeer(vm shed.VM) {
+	p.SetPeerShares(vm, nil)
 	delete(p.told, vm)
 }
 
-// Keep forgets servers that are no longer listed and have nothing of this
+// RetainServers forgets servers that are no longer listed and have nothing of this
 // daemon's.
-func (p *Picker) Keep(listed func(shed.ServerID) bool) {
+func (p *Picker) RetainServers(listed func(shed.ServerID) bool) {
 	for id, st := range p.servers {
 		if st.own == 0 && !listed(id) {
 			delete(p.servers, id)
--- a/internal/relay/coordinate.go
+++ b/internal/relay/coordinate.go
@@ -37,7 +37,7 @@
 	r.lastJob++
 	id := r.lastJob
 	r.jobs[id] = done
-	r.performBatch(r.batcher.Handle(time.Now(), batch.Asked{Job: id, Pool: poolID, Limits: *pool.Batch, Pieces: pieces}))
+	r.performBatch(r.batcher.Handle(time.Now(), batch.JobAdded{Job: id, Pool: poolID, Limits: *pool.Batch, Pieces: pieces}))
 	r.mu.Unlock()
 	select {
 	case results := <-done:
@@ -47,11 +47,11 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.jobs, id)
-	r.performBatch(r.batcher.Handle(time.Now(), batch.Dropped{Job: id}))
+	r.performBatch(r.batcher.Handle(time.Now(), batch.JobDropped{Job: id}))
 	select {
 	case results := <-done:
 		// The job finished just before it was dropped; nobody will use its results.
-		r.performBatch(r.batcher.Handle(time.Now(), batch.Freed{Refs: completeRefs(results)}))
+		r.performBatch(r.batcher.Handle(time.Now(), batch.FreeRequested{Refs: completeRefs(results)}))
 	default:
 	}
 	return failedResults(len(pieces))
@@ -119,7 +119,7 @@
 	took := time.Since(began)
 	r.stats.recordPieceCall(len(a.Pieces), took)
 	entry := r.log.WithFields(logrus.Fields{
-		"server": a.Server.ID, "pool": a.Server.Pool, "zone": a.Server.Zone, "pieces": len(a.Pieces), "left": a.Left,
+		"server": a.Server.ID, "pool": a.Server.Pool, "zone": a.Server.Zone, "pieces": len(a.Pieces), "left": a.Pending,
 		"took_ms": took.Milliseconds(), "limit_ms": a.Limit.Milliseconds(),
 	})
 	if end.Results == nil {
--- a/internal/relay/load.go
+++ b/internal/relay/load.go
@@ -35,7 +35,7 @@
 	}
 	r.mesh.sequence++
 	r.client.SendAll(turn.To, shed.RelayLoad{
-		Sequence: r.mesh.sequence, HeldBytes: r.batcher.Held(), Servers: shares, Waits: forecasts, Placed: turn.Placed,
+		Sequence: r.mesh.sequence, HeldBytes: r.batcher.HeldBytes(), Servers: shares, Waits: forecasts, Placed: turn.Placed,
 		// Messages are encoded later, in another goroutine.
 		ExpectedPieces: maps.Clone(r.expected), AsOf: r.roster.AsOf(), Digest: r.roster.Digest(), ConfirmedAgo: now.Sub(r.roster.Contact()),
 		Catalog: r.roster.CatalogRevision(), Limits: r.limits.Known(now), ForwardToAll: turn.PassOn, Forwarded: turn.Carried,
@@ -45,7 +45,7 @@
 // ownForecasts forecasts the wait in the pools that this VM coordinates.
 func (r *Relay) ownForecasts(now time.Time) []shed.PieceWait {
 	var out []shed.PieceWait
-	for _, id := range r.batcher.Busy() {
+	for _, id := range r.batcher.ActivePools() {
 		if pool := r.pool(id); pool.RunsPieces() {
 			out = append(out, r.ownForecast(now, pool))
 		}
@@ -55,7 +55,7 @@
 
 // ownForecast forecasts the wait in one of these pools.
 func (r *Relay) ownForecast(now time.Time, pool *shed.RelayPool) shed.PieceWait {
-	f := r.batcher.Wait(now, pool.ID, *pool.Batch)
+	f := r.batcher.PredictWait(now, pool.ID, *pool.Batch)
 	return shed.PieceWait{Pool: pool.ID, Timely: f.Timely, Last: f.Last, Slow: f.Slow, Rate: f.Rate}
 }
 
@@ -90,12 +90,12 @@
 func (r *Relay) applyLoad(now, toldAt time.Time, from shed.Peer, m shed.RelayLoad) {
 	r.mesh.lastSequence[from] = m.Sequence
 	r.mesh.lastLoad[from.VM] = shed.Later(r.mesh.lastLoad[from.VM], toldAt)
-	r.picker.PeerShares(from.VM, m.Servers)
+	r.picker.SetPeerShares(from.VM, m.Servers)
 	r.receiveHeldBytes(now, from.VM, m.HeldBytes)
 	r.setPeerExpected(from.VM, m.ExpectedPieces)
 	r.receivePeerLimits(now, toldAt, from.VM, m.Limits)
 	for _, p := range m.Placed {
-		r.picker.Seen(now, p.Server, p.Chain)
+		r.picker.RecordPeerPrefix(now, p.Server, p.Chain)
 	}
 	for pool, w := range r.mesh.forecasts {
 		if w.from == from.VM && !w.at.After(toldAt) {
@@ -142,6 +142,6 @@
 		}
 	}
 	if keep > 0 {
-		r.performBatch(r.batcher.Handle(now, batch.HeldElsewhere{From: from, Held: held, Keep: keep}))
+		r.performBatch(r.batcher.Handle(now, batch.HeldElsewhere{From: from, Held: held, Retention: keep}))
 	}
 }
--- a/internal/relay/mesh.go
+++ b/internal/relay/mesh.go
@@ -149,7 +149,7 @@
 			r.log.WithFields(logrus.Fields{"reason": a.Reason, "peer": a.Peer}).Info("peer")
 			if a.Reason == member.ReasonPeerDead {
 				// A dead process has no requests on servers any more.
-				r.picker.PeerGone(a.Peer)
+				r.picker.RemovePeer(a.Peer)
 				r.setPeerExpected(a.Peer, nil)
 				r.handleFollowEvent(time.Now(), follow.Gone{VM: a.Peer})
 			}
@@ -187,7 +187,7 @@
 	case shed.CrashUpdate:
 		r.reportSuspects(r.poison.Heard(now, m))
 	case shed.ResultsFreed:
-		r.performBatch(r.batcher.Handle(now, batch.Freed{Refs: m.Refs}))
+		r.performBatch(r.batcher.Handle(now, batch.FreeRequested{Refs: m.Refs}))
 	}
 }
 
@@ -196,7 +196,7 @@
 func (r *Relay) Unwanted(results []shed.PieceResult) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.performBatch(r.batcher.Handle(time.Now(), batch.Freed{Refs: completeRefs(results)}))
+	r.performBatch(r.batcher.Handle(time.Now(), batch.FreeRequested{Refs: completeRefs(results)}))
 }
 
 // Pieces implements peers.RelayHandler.
--- a/internal/relay/pieces.go
+++ b/internal/relay/pieces.go
@@ -137,7 +137,7 @@
 	}
 	for vm, refs := range byVM {
 		if vm == r.mesh.self.VM {
-			r.performBatch(r.batcher.Handle(now, batch.Freed{Refs: refs}))
+			r.performBatch(r.batcher.Handle(now, batch.FreeRequested{Refs: refs}))
 			continue
 		}
 		r.client.Send(vm, shed.ResultsFreed{Refs: refs})
--- a/internal/relay/plan.go
+++ b/internal/relay/plan.go
@@ -91,7 +91,7 @@
 // one less the time since.
 func (r *Relay) forecast(now time.Time, pool *shed.RelayPool) batch.Forecast {
 	if vm, _ := r.coordinator(now, pool.ID); vm == r.mesh.self.VM {
-		return r.batcher.Wait(now, pool.ID, *pool.Batch)
+		return r.batcher.PredictWait(now, pool.ID, *pool.Batch)
 	}
 	w, ok := r.mesh.forecasts[pool.ID]
 	if !ok {
@@ -124,7 +124,7 @@
 	if r.prefs.Load().Relay.Has(prefs.UrgentReserve) {
 		ask.Above, ask.Ranks = r.moreUrgentRoutes(j.route, p.steps[c.Crowded()].Pool)
 	}
-	return ask, choice.Away
+	return ask, choice.UnreachableFor
 }
 
 // moreUrgentRoutes returns the routes of more urgent ranks that have steps in a pool, and the
--- a/internal/relay/receive.go
+++ b/internal/relay/receive.go
@@ -17,7 +17,7 @@
 // forwarded: what is forwarded is then always the whole request, and can be resent to a second
 // server.
 func (r *Relay) receiveRequest(req *http.Request) (*job, *refusal) {
-	j := &job{began: time.Now(), answerTime: picker.FirstOverrun}
+	j := &job{began: time.Now(), answerTime: picker.DefaultOverrun}
 	ask, err := r.cfg.Dialect.ParseRequest(req)
 	if err != nil {
 		r.log.WithError(err).Info("invalid request head")
--- a/internal/relay/send.go
+++ b/internal/relay/send.go
@@ -62,14 +62,14 @@
 	r.assessAttempt(a, v)
 	j.mayHaveRun = j.mayHaveRun || v.mayHaveRun
 	end := picker.End{
-		Failed: a.serverFailed, Unreached: a.serverFailed && !v.sent && timedOut(a.err), Forgotten: ctx.Err() != nil && !a.serverFailed,
+		Failed: a.serverFailed, Unreached: a.serverFailed && !v.sent && timedOut(a.err), Inconclusive: ctx.Err() != nil && !a.serverFailed,
 	}
 	if v.done && !j.route.Streaming {
 		end.Took = time.Since(began)
 	}
 	r.mu.Lock()
 	a.markBegun()
-	r.picker.Ended(time.Now(), choice, end)
+	r.picker.RecordEnd(time.Now(), choice, end)
 	r.mu.Unlock()
 	if !v.done {
 		j.avoid = append(j.avoid, choice.Server.ID)
@@ -245,7 +245,7 @@
 func (a *attempt) markBegun() {
 	if !a.begun {
 		a.begun = true
-		a.relay.picker.Began(a.choice)
+		a.relay.picker.RecordPromptRead(a.choice)
 	}
 }
 
--- a/internal/relay/serve.go
+++ b/internal/relay/serve.go
@@ -169,14 +169,14 @@
 		switch {
 		case refused != nil:
 			return choice, refused
-		case choice.Server == nil && choice.Away > 0:
-			return choice, r.refuseUnreachable(ctx, j, choice.Away)
-		case choice.Server == nil && choice.Held && maxWait == 0:
+		case choice.Server == nil && choice.UnreachableFor > 0:
+			return choice, r.refuseUnreachable(ctx, j, choice.UnreachableFor)
+		case choice.Server == nil && choice.NoTurn && maxWait == 0:
 			maxWait = max(min(maxTurnWait, time.Until(j.deadline)/2), time.Millisecond)
 			denied = nil
 		case choice.Server == nil:
 			reason := shed.ReasonNoServer
-			if choice.Held {
+			if choice.NoTurn {
 				reason = reasonNoTurn
 			}
 			return choice, r.refusalFor(ctx, j, outcome{reason: reason})
@@ -206,13 +206,13 @@
 	want.Isolate, want.Access = isolate, r.serverAccess(now, j.pool, denied, maxWait)
 	servers := r.roster.Open(j.pool.ID)
 	choice := r.picker.Pick(now, want, servers)
-	if choice.Server == nil && len(j.avoid) > 0 && !choice.Held {
+	if choice.Server == nil && len(j.avoid) > 0 && !choice.NoTurn {
 		// A server that failed is better than none.
 		want.Avoid = nil
 		choice = r.picker.Pick(now, want, servers)
 	}
 	if choice.Server != nil && !choice.ByTurn {
-		r.picker.Placed(now, want, choice)
+		r.picker.RecordPlacement(now, want, choice)
 		r.recordPlacement(j, choice)
 	}
 	return choice, nil
@@ -225,7 +225,7 @@
 	if !slices.Contains(r.roster.Open(j.pool.ID), choice.Server) {
 		return false
 	}
-	r.picker.Placed(time.Now(), r.wantFor(j), choice)
+	r.picker.RecordPlacement(time.Now(), r.wantFor(j), choice)
 	r.recordPlacement(j, choice)
 	return true
 }
@@ -244,8 +244,8 @@
 // reading a large shared prefix again.
 const crossZoneCost = 25 * time.Millisecond
 
-func (r *Relay) wantFor(j *job) picker.Want {
-	w := picker.Want{
+func (r *Relay) wantFor(j *job) picker.Request {
+	w := picker.Request{
 		Prompt: j.ask.Prompt, Input: j.ask.InputTokens, Engine: j.pool.Engine != nil, Avoid: j.avoid,
 	}
 	if j.pool.Engine != nil && r.prefs.Load().Relay.Has(prefs.KVFetch) {
@@ -261,7 +261,7 @@
 	if j.pool.Engine == nil {
 		return
 	}
-	if chain := picker.Chains(j.ask.Prompt); len(chain) > 0 {
+	if chain := picker.PrefixChains(j.ask.Prompt); len(chain) > 0 {
 		r.mesh.fanout.Placed(time.Now(), shed.PromptPlaced{Server: c.Server.ID, Chain: chain})
 	}
 }
--- a/internal/relay/status.go
+++ b/internal/relay/status.go
@@ -23,8 +23,8 @@
 	if at := r.roster.Contact(); !at.IsZero() {
 		out.StoreAgeMS = now.Sub(at).Milliseconds()
 	}
-	for _, pool := range r.batcher.Busy() {
-		out.QueuedPieces[pool] = r.batcher.Waiting(pool)
+	for _, pool := range r.batcher.ActivePools() {
+		out.QueuedPieces[pool] = r.batcher.PendingCount(pool)
 	}
 	return out
 }
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -68,7 +68,7 @@
 	if !a.begun {
 		a.relay.mu.Lock()
 		a.markBegun()
-		a.relay.picker.First(a.choice, time.Since(a.began))
+		a.relay.picker.RecordFirstEvent(a.choice, time.Since(a.began))
 		a.relay.mu.Unlock()
 	}
 	if !a.out.started {
--- a/internal/relay/sync.go
+++ b/internal/relay/sync.go
@@ -168,7 +168,7 @@
 		watchers = r.standingWatchers(now)
 	}
 	r.logRosterChanges(r.roster.Learn(now, l))
-	r.picker.Keep(r.roster.Listed)
+	r.picker.RetainServers(r.roster.Listed)
 	r.accept.Keep(r.roster.HasRoute)
 	r.limits.Keep(now, r.roster.Listed)
 	r.turnBook.Keep(now)
--- a/internal/relay/turns.go
+++ b/internal/relay/turns.go
@@ -49,7 +49,7 @@
 		case !limited:
 			return picker.Free
 		case denied[s.ID] || maxWait == 0 && r.deniedTurns.Held(now, ask.Start):
-			return picker.Held
+			return picker.NoTurn
 		}
 		return picker.ByTurn
 	}
