--- a/internal/delta/delta.go
+++ b/internal/delta/delta.go
@@ -20,8 +20,8 @@
 	dictionary = 1
 )
 
-// ErrPacked is returned for what can't be unpacked with the base given.
-var ErrPacked = errors.New("value can't be unpacked")
+// ErrUnpack is returned for what can't be unpacked with the base given.
+var ErrUnpack = errors.New("value can't be unpacked")
 
 // Pack packs a value as its difference to base, which may be empty.
 func Pack(value, base []byte) ([]byte, error) {
@@ -52,12 +52,12 @@
 	}
 	dec, err := zstd.NewReader(nil, opts...)
 	if err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrPacked, err)
+		return nil, fmt.Errorf("%w: %w", ErrUnpack, err)
 	}
 	defer dec.Close()
 	value, err := dec.DecodeAll(packed, nil)
 	if err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrPacked, err)
+		return nil, fmt.Errorf("%w: %w", ErrUnpack, err)
 	}
 	return value, nil
 }
--- a/internal/delta/delta_test.go
+++ b/internal/delta/delta_test.go
@@ -69,11 +69,11 @@
 		"another value":    {Key: "c", Revision: 5, Value: routes(99)},
 	} {
 		_, err := delta.Restore(change, held)
-		require.ErrorIs(t, err, delta.ErrPacked, name)
+		require.ErrorIs(t, err, delta.ErrUnpack, name)
 	}
 	change.Value = []byte("nonsense")
 	_, err = delta.Restore(change, old)
-	require.ErrorIs(t, err, delta.ErrPacked)
+	require.ErrorIs(t, err, delta.ErrUnpack)
 }
 
 // BenchmarkPack gives what it takes to pack a configuration of 4,200 routes, and to
--- a/internal/delta/packer.go
+++ b/internal/delta/packer.go
@@ -30,13 +30,13 @@
 	revision, base shed.Revision
 }
 
-// Large tells whether an item's value is packed.
-func Large(item shed.Item) bool { return !item.Deleted && len(item.Value) >= packFrom }
+// IsLarge tells whether an item's value is packed.
+func IsLarge(item shed.Item) bool { return !item.Deleted && len(item.Value) >= packFrom }
 
 // Pack puts an item into the form in which VMs pass it on; base is the same key's
 // item that the receiver has, its zero value if it has none.
 func (p *Packer) Pack(item, base shed.Item) shed.ItemChange {
-	if !Large(item) {
+	if !IsLarge(item) {
 		return shed.ItemChange{Item: item}
 	}
 	p.mu.Lock()
@@ -69,7 +69,7 @@
 }
 
 // Restore undoes Pack; held is the same key's item that the receiver has. It is
-// ErrPacked if that isn't the base.
+// ErrUnpack if that isn't the base.
 func Restore(c shed.ItemChange, held shed.Item) (shed.Item, error) {
 	if !c.Packed {
 		return c.Item, nil
@@ -78,7 +78,7 @@
 		held = shed.Item{}
 	}
 	if held.Revision != c.Base {
-		return shed.Item{}, ErrPacked
+		return shed.Item{}, ErrUnpack
 	}
 	value, err := Unpack(c.Value, held.Value)
 	if err != nil {
--- a/internal/fanout/fanout.go
+++ b/internal/fanout/fanout.go
@@ -45,19 +45,19 @@
 type View struct {
 	// Peers are the other VMs that are alive, sorted.
 	Peers []shed.VM
-	// Strong are the VMs of the fleet, this one among them, that do work for others.
-	Strong []shed.VM
-	// Busy: there is something to tell. Gathers: pieces wait here.
-	Busy, Gathers bool
+	// HighCapacity are the VMs of the fleet, this one among them, that do work for others.
+	HighCapacity []shed.VM
+	// Busy: there is something to tell. Coordinator: pieces wait here.
+	Busy, Coordinator bool
 }
 
-// Turn is what a VM tells now.
-type Turn struct {
+// Round is what a VM tells now.
+type Round struct {
 	To []shed.VM
 	// ForwardToAll: the one that is told passes it on to all.
-	PassOn bool
-	// Carried are the loads that this VM passes on.
-	Carried []shed.ForwardedLoad
+	ForwardToAll bool
+	// Forwarded are the loads that this VM passes on.
+	Forwarded []shed.ForwardedLoad
 	// Placed are the prompts placed since the VMs in To were told last.
 	Placed []shed.PromptPlaced
 }
@@ -93,17 +93,17 @@
 	return &Fanout{self: self, last: self, carry: map[shed.VM]heard{}}
 }
 
-// Placed notes that a prompt was placed.
-func (f *Fanout) Placed(now time.Time, p shed.PromptPlaced) {
+// RecordPlacement notes that a prompt was placed.
+func (f *Fanout) RecordPlacement(now time.Time, p shed.PromptPlaced) {
 	if len(f.placed) < mostPlaced {
 		f.placed = append(f.placed, placed{p, now})
 	}
 }
 
 // ForwardToAll notes a load that this VM is asked to pass on.
-func (f *Fanout) PassOn(now time.Time, from shed.Peer, load shed.RelayLoad) {
+func (f *Fanout) Forward(now time.Time, from shed.Peer, load shed.RelayLoad) {
 	for _, p := range load.Placed {
-		f.Placed(now, p)
+		f.RecordPlacement(now, p)
 	}
 	load.Placed, load.Forwarded, load.ForwardToAll = nil, nil, false
 	// What the VM knows of the store is of use to its hub only.
@@ -113,15 +113,15 @@
 	f.carry[from.VM] = heard{from: from, load: load, at: now}
 }
 
-// Due is what this VM tells now. It is asked at each tick.
-func (f *Fanout) Due(now time.Time, v View) Turn {
+// NextRound is what this VM tells now. It is asked at each tick.
+func (f *Fanout) NextRound(now time.Time, v View) Round {
 	busy := v.Busy || len(f.carry) > 0
 	if busy {
 		f.busyAt = now
 	}
 	hubs := f.hubs(v)
 	to, every := v.Peers, period(len(v.Peers), perTurn(v))
-	passOn := len(hubs) > 0 && !v.Gathers && !slices.Contains(hubs, f.self)
+	passOn := len(hubs) > 0 && !v.Coordinator && !slices.Contains(hubs, f.self)
 	if passOn {
 		hub, _ := rank.Owner("hub "+string(f.self), hubs)
 		to, every = []shed.VM{hub}, toHub
@@ -131,15 +131,15 @@
 		every = max(every, idle)
 	}
 	f.forget(now.Add(-every - 2*turn))
-	t := Turn{To: f.next(now, to, every), PassOn: passOn}
+	t := Round{To: f.next(now, to, every), ForwardToAll: passOn}
 	if len(t.To) == 0 {
-		return Turn{}
+		return Round{}
 	}
 	for _, p := range f.placed {
 		t.Placed = append(t.Placed, p.PromptPlaced)
 	}
 	if !passOn {
-		t.Carried = f.carried(now)
+		t.Forwarded = f.carried(now)
 	}
 	return t
 }
@@ -197,7 +197,7 @@
 	if n <= direct {
 		return nil
 	}
-	out := rank.Owners("load", v.Strong, max(usualHubs, int(math.Ceil(math.Sqrt(float64(n))))))
+	out := rank.Owners("load", v.HighCapacity, max(usualHubs, int(math.Ceil(math.Sqrt(float64(n))))))
 	if len(out) < leastHubs {
 		others := slices.DeleteFunc(slices.Concat(v.Peers, []shed.VM{f.self}), func(vm shed.VM) bool {
 			return slices.Contains(out, vm)
@@ -212,7 +212,7 @@
 	switch {
 	case len(v.Peers) < direct:
 		return directPerTurn
-	case v.Gathers:
+	case v.Coordinator:
 		return gathersPerTurn
 	}
 	return hubPerTurn
@@ -223,9 +223,9 @@
 	return turn * time.Duration(1+peers/perTurn)
 }
 
-// Silence is the longest time between two loads of a VM that lives, as its peers hear
+// MaxSilence is the longest time between two loads of a VM that lives, as its peers hear
 // them in a fleet with so many.
-func Silence(peers int) time.Duration {
+func MaxSilence(peers int) time.Duration {
 	if peers < direct {
 		return max(idle, period(peers, directPerTurn))
 	}
--- a/internal/fanout/fanout_test.go
+++ b/internal/fanout/fanout_test.go
@@ -68,7 +68,7 @@
 }
 
 func (f *fleet) view(v *node) fanout.View {
-	view := fanout.View{Busy: true, Gathers: v.gathers}
+	view := fanout.View{Busy: true, Coordinator: v.gathers}
 	for _, other := range f.nodes {
 		if other != v && !f.seen(v, other) {
 			continue
@@ -77,7 +77,7 @@
 			view.Peers = append(view.Peers, other.id)
 		}
 		if other.strong {
-			view.Strong = append(view.Strong, other.id)
+			view.HighCapacity = append(view.HighCapacity, other.id)
 		}
 	}
 	return view
@@ -96,7 +96,7 @@
 }
 
 func (f *fleet) tick(v *node) {
-	t := v.fan.Due(f.now, f.view(v))
+	t := v.fan.NextRound(f.now, f.view(v))
 	if len(t.To) == 0 {
 		return
 	}
@@ -119,9 +119,9 @@
 
 // load is what a VM tells: some requests on servers, pieces that will come, and at those
 // that gather what they foresee.
-func (v *node) load(t fanout.Turn) shed.RelayLoad {
+func (v *node) load(t fanout.Round) shed.RelayLoad {
 	load := shed.RelayLoad{
-		Sequence: v.sequence, ForwardToAll: t.PassOn, Forwarded: t.Carried, Placed: t.Placed,
+		Sequence: v.sequence, ForwardToAll: t.ForwardToAll, Forwarded: t.Forwarded, Placed: t.Placed,
 		AsOf: 1 << 20, Digest: 1 << 60, ConfirmedAgo: time.Second, Catalog: 1 << 20,
 		Servers:        map[shed.ServerID]shed.ServerShare{"i-0123456789": {Running: 1, Reading: 12000}, "i-1123456789": {Running: 1}},
 		ExpectedPieces: map[shed.PoolID]int{"pool-a": 16, "pool-b": 8},
@@ -139,7 +139,7 @@
 	at := f.now.Add(latency)
 	to.knows[from.id] = f.now
 	if load.ForwardToAll {
-		to.fan.PassOn(at, peerOf(from), load)
+		to.fan.Forward(at, peerOf(from), load)
 	}
 	for _, c := range load.Forwarded {
 		if told := f.now.Add(-c.Age); told.After(to.knows[c.From.VM]) {
@@ -205,10 +205,10 @@
 	}
 	hub := fanout.New(vms[0])
 	load := shed.RelayLoad{Sequence: 1, Limits: []shed.ServerLimit{{Start: shed.ServerStart{Server: "s"}, Rate: 1}}}
-	hub.PassOn(start, shed.Peer{VM: vms[1], Incarnation: 1}, load)
-	turn := hub.Due(start, fanout.View{Peers: vms[1:], Strong: vms[:1], Busy: true})
-	require.Len(t, turn.Carried, 1)
-	require.Empty(t, turn.Carried[0].Load.Limits)
+	hub.Forward(start, shed.Peer{VM: vms[1], Incarnation: 1}, load)
+	turn := hub.NextRound(start, fanout.View{Peers: vms[1:], HighCapacity: vms[:1], Busy: true})
+	require.Len(t, turn.Forwarded, 1)
+	require.Empty(t, turn.Forwarded[0].Load.Limits)
 }
 
 // A hub dies. The VMs that it passed on must be known to all again soon after it is seen
@@ -263,16 +263,16 @@
 	hub, member := f.nodes[0], f.nodes[100]
 	heard := map[shed.VM]int{}
 	f.run(time.Second)
-	member.fan.Placed(f.now, shed.PromptPlaced{Server: "i-1"})
+	member.fan.RecordPlacement(f.now, shed.PromptPlaced{Server: "i-1"})
 	for f.now = f.now.Add(tick); len(heard) == 0; f.now = f.now.Add(tick) {
-		if t := member.fan.Due(f.now, f.view(member)); len(t.Placed) > 0 {
-			hub.fan.PassOn(f.now, shed.Peer{VM: member.id}, shed.RelayLoad{Placed: t.Placed})
+		if t := member.fan.NextRound(f.now, f.view(member)); len(t.Placed) > 0 {
+			hub.fan.Forward(f.now, shed.Peer{VM: member.id}, shed.RelayLoad{Placed: t.Placed})
 			heard[hub.id] = 1
 		}
 	}
 	for range 20 {
 		f.now = f.now.Add(tick)
-		if t := hub.fan.Due(f.now, f.view(hub)); len(t.Placed) > 0 {
+		if t := hub.fan.NextRound(f.now, f.view(hub)); len(t.Placed) > 0 {
 			for _, vm := range t.To {
 				heard[vm]++
 			}
@@ -286,7 +286,7 @@
 
 // Nobody else is known, or one alone is strong.
 func TestFewPeers(t *testing.T) {
-	require.Empty(t, fanout.New("a").Due(start, fanout.View{Strong: []shed.VM{"a"}, Busy: true}).To)
+	require.Empty(t, fanout.New("a").NextRound(start, fanout.View{HighCapacity: []shed.VM{"a"}, Busy: true}).To)
 	f := newFleet(60, 1)
 	f.run(3 * time.Second)
 	_, p99 := f.ages(others)
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -33,24 +33,24 @@
 // PullID names one pull.
 type PullID uint64
 
-// Own is what this VM knows of the store.
-type Own struct {
+// LocalState is what this VM knows of the store.
+type LocalState struct {
 	AsOf   shed.Revision
 	Digest uint64
-	// Contact is when the store last answered, this VM or a peer that knew no more.
-	Contact time.Time
-	// Taking: something that has come is being taken in, so more will be known soon.
-	Taking bool
+	// LastContact is when the store last answered, this VM or a peer that knew no more.
+	LastContact time.Time
+	// Applying: something that has come is being taken in, so more will be known soon.
+	Applying bool
 }
 
-// Word is what a peer told of what it knows of the store.
-type Word struct {
+// PeerState is what a peer told of what it knows of the store.
+type PeerState struct {
 	AsOf   shed.Revision
 	Digest uint64
 	// Catalog is the revision of the configuration that it has in force.
 	Catalog shed.Revision
-	// Contact is when the store last answered it.
-	Contact time.Time
+	// LastContact is when the store last answered it.
+	LastContact time.Time
 	// Power is how strong it is beside others.
 	Power float64
 	// read: a pull has brought what it tells. partial: only AsOf is known.
@@ -60,15 +60,15 @@
 // Event is something that a Follower has to know. The set is closed.
 type Event interface{ event() }
 
-// Heard says that a peer told what it knows.
-type Heard struct {
-	From shed.VM
-	Word Word
+// PeerReported says that a peer told what it knows.
+type PeerReported struct {
+	From  shed.VM
+	State PeerState
 }
 
-// Missed says that a peer told of a change up to AsOf that it did not send along, or
+// UpdateMissed says that a peer told of a change up to AsOf that it did not send along, or
 // that can't be applied to what is known here.
-type Missed struct {
+type UpdateMissed struct {
 	From shed.VM
 	AsOf shed.Revision
 }
@@ -76,8 +76,8 @@
 // StoreFailed says that the store gave no answer. Peers are those that are alive.
 type StoreFailed struct{ Peers []shed.VM }
 
-// Ended says that a pull has ended, and that what it brought is known.
-type Ended struct {
+// PullEnded says that a pull has ended, and that what it brought is known.
+type PullEnded struct {
 	Pull   PullID
 	Failed bool
 }
@@ -85,15 +85,15 @@
 // Tick comes regularly.
 type Tick struct{}
 
-// Gone says that the peer is dead.
-type Gone struct{ VM shed.VM }
+// PeerDied says that the peer is dead.
+type PeerDied struct{ VM shed.VM }
 
-func (Heard) event()       {}
-func (Missed) event()      {}
-func (StoreFailed) event() {}
-func (Ended) event()       {}
-func (Tick) event()        {}
-func (Gone) event()        {}
+func (PeerReported) event() {}
+func (UpdateMissed) event() {}
+func (StoreFailed) event()  {}
+func (PullEnded) event()    {}
+func (Tick) event()         {}
+func (PeerDied) event()     {}
 
 // Action is something that the driver has to do. The set is closed.
 type Action interface{ action() }
@@ -108,8 +108,8 @@
 	// After is the revision after which changes are read; 0 reads all. Known is the
 	// one up to which all is known here.
 	After, Known shed.Revision
-	// Wanted is the revision that the peer told.
-	Wanted shed.Revision
+	// Reported is the revision that the peer told.
+	Reported shed.Revision
 }
 
 func (Confirm) action() {}
@@ -124,7 +124,7 @@
 // Follower is one VM's view of its peers. It is not safe for concurrent use.
 type Follower struct {
 	self  shed.VM
-	words map[shed.VM]Word
+	words map[shed.VM]PeerState
 	// failed is when a pull from a peer last failed.
 	failed map[shed.VM]time.Time
 	pulls  []running
@@ -139,32 +139,32 @@
 
 // New returns a Follower that has heard nobody.
 func New(self shed.VM) *Follower {
-	return &Follower{self: self, words: map[shed.VM]Word{}, failed: map[shed.VM]time.Time{}}
+	return &Follower{self: self, words: map[shed.VM]PeerState{}, failed: map[shed.VM]time.Time{}}
 }
 
-// Contact is when the store last answered a peer, by the peer's word; zero if that
+// LastContact is when the store last answered a peer, by the peer's word; zero if that
 // isn't known.
-func (f *Follower) Contact(vm shed.VM) time.Time { return f.words[vm].Contact }
+func (f *Follower) LastContact(vm shed.VM) time.Time { return f.words[vm].LastContact }
 
-// Behind tells whether a peer has a newer configuration in force than can be known to a
+// CatalogIsStale tells whether a peer has a newer configuration in force than can be known to a
 // VM that knows the store up to a revision.
-func (f *Follower) Behind(asOf shed.Revision) bool { return f.catalog > asOf }
+func (f *Follower) CatalogIsStale(asOf shed.Revision) bool { return f.catalog > asOf }
 
 // Handle takes in an event; own is what this VM knows now.
-func (f *Follower) Handle(now time.Time, own Own, ev Event) []Action {
+func (f *Follower) Handle(now time.Time, own LocalState, ev Event) []Action {
 	switch e := ev.(type) {
-	case Heard:
-		if e.Word.Contact.After(now) {
+	case PeerReported:
+		if e.State.LastContact.After(now) {
 			// Else a peer that tells nonsense would keep this VM from the store.
-			e.Word.Contact = now
+			e.State.LastContact = now
 		}
-		f.words[e.From] = e.Word
-		f.catalog = max(f.catalog, e.Word.Catalog)
-		if e.Word.AsOf == own.AsOf && e.Word.Digest == own.Digest {
-			return append(f.next(now, own, false), Confirm{At: e.Word.Contact})
+		f.words[e.From] = e.State
+		f.catalog = max(f.catalog, e.State.Catalog)
+		if e.State.AsOf == own.AsOf && e.State.Digest == own.Digest {
+			return append(f.next(now, own, false), Confirm{At: e.State.LastContact})
 		}
 		return f.next(now, own, false)
-	case Missed:
+	case UpdateMissed:
 		if w := f.words[e.From]; e.AsOf > w.AsOf {
 			w.AsOf, w.read, w.partial = e.AsOf, false, true
 			f.words[e.From] = w
@@ -172,10 +172,10 @@
 		return f.next(now, own, true)
 	case StoreFailed:
 		return f.storeFailed(now, own, e.Peers)
-	case Ended:
+	case PullEnded:
 		f.ended(now, e)
 		return f.next(now, own, true)
-	case Gone:
+	case PeerDied:
 		delete(f.words, e.VM)
 		delete(f.failed, e.VM)
 		return nil
@@ -187,7 +187,7 @@
 
 // storeFailed asks a peer at once. A VM that knows nothing asks one that it hasn't
 // heard if it must: it may have started a moment ago.
-func (f *Follower) storeFailed(now time.Time, own Own, peers []shed.VM) []Action {
+func (f *Follower) storeFailed(now time.Time, own LocalState, peers []shed.VM) []Action {
 	if acts := f.next(now, own, true); len(acts) > 0 || own.AsOf > 0 {
 		return acts
 	}
@@ -200,7 +200,7 @@
 
 // ended takes a pull off the list. What a peer told is not read from it again before it
 // tells something new.
-func (f *Follower) ended(now time.Time, e Ended) {
+func (f *Follower) ended(now time.Time, e PullEnded) {
 	i := slices.IndexFunc(f.pulls, func(p running) bool { return p.ID == e.Pull })
 	if i < 0 {
 		return
@@ -211,14 +211,14 @@
 		f.failed[p.From] = now
 		return
 	}
-	if w, ok := f.words[p.From]; ok && w.AsOf <= p.Wanted {
+	if w, ok := f.words[p.From]; ok && w.AsOf <= p.Reported {
 		w.read = true
 		f.words[p.From] = w
 	}
 }
 
 // next begins a pull if there is reason to; urgent doesn't wait for news.
-func (f *Follower) next(now time.Time, own Own, urgent bool) []Action {
+func (f *Follower) next(now time.Time, own LocalState, urgent bool) []Action {
 	if ahead := f.ahead(own); len(ahead) > 0 {
 		if f.behind.IsZero() {
 			f.behind = now
@@ -244,8 +244,8 @@
 // pull begins a pull from one of the peers, if one may begin now. None does while
 // something is taken in: on a small VM a large configuration takes long to read, and
 // would come, and be read, once more for each peer that is ahead meanwhile.
-func (f *Follower) pull(now time.Time, own Own, after shed.Revision, peers []shed.VM) []Action {
-	if own.Taking {
+func (f *Follower) pull(now time.Time, own LocalState, after shed.Revision, peers []shed.VM) []Action {
+	if own.Applying {
 		return nil
 	}
 	if n := len(f.pulls); n >= pullsAtOnce || n > 0 && now.Sub(f.pulls[n-1].began) < slowPull {
@@ -256,7 +256,7 @@
 		return nil
 	}
 	f.last++
-	p := Pull{ID: f.last, From: from, After: after, Known: own.AsOf, Wanted: f.words[from].AsOf}
+	p := Pull{ID: f.last, From: from, After: after, Known: own.AsOf, Reported: f.words[from].AsOf}
 	f.pulls = append(f.pulls, running{Pull: p, began: now})
 	return []Action{p}
 }
@@ -265,19 +265,19 @@
 // always tells so, however long ago the store answered that peer: held against the
 // time of an answer, a VM to which the store had just spoken ignored the only peers
 // that had a change.
-func (f *Follower) ahead(own Own) []shed.VM {
-	return f.peers(func(w Word) bool { return w.AsOf > own.AsOf })
+func (f *Follower) ahead(own LocalState) []shed.VM {
+	return f.peers(func(w PeerState) bool { return w.AsOf > own.AsOf })
 }
 
 // differing are the peers that know the same revision but hold other items, and have
 // heard the store later: a deletion was missed.
-func (f *Follower) differing(own Own) []shed.VM {
-	return f.peers(func(w Word) bool {
-		return !w.partial && w.AsOf == own.AsOf && w.Digest != own.Digest && !w.Contact.Before(own.Contact)
+func (f *Follower) differing(own LocalState) []shed.VM {
+	return f.peers(func(w PeerState) bool {
+		return !w.partial && w.AsOf == own.AsOf && w.Digest != own.Digest && !w.LastContact.Before(own.LastContact)
 	})
 }
 
-func (f *Follower) peers(has func(Word) bool) []shed.VM {
+func (f *Follower) peers(has func(PeerState) bool) []shed.VM {
 	var out []shed.VM
 	for vm, w := range f.words {
 		if !w.read && has(w) {
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -16,12 +16,12 @@
 func at(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 
 // knows is what a VM knows whose store answered at that time.
-func knows(asOf shed.Revision, contact time.Time) follow.Own {
-	return follow.Own{AsOf: asOf, Digest: uint64(asOf), Contact: contact}
+func knows(asOf shed.Revision, contact time.Time) follow.LocalState {
+	return follow.LocalState{AsOf: asOf, Digest: uint64(asOf), LastContact: contact}
 }
 
-func tells(vm shed.VM, asOf shed.Revision, contact time.Time) follow.Heard {
-	return follow.Heard{From: vm, Word: follow.Word{AsOf: asOf, Digest: uint64(asOf), Contact: contact, Power: 1}}
+func tells(vm shed.VM, asOf shed.Revision, contact time.Time) follow.PeerReported {
+	return follow.PeerReported{From: vm, State: follow.PeerState{AsOf: asOf, Digest: uint64(asOf), LastContact: contact, Power: 1}}
 }
 
 // pulls are the pulls among actions.
@@ -63,12 +63,12 @@
 // at once, from the peer that has it.
 func TestMissedChangeIsReadAtOnce(t *testing.T) {
 	f := follow.New("a")
-	got := pulls(f.Handle(at(0), knows(10, at(0)), follow.Missed{From: "b", AsOf: 12}))
-	require.Equal(t, []follow.Pull{{ID: 1, From: "b", After: 10, Known: 10, Wanted: 12}}, got)
+	got := pulls(f.Handle(at(0), knows(10, at(0)), follow.UpdateMissed{From: "b", AsOf: 12}))
+	require.Equal(t, []follow.Pull{{ID: 1, From: "b", After: 10, Known: 10, Reported: 12}}, got)
 	// Another one came meanwhile.
-	require.Empty(t, f.Handle(at(10), knows(10, at(0)), follow.Missed{From: "b", AsOf: 13}))
-	got = pulls(f.Handle(at(50), knows(12, at(0)), follow.Ended{Pull: 1}))
-	require.Equal(t, []follow.Pull{{ID: 2, From: "b", After: 12, Known: 12, Wanted: 13}}, got)
+	require.Empty(t, f.Handle(at(10), knows(10, at(0)), follow.UpdateMissed{From: "b", AsOf: 13}))
+	got = pulls(f.Handle(at(50), knows(12, at(0)), follow.PullEnded{Pull: 1}))
+	require.Equal(t, []follow.Pull{{ID: 2, From: "b", After: 12, Known: 12, Reported: 13}}, got)
 }
 
 // The peer that is asked sends a little now and then. Another one is asked beside it,
@@ -93,14 +93,14 @@
 func TestNobodyIsAskedWhileSomethingIsTakenIn(t *testing.T) {
 	f := follow.New("a")
 	own := knows(10, at(0))
-	first := pulls(f.Handle(at(0), own, follow.Missed{From: "b", AsOf: 12}))[0]
-	own.Taking = true
+	first := pulls(f.Handle(at(0), own, follow.UpdateMissed{From: "b", AsOf: 12}))[0]
+	own.Applying = true
 	for ms := 100; ms < 3000; ms += 100 {
 		require.Empty(t, f.Handle(at(ms), own, tells("c", 13, at(ms))))
-		require.Empty(t, f.Handle(at(ms), own, follow.Missed{From: "c", AsOf: 14}))
+		require.Empty(t, f.Handle(at(ms), own, follow.UpdateMissed{From: "c", AsOf: 14}))
 	}
-	got := pulls(f.Handle(at(3000), knows(12, at(0)), follow.Ended{Pull: first.ID}))
-	require.Equal(t, []follow.Pull{{ID: 2, From: "c", After: 12, Known: 12, Wanted: 14}}, got)
+	got := pulls(f.Handle(at(3000), knows(12, at(0)), follow.PullEnded{Pull: first.ID}))
+	require.Equal(t, []follow.Pull{{ID: 2, From: "c", After: 12, Known: 12, Reported: 14}}, got)
 }
 
 // The peer that is asked gives no answer. The next one is asked at once, and the first
@@ -111,9 +111,9 @@
 	f.Handle(at(0), own, tells("b", 12, at(0)))
 	f.Handle(at(0), own, tells("c", 12, at(0)))
 	first := pulls(f.Handle(at(200), own, follow.Tick{}))[0]
-	second := pulls(f.Handle(at(1200), own, follow.Ended{Pull: first.ID, Failed: true}))[0]
+	second := pulls(f.Handle(at(1200), own, follow.PullEnded{Pull: first.ID, Failed: true}))[0]
 	require.NotEqual(t, first.From, second.From)
-	require.Empty(t, f.Handle(at(1300), own, follow.Ended{Pull: second.ID, Failed: true}))
+	require.Empty(t, f.Handle(at(1300), own, follow.PullEnded{Pull: second.ID, Failed: true}))
 	third := pulls(f.Handle(at(2200), own, follow.Tick{}))[0]
 	require.Equal(t, first.From, third.From)
 }
@@ -126,7 +126,7 @@
 		f := follow.New(self)
 		own := knows(10, at(0))
 		for vm, power := range map[shed.VM]float64{"s1": 200, "s2": 200, "w1": 10, "w2": 10, "w3": 10} {
-			f.Handle(at(0), own, follow.Heard{From: vm, Word: follow.Word{AsOf: 12, Power: power}})
+			f.Handle(at(0), own, follow.PeerReported{From: vm, State: follow.PeerState{AsOf: 12, Power: power}})
 		}
 		asked[pulls(f.Handle(at(200), own, follow.Tick{}))[0].From]++
 	}
@@ -144,11 +144,11 @@
 	n := 0
 	for ms := 0; ms < 2000; ms += 10 {
 		word := tells("b", 10, at(ms))
-		word.Word.Digest = 99
+		word.State.Digest = 99
 		for _, p := range pulls(f.Handle(at(ms), own, word)) {
 			require.Equal(t, shed.Revision(0), p.After)
 			n++
-			f.Handle(at(ms+5), own, follow.Ended{Pull: p.ID})
+			f.Handle(at(ms+5), own, follow.PullEnded{Pull: p.ID})
 		}
 	}
 	require.Equal(t, 4, n)
@@ -158,14 +158,14 @@
 // alive; one that knows nothing either is not asked again and again.
 func TestVMThatKnowsNothingAsksAnybody(t *testing.T) {
 	f := follow.New("a")
-	var own follow.Own
+	var own follow.LocalState
 	first := pulls(f.Handle(at(0), own, follow.StoreFailed{Peers: []shed.VM{"b"}}))
 	require.Equal(t, []follow.Pull{{ID: 1, From: "b"}}, first)
-	require.Empty(t, f.Handle(at(10), own, follow.Ended{Pull: 1}))
+	require.Empty(t, f.Handle(at(10), own, follow.PullEnded{Pull: 1}))
 	require.Empty(t, pulls(f.Handle(at(20), own, tells("b", 0, time.Time{}))))
 	require.Empty(t, f.Handle(at(250), own, follow.StoreFailed{Peers: []shed.VM{"b"}}))
 	got := pulls(f.Handle(at(300), own, tells("b", 12, at(290))))
-	require.Equal(t, []follow.Pull{{ID: 2, From: "b", Wanted: 12}}, got)
+	require.Equal(t, []follow.Pull{{ID: 2, From: "b", Reported: 12}}, got)
 }
 
 // A dead peer's word is worth nothing: nobody can be read from it.
@@ -173,21 +173,21 @@
 	f := follow.New("a")
 	own := knows(10, at(0))
 	f.Handle(at(0), own, tells("b", 12, at(0)))
-	f.Handle(at(50), own, follow.Gone{VM: "b"})
+	f.Handle(at(50), own, follow.PeerDied{VM: "b"})
 	require.Empty(t, f.Handle(at(200), own, follow.Tick{}))
-	require.True(t, f.Contact("b").IsZero())
+	require.True(t, f.LastContact("b").IsZero())
 }
 
 // A peer has a configuration that this VM can't know yet. Once it knows the store up to
 // that revision it is not behind, also if it could not read that configuration.
 func TestBehind(t *testing.T) {
 	f := follow.New("a")
-	require.False(t, f.Behind(10))
-	f.Handle(at(0), knows(10, at(0)), follow.Heard{From: "b", Word: follow.Word{AsOf: 14, Catalog: 12}})
-	require.True(t, f.Behind(10))
-	require.False(t, f.Behind(13))
-	f.Handle(at(0), knows(10, at(0)), follow.Heard{From: "c", Word: follow.Word{AsOf: 11, Catalog: 9}})
-	require.True(t, f.Behind(10))
+	require.False(t, f.CatalogIsStale(10))
+	f.Handle(at(0), knows(10, at(0)), follow.PeerReported{From: "b", State: follow.PeerState{AsOf: 14, Catalog: 12}})
+	require.True(t, f.CatalogIsStale(10))
+	require.False(t, f.CatalogIsStale(13))
+	f.Handle(at(0), knows(10, at(0)), follow.PeerReported{From: "c", State: follow.PeerState{AsOf: 11, Catalog: 9}})
+	require.True(t, f.CatalogIsStale(10))
 }
 
 // A peer says that the store answered it in the future. The VM must not be kept from
@@ -199,5 +199,5 @@
 			require.Equal(t, start, c.At)
 		}
 	}
-	require.Equal(t, start, f.Contact("peer"))
+	require.Equal(t, start, f.LastContact("peer"))
 }
--- a/internal/follow/sim_test.go
+++ b/internal/follow/sim_test.go
@@ -92,16 +92,16 @@
 }
 
 func (s *sim) load(vm *simVM) {
-	word := follow.Word{AsOf: vm.asOf, Digest: uint64(vm.asOf), Contact: vm.contact, Power: vm.rate}
+	word := follow.PeerState{AsOf: vm.asOf, Digest: uint64(vm.asOf), LastContact: vm.contact, Power: vm.rate}
 	for _, to := range s.vms {
 		if to != vm {
-			s.send(vm, to, loadBytes, func() { s.handle(to, follow.Heard{From: vm.id, Word: word}) })
+			s.send(vm, to, loadBytes, func() { s.handle(to, follow.PeerReported{From: vm.id, State: word}) })
 		}
 	}
 }
 
 func (s *sim) handle(vm *simVM, ev follow.Event) {
-	own := follow.Own{AsOf: vm.asOf, Digest: uint64(vm.asOf), Contact: vm.contact}
+	own := follow.LocalState{AsOf: vm.asOf, Digest: uint64(vm.asOf), LastContact: vm.contact}
 	for _, act := range vm.follow.Handle(s.Now, own, ev) {
 		switch a := act.(type) {
 		case follow.Confirm:
@@ -117,7 +117,7 @@
 	end := func(failed bool) {
 		if !ended {
 			ended = true
-			s.handle(vm, follow.Ended{Pull: p.ID, Failed: failed})
+			s.handle(vm, follow.PullEnded{Pull: p.ID, Failed: failed})
 		}
 	}
 	s.After(pullLimit, func() { end(true) })
@@ -178,7 +178,7 @@
 		switch {
 		case asOf <= to.asOf:
 		case unsent || after > to.asOf:
-			s.handle(to, follow.Missed{From: from.id, AsOf: asOf})
+			s.handle(to, follow.UpdateMissed{From: from.id, AsOf: asOf})
 		default:
 			s.learn(to, asOf)
 		}
--- a/internal/follow/store.go
+++ b/internal/follow/store.go
@@ -15,13 +15,13 @@
 type StoreView struct {
 	// AsOf is the revision up to which this VM knows everything; 0 if it knows nothing.
 	AsOf shed.Revision
-	// Contact is when the store last answered, this VM or a peer that knew no more;
+	// LastContact is when the store last answered, this VM or a peer that knew no more;
 	// zero if it never did.
-	Contact time.Time
+	LastContact time.Time
 	// Watcher: this VM is one of those that watch the store for all.
 	Watcher bool
-	// Forgotten: the store no longer has the changes after AsOf.
-	Forgotten bool
+	// Compacted: the store no longer has the changes after AsOf.
+	Compacted bool
 }
 
 // StoreCall is what a VM asks of the store. The set is closed.
@@ -32,11 +32,11 @@
 	// NoCall: peers tell what the store says.
 	NoCall StoreCall = iota
 	// ListReplica reads all items from any copy of the store, which may be behind.
-	ListCopy
+	ListReplica
 	// List reads all items as they are now.
 	List
-	// Changes reads what has changed, without waiting for a change.
-	Changes
+	// ReadChanges reads what has changed, without waiting for a change.
+	ReadChanges
 	// Watch waits for a change.
 	Watch
 )
@@ -50,13 +50,13 @@
 // so those that have no configuration yet leave it to the watchers, too.
 func NextCall(now time.Time, v StoreView) StoreCall {
 	switch {
-	case v.Forgotten:
+	case v.Compacted:
 		return List
 	case v.AsOf == 0:
-		return ListCopy
-	case v.Contact.IsZero():
-		return Changes
-	case v.Watcher || now.Sub(v.Contact) > StaleAfter:
+		return ListReplica
+	case v.LastContact.IsZero():
+		return ReadChanges
+	case v.Watcher || now.Sub(v.LastContact) > StaleAfter:
 		return Watch
 	}
 	return NoCall
--- a/internal/relay/coordinator.go
+++ b/internal/relay/coordinator.go
@@ -58,7 +58,7 @@
 
 func (r *Relay) findActiveVMs(now time.Time) []shed.VM {
 	vms := r.alivePeers()
-	silence := maxMissedLoads * fanout.Silence(len(vms))
+	silence := maxMissedLoads * fanout.MaxSilence(len(vms))
 	// Peers send no load reports to a stopping VM.
 	stopping := r.stopping.Load()
 	vms = slices.DeleteFunc(vms, func(vm shed.VM) bool {
@@ -86,7 +86,7 @@
 	defer r.mu.Unlock()
 	r.mesh.backoffUntil[vm] = now.Add(peerBackoff)
 	vms := r.alivePeers()
-	fresh := time.Duration(freshLoadPeriods * float64(fanout.Silence(len(vms))))
+	fresh := time.Duration(freshLoadPeriods * float64(fanout.MaxSilence(len(vms))))
 	for _, other := range vms {
 		if now.Sub(r.lastLoadAt(other)) <= fresh {
 			continue
--- a/internal/relay/gossip.go
+++ b/internal/relay/gossip.go
@@ -57,7 +57,7 @@
 // changes returns the items changed after one revision, for a peer that has everything up to
 // another, known. The caller holds mu.
 func (r *Relay) changes(after, known shed.Revision) []change {
-	items := r.roster.Since(after)
+	items := r.roster.ChangesSince(after)
 	out := make([]change, len(items))
 	for i, item := range items {
 		out[i] = change{item: item, base: r.roster.ItemAt(item.Key, known)}
@@ -127,7 +127,7 @@
 		return
 	}
 	if m.Unsent || len(r.mesh.updates) >= maxQueuedUpdates {
-		r.handleFollowEvent(now, follow.Missed{From: from, AsOf: m.AsOf})
+		r.handleFollowEvent(now, follow.UpdateMissed{From: from, AsOf: m.AsOf})
 		return
 	}
 	r.mesh.updates = append(r.mesh.updates, storeUpdate{from: from, StoreUpdate: m})
@@ -157,7 +157,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if missed {
-		r.handleFollowEvent(time.Now(), follow.Missed{From: m.from, AsOf: m.AsOf})
+		r.handleFollowEvent(time.Now(), follow.UpdateMissed{From: m.from, AsOf: m.AsOf})
 	}
 	r.mesh.updates = r.mesh.updates[1:]
 	return len(r.mesh.updates) > 0
@@ -166,20 +166,20 @@
 // receiveStoreState compares a peer's state of the store with this VM's. The caller holds mu.
 func (r *Relay) receiveStoreState(now time.Time, from shed.VM, m shed.RelayLoad) {
 	member, _ := r.group.Lookup(from)
-	r.handleFollowEvent(now, follow.Heard{From: from, Word: follow.Word{
-		AsOf: m.AsOf, Digest: m.Digest, Catalog: m.Catalog, Contact: now.Add(-m.ConfirmedAgo), Power: member.Power,
+	r.handleFollowEvent(now, follow.PeerReported{From: from, State: follow.PeerState{
+		AsOf: m.AsOf, Digest: m.Digest, Catalog: m.Catalog, LastContact: now.Add(-m.ConfirmedAgo), Power: member.Power,
 	}})
 }
 
 // handleFollowEvent performs the follower's actions for an event. The caller holds mu.
 func (r *Relay) handleFollowEvent(now time.Time, ev follow.Event) {
-	own := follow.Own{
-		AsOf: r.roster.AsOf(), Digest: r.roster.Digest(), Contact: r.roster.Contact(), Taking: r.mesh.applying,
+	own := follow.LocalState{
+		AsOf: r.roster.AsOf(), Digest: r.roster.Digest(), LastContact: r.roster.LastContact(), Applying: r.mesh.applying,
 	}
 	for _, act := range r.mesh.follower.Handle(now, own, ev) {
 		switch a := act.(type) {
 		case follow.Confirm:
-			r.roster.Confirmed(a.At)
+			r.roster.Confirm(a.At)
 		case follow.Pull:
 			client := r.client
 			r.work.Go(func() error {
@@ -197,7 +197,7 @@
 	items, asOf, err := r.readPeer(ctx, client, p)
 	// received_bytes distinguishes a peer that sent too little from one that did not answer.
 	log := r.log.WithFields(logrus.Fields{
-		"peer": p.From, "after": p.After, "wanted": p.Wanted, "as_of": asOf, "items": len(items),
+		"peer": p.From, "after": p.After, "wanted": p.Reported, "as_of": asOf, "items": len(items),
 		"took_ms": time.Since(began).Milliseconds(), "received_bytes": client.Received() - before,
 	})
 	if err != nil {
@@ -208,7 +208,7 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.handleFollowEvent(time.Now(), follow.Ended{Pull: p.ID, Failed: err != nil})
+	r.handleFollowEvent(time.Now(), follow.PullEnded{Pull: p.ID, Failed: err != nil})
 }
 
 func (r *Relay) readPeer(ctx context.Context, client *peers.Client, p follow.Pull) ([]shed.Item, shed.Revision, error) {
@@ -219,7 +219,7 @@
 			return nil, 0, err
 		}
 		items, err := r.unpackChanges(reply.Items)
-		if errors.Is(err, delta.ErrPacked) && call.Known > 0 {
+		if errors.Is(err, delta.ErrUnpack) && call.Known > 0 {
 			// The item held here has changed meanwhile or isn't the base that the peer assumed.
 			// Full values need no base.
 			call.Known = 0
--- a/internal/relay/load.go
+++ b/internal/relay/load.go
@@ -26,9 +26,9 @@
 		return
 	}
 	shares, forecasts := r.picker.Shares(), r.ownForecasts(now)
-	turn := r.mesh.fanout.Due(now, fanout.View{
-		Peers: r.alivePeers(), Strong: r.highCapacityVMs(r.group.View().VMs(meshZone)),
-		Busy: len(shares)+len(forecasts)+len(r.expected) > 0, Gathers: len(forecasts) > 0,
+	turn := r.mesh.fanout.NextRound(now, fanout.View{
+		Peers: r.alivePeers(), HighCapacity: r.highCapacityVMs(r.group.View().VMs(meshZone)),
+		Busy: len(shares)+len(forecasts)+len(r.expected) > 0, Coordinator: len(forecasts) > 0,
 	})
 	if len(turn.To) == 0 {
 		return
@@ -37,8 +37,8 @@
 	r.client.SendAll(turn.To, shed.RelayLoad{
 		Sequence: r.mesh.sequence, HeldBytes: r.batcher.HeldBytes(), Servers: shares, Waits: forecasts, Placed: turn.Placed,
 		// Messages are encoded later, in another goroutine.
-		ExpectedPieces: maps.Clone(r.expected), AsOf: r.roster.AsOf(), Digest: r.roster.Digest(), ConfirmedAgo: now.Sub(r.roster.Contact()),
-		Catalog: r.roster.CatalogRevision(), Limits: r.limits.Known(now), ForwardToAll: turn.PassOn, Forwarded: turn.Carried,
+		ExpectedPieces: maps.Clone(r.expected), AsOf: r.roster.AsOf(), Digest: r.roster.Digest(), ConfirmedAgo: now.Sub(r.roster.LastContact()),
+		Catalog: r.roster.CatalogRevision(), Limits: r.limits.Known(now), ForwardToAll: turn.ForwardToAll, Forwarded: turn.Forwarded,
 	})
 }
 
@@ -66,7 +66,7 @@
 		delete(r.mesh.backoffUntil, from.VM)
 		r.applyLoad(now, now, from, m)
 		if m.ForwardToAll {
-			r.mesh.fanout.PassOn(now, from, m)
+			r.mesh.fanout.Forward(now, from, m)
 		}
 	}
 	for _, c := range m.Forwarded {
--- a/internal/relay/mesh.go
+++ b/internal/relay/mesh.go
@@ -151,7 +151,7 @@
 				// A dead process has no requests on servers any more.
 				r.picker.RemovePeer(a.Peer)
 				r.setPeerExpected(a.Peer, nil)
-				r.handleFollowEvent(time.Now(), follow.Gone{VM: a.Peer})
+				r.handleFollowEvent(time.Now(), follow.PeerDied{VM: a.Peer})
 			}
 			r.stats.stateChanges.Inc(1)
 		}
--- a/internal/relay/plan.go
+++ b/internal/relay/plan.go
@@ -81,7 +81,7 @@
 		if !pool.RunsPieces() {
 			continue
 		}
-		c[i].Limits, c[i].Servers = *pool.Batch, len(r.roster.Open(s.Pool))
+		c[i].Limits, c[i].Servers = *pool.Batch, len(r.roster.OpenServers(s.Pool))
 		c[i].Wait, c[i].Coming = r.forecast(now, pool), r.expectedPieces(s.Pool)
 	}
 	return c
@@ -113,7 +113,7 @@
 	}
 	want := r.wantFor(j)
 	want.Access = r.serverAccess(now, j.pool, nil, 0)
-	choice := r.picker.Pick(now, want, r.roster.Open(j.pool.ID))
+	choice := r.picker.Pick(now, want, r.roster.OpenServers(j.pool.ID))
 	if choice.Server != nil {
 		j.zone = choice.Server.Zone
 		j.answerTime = min(choice.Time, maxPredictedAnswerTime) + r.picker.Overrun()
--- a/internal/relay/receive.go
+++ b/internal/relay/receive.go
@@ -97,7 +97,7 @@
 // newer one may have the route or key. So does a VM whose configuration nobody has confirmed.
 // The caller holds mu.
 func (r *Relay) permanentRefusal(status int, reason shed.Reason) *refusal {
-	if !r.roster.Sure() || r.mesh.follower.Behind(r.roster.AsOf()) {
+	if !r.roster.IsConfirmed() || r.mesh.follower.CatalogIsStale(r.roster.AsOf()) {
 		return &refusal{status: http.StatusServiceUnavailable, reason: reasonStaleConfig, retryAfter: accept.ComeBack}
 	}
 	return &refusal{status: status, reason: reason}
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -159,7 +159,7 @@
 
 // serverEntries returns the open servers of a pool, for the batcher.
 func (r *Relay) serverEntries(pool shed.PoolID) []shed.ServerEntry {
-	open := r.roster.Open(pool)
+	open := r.roster.OpenServers(pool)
 	out := make([]shed.ServerEntry, len(open))
 	for i, s := range open {
 		out[i] = s.ServerEntry
--- a/internal/relay/send.go
+++ b/internal/relay/send.go
@@ -161,7 +161,7 @@
 	a.relay.receiveAnswerLimit(a.choice.Server.ServerEntry, reply)
 	if reply.ColdRemaining > 0 {
 		a.relay.mu.Lock()
-		a.relay.roster.TurnedCold(time.Now(), a.choice.Server.ID, reply.ColdRemaining)
+		a.relay.roster.MarkCold(time.Now(), a.choice.Server.ID, reply.ColdRemaining)
 		a.relay.mu.Unlock()
 	}
 	if reply.NotRun {
@@ -217,7 +217,7 @@
 func (r *Relay) hasOtherServer(j *job, c picker.Choice) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, s := range r.roster.Open(j.pool.ID) {
+	for _, s := range r.roster.OpenServers(j.pool.ID) {
 		if s.ID != c.Server.ID && !slices.Contains(j.avoid, s.ID) {
 			return r.retryBudget(j.pool.ID).Left(time.Now()) > 0
 		}
--- a/internal/relay/serve.go
+++ b/internal/relay/serve.go
@@ -204,7 +204,7 @@
 	}
 	want := r.wantFor(j)
 	want.Isolate, want.Access = isolate, r.serverAccess(now, j.pool, denied, maxWait)
-	servers := r.roster.Open(j.pool.ID)
+	servers := r.roster.OpenServers(j.pool.ID)
 	choice := r.picker.Pick(now, want, servers)
 	if choice.Server == nil && len(j.avoid) > 0 && !choice.NoTurn {
 		// A server that failed is better than none.
@@ -222,7 +222,7 @@
 func (r *Relay) place(j *job, choice picker.Choice) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if !slices.Contains(r.roster.Open(j.pool.ID), choice.Server) {
+	if !slices.Contains(r.roster.OpenServers(j.pool.ID), choice.Server) {
 		return false
 	}
 	r.picker.RecordPlacement(time.Now(), r.wantFor(j), choice)
@@ -262,6 +262,6 @@
 		return
 	}
 	if chain := picker.PrefixChains(j.ask.Prompt); len(chain) > 0 {
-		r.mesh.fanout.Placed(time.Now(), shed.PromptPlaced{Server: c.Server.ID, Chain: chain})
+		r.mesh.fanout.RecordPlacement(time.Now(), shed.PromptPlaced{Server: c.Server.ID, Chain: chain})
 	}
 }
--- a/internal/relay/status.go
+++ b/internal/relay/status.go
@@ -20,7 +20,7 @@
 	if c := r.roster.Catalog(); c != nil {
 		out.Version = c.Version
 	}
-	if at := r.roster.Contact(); !at.IsZero() {
+	if at := r.roster.LastContact(); !at.IsZero() {
 		out.StoreAgeMS = now.Sub(at).Milliseconds()
 	}
 	for _, pool := range r.batcher.ActivePools() {
--- a/internal/relay/steps.go
+++ b/internal/relay/steps.go
@@ -279,7 +279,7 @@
 	most := shed.ZoneID("")
 	for _, ref := range refs {
 		addr := r.cfg.Dialect.Producer(ref)
-		for _, server := range r.roster.Open(pool) {
+		for _, server := range r.roster.OpenServers(pool) {
 			if server.Addr != addr {
 				continue
 			}
--- a/internal/relay/sync.go
+++ b/internal/relay/sync.go
@@ -70,7 +70,7 @@
 func (r *Relay) retryDelay(now time.Time) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.roster.Catalog() == nil || !r.roster.Sure() || slices.Contains(r.standingWatchers(now), r.mesh.self.VM) {
+	if r.roster.Catalog() == nil || !r.roster.IsConfirmed() || slices.Contains(r.standingWatchers(now), r.mesh.self.VM) {
 		return storeRetryDelay
 	}
 	return nonWatcherRetryDelay
@@ -81,15 +81,15 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return follow.NextCall(now, follow.StoreView{
-		AsOf: r.roster.AsOf(), Contact: r.roster.Contact(),
-		Watcher: slices.Contains(r.watchers(now), r.mesh.self.VM), Forgotten: r.historyCompacted,
+		AsOf: r.roster.AsOf(), LastContact: r.roster.LastContact(),
+		Watcher: slices.Contains(r.watchers(now), r.mesh.self.VM), Compacted: r.historyCompacted,
 	})
 }
 
 // watchers returns the VMs that watch the store on behalf of all.
 func (r *Relay) watchers(now time.Time) []shed.VM {
 	vms := slices.DeleteFunc(r.activeVMs(now), func(vm shed.VM) bool {
-		return vm != r.mesh.self.VM && now.Sub(r.mesh.follower.Contact(vm)) >= watcherTimeout
+		return vm != r.mesh.self.VM && now.Sub(r.mesh.follower.LastContact(vm)) >= watcherTimeout
 	})
 	return rank.Owners("store", r.highCapacityVMs(vms), watcherCount)
 }
@@ -107,13 +107,13 @@
 	r.stats.storeCalls.Inc(1)
 	var err error
 	switch call {
-	case follow.ListCopy:
-		rd.from, rd.whole = roster.FromCopy, true
+	case follow.ListReplica:
+		rd.from, rd.whole = roster.FromReplica, true
 		rd.items, rd.asOf, err = r.cfg.Store.ListReplica(ctx)
 	case follow.List:
 		rd.whole = true
 		rd.items, rd.asOf, err = r.cfg.Store.List(ctx)
-	case follow.Changes:
+	case follow.ReadChanges:
 		rd.items, rd.asOf, err = r.cfg.Store.Watch(ctx, rd.after, 0)
 	default:
 		rd.items, rd.asOf, err = r.cfg.Store.Watch(ctx, rd.after, r.prefs.Load().Relay.Watch)
@@ -129,7 +129,7 @@
 	if call == follow.List {
 		r.historyCompacted = false
 	}
-	if call == follow.ListCopy || call == follow.Changes {
+	if call == follow.ListReplica || call == follow.ReadChanges {
 		r.log.WithFields(logrus.Fields{"after": rd.after, "as_of": rd.asOf, "items": len(rd.items), "whole": rd.whole}).
 			Info("store read at the start")
 	}
@@ -154,7 +154,7 @@
 	defer r.applyMu.Unlock()
 	r.setApplying(true)
 	defer r.setApplying(false)
-	l := roster.Learned{Source: rd.from, AsOf: rd.asOf, Whole: rd.whole}
+	l := roster.Update{Source: rd.from, AsOf: rd.asOf, Complete: rd.whole}
 	for _, item := range rd.items {
 		if r.cfg.Store.IsRecordKey(item.Key) {
 			l.Items = append(l.Items, r.parseItem(item))
@@ -164,13 +164,13 @@
 	defer r.mu.Unlock()
 	now := time.Now()
 	watchers := r.watchers(now)
-	if now.Sub(r.roster.Contact()) > follow.StaleAfter {
+	if now.Sub(r.roster.LastContact()) > follow.StaleAfter {
 		watchers = r.standingWatchers(now)
 	}
-	r.logRosterChanges(r.roster.Learn(now, l))
-	r.picker.RetainServers(r.roster.Listed)
+	r.logRosterChanges(r.roster.Apply(now, l))
+	r.picker.RetainServers(r.roster.HasServer)
 	r.accept.Keep(r.roster.HasRoute)
-	r.limits.Keep(now, r.roster.Listed)
+	r.limits.Keep(now, r.roster.HasServer)
 	r.turnBook.Keep(now)
 	r.deniedTurns.Keep(now)
 	if rd.from == roster.FromStore && len(l.Items) > 0 && rd.after > 0 && slices.Contains(watchers, r.mesh.self.VM) {
@@ -196,7 +196,7 @@
 		r.log.WithField("key", item.Key).WithError(err).Warn("invalid item of the store ignored")
 		return e
 	}
-	e.Fact = fact
+	e.Record = fact
 	return e
 }
 
@@ -211,7 +211,7 @@
 func (r *Relay) logRosterChanges(changes []roster.Change) {
 	for _, c := range changes {
 		r.stats.stateChanges.Inc(1)
-		fields := logrus.Fields{"reason": c.What, "revision": c.Revision}
+		fields := logrus.Fields{"reason": c.Reason, "revision": c.Revision}
 		if c.Key != "" {
 			fields["key"] = c.Key
 		}
--- a/internal/roster/learn.go
+++ b/internal/roster/learn.go
@@ -10,24 +10,24 @@
 // Source tells who said what the roster learns.
 type Source uint8
 
-// Learned is what the store or a peer said: changes up to AsOf, or all items if
+// Update is what the store or a peer said: changes up to AsOf, or all items if
 // Whole.
-type Learned struct {
-	Source Source
-	Items  []Entry
-	AsOf   shed.Revision
-	Whole  bool
+type Update struct {
+	Source   Source
+	Items    []Entry
+	AsOf     shed.Revision
+	Complete bool
 }
 
 // Entry is an item with what it says; Fact is nil if that is nothing known.
 type Entry struct {
 	shed.Item
-	Fact shed.Record
+	Record shed.Record
 }
 
 // Change is one change of belief, for the log.
 type Change struct {
-	What shed.Reason
+	Reason shed.Reason
 	// Key of the item that caused it, and its revision.
 	Key      string
 	Revision shed.Revision
@@ -37,18 +37,18 @@
 	Version string
 }
 
-// Learn takes in what the store or a peer said.
-func (r *Roster) Learn(now time.Time, l Learned) []Change {
+// Apply takes in what the store or a peer said.
+func (r *Roster) Apply(now time.Time, l Update) []Change {
 	var out []Change
 	from := l.Source
 	if from == FromStore {
 		if r.copied && r.contact.IsZero() && !r.lost {
 			// No outage was seen: what a copy still had is gone.
-			from = FromCopy
+			from = FromReplica
 		}
 		out = r.heardStore(now, out)
 	}
-	r.copied = r.copied || l.Source == FromCopy
+	r.copied = r.copied || l.Source == FromReplica
 	for _, e := range l.Items {
 		if e.Deleted {
 			out = r.remove(now, out, from, e.Key, e.Revision)
@@ -56,11 +56,11 @@
 			out = r.put(now, out, e)
 		}
 	}
-	if l.Whole {
+	if l.Complete {
 		out = r.removeOthers(now, out, l)
 	}
 	r.asOf = max(r.asOf, l.AsOf)
-	if len(l.Items) > 0 || l.Whole {
+	if len(l.Items) > 0 || l.Complete {
 		r.rebuild()
 	}
 	return out
@@ -75,7 +75,7 @@
 	r.contact = now
 	if r.lost {
 		r.lost = false
-		out = append(out, Change{What: StoreRegained, Revision: r.asOf})
+		out = append(out, Change{Reason: StoreRegained, Revision: r.asOf})
 	}
 	return out
 }
@@ -86,7 +86,7 @@
 		return nil
 	}
 	r.lost = true
-	return []Change{{What: StoreLost, Revision: r.asOf}}
+	return []Change{{Reason: StoreLost, Revision: r.asOf}}
 }
 
 func (r *Roster) put(now time.Time, out []Change, e Entry) []Change {
@@ -102,29 +102,29 @@
 	if e.Revision <= r.deleted[e.Key] {
 		return out
 	}
-	switch f := e.Fact.(type) {
+	switch f := e.Record.(type) {
 	case *shed.Catalog:
 		if e.Revision < r.catalogRev {
 			return out
 		}
 		r.catalog, r.catalogRev = f, e.Revision
-		out = append(out, Change{What: CatalogInForce, Key: e.Key, Revision: e.Revision, Version: f.Version})
+		out = append(out, Change{Reason: CatalogInForce, Key: e.Key, Revision: e.Revision, Version: f.Version})
 	case shed.ZoneClosed:
-		out = append(out, Change{What: ZoneClosed, Key: e.Key, Revision: e.Revision, Zone: f.Zone})
+		out = append(out, Change{Reason: ZoneClosed, Key: e.Key, Revision: e.Revision, Zone: f.Zone})
 	case shed.ServerEntry:
 		out = r.listed(now, out, e, f)
 	default:
-		if old := r.items[e.Key]; old != nil && old.Fact != nil {
-			if l, ok := old.Fact.(shed.ServerEntry); ok {
+		if old := r.items[e.Key]; old != nil && old.Record != nil {
+			if l, ok := old.Record.(shed.ServerEntry); ok {
 				// The entry names no server any more.
 				delete(r.servers, l.ID)
 				delete(r.items, e.Key)
-				return append(out, Change{What: ServerUnread, Key: e.Key, Revision: e.Revision, Server: l.ID})
+				return append(out, Change{Reason: ServerUnreadable, Key: e.Key, Revision: e.Revision, Server: l.ID})
 			}
 			// The last configuration that could be read stays in force.
-			return append(out, Change{What: CatalogUnread, Key: e.Key, Revision: e.Revision})
+			return append(out, Change{Reason: CatalogUnreadable, Key: e.Key, Revision: e.Revision})
 		}
-		return append(out, Change{What: ItemUnreadable, Key: e.Key, Revision: e.Revision})
+		return append(out, Change{Reason: ItemUnreadable, Key: e.Key, Revision: e.Revision})
 	}
 	r.remember(r.Item(e.Key))
 	r.items[e.Key] = &held{Entry: e}
@@ -144,9 +144,9 @@
 		s.ColdUntil = until
 	}
 	r.servers[l.ID] = s
-	change := Change{What: ServerListed, Key: e.Key, Revision: e.Revision, Server: l.ID, Zone: l.Zone}
+	change := Change{Reason: ServerListed, Key: e.Key, Revision: e.Revision, Server: l.ID, Zone: l.Zone}
 	if l.Leaving {
-		change.What = ServerLeaving
+		change.Reason = ServerLeaving
 	}
 	return append(out, change)
 }
@@ -159,10 +159,10 @@
 	if old == nil || rev != 0 && rev < old.Revision {
 		return out
 	}
-	if l, ok := old.Fact.(shed.ServerEntry); ok && from == FromStore && !l.Leaving && now.Before(r.backAt.Add(r.cfg.LapseGrace)) {
+	if l, ok := old.Record.(shed.ServerEntry); ok && from == FromStore && !l.Leaving && now.Before(r.backAt.Add(r.cfg.LapseGrace)) {
 		if old.lapsedAt.IsZero() {
 			old.lapsedAt = now
-			out = append(out, Change{What: ServerLapsed, Key: key, Revision: rev, Server: l.ID, Zone: l.Zone})
+			out = append(out, Change{Reason: ServerLapsed, Key: key, Revision: rev, Server: l.ID, Zone: l.Zone})
 		}
 		return out
 	}
@@ -173,13 +173,13 @@
 func (r *Roster) drop(now time.Time, out []Change, key string) []Change {
 	old := r.items[key]
 	delete(r.items, key)
-	switch f := old.Fact.(type) {
+	switch f := old.Record.(type) {
 	case shed.ServerEntry:
 		delete(r.servers, f.ID)
-		out = append(out, Change{What: ServerGone, Key: key, Revision: old.Revision, Server: f.ID, Zone: f.Zone})
+		out = append(out, Change{Reason: ServerGone, Key: key, Revision: old.Revision, Server: f.ID, Zone: f.Zone})
 	case shed.ZoneClosed:
 		r.reopened(now, f.Zone)
-		out = append(out, Change{What: ZoneReopened, Key: key, Revision: old.Revision, Zone: f.Zone})
+		out = append(out, Change{Reason: ZoneReopened, Key: key, Revision: old.Revision, Zone: f.Zone})
 	}
 	return out
 }
@@ -197,7 +197,7 @@
 
 // removeOthers takes away what a whole list doesn't have. An item that is newer
 // than the list stays.
-func (r *Roster) removeOthers(now time.Time, out []Change, l Learned) []Change {
+func (r *Roster) removeOthers(now time.Time, out []Change, l Update) []Change {
 	have := make(map[string]bool, len(l.Items))
 	for _, e := range l.Items {
 		have[e.Key] = true
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -40,8 +40,8 @@
 const (
 	FromStore Source = iota + 1
 	FromPeer
-	// FromCopy is a copy of the store that may be behind.
-	FromCopy
+	// FromReplica is a copy of the store that may be behind.
+	FromReplica
 )
 
 // Server is one backend server as the roster believes it to be.
@@ -59,18 +59,18 @@
 
 // What a Change says.
 const (
-	CatalogInForce shed.Reason = "configuration_in_force"
-	ServerListed   shed.Reason = "server_listed"
-	ServerLeaving  shed.Reason = "server_leaving"
-	ServerGone     shed.Reason = "server_gone"
-	ServerLapsed   shed.Reason = "server_entry_lapsed"
-	ServerUnread   shed.Reason = "server_entry_unreadable"
-	ZoneClosed     shed.Reason = "zone_closed"
-	ZoneReopened   shed.Reason = "zone_reopened"
-	StoreRegained  shed.Reason = "store_regained"
-	StoreLost      shed.Reason = "store_lost"
-	CatalogUnread  shed.Reason = "configuration_unreadable"
-	ItemUnreadable shed.Reason = "item_unreadable"
+	CatalogInForce    shed.Reason = "configuration_in_force"
+	ServerListed      shed.Reason = "server_listed"
+	ServerLeaving     shed.Reason = "server_leaving"
+	ServerGone        shed.Reason = "server_gone"
+	ServerLapsed      shed.Reason = "server_entry_lapsed"
+	ServerUnreadable  shed.Reason = "server_entry_unreadable"
+	ZoneClosed        shed.Reason = "zone_closed"
+	ZoneReopened      shed.Reason = "zone_reopened"
+	StoreRegained     shed.Reason = "store_regained"
+	StoreLost         shed.Reason = "store_lost"
+	CatalogUnreadable shed.Reason = "configuration_unreadable"
+	ItemUnreadable    shed.Reason = "item_unreadable"
 )
 
 // held is an item that the roster holds.
@@ -134,8 +134,8 @@
 	return r.catalog.Pools[id]
 }
 
-// TurnedCold notes that a server said that it is cold for left.
-func (r *Roster) TurnedCold(now time.Time, id shed.ServerID, left time.Duration) {
+// MarkCold notes that a server said that it is cold for left.
+func (r *Roster) MarkCold(now time.Time, id shed.ServerID, left time.Duration) {
 	if s := r.servers[id]; s != nil {
 		s.ColdUntil = shed.Later(s.ColdUntil, now.Add(left))
 	}
@@ -147,7 +147,7 @@
 	clear(r.closed)
 	r.pools = map[shed.PoolID][]*Server{}
 	for _, key := range r.keys() {
-		switch f := r.items[key].Fact.(type) {
+		switch f := r.items[key].Record.(type) {
 		case shed.ZoneClosed:
 			r.closed[f.Zone] = true
 		case shed.ServerEntry:
@@ -161,13 +161,13 @@
 // Catalog returns the configuration in force; nil before the first.
 func (r *Roster) Catalog() *shed.Catalog { return r.catalog }
 
-// Sure tells whether the store, or a peer that it answered, has confirmed what is
+// IsConfirmed tells whether the store, or a peer that it answered, has confirmed what is
 // known. What a copy of the store said may be seconds old.
-func (r *Roster) Sure() bool { return !r.copied || !r.contact.IsZero() }
+func (r *Roster) IsConfirmed() bool { return !r.copied || !r.contact.IsZero() }
 
 // Usable tells whether requests may be served by what is known. If the store gives no
 // answer, an old configuration is better than none.
-func (r *Roster) Usable() bool { return r.catalog != nil && (r.Sure() || r.lost) }
+func (r *Roster) Usable() bool { return r.catalog != nil && (r.IsConfirmed() || r.lost) }
 
 // CatalogRevision is the revision of the configuration in force; 0 before the first.
 func (r *Roster) CatalogRevision() shed.Revision { return r.catalogRev }
@@ -175,12 +175,12 @@
 // AsOf is the revision up to which everything is known.
 func (r *Roster) AsOf() shed.Revision { return r.asOf }
 
-// Contact tells when the store last answered this daemon, or a peer that knew no
+// LastContact tells when the store last answered this daemon, or a peer that knew no
 // more; zero if it never did.
-func (r *Roster) Contact() time.Time { return r.contact }
+func (r *Roster) LastContact() time.Time { return r.contact }
 
-// Open returns the pool's servers that may have new work, sorted by id.
-func (r *Roster) Open(pool shed.PoolID) []*Server {
+// OpenServers returns the pool's servers that may have new work, sorted by id.
+func (r *Roster) OpenServers(pool shed.PoolID) []*Server {
 	var out []*Server
 	for _, s := range r.pools[pool] {
 		if !s.Leaving && !r.closed[s.Zone] {
@@ -199,8 +199,8 @@
 	return *s, true
 }
 
-// Listed tells whether the server is known, open or not.
-func (r *Roster) Listed(id shed.ServerID) bool { return r.servers[id] != nil }
+// HasServer tells whether the server is known, open or not.
+func (r *Roster) HasServer(id shed.ServerID) bool { return r.servers[id] != nil }
 
 // HasRoute tells whether the configuration has the route.
 func (r *Roster) HasRoute(id shed.RouteID) bool {
--- a/internal/roster/roster_test.go
+++ b/internal/roster/roster_test.go
@@ -19,7 +19,7 @@
 	if change != nil {
 		change(&l)
 	}
-	return roster.Entry{Item: shed.Item{Key: "s/" + id, Revision: rev}, Fact: l}
+	return roster.Entry{Item: shed.Item{Key: "s/" + id, Revision: rev}, Record: l}
 }
 
 func gone(id string, rev shed.Revision) roster.Entry {
@@ -29,31 +29,31 @@
 func closed(zone shed.ZoneID, rev shed.Revision, isGone bool) roster.Entry {
 	e := roster.Entry{Item: shed.Item{Key: "z/" + string(zone), Revision: rev, Deleted: isGone}}
 	if !isGone {
-		e.Fact = shed.ZoneClosed{Zone: zone}
+		e.Record = shed.ZoneClosed{Zone: zone}
 	}
 	return e
 }
 
 func catalog(version string, rev shed.Revision) roster.Entry {
-	return roster.Entry{Item: shed.Item{Key: "c", Revision: rev}, Fact: &shed.Catalog{
+	return roster.Entry{Item: shed.Item{Key: "c", Revision: rev}, Record: &shed.Catalog{
 		Version: version, Pools: map[shed.PoolID]*shed.RelayPool{"lm": {ID: "lm", ColdDuration: 3 * time.Second, ColdRate: 8}},
 	}}
 }
 
-func store(asOf shed.Revision, entries ...roster.Entry) roster.Learned {
-	return roster.Learned{Source: roster.FromStore, AsOf: asOf, Items: entries}
+func store(asOf shed.Revision, entries ...roster.Entry) roster.Update {
+	return roster.Update{Source: roster.FromStore, AsOf: asOf, Items: entries}
 }
 
 // healthy is a roster whose store has answered for a while.
 func healthy(entries ...roster.Entry) (*roster.Roster, time.Time) {
 	r := roster.New(roster.Config{})
 	l := store(10, entries...)
-	l.Whole = true
-	r.Learn(start, l)
+	l.Complete = true
+	r.Apply(start, l)
 	now := start
 	for range 5 {
 		now = now.Add(time.Second)
-		r.Learn(now, store(10))
+		r.Apply(now, store(10))
 		r.Tick(now)
 	}
 	return r, now
@@ -61,7 +61,7 @@
 
 func open(r *roster.Roster) []shed.ServerID {
 	var out []shed.ServerID
-	for _, s := range r.Open("lm") {
+	for _, s := range r.OpenServers("lm") {
 		out = append(out, s.ID)
 	}
 	return out
@@ -70,11 +70,11 @@
 func TestLeavingServersGetNoNewWork(t *testing.T) {
 	r, now := healthy(catalog("1", 1), server("x", 2, nil), server("y", 3, nil))
 	require.Equal(t, []shed.ServerID{"x", "y"}, open(r))
-	r.Learn(now, store(11, server("x", 11, func(l *shed.ServerEntry) { l.Leaving = true })))
+	r.Apply(now, store(11, server("x", 11, func(l *shed.ServerEntry) { l.Leaving = true })))
 	require.Equal(t, []shed.ServerID{"y"}, open(r))
-	r.Learn(now, store(12, gone("y", 12)))
+	r.Apply(now, store(12, gone("y", 12)))
 	require.Empty(t, open(r))
-	require.False(t, r.Listed("y"))
+	require.False(t, r.HasServer("y"))
 }
 
 // Servers that renew their entries every 0.4 s lose them in an outage of one second.
@@ -82,14 +82,14 @@
 func TestEntriesLapseByTheHeartbeat(t *testing.T) {
 	r := roster.New(roster.Config{Heartbeat: 400 * time.Millisecond})
 	now := time.Unix(1_700_000_000, 0)
-	r.Learn(now, store(10, catalog("1", 1), server("x", 2, nil)))
+	r.Apply(now, store(10, catalog("1", 1), server("x", 2, nil)))
 	for range 4 {
 		now = now.Add(time.Second)
-		r.Learn(now, store(10))
+		r.Apply(now, store(10))
 	}
 	r.StoreFailed(now)
 	now = now.Add(time.Second)
-	r.Learn(now, store(12, gone("x", 12)))
+	r.Apply(now, store(12, gone("x", 12)))
 	require.Equal(t, []shed.ServerID{"x"}, open(r))
 }
 
@@ -102,14 +102,14 @@
 		now = now.Add(time.Second)
 		r.StoreFailed(now)
 	}
-	r.Learn(now, store(13, gone("x", 12), gone("y", 13)))
+	r.Apply(now, store(13, gone("x", 12), gone("y", 13)))
 	require.Equal(t, []shed.ServerID{"x", "y"}, open(r))
 	now = now.Add(time.Second)
-	r.Learn(now, store(14, server("x", 14, nil)))
+	r.Apply(now, store(14, server("x", 14, nil)))
 	r.Tick(now)
 	require.Equal(t, []shed.ServerID{"x", "y"}, open(r))
 	now = now.Add(1300 * time.Millisecond)
-	r.Learn(now, store(14))
+	r.Apply(now, store(14))
 	r.Tick(now)
 	require.Equal(t, []shed.ServerID{"x"}, open(r))
 }
@@ -121,7 +121,7 @@
 	r, now := healthy(catalog("1", 1), server("x", 2, nil))
 	now = now.Add(1800 * time.Millisecond)
 	r.StoreFailed(now)
-	r.Learn(now, store(11, gone("x", 11)))
+	r.Apply(now, store(11, gone("x", 11)))
 	require.Empty(t, open(r))
 }
 
@@ -129,28 +129,28 @@
 // may have turned cold: full load at once would fell them.
 func TestReopenedZoneIsCold(t *testing.T) {
 	r, now := healthy(catalog("1", 1), server("x", 2, nil))
-	r.Learn(now, store(11, closed("a", 11, false)))
+	r.Apply(now, store(11, closed("a", 11, false)))
 	require.Empty(t, open(r))
 	now = now.Add(10 * time.Second)
-	r.Learn(now, store(12, closed("a", 12, true)))
+	r.Apply(now, store(12, closed("a", 12, true)))
 	require.Equal(t, []shed.ServerID{"x"}, open(r))
-	require.True(t, r.Open("lm")[0].Cold(now.Add(2900*time.Millisecond)))
-	require.False(t, r.Open("lm")[0].Cold(now.Add(3*time.Second)))
+	require.True(t, r.OpenServers("lm")[0].Cold(now.Add(2900*time.Millisecond)))
+	require.False(t, r.OpenServers("lm")[0].Cold(now.Add(3*time.Second)))
 }
 
 func TestNewServerIsColdForAsLongAsItSays(t *testing.T) {
 	r, now := healthy(catalog("1", 1))
-	r.Learn(now, store(11, server("x", 11, func(l *shed.ServerEntry) { l.ColdRemaining = time.Second })))
-	require.True(t, r.Open("lm")[0].Cold(now))
-	r.TurnedCold(now, "x", 2*time.Second)
-	require.True(t, r.Open("lm")[0].Cold(now.Add(1900*time.Millisecond)))
+	r.Apply(now, store(11, server("x", 11, func(l *shed.ServerEntry) { l.ColdRemaining = time.Second })))
+	require.True(t, r.OpenServers("lm")[0].Cold(now))
+	r.MarkCold(now, "x", 2*time.Second)
+	require.True(t, r.OpenServers("lm")[0].Cold(now.Add(1900*time.Millisecond)))
 }
 
 // Another writer spoils an entry, and the configuration. The entry names no
 // server any more; the last configuration that could be read stays in force.
 func TestUnreadableItems(t *testing.T) {
 	r, now := healthy(catalog("1", 1), server("x", 2, nil), server("y", 3, nil))
-	r.Learn(now, store(12,
+	r.Apply(now, store(12,
 		roster.Entry{Item: shed.Item{Key: "s/x", Revision: 11}}, roster.Entry{Item: shed.Item{Key: "c", Revision: 12}}))
 	require.Equal(t, []shed.ServerID{"y"}, open(r))
 	require.Equal(t, "1", r.Catalog().Version)
@@ -160,9 +160,9 @@
 // configuration. Neither may come back.
 func TestNeverOlder(t *testing.T) {
 	r, now := healthy(catalog("2", 5), server("x", 2, nil))
-	r.Learn(now, store(11, gone("x", 11)))
-	r.Learn(now, roster.Learned{
-		Source: roster.FromPeer, AsOf: 10, Whole: true, Items: []roster.Entry{catalog("1", 1), server("x", 2, nil)},
+	r.Apply(now, store(11, gone("x", 11)))
+	r.Apply(now, roster.Update{
+		Source: roster.FromPeer, AsOf: 10, Complete: true, Items: []roster.Entry{catalog("1", 1), server("x", 2, nil)},
 	})
 	require.Empty(t, open(r))
 	require.Equal(t, "2", r.Catalog().Version)
@@ -197,7 +197,7 @@
 		entries := func(items []shed.Item) []roster.Entry {
 			var out []roster.Entry
 			for _, it := range items {
-				out = append(out, roster.Entry{Item: it, Fact: facts[fmt.Sprint(it.Key, it.Revision)]})
+				out = append(out, roster.Entry{Item: it, Record: facts[fmt.Sprint(it.Key, it.Revision)]})
 			}
 			return out
 		}
@@ -209,24 +209,24 @@
 			if rapid.Bool().Draw(rt, "gone") {
 				e = gone(id, rev)
 			}
-			facts[fmt.Sprint(e.Key, e.Revision)] = e.Fact
+			facts[fmt.Sprint(e.Key, e.Revision)] = e.Record
 			before := first.AsOf()
-			first.Learn(now, store(rev, e))
+			first.Apply(now, store(rev, e))
 			first.Tick(now)
 			if rapid.Bool().Draw(rt, "arrives") && before > 0 && second.AsOf() >= before {
-				second.Learn(now, roster.Learned{Source: roster.FromPeer, AsOf: rev, Items: entries(first.Since(before))})
+				second.Apply(now, roster.Update{Source: roster.FromPeer, AsOf: rev, Items: entries(first.ChangesSince(before))})
 			}
 		}
 		now = now.Add(10 * time.Second)
-		first.Learn(now, store(rev))
+		first.Apply(now, store(rev))
 		now = now.Add(3 * time.Second)
-		first.Learn(now, store(rev))
+		first.Apply(now, store(rev))
 		first.Tick(now)
 		if second.AsOf() > 0 && second.AsOf() < first.AsOf() {
-			second.Learn(now, roster.Learned{Source: roster.FromPeer, AsOf: rev, Items: entries(first.Since(second.AsOf()))})
+			second.Apply(now, roster.Update{Source: roster.FromPeer, AsOf: rev, Items: entries(first.ChangesSince(second.AsOf()))})
 		}
 		if second.Digest() != first.Digest() {
-			second.Learn(now, roster.Learned{Source: roster.FromPeer, AsOf: rev, Whole: true, Items: entries(first.Since(0))})
+			second.Apply(now, roster.Update{Source: roster.FromPeer, AsOf: rev, Complete: true, Items: entries(first.ChangesSince(0))})
 		}
 		require.Equal(rt, open(first), open(second))
 		require.Equal(rt, first.Digest(), second.Digest())
--- a/internal/roster/share.go
+++ b/internal/roster/share.go
@@ -11,10 +11,10 @@
 	"jasmineshed/internal/delta"
 )
 
-// Since returns what has changed after a revision, for a peer that doesn't read
+// ChangesSince returns what has changed after a revision, for a peer that doesn't read
 // the store by itself: items sorted by key, then deletions. All of it if after
 // is 0.
-func (r *Roster) Since(after shed.Revision) []shed.Item {
+func (r *Roster) ChangesSince(after shed.Revision) []shed.Item {
 	var out []shed.Item
 	for _, key := range r.keys() {
 		if h := r.items[key]; h.Revision > after {
@@ -67,7 +67,7 @@
 
 // remember keeps an item that is about to be replaced.
 func (r *Roster) remember(old shed.Item) {
-	if !delta.Large(old) {
+	if !delta.IsLarge(old) {
 		return
 	}
 	past := slices.Concat(r.past[old.Key], []shed.Item{old})
@@ -91,9 +91,9 @@
 	return d.Sum64()
 }
 
-// Confirmed notes that the store answered a peer at that time, and that this
+// Confirm notes that the store answered a peer at that time, and that this
 // daemon knows all that the peer knows of it.
-func (r *Roster) Confirmed(at time.Time) {
+func (r *Roster) Confirm(at time.Time) {
 	if at.After(r.contact) {
 		r.contact = at
 	}
