--- a/internal/accept/accept.go
+++ b/internal/accept/accept.go
@@ -22,9 +22,9 @@
 	// lateWait is the longest wait in queues with which a request is let in that
 	// can't be in time for its aim.
 	lateWait = 700 * time.Millisecond
-	// ComeBack is the soonest time at which a caller may come back; short, since callers
+	// MinRetryAfter is the soonest time at which a caller may come back; short, since callers
 	// wait for a third of their time at most.
-	ComeBack = 300 * time.Millisecond
+	MinRetryAfter = 300 * time.Millisecond
 	// mostBack is the longest that a caller is told to stay away.
 	mostBack = 1500 * time.Millisecond
 	// A route whose share of requests let in is below fairShare times that of more
@@ -33,30 +33,30 @@
 	fairShare, starveShare = 0.5, 0.4
 )
 
-// Ask is a request at the door, and what is foreseen of its steps.
-type Ask struct {
+// Request is a request at the door, and what is foreseen of its steps.
+type Request struct {
 	Route shed.RouteID
-	// Above are the routes of more urgent ranks that use the pool that the request
+	// MoreUrgent are the routes of more urgent ranks that use the pool that the request
 	// would wait longest for; Ranks is how many ranks they have.
-	Above []shed.RouteID
-	Ranks int
-	// ToAim and ToEnd are the times left until the answer should and must be there.
-	ToAim, ToEnd time.Duration
-	// Least is how long the steps take if nothing waits; Timely if the request goes
+	MoreUrgent  []shed.RouteID
+	UrgentRanks int
+	// ToTarget and ToDeadline are the times left until the answer should and must be there.
+	ToTarget, ToDeadline time.Duration
+	// MinTime is how long the steps take if nothing waits; Timely if the request goes
 	// before all that can't be in time any more, Last if after them.
-	Least, Timely, Last time.Duration
+	MinTime, Timely, Last time.Duration
 	// Answer is what its server is foreseen to take to the first event.
 	Answer time.Duration
 }
 
 // Verdict says whether a request is let in.
 type Verdict struct {
-	LetIn bool
-	// After is when a refused caller may come back.
-	After time.Duration
-	// Needs is the time that the request had to have until its aim: what is foreseen,
+	Admitted bool
+	// RetryAfter is when a refused caller may come back.
+	RetryAfter time.Duration
+	// NeededTime is the time that the request had to have until its aim: what is foreseen,
 	// what queues grow by, and what is kept for others.
-	Needs time.Duration
+	NeededTime time.Duration
 }
 
 // Gate lets requests in. It is not safe for concurrent use.
@@ -70,18 +70,18 @@
 func New() *Gate { return &Gate{routes: map[shed.RouteID]share{}} }
 
 // Decide lets a request in, or says when it may come back.
-func (g *Gate) Decide(a Ask) Verdict {
+func (g *Gate) Decide(a Request) Verdict {
 	needs := time.Duration(growth*float64(a.Timely)) + a.Answer
-	queues := max(a.Timely-a.Least, 0)
-	needs += time.Duration(reserve * g.weight(&a) * float64(a.Ranks) * float64(queues))
-	v := Verdict{Needs: needs}
-	soon := a.Last <= a.Least+lateWait && a.Last+a.Answer <= a.ToEnd
-	v.LetIn = needs <= a.ToAim || soon
+	queues := max(a.Timely-a.MinTime, 0)
+	needs += time.Duration(reserve * g.weight(&a) * float64(a.UrgentRanks) * float64(queues))
+	v := Verdict{NeededTime: needs}
+	soon := a.Last <= a.MinTime+lateWait && a.Last+a.Answer <= a.ToDeadline
+	v.Admitted = needs <= a.ToTarget || soon
 	own := g.share(a.Route)
-	own.add(v.LetIn)
+	own.add(v.Admitted)
 	g.routes[a.Route] = own
-	if !v.LetIn {
-		v.After = min(max(needs-a.ToAim, ComeBack), mostBack)
+	if !v.Admitted {
+		v.RetryAfter = min(max(needs-a.ToTarget, MinRetryAfter), mostBack)
 	}
 	return v
 }
@@ -91,9 +91,9 @@
 // Load pattern: an overload that lasts, mostly of urgent requests. With the whole
 // reserve, nothing else would be let in; the less of a route is let in against the
 // more urgent ones, the less it leaves to them.
-func (g *Gate) weight(a *Ask) float64 {
+func (g *Gate) weight(a *Request) float64 {
 	urgent := share(1)
-	for _, id := range a.Above {
+	for _, id := range a.MoreUrgent {
 		urgent = min(urgent, g.share(id))
 	}
 	if urgent <= 0 {
@@ -110,8 +110,8 @@
 	return 1
 }
 
-// Keep forgets routes that the configuration no longer has.
-func (g *Gate) Keep(listed func(shed.RouteID) bool) {
+// Prune forgets routes that the configuration no longer has.
+func (g *Gate) Prune(listed func(shed.RouteID) bool) {
 	for id := range g.routes {
 		if !listed(id) {
 			delete(g.routes, id)
--- a/internal/accept/accept_test.go
+++ b/internal/accept/accept_test.go
@@ -14,35 +14,35 @@
 const ms = time.Millisecond
 
 func TestDecide(t *testing.T) {
-	calm := accept.Ask{
-		Route: "draft", ToAim: 2700 * ms, ToEnd: 6 * time.Second, Answer: 200 * ms,
-		Least: 900 * ms, Timely: time.Second, Last: time.Second,
+	calm := accept.Request{
+		Route: "draft", ToTarget: 2700 * ms, ToDeadline: 6 * time.Second, Answer: 200 * ms,
+		MinTime: 900 * ms, Timely: time.Second, Last: time.Second,
 	}
 	cases := []struct {
 		name   string
-		change func(*accept.Ask)
+		change func(*accept.Request)
 		letIn  bool
 		// after is when the caller may come back, if it is refused.
 		after time.Duration
 	}{
-		{"calm", func(*accept.Ask) {}, true, 0},
-		{"in time with what queues will grow by", func(a *accept.Ask) { a.Timely = 2170 * ms }, true, 0},
-		{"late by what queues will grow by", func(a *accept.Ask) { a.Timely, a.Last = 2200*ms, 2200*ms }, false, 300 * ms},
-		{"back when it would be in time", func(a *accept.Ask) { a.Timely, a.Last = 3*time.Second, 3*time.Second }, false, 950 * ms},
-		{"back soon however long the queue", func(a *accept.Ask) { a.Timely, a.Last = 9*time.Second, 9*time.Second }, false, 1500 * ms},
-		{"late, but hardly anything waits", func(a *accept.Ask) { a.ToAim, a.Timely, a.Last = 0, 1500*ms, 1500*ms }, true, 0},
-		{"late, and after its caller has gone", func(a *accept.Ask) { a.ToAim, a.ToEnd = 0, 1100*ms }, false, 1350 * ms},
-		{"no server", func(a *accept.Ask) { a.Timely, a.Last = time.Hour, time.Hour }, false, 1500 * ms},
-		{"urgent ranks, empty queues", func(a *accept.Ask) { a.Ranks, a.Timely = 2, 900*ms }, true, 0},
-		{"urgent ranks, full queues", func(a *accept.Ask) { a.Ranks, a.Timely, a.Last = 1, 2*time.Second, 2*time.Second }, false, 900 * ms},
+		{"calm", func(*accept.Request) {}, true, 0},
+		{"in time with what queues will grow by", func(a *accept.Request) { a.Timely = 2170 * ms }, true, 0},
+		{"late by what queues will grow by", func(a *accept.Request) { a.Timely, a.Last = 2200*ms, 2200*ms }, false, 300 * ms},
+		{"back when it would be in time", func(a *accept.Request) { a.Timely, a.Last = 3*time.Second, 3*time.Second }, false, 950 * ms},
+		{"back soon however long the queue", func(a *accept.Request) { a.Timely, a.Last = 9*time.Second, 9*time.Second }, false, 1500 * ms},
+		{"late, but hardly anything waits", func(a *accept.Request) { a.ToTarget, a.Timely, a.Last = 0, 1500*ms, 1500*ms }, true, 0},
+		{"late, and after its caller has gone", func(a *accept.Request) { a.ToTarget, a.ToDeadline = 0, 1100*ms }, false, 1350 * ms},
+		{"no server", func(a *accept.Request) { a.Timely, a.Last = time.Hour, time.Hour }, false, 1500 * ms},
+		{"urgent ranks, empty queues", func(a *accept.Request) { a.UrgentRanks, a.Timely = 2, 900*ms }, true, 0},
+		{"urgent ranks, full queues", func(a *accept.Request) { a.UrgentRanks, a.Timely, a.Last = 1, 2*time.Second, 2*time.Second }, false, 900 * ms},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			a := calm
 			c.change(&a)
 			v := accept.New().Decide(a)
-			require.Equal(t, c.letIn, v.LetIn)
-			require.Equal(t, c.after, v.After.Round(ms))
+			require.Equal(t, c.letIn, v.Admitted)
+			require.Equal(t, c.after, v.RetryAfter.Round(ms))
 		})
 	}
 }
@@ -80,18 +80,18 @@
 	for at := time.Duration(0); at < last; {
 		gap := time.Duration(rng.ExpFloat64() * float64(time.Second) / (urgentPerSec + otherPerSec))
 		at, queue = at+gap, max(queue-gap, 0)
-		a := accept.Ask{
-			Route: "urgent", ToAim: 2700 * ms, ToEnd: 6 * time.Second, Answer: 200 * ms,
-			Least: 900 * ms, Timely: 900*ms + queue, Last: 900*ms + queue,
+		a := accept.Request{
+			Route: "urgent", ToTarget: 2700 * ms, ToDeadline: 6 * time.Second, Answer: 200 * ms,
+			MinTime: 900 * ms, Timely: 900*ms + queue, Last: 900*ms + queue,
 		}
 		kind := 0
 		if rng.Float64() < otherPerSec/(urgentPerSec+otherPerSec) {
 			kind = 1
-			a.Route, a.ToAim, a.ToEnd = "other", 3100*ms, 20*time.Second
-			a.Above, a.Ranks = []shed.RouteID{"urgent"}, ranks
+			a.Route, a.ToTarget, a.ToDeadline = "other", 3100*ms, 20*time.Second
+			a.MoreUrgent, a.UrgentRanks = []shed.RouteID{"urgent"}, ranks
 		}
 		asked[kind]++
-		if g.Decide(a).LetIn {
+		if g.Decide(a).Admitted {
 			in[kind]++
 			queue += time.Second / perSec
 		}
@@ -103,16 +103,16 @@
 // was refused before counts no more.
 func TestKeep(t *testing.T) {
 	g := accept.New()
-	late := accept.Ask{Route: "other", ToEnd: time.Second, Timely: time.Minute, Last: time.Minute}
+	late := accept.Request{Route: "other", ToDeadline: time.Second, Timely: time.Minute, Last: time.Minute}
 	for range 100 {
-		require.False(t, g.Decide(late).LetIn)
-		require.True(t, g.Decide(accept.Ask{Route: "urgent", ToAim: time.Second}).LetIn)
+		require.False(t, g.Decide(late).Admitted)
+		require.True(t, g.Decide(accept.Request{Route: "urgent", ToTarget: time.Second}).Admitted)
 	}
-	other := accept.Ask{
-		Route: "other", Above: []shed.RouteID{"urgent"}, Ranks: 1,
-		ToAim: 2 * time.Second, ToEnd: 2 * time.Second, Timely: 1200 * ms, Last: 1200 * ms,
+	other := accept.Request{
+		Route: "other", MoreUrgent: []shed.RouteID{"urgent"}, UrgentRanks: 1,
+		ToTarget: 2 * time.Second, ToDeadline: 2 * time.Second, Timely: 1200 * ms, Last: 1200 * ms,
 	}
-	require.True(t, g.Decide(other).LetIn, "refused so often that it leaves no reserve")
-	g.Keep(func(id shed.RouteID) bool { return id != "other" })
-	require.False(t, g.Decide(other).LetIn)
+	require.True(t, g.Decide(other).Admitted, "refused so often that it leaves no reserve")
+	g.Prune(func(id shed.RouteID) bool { return id != "other" })
+	require.False(t, g.Decide(other).Admitted)
 }
--- a/internal/chain/chain.go
+++ b/internal/chain/chain.go
@@ -19,12 +19,12 @@
 	Limits shed.BatchLimits
 	// Servers is how many servers its pool has that take new work.
 	Servers int
-	// Wait is what is foreseen of the pool for what waits there now; its Rate and
+	// Forecast is what is foreseen of the pool for what waits there now; its Rate and
 	// Slow are 0 if nothing does.
-	Wait batch.Forecast
-	// Coming is how many pieces requests that were let in will ask of the pool once
+	Forecast batch.Forecast
+	// ExpectedPieces is how many pieces requests that were let in will ask of the pool once
 	// their steps before are done.
-	Coming int
+	ExpectedPieces int
 }
 
 // Chain is all steps of a request.
@@ -34,8 +34,8 @@
 // have been lately.
 func (s *Step) least() time.Duration {
 	least := s.Limits.CallTime + time.Duration(min(s.Pieces, s.Limits.MaxPieces))*s.Limits.PieceTime
-	if s.Wait.Slow > 0 {
-		return time.Duration(float64(least) * s.Wait.Slow)
+	if s.Forecast.Slow > 0 {
+		return time.Duration(float64(least) * s.Forecast.Slow)
 	}
 	return least
 }
@@ -43,8 +43,8 @@
 // rate is how many pieces the pool makes in a second in full calls: as foreseen, or
 // by its limits if nothing waits there. It is above 0.
 func (s *Step) rate() float64 {
-	if s.Wait.Rate > 0 {
-		return s.Wait.Rate
+	if s.Forecast.Rate > 0 {
+		return s.Forecast.Rate
 	}
 	full := s.Limits.CallTime + time.Duration(s.Limits.MaxPieces)*s.Limits.PieceTime
 	return float64(s.Servers*s.Limits.MaxPieces) / max(full, time.Millisecond).Seconds()
@@ -59,16 +59,16 @@
 	if s.Servers == 0 {
 		return batch.Forecast{Timely: batch.NoServers, Last: batch.NoServers}
 	}
-	ahead := time.Duration(float64(s.Coming) / s.rate() * float64(time.Second))
+	ahead := time.Duration(float64(s.ExpectedPieces) / s.rate() * float64(time.Second))
 	ahead += time.Duration(s.Pieces-1) * s.Limits.PieceTime
 	return batch.Forecast{
-		Timely: max(s.Wait.Timely+ahead, start.Timely+s.least()),
-		Last:   max(s.Wait.Last+ahead, start.Last+s.least()),
+		Timely: max(s.Forecast.Timely+ahead, start.Timely+s.least()),
+		Last:   max(s.Forecast.Last+ahead, start.Last+s.least()),
 	}
 }
 
-// Wait foresees how long all steps take, along the longest path.
-func (c Chain) Wait() batch.Forecast {
+// Forecast foresees how long all steps take, along the longest path.
+func (c Chain) Forecast() batch.Forecast {
 	ends := make([]batch.Forecast, len(c))
 	var longest batch.Forecast
 	for i := range c {
@@ -86,22 +86,22 @@
 	return batch.Forecast{Timely: max(a.Timely, b.Timely), Last: max(a.Last, b.Last)}
 }
 
-// Rest is the least time of the steps after one, along the longest path.
-func (c Chain) Rest(at int) time.Duration {
+// MinTimeAfter is the least time of the steps after one, along the longest path.
+func (c Chain) MinTimeAfter(at int) time.Duration {
 	var longest time.Duration
 	for i := at + 1; i < len(c); i++ {
 		if slices.Contains(c[i].After, at) {
-			longest = max(longest, c[i].least()+c.Rest(i))
+			longest = max(longest, c[i].least()+c.MinTimeAfter(i))
 		}
 	}
 	return longest
 }
 
-// Least is how long the steps take if nothing waits, along the longest path.
-func (c Chain) Least() time.Duration {
+// MinTime is how long the steps take if nothing waits, along the longest path.
+func (c Chain) MinTime() time.Duration {
 	var longest time.Duration
 	for i := range c {
-		longest = max(longest, c[i].least()+c.Rest(i))
+		longest = max(longest, c[i].least()+c.MinTimeAfter(i))
 	}
 	return longest
 }
@@ -110,13 +110,13 @@
 // to have to: forecasts are that far off for most requests.
 const beginEarly = 100 * time.Millisecond
 
-// Begin is the step whose beginning step at may await, so that its results are made
+// StartWith is the step whose beginning step at may await, so that its results are made
 // when the longest path is nearly done; -1 if it is to begin at once.
 //
 // Load pattern: a request needs large results beside a long path of other steps.
 // Made at once, they lay at their server until the path was done, for most of the
 // request's time, and took the room from requests that need nothing else.
-func (c Chain) Begin(at int) int {
+func (c Chain) StartWith(at int) int {
 	if len(c[at].After) > 0 || c.needed(at) {
 		return -1
 	}
@@ -147,8 +147,8 @@
 	return c[at].end(batch.Forecast{}).Timely + longest
 }
 
-// Crowded is the step that has to wait longest for servers.
-func (c Chain) Crowded() int {
+// Bottleneck is the step that has to wait longest for servers.
+func (c Chain) Bottleneck() int {
 	most, waits := 0, time.Duration(-1)
 	for i := range c {
 		if queue := c[i].end(batch.Forecast{}).Timely - c[i].least(); queue > waits {
--- a/internal/chain/chain_test.go
+++ b/internal/chain/chain_test.go
@@ -22,17 +22,17 @@
 		{Pieces: 2, Limits: limits, Servers: 2},
 		{Pieces: 30, Limits: limits, Servers: 2, After: []int{1, 2}},
 	}
-	require.Equal(t, 250*ms, c.Rest(1))
-	require.Equal(t, 450*ms, c.Rest(0))
-	require.Equal(t, 250*ms, c.Rest(2))
-	require.Equal(t, 610*ms, c.Least())
-	c[1].Wait = batch.Forecast{Slow: 2}
-	require.Equal(t, 810*ms, c.Least(), "a slow pool")
-	c[2].Wait = batch.Forecast{Timely: 2 * time.Second, Last: 3 * time.Second}
-	require.Equal(t, 2260*ms, c.Wait().Timely)
-	require.Equal(t, 3260*ms, c.Wait().Last)
-	c[2].Coming = 80
-	require.Equal(t, 3260*ms, c.Wait().Timely, "80 pieces at 80 a second")
+	require.Equal(t, 250*ms, c.MinTimeAfter(1))
+	require.Equal(t, 450*ms, c.MinTimeAfter(0))
+	require.Equal(t, 250*ms, c.MinTimeAfter(2))
+	require.Equal(t, 610*ms, c.MinTime())
+	c[1].Forecast = batch.Forecast{Slow: 2}
+	require.Equal(t, 810*ms, c.MinTime(), "a slow pool")
+	c[2].Forecast = batch.Forecast{Timely: 2 * time.Second, Last: 3 * time.Second}
+	require.Equal(t, 2260*ms, c.Forecast().Timely)
+	require.Equal(t, 3260*ms, c.Forecast().Last)
+	c[2].ExpectedPieces = 80
+	require.Equal(t, 3260*ms, c.Forecast().Timely, "80 pieces at 80 a second")
 	c[3].Servers = 0
-	require.Equal(t, batch.NoServers, c.Wait().Timely)
+	require.Equal(t, batch.NoServers, c.Forecast().Timely)
 }
--- a/internal/chain/replay_test.go
+++ b/internal/chain/replay_test.go
@@ -135,9 +135,9 @@
 	c := slices.Clone(chain.Chain(k.steps))
 	for i := range c {
 		p := r.pools[k.pools[i]]
-		c[i].Limits, c[i].Servers, c[i].Wait = p.limits, p.servers, r.b.PredictWait(r.now, k.pools[i], p.limits)
+		c[i].Limits, c[i].Servers, c[i].Forecast = p.limits, p.servers, r.b.PredictWait(r.now, k.pools[i], p.limits)
 		if !r.blind {
-			c[i].Coming = r.coming[k.pools[i]]
+			c[i].ExpectedPieces = r.coming[k.pools[i]]
 		}
 	}
 	return c
@@ -150,14 +150,14 @@
 		madeAt: make([]time.Time, n), made: make([][]shed.ResultRef, n),
 	}
 	c := r.chain(k)
-	if r.door && c.Wait().Timely > k.aim {
+	if r.door && c.Forecast().Timely > k.aim {
 		r.tally[k.name].door++
 		return
 	}
 	for i := range c {
 		r.coming[k.pools[i]] += k.steps[i].Pieces
 		after := c[i].After
-		if with := c.Begin(i); with >= 0 && !r.atOnce {
+		if with := c.StartWith(i); with >= 0 && !r.atOnce {
 			after = c[with].After
 		}
 		q.awaits = append(q.awaits, after)
@@ -179,7 +179,7 @@
 		pieces := make([]shed.Piece, q.kind.steps[i].Pieces)
 		for n := range pieces {
 			pieces[n] = shed.Piece{
-				Bytes: q.kind.bytes[i], Budget: 5 * time.Second, Target: q.began.Add(q.kind.aim - c.Rest(i)).Sub(r.now),
+				Bytes: q.kind.bytes[i], Budget: 5 * time.Second, Target: q.began.Add(q.kind.aim - c.MinTimeAfter(i)).Sub(r.now),
 				SameZone: q.kind.bytes[i] > 0,
 			}
 		}
@@ -336,15 +336,15 @@
 		{Pieces: 5, Limits: limits, Servers: 2, After: []int{1}},
 		{Pieces: 5, Limits: limits, Servers: 2, After: []int{2}},
 	}
-	require.Equal(t, 2, c.Begin(0), "the last step alone is shorter than the step and its margin")
+	require.Equal(t, 2, c.StartWith(0), "the last step alone is shorter than the step and its margin")
 	for _, at := range []int{1, 2, 3} {
-		require.Equal(t, -1, c.Begin(at))
+		require.Equal(t, -1, c.StartWith(at))
 	}
-	c[0].Wait = batch.Forecast{Timely: 450 * ms}
-	require.Equal(t, 1, c.Begin(0), "its own pool is crowded")
-	c[0].Wait.Timely = 2 * time.Second
-	require.Equal(t, -1, c.Begin(0))
-	require.Equal(t, -1, chain.Chain{{Pieces: 1, Limits: limits, Servers: 2}}.Begin(0))
+	c[0].Forecast = batch.Forecast{Timely: 450 * ms}
+	require.Equal(t, 1, c.StartWith(0), "its own pool is crowded")
+	c[0].Forecast.Timely = 2 * time.Second
+	require.Equal(t, -1, c.StartWith(0))
+	require.Equal(t, -1, chain.Chain{{Pieces: 1, Limits: limits, Servers: 2}}.StartWith(0))
 }
 
 func largeBesidePath(atOnce bool) map[string]*tally {
--- a/internal/limit/limit.go
+++ b/internal/limit/limit.go
@@ -48,8 +48,8 @@
 	return t.take(start, saying{rate: rate, at: now})
 }
 
-// Heard takes in what a peer tells.
-func (t *Table) Heard(now time.Time, limits []shed.ServerLimit) []Change {
+// Receive takes in what a peer tells.
+func (t *Table) Receive(now time.Time, limits []shed.ServerLimit) []Change {
 	var out []Change
 	for _, l := range limits {
 		s := saying{rate: l.Rate, at: now.Add(-max(l.Age, 0))}
@@ -73,8 +73,8 @@
 	return []Change{{Start: start, Rate: s.rate}}
 }
 
-// Of is what a server takes; 0 if any number.
-func (t *Table) Of(start shed.ServerStart) shed.Rate { return t.said[start].rate }
+// Rate is what a server takes; 0 if any number.
+func (t *Table) Rate(start shed.ServerStart) shed.Rate { return t.said[start].rate }
 
 // Empty tells whether no server has named a limit lately.
 func (t *Table) Empty() bool { return len(t.said) == 0 }
@@ -90,8 +90,8 @@
 	return out
 }
 
-// Known is all that is known, for peers, sorted.
-func (t *Table) Known(now time.Time) []shed.ServerLimit {
+// All is all that is known, for peers, sorted.
+func (t *Table) All(now time.Time) []shed.ServerLimit {
 	var out []shed.ServerLimit
 	for start, s := range t.said {
 		out = append(out, shed.ServerLimit{Start: start, Rate: s.rate, Lifted: s.rate == 0, Age: now.Sub(s.at)})
@@ -102,9 +102,9 @@
 	return out
 }
 
-// Keep forgets servers that are no longer listed, and ends that are old. A start that has
+// Prune forgets servers that are no longer listed, and ends that are old. A start that has
 // ended takes its limit with it.
-func (t *Table) Keep(now time.Time, listed func(shed.ServerID) bool) {
+func (t *Table) Prune(now time.Time, listed func(shed.ServerID) bool) {
 	for start, s := range t.said {
 		if !listed(start.Server) || s.rate == 0 && now.Sub(s.at) > keepEnded {
 			delete(t.said, start)
--- a/internal/limit/limit_test.go
+++ b/internal/limit/limit_test.go
@@ -25,10 +25,10 @@
 	require.Equal(t, []limit.Change{{Start: one, Rate: 2}}, tb.Answered(at(1), one, 2))
 	require.Empty(t, tb.Answered(at(2), one, 2))
 	require.Equal(t, []limit.Change{{Start: one, Rate: 3}}, tb.Answered(at(3), one, 3))
-	require.Equal(t, shed.Rate(3), tb.Of(one))
-	require.Zero(t, tb.Of(shed.ServerStart{Server: "s1", StartedMs: 2}), "a new start has named none")
+	require.Equal(t, shed.Rate(3), tb.Rate(one))
+	require.Zero(t, tb.Rate(shed.ServerStart{Server: "s1", StartedMs: 2}), "a new start has named none")
 	require.Equal(t, []limit.Change{{Start: one}}, tb.Answered(at(4), one, 0))
-	require.Zero(t, tb.Of(one))
+	require.Zero(t, tb.Rate(one))
 }
 
 // News that were long on their way don't bring back a limit that has ended.
@@ -36,19 +36,19 @@
 	tb := limit.New()
 	tb.Answered(at(0), one, 2)
 	tb.Answered(at(100), one, 0)
-	require.Empty(t, tb.Heard(at(200), []shed.ServerLimit{{Start: one, Rate: 2, Age: 150 * time.Millisecond}}))
-	require.Zero(t, tb.Of(one))
-	require.NotEmpty(t, tb.Heard(at(300), []shed.ServerLimit{{Start: one, Rate: 5, Age: 10 * time.Millisecond}}))
-	require.Equal(t, shed.Rate(5), tb.Of(one))
+	require.Empty(t, tb.Receive(at(200), []shed.ServerLimit{{Start: one, Rate: 2, Age: 150 * time.Millisecond}}))
+	require.Zero(t, tb.Rate(one))
+	require.NotEmpty(t, tb.Receive(at(300), []shed.ServerLimit{{Start: one, Rate: 5, Age: 10 * time.Millisecond}}))
+	require.Equal(t, shed.Rate(5), tb.Rate(one))
 }
 
 func TestServersThatAreGoneAreForgotten(t *testing.T) {
 	tb := limit.New()
 	tb.Answered(at(0), one, 2)
-	tb.Keep(at(1), func(shed.ServerID) bool { return true })
-	require.NotZero(t, tb.Of(one))
-	tb.Keep(at(2), func(shed.ServerID) bool { return false })
-	require.Zero(t, tb.Of(one))
+	tb.Prune(at(1), func(shed.ServerID) bool { return true })
+	require.NotZero(t, tb.Rate(one))
+	tb.Prune(at(2), func(shed.ServerID) bool { return false })
+	require.Zero(t, tb.Rate(one))
 }
 
 // VMs that have heard the same, in any order and more than once, believe the same.
@@ -63,10 +63,10 @@
 			})
 		}
 		a, b := limit.New(), limit.New()
-		a.Heard(at(0), news)
+		a.Receive(at(0), news)
 		for _, l := range append(rapid.Permutation(news).Draw(rt, "order"), news...) {
-			b.Heard(at(0), []shed.ServerLimit{l})
+			b.Receive(at(0), []shed.ServerLimit{l})
 		}
-		require.Equal(rt, a.Known(at(0)), b.Known(at(0)))
+		require.Equal(rt, a.All(at(0)), b.All(at(0)))
 	})
 }
--- a/internal/poison/blame.go
+++ b/internal/poison/blame.go
@@ -34,12 +34,12 @@
 	switch {
 	case n < suspectFrom && s.quarantined:
 		s.quarantined = false
-		change.What = Cleared
+		change.Reason = Cleared
 	case n >= suspectFrom && n != before && t.quarantine(now, s) > 0:
 		s.quarantined = true
-		change.What, change.For = Quarantined, t.quarantine(now, s)
+		change.Reason, change.RefusedFor = Quarantined, t.quarantine(now, s)
 	case n == suspectFrom && before < n:
-		change.What = Suspected
+		change.Reason = Suspected
 	default:
 		return nil
 	}
--- a/internal/poison/fingerprint.go
+++ b/internal/poison/fingerprint.go
@@ -34,9 +34,9 @@
 	return shed.Fingerprint(h.Sum(nil)[:len(shed.Fingerprint{})])
 }
 
-// InPool names the pieces of a request that a pool makes. They are judged apart from the
+// PoolFingerprint names the pieces of a request that a pool makes. They are judged apart from the
 // request: one that ends model engines has its pieces made well each time.
-func InPool(f shed.Fingerprint, pool shed.PoolID) shed.Fingerprint {
+func PoolFingerprint(f shed.Fingerprint, pool shed.PoolID) shed.Fingerprint {
 	h := xxhash.Sum64String(string(pool))
 	binary.BigEndian.PutUint64(f[:8], binary.BigEndian.Uint64(f[:8])^h)
 	return f
--- a/internal/poison/sim_test.go
+++ b/internal/poison/sim_test.go
@@ -135,8 +135,8 @@
 }
 
 func (s *sim) tick(v *simVM) {
-	for _, t := range v.table.Due(s.Now, s.peersOf(v)) {
-		size, err := peers.Size(shed.Peer{VM: v.id, Incarnation: 1}, t.News)
+	for _, t := range v.table.DueReports(s.Now, s.peersOf(v)) {
+		size, err := peers.Size(shed.Peer{VM: v.id, Incarnation: 1}, t.Update)
 		if err != nil {
 			panic(err) // The table made news that have no encoding.
 		}
@@ -147,7 +147,7 @@
 				continue
 			}
 			s.After(latency, func() {
-				if len(to.table.Heard(s.Now, t.News)) > 0 {
+				if len(to.table.Receive(s.Now, t.Update)) > 0 {
 					s.tick(to)
 				}
 			})
--- a/internal/poison/table.go
+++ b/internal/poison/table.go
@@ -90,20 +90,20 @@
 
 // Change is something that is believed anew of a request.
 type Change struct {
-	What      shed.Reason
+	Reason    shed.Reason
 	Request   shed.Fingerprint
 	Workspace shed.WorkspaceID
 	// Crashes is how many servers have ended under it.
 	Crashes int
-	// For is how long it is refused.
-	For time.Duration
+	// RefusedFor is how long it is refused.
+	RefusedFor time.Duration
 }
 
 // Verdict is what may be done with a request.
 type Verdict struct {
 	// Refused: no server may get it; After is when one might.
-	Refused bool
-	After   time.Duration
+	Refused    bool
+	RetryAfter time.Duration
 	// Isolate: it may run, at the server where a crash harms least.
 	Isolate bool
 	// Trial: it may run once, to see whether it still crashes servers.
@@ -113,11 +113,13 @@
 // Empty tells whether no request is known.
 func (t *Table) Empty() bool { return len(t.suspects) == 0 }
 
-// Suspects tells whether servers ended under a request.
-func (t *Table) Suspects(f shed.Fingerprint) bool { return t.suspects[f] != nil }
+// IsSuspect tells whether servers ended under a request.
+func (t *Table) IsSuspect(f shed.Fingerprint) bool { return t.suspects[f] != nil }
 
-// Knows tells whether this start of a server is known to have ended just now.
-func (t *Table) Knows(now time.Time, s shed.ServerStart) bool { return now.Sub(t.ended[s]) < knowsFor }
+// RecentlyCrashed tells whether this start of a server is known to have ended just now.
+func (t *Table) RecentlyCrashed(now time.Time, s shed.ServerStart) bool {
+	return now.Sub(t.ended[s]) < knowsFor
+}
 
 // Decide tells whether a request may run now. turn is this VM's place among those that may try
 // it after its quarantine, 0 for the first.
@@ -132,7 +134,7 @@
 	}
 	free := s.last().Add(quarantine + time.Duration(turn())*turnEvery)
 	if left := shed.Later(free, s.trial).Sub(now); left > 0 {
-		return Verdict{Refused: true, After: left}
+		return Verdict{Refused: true, RetryAfter: left}
 	}
 	s.trial = now.Add(trialFor)
 	return Verdict{Isolate: true, Trial: true}
@@ -165,8 +167,8 @@
 	fromAll
 )
 
-// Heard takes in what a peer tells.
-func (t *Table) Heard(now time.Time, m shed.CrashUpdate) []Change {
+// Receive takes in what a peer tells.
+func (t *Table) Receive(now time.Time, m shed.CrashUpdate) []Change {
 	from := fromPeer
 	if m.All {
 		from = fromAll
--- a/internal/poison/table_test.go
+++ b/internal/poison/table_test.go
@@ -145,15 +145,15 @@
 	crash(tb, at(10), f, 2)
 	require.Equal(t, poison.Verdict{Isolate: true}, tb.Decide(at(11), f, first))
 	crash(tb, at(20), f, 3)
-	require.Equal(t, poison.Verdict{Refused: true, After: quarantine}, tb.Decide(at(20), f, first))
+	require.Equal(t, poison.Verdict{Refused: true, RetryAfter: quarantine}, tb.Decide(at(20), f, first))
 	free := at(20).Add(quarantine)
 	require.True(t, tb.Decide(free, f, func() int { return 1 }).Refused, "another VM goes first")
 	require.Equal(t, poison.Verdict{Isolate: true, Trial: true}, tb.Decide(free, f, first))
 	require.True(t, tb.Decide(free.Add(time.Millisecond), f, first).Refused, "one at a time")
 	changes := crash(tb, free.Add(time.Second), f, 4)
-	require.Equal(t, 6*quarantine, changes[0].For)
+	require.Equal(t, 6*quarantine, changes[0].RefusedFor)
 	again := tb.Decide(free.Add(time.Second), f, first)
-	require.Equal(t, poison.Verdict{Refused: true, After: 6 * quarantine}, again)
+	require.Equal(t, poison.Verdict{Refused: true, RetryAfter: 6 * quarantine}, again)
 }
 
 // A request that runs well again is cleared, at all VMs, also if one of them has heard of
@@ -167,8 +167,8 @@
 	other.Ran(at(50), f)
 	peers := []shed.VM{"vm"}
 	exchange := func(now time.Time, from, to *poison.Table) {
-		for _, tell := range from.Due(now, peers) {
-			to.Heard(now, tell.News)
+		for _, tell := range from.DueReports(now, peers) {
+			to.Receive(now, tell.Update)
 		}
 	}
 	exchange(at(60), one, other)
@@ -194,7 +194,7 @@
 		crash(tb, at(8), culprit, 4+i)
 		crash(tb, at(8), bystander, 3+i)
 	}
-	require.Equal(t, poison.Verdict{Refused: true, After: quarantine/5 - time.Millisecond}, tb.Decide(at(9), bystander, first),
+	require.Equal(t, poison.Verdict{Refused: true, RetryAfter: quarantine/5 - time.Millisecond}, tb.Decide(at(9), bystander, first),
 		"five servers are hardly chance")
 }
 
@@ -237,8 +237,8 @@
 	}
 	require.True(t, tb.Decide(at(6000), other, first).Refused)
 	told := 0
-	for _, tell := range tb.Due(at(7000), []shed.VM{"a", "b"}) {
-		told += len(tell.News.Suspects)
+	for _, tell := range tb.DueReports(at(7000), []shed.VM{"a", "b"}) {
+		told += len(tell.Update.Suspects)
 	}
 	require.LessOrEqual(t, told, 4*32)
 }
@@ -247,10 +247,10 @@
 func TestOldCrashesAreForgotten(t *testing.T) {
 	tb, f := newTable(), print("r", 1)
 	crash(tb, at(0), f, 1)
-	tb.Due(at(0).Add(9*time.Minute), nil)
-	require.True(t, tb.Suspects(f))
-	tb.Due(at(0).Add(11*time.Minute), nil)
-	require.False(t, tb.Suspects(f))
+	tb.DueReports(at(0).Add(9*time.Minute), nil)
+	require.True(t, tb.IsSuspect(f))
+	tb.DueReports(at(0).Add(11*time.Minute), nil)
+	require.False(t, tb.IsSuspect(f))
 	require.True(t, tb.Empty())
 }
 
@@ -275,10 +275,10 @@
 		}
 		one, other := newTable(), newTable()
 		for _, n := range news {
-			one.Heard(at(0), n)
+			one.Receive(at(0), n)
 		}
 		for _, n := range append(rapid.Permutation(news).Draw(rt, "order"), news...) {
-			other.Heard(at(0), n)
+			other.Receive(at(0), n)
 		}
 		for i := range 3 {
 			f := print("r", i)
--- a/internal/poison/tell.go
+++ b/internal/poison/tell.go
@@ -26,14 +26,14 @@
 	sweepEvery = time.Second
 )
 
-// Tell is a message and who gets it.
-type Tell struct {
-	To   []shed.VM
-	News shed.CrashUpdate
+// Report is a message and who gets it.
+type Report struct {
+	To     []shed.VM
+	Update shed.CrashUpdate
 }
 
-// Due is what peers, sorted, are to be told now. It is asked at each tick.
-func (t *Table) Due(now time.Time, peers []shed.VM) []Tell {
+// DueReports is what peers, sorted, are to be told now. It is asked at each tick.
+func (t *Table) DueReports(now time.Time, peers []shed.VM) []Report {
 	if now.Sub(t.sweptAt) >= sweepEvery {
 		t.sweptAt = now
 		t.sweep(now)
@@ -54,20 +54,20 @@
 			byKeeper[vm] = append(byKeeper[vm], s)
 		}
 	}
-	var out []Tell
+	var out []Report
 	if len(forAll) > 0 {
-		out = append(out, Tell{To: peers, News: t.message(now, forAll, true)})
+		out = append(out, Report{To: peers, Update: t.message(now, forAll, true)})
 	}
 	for _, vm := range peers {
 		if its := byKeeper[vm]; len(its) > 0 {
-			out = append(out, Tell{To: []shed.VM{vm}, News: t.message(now, its, false)})
+			out = append(out, Report{To: []shed.VM{vm}, Update: t.message(now, its, false)})
 		}
 	}
 	return append(out, t.remind(now, peers)...)
 }
 
 // remind tells a few peers, in turn, of all suspects.
-func (t *Table) remind(now time.Time, peers []shed.VM) []Tell {
+func (t *Table) remind(now time.Time, peers []shed.VM) []Report {
 	if now.Sub(t.toldAt) < remindEvery {
 		return nil
 	}
@@ -85,7 +85,7 @@
 		to = append(to, peers[(at+i)%len(peers)])
 	}
 	t.last = to[len(to)-1]
-	return []Tell{{To: to, News: t.message(now, known, false)}}
+	return []Report{{To: to, Update: t.message(now, known, false)}}
 }
 
 // pick returns the requests that matter most of those wanted, as many as go in a message.
--- a/internal/relay/finish.go
+++ b/internal/relay/finish.go
@@ -47,7 +47,7 @@
 	case !j.mayHaveRun && late:
 		return &refusal{status: http.StatusServiceUnavailable, reason: shed.ReasonDeadline}
 	case !j.mayHaveRun:
-		return &refusal{status: http.StatusServiceUnavailable, reason: v.reason, retryAfter: accept.ComeBack}
+		return &refusal{status: http.StatusServiceUnavailable, reason: v.reason, retryAfter: accept.MinRetryAfter}
 	case late:
 		return &refusal{status: http.StatusGatewayTimeout, reason: shed.ReasonDeadline}
 	}
--- a/internal/relay/limit.go
+++ b/internal/relay/limit.go
@@ -58,6 +58,6 @@
 func (r *Relay) receivePeerLimits(now, toldAt time.Time, from shed.VM, limits []shed.ServerLimit) {
 	for _, l := range limits {
 		l.Age += now.Sub(toldAt)
-		r.logLimits(r.limits.Heard(now, []shed.ServerLimit{l}), string(from))
+		r.logLimits(r.limits.Receive(now, []shed.ServerLimit{l}), string(from))
 	}
 }
--- a/internal/relay/load.go
+++ b/internal/relay/load.go
@@ -38,7 +38,7 @@
 		Sequence: r.mesh.sequence, HeldBytes: r.batcher.HeldBytes(), Servers: shares, Waits: forecasts, Placed: turn.Placed,
 		// Messages are encoded later, in another goroutine.
 		ExpectedPieces: maps.Clone(r.expected), AsOf: r.roster.AsOf(), Digest: r.roster.Digest(), ConfirmedAgo: now.Sub(r.roster.LastContact()),
-		Catalog: r.roster.CatalogRevision(), Limits: r.limits.Known(now), ForwardToAll: turn.ForwardToAll, Forwarded: turn.Forwarded,
+		Catalog: r.roster.CatalogRevision(), Limits: r.limits.All(now), ForwardToAll: turn.ForwardToAll, Forwarded: turn.Forwarded,
 	})
 }
 
--- a/internal/relay/mesh.go
+++ b/internal/relay/mesh.go
@@ -183,9 +183,9 @@
 	case shed.StoreUpdate:
 		r.receiveUpdate(now, from.VM, m)
 	case shed.LimitUpdate:
-		r.logLimits(r.limits.Heard(now, m.Limits), string(from.VM))
+		r.logLimits(r.limits.Receive(now, m.Limits), string(from.VM))
 	case shed.CrashUpdate:
-		r.reportSuspects(r.poison.Heard(now, m))
+		r.reportSuspects(r.poison.Receive(now, m))
 	case shed.ResultsFreed:
 		r.performBatch(r.batcher.Handle(now, batch.FreeRequested{Refs: m.Refs}))
 	}
--- a/internal/relay/plan.go
+++ b/internal/relay/plan.go
@@ -63,7 +63,7 @@
 func (r *Relay) minTimeAfter(j *job, p plan, at int) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.chain(time.Now(), p).Rest(at) + j.answerTime
+	return r.chain(time.Now(), p).MinTimeAfter(at) + j.answerTime
 }
 
 // chain collects the limits, forecasts and expected pieces of the pools of a plan's steps. The
@@ -82,7 +82,7 @@
 			continue
 		}
 		c[i].Limits, c[i].Servers = *pool.Batch, len(r.roster.OpenServers(s.Pool))
-		c[i].Wait, c[i].Coming = r.forecast(now, pool), r.expectedPieces(s.Pool)
+		c[i].Forecast, c[i].ExpectedPieces = r.forecast(now, pool), r.expectedPieces(s.Pool)
 	}
 	return c
 }
@@ -104,7 +104,7 @@
 // estimate picks the zone near which the pieces should run and predicts how long they take, and
 // the least that they can take. If no server that could answer is reachable, retryAfter is when
 // one may be tried again.
-func (r *Relay) estimate(j *job, p plan) (ask accept.Ask, retryAfter time.Duration) {
+func (r *Relay) estimate(j *job, p plan) (ask accept.Request, retryAfter time.Duration) {
 	now := time.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -119,10 +119,10 @@
 		j.answerTime = min(choice.Time, maxPredictedAnswerTime) + r.picker.Overrun()
 	}
 	c := r.chain(now, p)
-	wait := c.Wait()
-	ask = accept.Ask{Route: j.route.ID, Least: c.Least(), Timely: wait.Timely, Last: wait.Last, Answer: j.answerTime}
+	wait := c.Forecast()
+	ask = accept.Request{Route: j.route.ID, MinTime: c.MinTime(), Timely: wait.Timely, Last: wait.Last, Answer: j.answerTime}
 	if r.prefs.Load().Relay.Has(prefs.UrgentReserve) {
-		ask.Above, ask.Ranks = r.moreUrgentRoutes(j.route, p.steps[c.Crowded()].Pool)
+		ask.MoreUrgent, ask.UrgentRanks = r.moreUrgentRoutes(j.route, p.steps[c.Bottleneck()].Pool)
 	}
 	return ask, choice.UnreachableFor
 }
--- a/internal/relay/poison.go
+++ b/internal/relay/poison.go
@@ -40,7 +40,7 @@
 	for _, f := range j.suspectFingerprints() {
 		v := r.poison.Decide(now, f, func() int { return r.trialRank(f) })
 		if v.Refused {
-			return false, r.adjustRefusal(j, &refusal{status: http.StatusServiceUnavailable, reason: reasonCrashes, retryAfter: v.After})
+			return false, r.adjustRefusal(j, &refusal{status: http.StatusServiceUnavailable, reason: reasonCrashes, retryAfter: v.RetryAfter})
 		}
 		j.trial = j.trial || v.Trial
 		isolate = isolate || v.Isolate
@@ -56,7 +56,7 @@
 		return out
 	}
 	for _, s := range j.route.Steps {
-		if f := poison.InPool(j.fingerprint, s.Pool); !slices.Contains(out, f) {
+		if f := poison.PoolFingerprint(j.fingerprint, s.Pool); !slices.Contains(out, f) {
 			out = append(out, f)
 		}
 	}
@@ -104,12 +104,12 @@
 	}
 	seen := map[shed.Fingerprint]bool{}
 	for _, p := range a.Pieces {
-		ref := shed.RequestRef{Request: poison.InPool(p.Origin.Request, a.Server.Pool), Workspace: p.Origin.Workspace}
+		ref := shed.RequestRef{Request: poison.PoolFingerprint(p.Origin.Request, a.Server.Pool), Workspace: p.Origin.Workspace}
 		switch {
 		case seen[ref.Request]:
 		case end.Crashed:
 			r.recordCrash(p.Request, ref, a.Server)
-		case r.poison.Suspects(ref.Request):
+		case r.poison.IsSuspect(ref.Request):
 			r.reportSuspects(r.poison.Ran(time.Now(), ref.Request))
 		}
 		seen[ref.Request] = true
@@ -136,7 +136,7 @@
 // connections for other reasons as well; one that has ended accepts none.
 func (r *Relay) serverEnded(s shed.ServerEntry) bool {
 	r.mu.Lock()
-	known := r.poison.Knows(time.Now(), startOf(s))
+	known := r.poison.RecentlyCrashed(time.Now(), startOf(s))
 	r.mu.Unlock()
 	if known {
 		return true
@@ -156,8 +156,8 @@
 
 // notifyCrashes sends due crash updates to peers. The caller holds mu.
 func (r *Relay) notifyCrashes(now time.Time) {
-	for _, t := range r.poison.Due(now, r.alivePeers()) {
-		r.client.SendAll(t.To, t.News)
+	for _, t := range r.poison.DueReports(now, r.alivePeers()) {
+		r.client.SendAll(t.To, t.Update)
 	}
 }
 
@@ -170,7 +170,7 @@
 	for _, c := range changes {
 		r.stats.stateChanges.Inc(1)
 		r.log.WithFields(logrus.Fields{
-			"reason": c.What, "fingerprint": c.Request, "workspace": c.Workspace, "crashes": c.Crashes, "for_ms": c.For.Milliseconds(),
+			"reason": c.Reason, "fingerprint": c.Request, "workspace": c.Workspace, "crashes": c.Crashes, "for_ms": c.RefusedFor.Milliseconds(),
 		}).Warn("suspect")
 	}
 }
--- a/internal/relay/receive.go
+++ b/internal/relay/receive.go
@@ -57,7 +57,7 @@
 	defer r.mu.Unlock()
 	c := r.roster.Catalog()
 	if !r.roster.Usable() {
-		return &refusal{status: http.StatusServiceUnavailable, reason: shed.ReasonNoConfig, retryAfter: accept.ComeBack}
+		return &refusal{status: http.StatusServiceUnavailable, reason: shed.ReasonNoConfig, retryAfter: accept.MinRetryAfter}
 	}
 	j.version = c.Version
 	j.route = roster.Route(c, j.ask.Host, j.ask.Target)
@@ -77,7 +77,7 @@
 	}
 	j.pool = c.Pools[r.choosePool(j.route)]
 	if j.pool == nil {
-		return &refusal{status: http.StatusServiceUnavailable, reason: shed.ReasonNoServer, retryAfter: accept.ComeBack}
+		return &refusal{status: http.StatusServiceUnavailable, reason: shed.ReasonNoServer, retryAfter: accept.MinRetryAfter}
 	}
 	wait := j.route.Timeout
 	if j.ask.Budget > 0 && (wait == 0 || j.ask.Budget < wait) {
@@ -98,7 +98,7 @@
 // The caller holds mu.
 func (r *Relay) permanentRefusal(status int, reason shed.Reason) *refusal {
 	if !r.roster.IsConfirmed() || r.mesh.follower.CatalogIsStale(r.roster.AsOf()) {
-		return &refusal{status: http.StatusServiceUnavailable, reason: reasonStaleConfig, retryAfter: accept.ComeBack}
+		return &refusal{status: http.StatusServiceUnavailable, reason: reasonStaleConfig, retryAfter: accept.MinRetryAfter}
 	}
 	return &refusal{status: status, reason: reason}
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -95,8 +95,8 @@
 	poison  *poison.Table
 	limits  *limit.Table
 	// turnBook holds the turns that this VM grants, deniedTurns those that it was denied.
-	turnBook     *turns.Book
-	deniedTurns  *turns.Waits
+	turnBook     *turns.Ledger
+	deniedTurns  *turns.Backoff
 	retryBudgets map[shed.PoolID]*retry.Budget
 	group        *member.Group
 	mesh         mesh
@@ -135,8 +135,8 @@
 		roster:       roster.New(roster.Config{Heartbeat: cfg.Prefs.Relay.Heartbeat}),
 		accept:       accept.New(),
 		limits:       limit.New(),
-		turnBook:     turns.NewBook(),
-		deniedTurns:  turns.NewWaits(),
+		turnBook:     turns.NewLedger(),
+		deniedTurns:  turns.NewBackoff(),
 		picker:       picker.New(picker.Config{Zone: shed.ZoneID(cfg.Prefs.Node.Zone)}),
 		retryBudgets: map[shed.PoolID]*retry.Budget{},
 		jobs:         map[batch.JobID]chan []shed.PieceResult{},
--- a/internal/relay/send.go
+++ b/internal/relay/send.go
@@ -219,7 +219,7 @@
 	defer r.mu.Unlock()
 	for _, s := range r.roster.OpenServers(j.pool.ID) {
 		if s.ID != c.Server.ID && !slices.Contains(j.avoid, s.ID) {
-			return r.retryBudget(j.pool.ID).Left(time.Now()) > 0
+			return r.retryBudget(j.pool.ID).Remaining(time.Now()) > 0
 		}
 	}
 	return false
--- a/internal/relay/steps.go
+++ b/internal/relay/steps.go
@@ -93,7 +93,7 @@
 	late := r.prefs.Load().Relay.Has(prefs.LateStart)
 	for i := range c {
 		out[i] = c[i].After
-		if with := c.Begin(i); late && with >= 0 {
+		if with := c.StartWith(i); late && with >= 0 {
 			out[i] = c[with].After
 		}
 	}
@@ -139,23 +139,23 @@
 }
 
 // admitSteps refuses a request at once if its pieces would be late.
-func (r *Relay) admitSteps(j *job, ask accept.Ask) *refusal {
+func (r *Relay) admitSteps(j *job, ask accept.Request) *refusal {
 	now := time.Now()
-	ask.ToAim, ask.ToEnd = j.target.Sub(now), j.deadline.Sub(now)
+	ask.ToTarget, ask.ToDeadline = j.target.Sub(now), j.deadline.Sub(now)
 	r.mu.Lock()
 	v := r.accept.Decide(ask)
 	r.mu.Unlock()
 	j.predicted = ask.Timely + ask.Answer
-	if v.LetIn {
+	if v.Admitted {
 		return nil
 	}
 	r.log.WithFields(logrus.Fields{
-		"request": j.ask.ID, "route": ask.Route, "needs_ms": v.Needs.Milliseconds(), "least_ms": ask.Least.Milliseconds(),
+		"request": j.ask.ID, "route": ask.Route, "needs_ms": v.NeededTime.Milliseconds(), "least_ms": ask.MinTime.Milliseconds(),
 		"timely_ms": ask.Timely.Milliseconds(), "last_ms": ask.Last.Milliseconds(), "answer_ms": ask.Answer.Milliseconds(),
-		"urgent_ranks": ask.Ranks, "to_aim_ms": ask.ToAim.Milliseconds(), "to_end_ms": ask.ToEnd.Milliseconds(),
-		"after_ms": v.After.Milliseconds(),
+		"urgent_ranks": ask.UrgentRanks, "to_aim_ms": ask.ToTarget.Milliseconds(), "to_end_ms": ask.ToDeadline.Milliseconds(),
+		"after_ms": v.RetryAfter.Milliseconds(),
 	}).Info("pieces would be late")
-	return &refusal{status: http.StatusServiceUnavailable, reason: reasonPiecesLate, retryAfter: v.After}
+	return &refusal{status: http.StatusServiceUnavailable, reason: reasonPiecesLate, retryAfter: v.RetryAfter}
 }
 
 // assignResults keeps the results that the request itself needs as its inputs, and frees the
@@ -186,7 +186,7 @@
 }
 
 func (r *Relay) stepRefusal(ctx context.Context, j *job, err error) *refusal {
-	refused := &refusal{status: http.StatusServiceUnavailable, reason: reasonPiecesNotMade, retryAfter: accept.ComeBack}
+	refused := &refusal{status: http.StatusServiceUnavailable, reason: reasonPiecesNotMade, retryAfter: accept.MinRetryAfter}
 	var end stepError
 	if errors.As(err, &end) && end.end == shed.PieceLate {
 		refused.reason = reasonPiecesLate
--- a/internal/relay/sync.go
+++ b/internal/relay/sync.go
@@ -169,10 +169,10 @@
 	}
 	r.logRosterChanges(r.roster.Apply(now, l))
 	r.picker.RetainServers(r.roster.HasServer)
-	r.accept.Keep(r.roster.HasRoute)
-	r.limits.Keep(now, r.roster.HasServer)
-	r.turnBook.Keep(now)
-	r.deniedTurns.Keep(now)
+	r.accept.Prune(r.roster.HasRoute)
+	r.limits.Prune(now, r.roster.HasServer)
+	r.turnBook.Prune(now)
+	r.deniedTurns.Prune(now)
 	if rd.from == roster.FromStore && len(l.Items) > 0 && rd.after > 0 && slices.Contains(watchers, r.mesh.self.VM) {
 		r.forwardChanges(rd.after, watchers)
 	}
--- a/internal/relay/turns.go
+++ b/internal/relay/turns.go
@@ -26,12 +26,12 @@
 // turnLimit returns the rate that a server accepts from all VMs together now: its stated limit,
 // or the one that applies while it is cold. limited is false if it has none. The caller holds
 // mu.
-func (r *Relay) turnLimit(now time.Time, pool *shed.RelayPool, s *roster.Server) (ask turns.Ask, limited bool) {
-	ask = turns.Ask{Start: startOf(s.ServerEntry), Burst: 1}
+func (r *Relay) turnLimit(now time.Time, pool *shed.RelayPool, s *roster.Server) (ask turns.Request, limited bool) {
+	ask = turns.Request{Start: startOf(s.ServerEntry), Burst: 1}
 	if r.limits.Empty() && !s.Cold(now) {
 		return ask, false
 	}
-	if rate := r.limits.Of(ask.Start); rate > 0 {
+	if rate := r.limits.Rate(ask.Start); rate > 0 {
 		ask.Rate, ask.Burst = rate, 1+float64(rate)
 	}
 	if cold := shed.Rate(pool.ColdRate * coldRateShare); s.Cold(now) && cold > 0 && (ask.Rate == 0 || cold < ask.Rate) {
@@ -48,7 +48,7 @@
 		switch {
 		case !limited:
 			return picker.Free
-		case denied[s.ID] || maxWait == 0 && r.deniedTurns.Held(now, ask.Start):
+		case denied[s.ID] || maxWait == 0 && r.deniedTurns.Active(now, ask.Start):
 			return picker.NoTurn
 		}
 		return picker.ByTurn
@@ -73,7 +73,7 @@
 	if !limited {
 		return true
 	}
-	got := turns.Turn{Wait: ownerLostWait}
+	got := turns.Decision{Wait: ownerLostWait}
 	if ok {
 		got = r.askOwner(ctx, client, owner, ask)
 	}
@@ -83,24 +83,24 @@
 	return r.awaitTurn(ctx, got)
 }
 
-func (r *Relay) askOwner(ctx context.Context, client *peers.Client, owner shed.VM, ask turns.Ask) turns.Turn {
+func (r *Relay) askOwner(ctx context.Context, client *peers.Client, owner shed.VM, ask turns.Request) turns.Decision {
 	callCtx, cancel := context.WithTimeout(ctx, turnTimeout)
 	defer cancel()
 	got, err := client.Turn(callCtx, owner, peers.TurnCall(ask))
 	switch {
 	case err == nil && !got.Moved:
-		return turns.Turn{Granted: got.Granted, Wait: got.Wait}
+		return turns.Decision{Granted: got.Granted, Wait: got.Wait}
 	case err == nil:
 		r.backOffPeer(owner)
 	case ctx.Err() == nil:
 		r.log.WithField("peer", owner).WithError(err).Info("peer that lends turns gives no answer")
 		r.backOffSilentPeers(owner)
 	}
-	return turns.Turn{Wait: ownerLostWait}
+	return turns.Decision{Wait: ownerLostWait}
 }
 
 // recordTurn holds back requests to a server whose turn was denied. The caller holds mu.
-func (r *Relay) recordTurn(now time.Time, ask turns.Ask, got turns.Turn) {
+func (r *Relay) recordTurn(now time.Time, ask turns.Request, got turns.Decision) {
 	if !got.Granted {
 		r.stats.turnsDenied.Inc(1)
 		r.deniedTurns.Denied(now, ask.Start, got.Wait)
@@ -108,7 +108,7 @@
 }
 
 // awaitTurn waits until a granted turn is due.
-func (r *Relay) awaitTurn(ctx context.Context, got turns.Turn) bool {
+func (r *Relay) awaitTurn(ctx context.Context, got turns.Decision) bool {
 	if got.Granted && got.Wait > 0 {
 		sleep(ctx, got.Wait)
 	}
@@ -122,7 +122,7 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	got := r.turnBook.Take(time.Now(), turns.Ask(call))
+	got := r.turnBook.Take(time.Now(), turns.Request(call))
 	return peers.TurnReply{Granted: got.Granted, Wait: got.Wait}
 }
 
--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -72,8 +72,8 @@
 	return true
 }
 
-// Left is how many retries the budget can pay for now.
-func (b *Budget) Left(now time.Time) int {
+// Remaining is how many retries the budget can pay for now.
+func (b *Budget) Remaining(now time.Time) int {
 	b.refill(now)
 	return int(b.tokens)
 }
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -48,7 +48,7 @@
 		t.Run(name, func(t *testing.T) {
 			b := New(cfg)
 			now := c.do(b)
-			require.Equal(t, c.want, b.Left(now))
+			require.Equal(t, c.want, b.Remaining(now))
 			require.Equal(t, c.want, spend(b, now))
 		})
 	}
--- a/internal/turns/turns.go
+++ b/internal/turns/turns.go
@@ -14,17 +14,17 @@
 	shed "jasmineshed"
 )
 
-// Book is the owner's side: the turns that it has lent. It is not safe for concurrent use.
-type Book struct {
+// Ledger is the owner's side: the turns that it has lent. It is not safe for concurrent use.
+type Ledger struct {
 	// next is when the next turn of each server is due if none is saved up.
 	next map[shed.ServerStart]time.Time
 }
 
-// NewBook returns a Book that has lent no turn.
-func NewBook() *Book { return &Book{next: map[shed.ServerStart]time.Time{}} }
+// NewLedger returns a Book that has lent no turn.
+func NewLedger() *Ledger { return &Ledger{next: map[shed.ServerStart]time.Time{}} }
 
-// Ask asks for a turn.
-type Ask struct {
+// Request asks for a turn.
+type Request struct {
 	Start shed.ServerStart
 	// Rate is what the server takes, above 0.
 	Rate shed.Rate
@@ -34,15 +34,15 @@
 	Patience time.Duration
 }
 
-// Turn answers an Ask. If Granted, the asker may send after Wait; else a turn is due then.
-type Turn struct {
+// Decision answers an Ask. If Granted, the asker may send after Wait; else a turn is due then.
+type Decision struct {
 	Granted bool
 	Wait    time.Duration
 }
 
 // Take lends a turn. A server that was never asked for has none saved up: what it got just
 // before counts, too.
-func (b *Book) Take(now time.Time, a Ask) Turn {
+func (b *Ledger) Take(now time.Time, a Request) Decision {
 	every := time.Duration(float64(time.Second) / float64(a.Rate))
 	next, known := b.next[a.Start]
 	if !known {
@@ -52,31 +52,31 @@
 	next = shed.Later(next, now.Add(-time.Duration((a.Burst-1)*float64(every))))
 	wait := max(next.Sub(now), 0)
 	if wait > a.Patience {
-		return Turn{Wait: wait}
+		return Decision{Wait: wait}
 	}
 	b.next[a.Start] = next.Add(every)
-	return Turn{Granted: true, Wait: wait}
+	return Decision{Granted: true, Wait: wait}
 }
 
-// Keep forgets servers that have not been asked for since long.
-func (b *Book) Keep(now time.Time) {
+// Prune forgets servers that have not been asked for since long.
+func (b *Ledger) Prune(now time.Time) {
 	maps.DeleteFunc(b.next, func(_ shed.ServerStart, next time.Time) bool { return now.Sub(next) > keepFor })
 }
 
 // keepFor is how long a server is remembered that nobody asks for.
 const keepFor = time.Minute
 
-// Waits is the asker's side: which servers have no turn for it. It is not safe for
+// Backoff is the asker's side: which servers have no turn for it. It is not safe for
 // concurrent use.
-type Waits struct {
+type Backoff struct {
 	until map[shed.ServerStart]time.Time
 }
 
-// NewWaits returns a Waits that holds nothing back.
-func NewWaits() *Waits { return &Waits{until: map[shed.ServerStart]time.Time{}} }
+// NewBackoff returns a Waits that holds nothing back.
+func NewBackoff() *Backoff { return &Backoff{until: map[shed.ServerStart]time.Time{}} }
 
 // Denied notes that a server has no turn for so long.
-func (w *Waits) Denied(now time.Time, s shed.ServerStart, wait time.Duration) {
+func (w *Backoff) Denied(now time.Time, s shed.ServerStart, wait time.Duration) {
 	w.until[s] = now.Add(min(max(wait, leastWait), mostWait))
 }
 
@@ -87,10 +87,10 @@
 	mostWait  = time.Second
 )
 
-// Held tells whether asking for a turn is of no use yet.
-func (w *Waits) Held(now time.Time, s shed.ServerStart) bool { return now.Before(w.until[s]) }
+// Active tells whether asking for a turn is of no use yet.
+func (w *Backoff) Active(now time.Time, s shed.ServerStart) bool { return now.Before(w.until[s]) }
 
-// Keep forgets what is over.
-func (w *Waits) Keep(now time.Time) {
+// Prune forgets what is over.
+func (w *Backoff) Prune(now time.Time) {
 	maps.DeleteFunc(w.until, func(_ shed.ServerStart, until time.Time) bool { return !now.Before(until) })
 }
--- a/internal/turns/turns_test.go
+++ b/internal/turns/turns_test.go
@@ -43,8 +43,8 @@
 
 type vm struct {
 	id    shed.VM
-	book  *turns.Book
-	waits *turns.Waits
+	book  *turns.Ledger
+	waits *turns.Backoff
 	// away: it answers nobody, since gone; here is since when it lends.
 	away, cut bool
 	gone      time.Time
@@ -63,7 +63,7 @@
 }
 
 func (v *vm) restart() {
-	v.book, v.waits, v.shunned = turns.NewBook(), turns.NewWaits(), map[shed.VM]time.Time{}
+	v.book, v.waits, v.shunned = turns.NewLedger(), turns.NewBackoff(), map[shed.VM]time.Time{}
 }
 
 // load sends requests at random VMs, so many a second in all.
@@ -116,7 +116,7 @@
 		way = 0
 	}
 	s.After(way, func() {
-		got := owner.book.Take(s.Now, turns.Ask{Start: server, Rate: s.rate, Burst: s.burst, Patience: patience})
+		got := owner.book.Take(s.Now, turns.Request{Start: server, Rate: s.rate, Burst: s.burst, Patience: patience})
 		if !got.Granted {
 			return
 		}
@@ -223,30 +223,30 @@
 // A server turned cold unseen, or named its limit just now: what it got in the second
 // before counts, so nothing is saved up for it.
 func TestTurnedColdUnseen(t *testing.T) {
-	b := turns.NewBook()
-	ask := turns.Ask{Start: server, Rate: 2, Burst: 3}
-	require.Equal(t, turns.Turn{Wait: 500 * time.Millisecond}, b.Take(start, ask))
+	b := turns.NewLedger()
+	ask := turns.Request{Start: server, Rate: 2, Burst: 3}
+	require.Equal(t, turns.Decision{Wait: 500 * time.Millisecond}, b.Take(start, ask))
 	require.True(t, b.Take(start.Add(500*time.Millisecond), ask).Granted)
 	require.False(t, b.Take(start.Add(501*time.Millisecond), ask).Granted)
 }
 
 func TestTurnsAreLentInOrder(t *testing.T) {
-	b := turns.NewBook()
-	ask := turns.Ask{Start: server, Rate: 1, Burst: 2, Patience: 1500 * time.Millisecond}
-	require.Equal(t, turns.Turn{Granted: true, Wait: time.Second}, b.Take(start, ask))
-	require.Equal(t, turns.Turn{Wait: 2 * time.Second}, b.Take(start, ask), "two would wait longer than they may")
+	b := turns.NewLedger()
+	ask := turns.Request{Start: server, Rate: 1, Burst: 2, Patience: 1500 * time.Millisecond}
+	require.Equal(t, turns.Decision{Granted: true, Wait: time.Second}, b.Take(start, ask))
+	require.Equal(t, turns.Decision{Wait: 2 * time.Second}, b.Take(start, ask), "two would wait longer than they may")
 	later := start.Add(time.Minute)
-	require.Equal(t, turns.Turn{Granted: true}, b.Take(later, ask))
-	require.Equal(t, turns.Turn{Granted: true}, b.Take(later, ask), "one was saved up")
-	require.Equal(t, turns.Turn{Granted: true, Wait: time.Second}, b.Take(later, ask))
+	require.Equal(t, turns.Decision{Granted: true}, b.Take(later, ask))
+	require.Equal(t, turns.Decision{Granted: true}, b.Take(later, ask), "one was saved up")
+	require.Equal(t, turns.Decision{Granted: true, Wait: time.Second}, b.Take(later, ask))
 }
 
 func TestDeniedServersAreLeftAlone(t *testing.T) {
-	w := turns.NewWaits()
-	require.False(t, w.Held(start, server))
+	w := turns.NewBackoff()
+	require.False(t, w.Active(start, server))
 	w.Denied(start, server, time.Hour)
-	require.True(t, w.Held(start.Add(900*time.Millisecond), server))
-	require.False(t, w.Held(start.Add(time.Second), server), "a limit may have ended")
+	require.True(t, w.Active(start.Add(900*time.Millisecond), server))
+	require.False(t, w.Active(start.Add(time.Second), server), "a limit may have ended")
 	w.Denied(start, server, 0)
-	require.True(t, w.Held(start.Add(time.Millisecond), server))
+	require.True(t, w.Active(start.Add(time.Millisecond), server))
 }
