--- /dev/null
+++ b/internal/relay/gossip.go
@@ -0,0 +1,230 @@
+package relay
+
+import (
+	"context"
+	"errors"
+	"time"
+
+	shed "jasmineshed"
+	"jasmineshed/internal/delta"
+	"jasmineshed/internal/follow"
+	"jasmineshed/internal/peers"
+	"jasmineshed/internal/rank"
+	"jasmineshed/internal/roster"
+
+	"github.com/sirupsen/logrus"
+)
+
+// maxUpdateBytes bounds the changes in one control message, which has to arrive within a second
+// over a low-bandwidth link shared with other messages. Each peer reads larger changes in
+// parts, which may take as long as needed.
+const maxUpdateBytes = 32 << 10
+
+// forwardChanges sends peers the changes that the store reported after a revision: each peer is
+// notified by one of the watchers, and one that misses the message learns of the change from
+// the next load report. A watcher may itself have received the same update from another one a
+// moment before, but its peers have not. The caller holds mu.
+//
+// After an outage of the store all VMs read it at once, and each knows of no other that has. If
+// each notified all others, copies of the configuration would fill the links, and peers and
+// servers would appear dead. In that case the VMs that watch in normal operation forward the
+// changes.
+func (r *Relay) forwardChanges(after shed.Revision, watchers []shed.VM) {
+	var to []shed.VM
+	for _, vm := range r.alivePeers() {
+		if watcher, ok := rank.Owner(string(vm), watchers); ok && watcher == r.mesh.self.VM {
+			to = append(to, vm)
+		}
+	}
+	if len(to) == 0 {
+		return
+	}
+	msg := shed.StoreUpdate{After: after, AsOf: r.roster.AsOf()}
+	changes, client := r.changes(after, after), r.client
+	r.work.Go(func() error {
+		msg.Items = r.packChanges(changes)
+		if valueBytes(msg.Items) > maxUpdateBytes {
+			msg.Items, msg.Unsent = nil, true
+		}
+		client.SendAll(to, msg)
+		return nil
+	})
+}
+
+// change is an item that a peer lacks, and the version of it that the peer has.
+type change struct{ item, base shed.Item }
+
+// changes returns the items changed after one revision, for a peer that has everything up to
+// another, known. The caller holds mu.
+func (r *Relay) changes(after, known shed.Revision) []change {
+	items := r.roster.ChangesSince(after)
+	out := make([]change, len(items))
+	for i, item := range items {
+		out[i] = change{item: item, base: r.roster.ItemAt(item.Key, known)}
+	}
+	return out
+}
+
+// packChanges encodes changes for peers. The caller must not hold mu: a large value takes long.
+func (r *Relay) packChanges(changes []change) []shed.ItemChange {
+	out := make([]shed.ItemChange, len(changes))
+	for i, c := range changes {
+		out[i] = r.packer.Pack(c.item, c.base)
+	}
+	return out
+}
+
+func valueBytes(items []shed.ItemChange) int {
+	total := 0
+	for _, item := range items {
+		total += len(item.Value)
+	}
+	return total
+}
+
+// Items implements peers.RelayHandler.
+func (r *Relay) Items(call peers.ItemsCall) peers.ItemsReply {
+	r.mu.Lock()
+	asOf, changes := r.roster.AsOf(), r.changes(call.After, call.Known)
+	r.mu.Unlock()
+	return peers.ItemsReply{AsOf: asOf, Items: r.packChanges(changes)}
+}
+
+// unpackChanges decodes changes from a peer. Items already held here are left without a value.
+func (r *Relay) unpackChanges(changes []shed.ItemChange) ([]shed.Item, error) {
+	items := make([]shed.Item, len(changes))
+	for i, c := range changes {
+		r.mu.Lock()
+		held := r.roster.Item(c.Key)
+		r.mu.Unlock()
+		if c.Packed && held.Revision >= c.Revision {
+			items[i] = shed.Item{Key: c.Key, Revision: c.Revision}
+			continue
+		}
+		var err error
+		if items[i], err = delta.Restore(c, held); err != nil {
+			return nil, err
+		}
+	}
+	return items, nil
+}
+
+// storeUpdate is an update of the store that a peer forwarded.
+type storeUpdate struct {
+	from shed.VM
+	shed.StoreUpdate
+}
+
+// maxQueuedUpdates bounds the queue of updates; what does not fit is read from the peer in one
+// pull.
+const maxQueuedUpdates = 32
+
+// receiveUpdate queues an update from a peer. Updates are applied one at a time: changes often
+// arrive in quick succession, and the second can't be applied before the first. The caller
+// holds mu.
+func (r *Relay) receiveUpdate(now time.Time, from shed.VM, m shed.StoreUpdate) {
+	if m.AsOf <= r.roster.AsOf() {
+		return
+	}
+	if m.Unsent || len(r.mesh.updates) >= maxQueuedUpdates {
+		r.handleFollowEvent(now, follow.UpdateMissed{From: from, AsOf: m.AsOf})
+		return
+	}
+	r.mesh.updates = append(r.mesh.updates, storeUpdate{from: from, StoreUpdate: m})
+	if len(r.mesh.updates) > 1 {
+		return
+	}
+	r.work.Go(func() error {
+		for r.applyNextUpdate() {
+		}
+		return nil
+	})
+}
+
+// applyNextUpdate applies the first queued update; it returns false once the queue is empty.
+func (r *Relay) applyNextUpdate() bool {
+	r.mu.Lock()
+	m, known := r.mesh.updates[0], r.roster.AsOf()
+	r.mu.Unlock()
+	missed := m.After > known
+	if !missed && m.AsOf > known {
+		items, err := r.unpackChanges(m.Items)
+		missed = err != nil
+		if !missed {
+			r.applyReading(storeReading{from: roster.FromPeer, items: items, after: m.After, asOf: m.AsOf})
+		}
+	}
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if missed {
+		r.handleFollowEvent(time.Now(), follow.UpdateMissed{From: m.from, AsOf: m.AsOf})
+	}
+	r.mesh.updates = r.mesh.updates[1:]
+	return len(r.mesh.updates) > 0
+}
+
+// receiveStoreState compares a peer's state of the store with this VM's. The caller holds mu.
+func (r *Relay) receiveStoreState(now time.Time, from shed.VM, m shed.RelayLoad) {
+	member, _ := r.group.Lookup(from)
+	r.handleFollowEvent(now, follow.PeerReported{From: from, State: follow.PeerState{
+		AsOf: m.AsOf, Digest: m.Digest, Catalog: m.Catalog, LastContact: now.Add(-m.ConfirmedAgo), Power: member.Power,
+	}})
+}
+
+// handleFollowEvent performs the follower's actions for an event. The caller holds mu.
+func (r *Relay) handleFollowEvent(now time.Time, ev follow.Event) {
+	own := follow.LocalState{
+		AsOf: r.roster.AsOf(), Digest: r.roster.Digest(), LastContact: r.roster.LastContact(), Applying: r.mesh.applying,
+	}
+	for _, act := range r.mesh.follower.Handle(now, own, ev) {
+		switch a := act.(type) {
+		case follow.Confirm:
+			r.roster.Confirm(a.At)
+		case follow.Pull:
+			client := r.client
+			r.work.Go(func() error {
+				r.pullFromPeer(r.base, client, a)
+				return nil
+			})
+		}
+	}
+}
+
+// pullFromPeer reads the items that this VM lacks from a peer, and reports the end of the pull
+// to the follower.
+func (r *Relay) pullFromPeer(ctx context.Context, client *peers.Client, p follow.Pull) {
+	began, before := time.Now(), client.Received()
+	items, asOf, err := r.readPeer(ctx, client, p)
+	// received_bytes distinguishes a peer that sent too little from one that did not answer.
+	log := r.log.WithFields(logrus.Fields{
+		"peer": p.From, "after": p.After, "wanted": p.Reported, "as_of": asOf, "items": len(items),
+		"took_ms": time.Since(began).Milliseconds(), "received_bytes": client.Received() - before,
+	})
+	if err != nil {
+		log.WithError(err).Info("items of the store not read from a peer")
+	} else {
+		log.Info("items of the store read from a peer")
+		r.applyReading(storeReading{from: roster.FromPeer, items: items, after: p.After, asOf: asOf, whole: p.After == 0})
+	}
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.handleFollowEvent(time.Now(), follow.PullEnded{Pull: p.ID, Failed: err != nil})
+}
+
+func (r *Relay) readPeer(ctx context.Context, client *peers.Client, p follow.Pull) ([]shed.Item, shed.Revision, error) {
+	call := peers.ItemsCall{After: p.After, Known: p.Known}
+	for {
+		reply, err := client.Items(ctx, p.From, call)
+		if err != nil {
+			return nil, 0, err
+		}
+		items, err := r.unpackChanges(reply.Items)
+		if errors.Is(err, delta.ErrUnpack) && call.Known > 0 {
+			// The item held here has changed meanwhile or isn't the base that the peer assumed.
+			// Full values need no base.
+			call.Known = 0
+			continue
+		}
+		return items, reply.AsOf, err
+	}
+}
--- a/internal/relay/limit.go
+++ b/internal/relay/limit.go
@@ -9,8 +9,8 @@
 	"github.com/sirupsen/logrus"
 )
 
-// heardLimit takes in what an answer says of the limit of its server.
-func (r *Relay) heardLimit(s shed.ServerEntry, reply shed.ReplyHead) {
+// receiveAnswerLimit applies the rate limit that an answer states for its server.
+func (r *Relay) receiveAnswerLimit(s shed.ServerEntry, reply shed.ReplyHead) {
 	if reply.OtherServer {
 		return
 	}
@@ -25,16 +25,17 @@
 	if len(changes) == 0 {
 		return
 	}
-	r.tellLimits(changes, "answer")
-	news := shed.LimitUpdate{}
+	r.logLimits(changes, "answer")
+	update := shed.LimitUpdate{}
 	for _, c := range changes {
-		news.Limits = append(news.Limits, shed.ServerLimit{Start: c.Start, Rate: c.Rate, Lifted: c.Rate == 0})
+		update.Limits = append(update.Limits, shed.ServerLimit{Start: c.Start, Rate: c.Rate, Lifted: c.Rate == 0})
 	}
-	r.client.SendAll(r.alive(), news)
+	r.client.SendAll(r.alivePeers(), update)
 }
 
-// limited tells whether the server at an address has named a limit. The caller holds mu.
-func (r *Relay) limited(addr string) bool {
+// isLimited reports whether the server at an address has stated a rate limit. The caller holds
+// mu.
+func (r *Relay) isLimited(addr string) bool {
 	for _, start := range r.limits.Limited() {
 		if s, ok := r.roster.Server(start.Server); ok && s.Addr == addr && s.StartedMs == start.StartedMs {
 			return true
@@ -43,20 +44,20 @@
 	return false
 }
 
-// tellLimits logs limits that are believed anew, and who says so.
-func (r *Relay) tellLimits(changes []limit.Change, by string) {
+// logLimits logs changed limits and their source.
+func (r *Relay) logLimits(changes []limit.Change, by string) {
 	for _, c := range changes {
-		r.stats.beliefs.Inc(1)
+		r.stats.stateChanges.Inc(1)
 		r.log.WithFields(logrus.Fields{
 			"server": c.Start.Server, "born": c.Start.StartedMs, "per_second": c.Rate, "ended": c.Rate == 0, "by": by,
 		}).Info("server limit")
 	}
 }
 
-// heardLimits takes in the limits that a peer told at a time. The caller holds mu.
-func (r *Relay) heardLimits(now, told time.Time, from shed.VM, limits []shed.ServerLimit) {
+// receivePeerLimits applies the limits that a peer reported at toldAt. The caller holds mu.
+func (r *Relay) receivePeerLimits(now, toldAt time.Time, from shed.VM, limits []shed.ServerLimit) {
 	for _, l := range limits {
-		l.Age += now.Sub(told)
-		r.tellLimits(r.limits.Receive(now, []shed.ServerLimit{l}), string(from))
+		l.Age += now.Sub(toldAt)
+		r.logLimits(r.limits.Receive(now, []shed.ServerLimit{l}), string(from))
 	}
 }
--- a/internal/relay/mesh.go
+++ b/internal/relay/mesh.go
@@ -18,94 +18,91 @@
 )
 
 const (
-	// meshZone is the one zone that member sees: any VM may reach any server
-	// here, so each VM has to know all others, in all zones.
+	// meshZone is the only zone in the membership protocol: any VM may call any server, so each
+	// VM has to know all others, in all zones.
 	meshZone shed.ZoneID = "fleet"
-	// The relay holds no state that a wrong verdict of death could double, so it
-	// takes a peer for dead sooner than member's defaults: 2.2 s instead of 5.1.
+	// The relay holds no state that a false death verdict could duplicate, so it declares a
+	// peer dead sooner than with member's defaults: after 2.2 s instead of 5.1 s.
 	probeEvery = 500 * time.Millisecond
 	ackAfter   = 300 * time.Millisecond
 	suspectFor = time.Second
-	// joinFor and joinEvery: a new process has short rounds at first. With syncMost
-	// members in an answer, it knows a fleet of 78 VMs after two of them.
+	// joinFor and joinEvery: a new process starts with short probe rounds. With syncMost
+	// members per answer, it knows a fleet of 78 VMs after two of them.
 	joinFor   = 1500 * time.Millisecond
 	joinEvery = 200 * time.Millisecond
 	syncMost  = 100
-	// shunPeerFor is how long a peer that gave no answer gathers no pieces for this
-	// VM.
-	shunPeerFor = 1500 * time.Millisecond
-	// loadMissed is how many of these may be missing before a peer gathers no
-	// pieces for this VM. By member alone, the VMs disagreed for two to four
-	// seconds after several had died at once; up to eight then gathered for the
-	// same servers and found them full.
-	loadMissed = 3
-	// settleFor is how long a new process gathers nothing and tells no load, so
-	// that it knows its peers first: a second gatherer for a pool knows nothing
-	// of the calls and the room of the first one.
-	settleFor = 700 * time.Millisecond
-	// freshMissed is how many load messages a peer may be behind, as a factor of
-	// their period, once another peer has given no answer. A zone that is cut off
-	// falls silent at once: without it, a VM tried the peers there one after the
-	// other, each for half a second or more.
-	freshMissed = 1.4
-	// settlePoll is how often a request looks whether somebody gathers by now.
+	// peerBackoff is how long this VM sends no work to a peer that gave no answer.
+	peerBackoff = 1500 * time.Millisecond
+	// maxMissedLoads is how many load reports may be missing before a peer coordinates nothing
+	// for this VM. By membership alone, the VMs disagreed for two to four seconds after several
+	// had died at once; up to eight then coordinated calls to the same servers and found them
+	// full.
+	maxMissedLoads = 3
+	// settleTime is how long a new process coordinates nothing and reports no load, so that it
+	// knows its peers first: a second coordinator of a pool knows nothing of the first one's
+	// calls and result capacity.
+	settleTime = 700 * time.Millisecond
+	// freshLoadPeriods is how old a peer's last load report may be, in reporting periods, once
+	// another peer has given no answer. A partitioned zone falls silent all at once: without
+	// this check, a VM tried the peers there one after the other, each for half a second or
+	// more.
+	freshLoadPeriods = 1.4
+	// settlePoll is how often a request checks whether a coordinator is known.
 	settlePoll = 50 * time.Millisecond
-	// renewedBy is added to the incarnation of a process that was overruled: its
-	// VM's clock was set back after an earlier process had started.
-	renewedBy = 30 * time.Second
+	// incarnationBump is added to the incarnation of a process that was overruled: the VM's
+	// clock was set back after an earlier process had started.
+	incarnationBump = 30 * time.Second
 )
 
-// mesh is what the relay knows of its peers.
+// mesh is the relay's state about its peers.
 type mesh struct {
-	self shed.Peer
-	// started is when this process started.
-	started time.Time
-	// seen is the last sequence of each process's load, heard is when a VM last
-	// told its load, to this VM or one that passed it on.
-	seen  map[shed.Peer]uint64
-	heard map[shed.VM]time.Time
-	// waits are what peers said of the pieces that they gather.
-	waits map[shed.PoolID]peerWait
-	// shunned peers gather nothing for this VM until then.
-	shunned map[shed.VM]time.Time
-	// present are the VMs that are there, as of presentAt.
-	present   []shed.VM
-	presentAt time.Time
-	// follow decides when what peers know more of the store is read from them.
-	follow *follow.Follower
-	// news wait to be taken in, the first one is being taken in.
-	news []news
-	// taking: something of the store is being taken in.
-	taking bool
-	// coming is what each peer said of the pieces that its requests will ask for,
-	// comingSum their sum.
-	coming    map[shed.VM]map[shed.PoolID]int
-	comingSum map[shed.PoolID]int
-	// asks end the calls for pieces that are under way at each peer, by a number.
-	asks    map[shed.VM]map[uint64]context.CancelFunc
-	lastAsk uint64
-
-	// fanout decides whom this VM tells its load.
+	self      shed.Peer
+	startedAt time.Time
+	// lastSequence is the last load report sequence of each process, lastLoad when a VM last
+	// reported its load, to this VM or to one that forwarded it.
+	lastSequence map[shed.Peer]uint64
+	lastLoad     map[shed.VM]time.Time
+	// forecasts are the coordinators' latest forecasts by pool.
+	forecasts map[shed.PoolID]peerForecast
+	// backoffUntil is until when a peer gets no work from this VM.
+	backoffUntil map[shed.VM]time.Time
+	// active is the cached list of active VMs, computed at activeAt.
+	active   []shed.VM
+	activeAt time.Time
+	// follower decides when newer state of the store is pulled from peers.
+	follower *follow.Follower
+	// updates is the queue of received updates; the first one is being applied.
+	updates []storeUpdate
+	// applying: data from the store or a peer is being applied.
+	applying bool
+	// expected is what each peer reported as its expected pieces, expectedSum the sum.
+	expected    map[shed.VM]map[shed.PoolID]int
+	expectedSum map[shed.PoolID]int
+	// pieceCalls cancels the piece calls in flight at each peer, by call number.
+	pieceCalls    map[shed.VM]map[uint64]context.CancelFunc
+	lastPieceCall uint64
+
+	// fanout decides which peers get load reports, and when.
 	fanout   *fanout.Fanout
 	sequence uint64
 }
 
 func (r *Relay) startMesh() {
 	r.mesh = mesh{
-		self:    shed.Peer{VM: shed.VM(r.prefs.Load().Node.Reach()), Incarnation: shed.Incarnation(time.Now().UnixNano())},
-		started: time.Now(),
-		seen:    map[shed.Peer]uint64{},
-		heard:   map[shed.VM]time.Time{},
-		waits:   map[shed.PoolID]peerWait{},
-		shunned: map[shed.VM]time.Time{},
-		asks:    map[shed.VM]map[uint64]context.CancelFunc{},
-		coming:  map[shed.VM]map[shed.PoolID]int{}, comingSum: map[shed.PoolID]int{},
+		self:         shed.Peer{VM: shed.VM(r.prefs.Load().Node.Reach()), Incarnation: shed.Incarnation(time.Now().UnixNano())},
+		startedAt:    time.Now(),
+		lastSequence: map[shed.Peer]uint64{},
+		lastLoad:     map[shed.VM]time.Time{},
+		forecasts:    map[shed.PoolID]peerForecast{},
+		backoffUntil: map[shed.VM]time.Time{},
+		pieceCalls:   map[shed.VM]map[uint64]context.CancelFunc{},
+		expected:     map[shed.VM]map[shed.PoolID]int{}, expectedSum: map[shed.PoolID]int{},
 	}
-	r.mesh.follow, r.mesh.fanout = follow.New(r.mesh.self.VM), fanout.New(r.mesh.self.VM)
+	r.mesh.follower, r.mesh.fanout = follow.New(r.mesh.self.VM), fanout.New(r.mesh.self.VM)
 	r.joinMesh()
 }
 
-// joinMesh starts with an empty view under the present incarnation.
+// joinMesh starts with an empty membership view under the current incarnation.
 func (r *Relay) joinMesh() {
 	r.client = peers.NewClient(peers.ClientConfig{Self: r.mesh.self, Dial: r.cfg.DialPeer})
 	r.group = member.New(member.Config{
@@ -130,19 +127,19 @@
 	}
 	r.performMesh(r.group.Handle(now, shed.Tick{Wall: now, Mono: now.Sub(start)}))
 	if r.group.Overruled() {
-		r.mesh.self.Incarnation = shed.Incarnation(now.Add(renewedBy).UnixNano())
+		r.mesh.self.Incarnation = shed.Incarnation(now.Add(incarnationBump).UnixNano())
 		r.log.WithField("incarnation", r.mesh.self.Incarnation).
-			Warn("an earlier process of this VM had a later clock; joining the peers anew")
+			Warn("an earlier process of this VM had a later clock; rejoining with a new incarnation")
 		old := r.client
 		r.joinMesh()
 		r.work.Go(old.Close)
 	}
-	r.follow(now, follow.Tick{})
-	r.tellCrashes(now)
-	r.tellLoad(now)
+	r.handleFollowEvent(now, follow.Tick{})
+	r.notifyCrashes(now)
+	r.reportLoad(now)
 }
 
-// performMesh does what member asks. The caller holds mu.
+// performMesh performs the membership protocol's actions. The caller holds mu.
 func (r *Relay) performMesh(acts []shed.Action) {
 	for _, act := range acts {
 		switch a := act.(type) {
@@ -151,24 +148,24 @@
 		case shed.Note:
 			r.log.WithFields(logrus.Fields{"reason": a.Reason, "peer": a.Peer}).Info("peer")
 			if a.Reason == member.ReasonPeerDead {
-				// What a dead process had on servers is over.
+				// A dead process has no requests on servers any more.
 				r.picker.RemovePeer(a.Peer)
-				r.heardComing(a.Peer, nil)
-				r.follow(time.Now(), follow.PeerDied{VM: a.Peer})
+				r.setPeerExpected(a.Peer, nil)
+				r.handleFollowEvent(time.Now(), follow.PeerDied{VM: a.Peer})
 			}
-			r.stats.beliefs.Inc(1)
+			r.stats.stateChanges.Inc(1)
 		}
 	}
 }
 
-// alive are the peers that are alive, without this one.
-func (r *Relay) alive() []shed.VM {
+// alivePeers returns the live peers by the membership protocol, without this VM.
+func (r *Relay) alivePeers() []shed.VM {
 	vms := r.group.View().VMs(meshZone)
 	return slices.DeleteFunc(vms, func(vm shed.VM) bool { return vm == r.mesh.self.VM })
 }
 
-// fleetSize is how many VMs share what only the whole fleet may use up: those
-// that the settings name, or more if more were ever seen.
+// fleetSize returns how many VMs share the budgets of the fleet: the number in the settings, or
+// the number of VMs ever seen if that is larger.
 func (r *Relay) fleetSize() int {
 	return max(r.prefs.Load().Relay.Fleet, len(r.group.Known())+1)
 }
@@ -182,37 +179,37 @@
 	case shed.Probe, shed.ProbeAck:
 		r.performMesh(r.group.Handle(now, shed.PeerMessage{From: from, Message: msg}))
 	case shed.RelayLoad:
-		r.heardLoad(now, from, m)
+		r.receiveLoad(now, from, m)
 	case shed.StoreUpdate:
-		r.heardNews(now, from.VM, m)
+		r.receiveUpdate(now, from.VM, m)
 	case shed.LimitUpdate:
-		r.tellLimits(r.limits.Receive(now, m.Limits), string(from.VM))
+		r.logLimits(r.limits.Receive(now, m.Limits), string(from.VM))
 	case shed.CrashUpdate:
-		r.tellSuspects(r.poison.Receive(now, m))
+		r.reportSuspects(r.poison.Receive(now, m))
 	case shed.ResultsFreed:
-		r.perform(r.batcher.Handle(now, batch.FreeRequested{Refs: m.Refs}))
+		r.performBatch(r.batcher.Handle(now, batch.FreeRequested{Refs: m.Refs}))
 	}
 }
 
-// Unwanted implements peers.RelayHandler. Else the results would take up room at
-// their makers until they lapse there.
+// Unwanted implements peers.RelayHandler. It frees the results, which would otherwise take up
+// capacity at their producers until they expire.
 func (r *Relay) Unwanted(results []shed.PieceResult) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.perform(r.batcher.Handle(time.Now(), batch.FreeRequested{Refs: made(results)}))
+	r.performBatch(r.batcher.Handle(time.Now(), batch.FreeRequested{Refs: completeRefs(results)}))
 }
 
 // Pieces implements peers.RelayHandler.
 func (r *Relay) Pieces(ctx context.Context, call peers.PieceCall) peers.PieceAnswer {
 	if r.stopping.Load() {
-		return peers.PieceAnswer{Results: all(len(call.Pieces), shed.PieceMoved)}
+		return peers.PieceAnswer{Results: uniformResults(len(call.Pieces), shed.PieceMoved)}
 	}
-	results := r.gather(ctx, call.Pool, call.Pieces)
+	results := r.coordinatePieces(ctx, call.Pool, call.Pieces)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	answer := peers.PieceAnswer{Results: results}
 	if pool := r.pool(call.Pool); pool.RunsPieces() {
-		wait := r.ownWait(time.Now(), pool)
+		wait := r.ownForecast(time.Now(), pool)
 		answer.Wait = &wait
 	}
 	return answer
--- a/internal/relay/plan.go
+++ b/internal/relay/plan.go
@@ -11,15 +11,15 @@
 	"jasmineshed/internal/prefs"
 )
 
-// plan is what a request's steps come to.
+// plan is the subset of a route's steps that a request uses.
 type plan struct {
 	steps []shed.RouteStep
-	// pieces is how many pieces each of steps has, at least one.
+	// pieces is the number of pieces of each step, at least one.
 	pieces []int
 }
 
-// planOf leaves out steps that the request has no pieces of.
-func planOf(j *job) plan {
+// newPlan omits steps for which the request has no pieces.
+func newPlan(j *job) plan {
 	var p plan
 	for _, s := range j.route.Steps {
 		n := 0
@@ -33,21 +33,21 @@
 	return p
 }
 
-// at finds the step with this index; -1 if the request omits it.
-func (p plan) at(index int) int {
+// stepIndex returns the position of the step with this index; -1 if the request omits it.
+func (p plan) stepIndex(index int) int {
 	return slices.IndexFunc(p.steps, func(s shed.RouteStep) bool { return s.Index == index })
 }
 
-// last tells whether no other step needs the results of this one.
-func (p plan) last(at int) bool {
+// isFinal reports whether no other step needs the results of this one.
+func (p plan) isFinal(at int) bool {
 	return !slices.ContainsFunc(p.steps, func(s shed.RouteStep) bool {
 		return slices.Contains(s.DependsOn, p.steps[at].Index)
 	})
 }
 
-// fetched is how many bytes of a step's results the pieces of other steps fetch:
-// each of them fetches all.
-func (p plan) fetched(at int) int64 {
+// fetchedBytes returns how many bytes of a step's results the pieces of other steps fetch: each
+// of them fetches all.
+func (p plan) fetchedBytes(at int) int64 {
 	var bytes int64
 	for i, s := range p.steps {
 		if slices.Contains(s.DependsOn, p.steps[at].Index) {
@@ -57,23 +57,23 @@
 	return bytes
 }
 
-// timeAfter is the least time that a request takes after one of its steps. By
-// it, the first step of a long chain is due before the last one, and pieces are
-// not made for a request that can't be in time any more.
-func (r *Relay) timeAfter(j *job, p plan, at int) time.Duration {
+// minTimeAfter returns the least time that a request takes after one of its steps. It makes the
+// first step of a long chain due before the last one, and prevents running pieces for a request
+// that can't meet its deadline any more.
+func (r *Relay) minTimeAfter(j *job, p plan, at int) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.chain(time.Now(), p).MinTimeAfter(at) + j.answerTime
 }
 
-// chain puts together what is known of the pools of a plan's steps. The caller
-// holds mu.
+// chain collects the limits, forecasts and expected pieces of the pools of a plan's steps. The
+// caller holds mu.
 func (r *Relay) chain(now time.Time, p plan) chain.Chain {
 	c := make(chain.Chain, len(p.steps))
 	for i, s := range p.steps {
 		c[i].Pieces = p.pieces[i]
 		for _, before := range s.DependsOn {
-			if at := p.at(before); at >= 0 {
+			if at := p.stepIndex(before); at >= 0 {
 				c[i].After = append(c[i].After, at)
 			}
 		}
@@ -82,18 +82,18 @@
 			continue
 		}
 		c[i].Limits, c[i].Servers = *pool.Batch, len(r.roster.OpenServers(s.Pool))
-		c[i].Forecast, c[i].ExpectedPieces = r.forecast(now, pool), r.comingTo(s.Pool)
+		c[i].Forecast, c[i].ExpectedPieces = r.forecast(now, pool), r.expectedPieces(s.Pool)
 	}
 	return c
 }
 
-// forecast is what this VM foresees for a pool that it gathers for, or what the
-// gatherer told, less what has passed since.
+// forecast returns this VM's forecast for a pool that it coordinates, or the coordinator's last
+// one less the time since.
 func (r *Relay) forecast(now time.Time, pool *shed.RelayPool) batch.Forecast {
-	if vm, _ := r.gatherer(now, pool.ID); vm == r.mesh.self.VM {
+	if vm, _ := r.coordinator(now, pool.ID); vm == r.mesh.self.VM {
 		return r.batcher.PredictWait(now, pool.ID, *pool.Batch)
 	}
-	w, ok := r.mesh.waits[pool.ID]
+	w, ok := r.mesh.forecasts[pool.ID]
 	if !ok {
 		return batch.Forecast{}
 	}
@@ -101,35 +101,35 @@
 	return batch.Forecast{Timely: w.Timely - age, Last: w.Last - age, Slow: w.Slow, Rate: w.Rate}
 }
 
-// plan chooses near which server the pieces are best made, and foresees how long
-// they take, and would take at least. If no server can be reached that could answer,
-// away is when one may be tried again.
-func (r *Relay) plan(j *job, p plan) (ask accept.Request, away time.Duration) {
+// estimate picks the zone near which the pieces should run and predicts how long they take, and
+// the least that they can take. If no server that could answer is reachable, retryAfter is when
+// one may be tried again.
+func (r *Relay) estimate(j *job, p plan) (ask accept.Request, retryAfter time.Duration) {
 	now := time.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for i, s := range p.steps {
-		j.heavy = j.heavy || p.last(i) && s.ResultBytes >= heavyBytes
+		j.largeInputs = j.largeInputs || p.isFinal(i) && s.ResultBytes >= largeResultBytes
 	}
-	want := r.want(j)
-	want.Access = r.access(now, j.pool, nil, 0)
+	want := r.wantFor(j)
+	want.Access = r.serverAccess(now, j.pool, nil, 0)
 	choice := r.picker.Pick(now, want, r.roster.OpenServers(j.pool.ID))
 	if choice.Server != nil {
 		j.zone = choice.Server.Zone
-		j.answerTime = min(choice.Time, mostReading) + r.picker.Overrun()
+		j.answerTime = min(choice.Time, maxPredictedAnswerTime) + r.picker.Overrun()
 	}
 	c := r.chain(now, p)
 	wait := c.Forecast()
 	ask = accept.Request{Route: j.route.ID, MinTime: c.MinTime(), Timely: wait.Timely, Last: wait.Last, Answer: j.answerTime}
 	if r.prefs.Load().Relay.Has(prefs.UrgentReserve) {
-		ask.MoreUrgent, ask.UrgentRanks = r.above(j.route, p.steps[c.Bottleneck()].Pool)
+		ask.MoreUrgent, ask.UrgentRanks = r.moreUrgentRoutes(j.route, p.steps[c.Bottleneck()].Pool)
 	}
 	return ask, choice.UnreachableFor
 }
 
-// above are the routes of more urgent ranks that have steps in a pool, and how many
-// ranks they have. The caller holds mu.
-func (r *Relay) above(route *shed.Route, pool shed.PoolID) (routes []shed.RouteID, ranks int) {
+// moreUrgentRoutes returns the routes of more urgent ranks that have steps in a pool, and the
+// number of these ranks. The caller holds mu.
+func (r *Relay) moreUrgentRoutes(route *shed.Route, pool shed.PoolID) (routes []shed.RouteID, ranks int) {
 	seen := map[int]bool{}
 	for i := range r.roster.Catalog().Routes {
 		other := &r.roster.Catalog().Routes[i]
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -1,7 +1,7 @@
-// Package relay is the daemon that passes requests on unread: it finds the
-// route, has the pieces made that the request needs, chooses a server, and
-// brings the answer back whole. Decisions are taken by the pure packages
-// roster, picker, batch, member and retry; this package performs them.
+// Package relay implements the daemon that forwards requests without interpreting their bodies:
+// it finds the route, has the pieces run that the request needs, chooses a server, and returns
+// the complete answer. The pure packages roster, picker, batch, member and retry take the
+// decisions; this package performs them.
 package relay
 
 import (
@@ -39,20 +39,19 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Config is what a Relay needs.
+// Config configures a Relay.
 type Config struct {
 	Prefs *prefs.Prefs
-	// Reload reads the settings again; nil if they have no file.
+	// Reload rereads the settings; nil if they come from no file.
 	Reload  func() (*prefs.Prefs, error)
 	Store   shed.Store
 	Dialect shed.Dialect
-	// Log and Lines are the log and the writer below it, whose lines the relay
-	// writes out.
+	// Log writes to Lines, whose buffer the relay drains.
 	Log     *logrus.Logger
 	Lines   *telem.Async
 	Metrics *telem.Metrics
 	Tracing *telem.Tracing
-	// Listeners, opened by Listen.
+	// Listeners are opened by Listen.
 	Listeners Listeners
 	// Dial opens connections to backend servers; nil means TCP.
 	Dial func(ctx context.Context, network, addr string) (net.Conn, error)
@@ -60,7 +59,7 @@
 	DialPeer func(ctx context.Context, to shed.VM) (net.Conn, error)
 }
 
-// Relay is one relaying daemon.
+// Relay is a relay daemon.
 type Relay struct {
 	cfg    Config
 	log    *logrus.Entry
@@ -69,26 +68,25 @@
 	front  *httpd.Server
 	sender *engine.Sender
 	client *peers.Client
-	// base is the context of work that belongs to no request.
-	base context.Context
-	halt context.CancelFunc
-	// work holds the goroutines that perform actions.
+	// base is the context of background work that belongs to no request.
+	base       context.Context
+	cancelBase context.CancelFunc
+	// work tracks the goroutines that perform actions.
 	work errgroup.Group
 
 	// prefs are the settings in force.
 	prefs    atomic.Pointer[prefs.Prefs]
 	stopping atomic.Bool
-	// hurried is closed once a stop is to hurry.
-	hurried   chan struct{}
-	hurryOnce sync.Once
+	// forced is closed once a forced stop is requested.
+	forced    chan struct{}
+	forceOnce sync.Once
 	// open counts requests being answered.
 	open atomic.Int64
 
-	// learning is held while something of the store is taken in. It is locked before mu.
-	learning sync.Mutex
+	// applyMu serializes applying data of the store. It is locked before mu.
+	applyMu sync.Mutex
 
-	// mu guards what follows: all decisions are taken under it, none of them
-	// blocks.
+	// mu guards the fields below: all decisions are taken under it, and none of them blocks.
 	mu      sync.Mutex
 	roster  *roster.Roster
 	picker  *picker.Picker
@@ -96,62 +94,62 @@
 	accept  *accept.Gate
 	poison  *poison.Table
 	limits  *limit.Table
-	// book are the turns that this VM lends, waits those that it was denied.
-	book    *turns.Ledger
-	waits   *turns.Backoff
-	repeats map[shed.PoolID]*retry.Budget
-	group   *member.Group
-	mesh    mesh
-	packer  delta.Packer
-	jobs    map[batch.JobID]chan []shed.PieceResult
-	lastJob batch.JobID
-	// coming is how many pieces the requests here will ask of each pool once the
-	// steps before are done; no entry is 0.
-	coming map[shed.PoolID]int
-	// freed are results to be given up, by the address of their maker; freeing
-	// counts the calls that tell a maker of some.
-	freed   map[string][]shed.ResultRef
-	freeing map[string]int
-	// forgotten: the store's history is gone, so all of it is to be read. Used by
+	// turnBook holds the turns that this VM grants, deniedTurns those that it was denied.
+	turnBook     *turns.Ledger
+	deniedTurns  *turns.Backoff
+	retryBudgets map[shed.PoolID]*retry.Budget
+	group        *member.Group
+	mesh         mesh
+	packer       delta.Packer
+	jobs         map[batch.JobID]chan []shed.PieceResult
+	lastJob      batch.JobID
+	// expected is how many pieces the requests here will request from each pool once the
+	// preceding steps are done; entries of 0 are deleted.
+	expected map[shed.PoolID]int
+	// pendingFrees are results to be freed, by the address of their producer; activeFrees
+	// counts the free calls in flight per address.
+	pendingFrees map[string][]shed.ResultRef
+	activeFrees  map[string]int
+	// historyCompacted: the store no longer has the history, so a full read is needed. Used by
 	// followStore only.
-	forgotten bool
-	// turn counts requests, to share out splits of routes.
-	turn uint64
+	historyCompacted bool
+	// splitCounter counts requests, to distribute them over the split of a route.
+	splitCounter uint64
 }
 
-// New puts a Relay together; Run runs it.
+// New creates a Relay; Run runs it.
 func New(cfg Config) *Relay {
 	if cfg.Dial == nil {
 		cfg.Dial = httpd.Dialer(cfg.Prefs.Relay.Connect, cfg.Prefs.Relay.Silence).DialContext
 	}
 	base, halt := context.WithCancel(context.Background())
 	r := &Relay{
-		cfg:     cfg,
-		log:     logrus.NewEntry(cfg.Log),
-		stats:   newStats(cfg.Metrics.Scope),
-		tracer:  cfg.Tracing.Tracer("jasmineshed/relay"),
-		sender:  engine.NewSender(engine.Config{Dial: cfg.Dial, ConnectTimeout: cfg.Prefs.Relay.Connect}),
-		base:    base,
-		hurried: make(chan struct{}),
-		halt:    halt,
-		roster:  roster.New(roster.Config{Heartbeat: cfg.Prefs.Relay.Heartbeat}),
-		accept:  accept.New(),
-		limits:  limit.New(),
-		book:    turns.NewLedger(),
-		waits:   turns.NewBackoff(),
-		picker:  picker.New(picker.Config{Zone: shed.ZoneID(cfg.Prefs.Node.Zone)}),
-		repeats: map[shed.PoolID]*retry.Budget{},
-		jobs:    map[batch.JobID]chan []shed.PieceResult{},
-		coming:  map[shed.PoolID]int{},
-		freed:   map[string][]shed.ResultRef{},
-		freeing: map[string]int{},
+		cfg:          cfg,
+		log:          logrus.NewEntry(cfg.Log),
+		stats:        newStats(cfg.Metrics.Scope),
+		tracer:       cfg.Tracing.Tracer("jasmineshed/relay"),
+		sender:       engine.NewSender(engine.Config{Dial: cfg.Dial, ConnectTimeout: cfg.Prefs.Relay.Connect}),
+		base:         base,
+		forced:       make(chan struct{}),
+		cancelBase:   halt,
+		roster:       roster.New(roster.Config{Heartbeat: cfg.Prefs.Relay.Heartbeat}),
+		accept:       accept.New(),
+		limits:       limit.New(),
+		turnBook:     turns.NewLedger(),
+		deniedTurns:  turns.NewBackoff(),
+		picker:       picker.New(picker.Config{Zone: shed.ZoneID(cfg.Prefs.Node.Zone)}),
+		retryBudgets: map[shed.PoolID]*retry.Budget{},
+		jobs:         map[batch.JobID]chan []shed.PieceResult{},
+		expected:     map[shed.PoolID]int{},
+		pendingFrees: map[string][]shed.ResultRef{},
+		activeFrees:  map[string]int{},
 	}
 	r.prefs.Store(cfg.Prefs)
 	r.front = httpd.New(httpd.Config{
 		Name: "callers", Listener: cfg.Listeners.Callers, Handler: http.HandlerFunc(r.serve),
 		Limits: cfg.Prefs.Limits, Drain: stopSlack, Log: r.log,
 	})
-	r.batcher = batch.New(r.listings)
+	r.batcher = batch.New(r.serverEntries)
 	r.startMesh()
 	r.poison = poison.New(poison.Config{
 		Self: r.mesh.self.VM, Limit: cfg.Prefs.Relay.CrashLimit, Quarantine: cfg.Prefs.Relay.Quarantine,
@@ -159,8 +157,8 @@
 	return r
 }
 
-// listings gives batch the servers of a pool.
-func (r *Relay) listings(pool shed.PoolID) []shed.ServerEntry {
+// serverEntries returns the open servers of a pool, for the batcher.
+func (r *Relay) serverEntries(pool shed.PoolID) []shed.ServerEntry {
 	open := r.roster.OpenServers(pool)
 	out := make([]shed.ServerEntry, len(open))
 	for i, s := range open {
@@ -169,13 +167,13 @@
 	return out
 }
 
-// ErrFailed is returned by Run when the daemon ended though nobody asked.
+// ErrFailed is returned by Run when the daemon ended without a request to stop.
 var ErrFailed = errors.New("relay failed")
 
-// stopSlack is kept of the time that a stop may take, for the process to end.
+// stopSlack is the part of the stop time that is reserved for the process to exit.
 const stopSlack = time.Second
 
-// Run serves until ctx ends or a graceful stop is done.
+// Run serves until ctx is done or a graceful stop is complete.
 func (r *Relay) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -191,7 +189,7 @@
 		"seeds": r.prefs.Load().Node.Seeds,
 	}).Info("relay starts")
 	err := top.Serve(ctx)
-	r.halt()
+	r.cancelBase()
 	_ = r.work.Wait()
 	_ = r.client.Close()
 	r.sender.Close()
@@ -203,7 +201,7 @@
 	return fmt.Errorf("%w: %w", ErrFailed, err)
 }
 
-// service is a function as a service of the supervisor tree.
+// service adapts a function to a service of the supervisor tree.
 type service struct {
 	name string
 	run  func(context.Context) error
@@ -229,22 +227,23 @@
 			Log: func(err error) { r.log.WithError(err).Debug("peer connection ended") },
 		}),
 		oper.New(oper.Config{
-			Listener: l.Operators, Status: r, Explainer: nothingKept{},
+			Listener: l.Operators, Status: r, Explainer: noExplainer{},
 			Metrics: r.cfg.Metrics.Handler, Limits: p.Limits, Profile: p.Listen.Profile, Log: r.log,
 		}),
 		service{"store", r.followStore},
-		service{"tick", r.tickAlways},
+		service{"tick", r.runTicks},
 		service{"settings", r.followSettings},
 	}
 }
 
-// nothingKept answers operators that ask for a request: the log tells.
-type nothingKept struct{}
+// noExplainer answers operators' queries for single requests with nothing: the relay keeps no
+// history but its log.
+type noExplainer struct{}
 
 // Explain implements oper.Explainer.
-func (nothingKept) Explain(shed.RequestID) (any, bool) { return nil, false }
+func (noExplainer) Explain(shed.RequestID) (any, bool) { return nil, false }
 
-// serveReady answers the balancer.
+// serveReady answers the load balancer's readiness checks.
 func (r *Relay) serveReady(w http.ResponseWriter, _ *http.Request) {
 	if !r.ready() {
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -262,10 +261,10 @@
 	return r.roster.Usable()
 }
 
-// tickEvery is the period of the pure packages' ticks.
+// tickEvery is the tick period of the pure packages.
 const tickEvery = shed.TickEvery
 
-func (r *Relay) tickAlways(ctx context.Context) error {
+func (r *Relay) runTicks(ctx context.Context) error {
 	t := time.NewTicker(tickEvery)
 	defer t.Stop()
 	start := time.Now()
@@ -282,7 +281,7 @@
 func (r *Relay) tick(now, start time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.tellChanges(r.roster.Tick(now))
-	r.perform(r.batcher.Handle(now, batch.Tick{}))
+	r.logRosterChanges(r.roster.Tick(now))
+	r.performBatch(r.batcher.Handle(now, batch.Tick{}))
 	r.tickMesh(now, start)
 }
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -15,21 +15,20 @@
 const (
 	// maxEvent bounds one event of a stream, in bytes.
 	maxEvent = 1 << 20
-	// firstSilence is how long the first event of a stream that may be resumed
-	// may stay out once the server has answered.
-	firstSilence = 2500 * time.Millisecond
-	// midSilence is how long a later event may stay out: callers give a stream up
-	// after two seconds at the soonest, and another server needs a while to
+	// firstEventTimeout is how long a resumable stream may take from the server's answer to its
+	// first event.
+	firstEventTimeout = 2500 * time.Millisecond
+	// nextEventTimeout is how long a resumable stream may be silent between events: callers
+	// give up a stream after two seconds at the earliest, and another server needs a while to
 	// read the prompt.
-	midSilence = 1300 * time.Millisecond
+	nextEventTimeout = 1300 * time.Millisecond
 )
 
-// stream passes a stream of events on, each event whole as it arrives. The
-// head goes out with the first event: until then another server's answer can
-// still take its place.
+// stream forwards a stream event by event, each one complete. The header is sent with the first
+// event: until then another server's answer can still replace it.
 func (a *attempt) stream(ctx context.Context, resp *http.Response) outcome {
 	broken := outcome{sent: true, mayHaveRun: true, reason: shed.ReasonBroken}
-	silent := a.watch(firstSilence)
+	silent := a.startSilenceTimer(firstEventTimeout)
 	defer silent.Stop()
 	events := bufio.NewReader(resp.Body)
 	for {
@@ -39,23 +38,23 @@
 				return outcome{done: true, sent: true, mayHaveRun: true}
 			}
 			a.err = err
-			a.failed = ctx.Err() == nil
+			a.serverFailed = ctx.Err() == nil
 			if a.silent.Load() {
-				a.err, a.failed, broken.reason = errSilent, true, shed.ReasonSilent
+				a.err, a.serverFailed, broken.reason = errSilent, true, shed.ReasonSilent
 			}
 			return broken
 		}
-		silent.Reset(midSilence)
-		if err := a.passOn(resp, event); err != nil {
+		silent.Reset(nextEventTimeout)
+		if err := a.forwardEvent(resp, event); err != nil {
 			a.err = err
 			return outcome{sent: true, mayHaveRun: true, reason: shed.ReasonCallerGone}
 		}
 	}
 }
 
-// watch ends the attempt if it isn't reset in time, where the stream may go on
-// at another server.
-func (a *attempt) watch(limit time.Duration) *time.Timer {
+// startSilenceTimer returns a timer that cancels the attempt unless it is reset in time, if the
+// stream can be resumed at another server.
+func (a *attempt) startSilenceTimer(limit time.Duration) *time.Timer {
 	t := time.AfterFunc(limit, func() {
 		if a.job.route.Resumable {
 			a.silent.Store(true)
@@ -65,19 +64,19 @@
 	return t
 }
 
-func (a *attempt) passOn(resp *http.Response, event []byte) error {
+func (a *attempt) forwardEvent(resp *http.Response, event []byte) error {
 	if !a.begun {
 		a.relay.mu.Lock()
-		a.hasBegun()
+		a.markBegun()
 		a.relay.picker.RecordFirstEvent(a.choice, time.Since(a.began))
 		a.relay.mu.Unlock()
 	}
 	if !a.out.started {
-		copyHead(a.out.w.Header(), resp.Header)
+		copyHeader(a.out.w.Header(), resp.Header)
 		a.out.w.WriteHeader(resp.StatusCode)
 		a.out.started = true
 		a.job.firstByte = time.Since(a.job.began)
-		a.relay.giveUp(a.job)
+		a.relay.releaseInputs(a.job)
 	}
 	if _, err := a.out.w.Write(event); err != nil {
 		return err
@@ -89,8 +88,8 @@
 	return a.out.control.Flush()
 }
 
-// readEvent reads up to and with the empty line that ends an event. At the
-// stream's end it returns io.EOF with what is left of a broken event.
+// readEvent reads through the empty line that ends an event. At the stream's end it returns
+// io.EOF with the rest of a broken event.
 func readEvent(r *bufio.Reader) ([]byte, error) {
 	var event []byte
 	for {
@@ -109,4 +108,4 @@
 	}
 }
 
-var errEventTooBig = errors.New("event too big")
+var errEventTooBig = errors.New("stream event larger than 1 MiB")
--- a/internal/relay/sync.go
+++ b/internal/relay/sync.go
@@ -15,32 +15,31 @@
 )
 
 const (
-	// storeRetry is the pause after a failed call to the store; all VMs together
-	// stay far below the store's rate with it.
-	storeRetry = 250 * time.Millisecond
-	// storeRetryOthers is that pause for a VM that knows a configuration and isn't one
-	// of those that watch for all: a store that turns all away would else get most calls
-	// when it bears fewest.
-	storeRetryOthers = time.Second
-	// watchers is how many VMs watch the store; they tell the others. Each call
-	// to the store is paid for, and its rate is shared by all. Three, since one
-	// may be turned away by the store and one be restarted at the same time.
-	watchers = 3
-	// idlePoll is how often a VM that doesn't watch looks whether it should.
+	// storeRetryDelay is the pause after a failed call to the store; with it, all VMs together
+	// stay far below the store's rate limit.
+	storeRetryDelay = 250 * time.Millisecond
+	// nonWatcherRetryDelay is that pause for a VM that has a configuration and isn't a watcher:
+	// otherwise a store that rejects every call would get the most calls when it can handle the
+	// fewest.
+	nonWatcherRetryDelay = time.Second
+	// watcherCount is how many VMs watch the store; they notify the others. Each call to the
+	// store costs money, and its rate limit is shared by all. Three, since the store may reject
+	// one while another is being restarted.
+	watcherCount = 3
+	// idlePoll is how often a VM that doesn't watch checks whether it should.
 	idlePoll = 100 * time.Millisecond
-	// watchesBy is how old the store's last answer to a VM may be for it to count
-	// as one that watches.
-	watchesBy = 2 * time.Second
+	// watcherTimeout is how old the store's last answer to a VM may be for it to count as a
+	// watcher.
+	watcherTimeout = 2 * time.Second
 )
 
-// followStore keeps the roster up to date: by watching the store, if this is
-// one of the VMs that do, or nobody's word of it is new enough; else by what
-// those VMs tell.
+// followStore keeps the roster up to date: by watching the store if this VM is a watcher or no
+// peer's state is recent enough, otherwise by the watchers' updates.
 func (r *Relay) followStore(ctx context.Context) error {
 	for ctx.Err() == nil {
 		call := r.nextCall(time.Now())
 		if call == follow.NoCall {
-			wait(ctx, idlePoll)
+			sleep(ctx, idlePoll)
 			continue
 		}
 		err := r.readStore(ctx, call)
@@ -48,62 +47,62 @@
 			continue
 		}
 		r.storeFailed(err)
-		wait(ctx, r.retryPause(time.Now()))
+		sleep(ctx, r.retryDelay(time.Now()))
 	}
 	return ctx.Err()
 }
 
-// storeFailed notes that the store gave no answer, and turns to peers.
-func (r *Relay) storeFailed(why error) {
+// storeFailed records that the store gave no answer, and falls back to peers.
+func (r *Relay) storeFailed(cause error) {
 	r.stats.storeFailures.Inc(1)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := time.Now()
 	if changes := r.roster.StoreFailed(now); len(changes) > 0 {
-		r.log.WithError(why).Info("store gives no answer")
-		r.tellChanges(changes)
+		r.log.WithError(cause).Info("store gives no answer")
+		r.logRosterChanges(changes)
 	}
-	r.follow(now, follow.StoreFailed{Peers: r.alive()})
+	r.handleFollowEvent(now, follow.StoreFailed{Peers: r.alivePeers()})
 }
 
-// retryPause is the pause after a failed call to the store. As long as it fails for
-// all, nobody counts as watching; the same VMs as ever ask often then.
-func (r *Relay) retryPause(now time.Time) time.Duration {
+// retryDelay returns the pause after a failed call to the store. While it fails for all, no VM
+// counts as a watcher; the standing watchers keep the short pause.
+func (r *Relay) retryDelay(now time.Time) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.roster.Catalog() == nil || !r.roster.IsConfirmed() || slices.Contains(r.standing(now), r.mesh.self.VM) {
-		return storeRetry
+	if r.roster.Catalog() == nil || !r.roster.IsConfirmed() || slices.Contains(r.standingWatchers(now), r.mesh.self.VM) {
+		return storeRetryDelay
 	}
-	return storeRetryOthers
+	return nonWatcherRetryDelay
 }
 
-// nextCall is what this VM asks of the store now.
+// nextCall returns the call that this VM should make to the store now.
 func (r *Relay) nextCall(now time.Time) follow.StoreCall {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return follow.NextCall(now, follow.StoreView{
 		AsOf: r.roster.AsOf(), LastContact: r.roster.LastContact(),
-		Watcher: slices.Contains(r.watchers(now), r.mesh.self.VM), Compacted: r.forgotten,
+		Watcher: slices.Contains(r.watchers(now), r.mesh.self.VM), Compacted: r.historyCompacted,
 	})
 }
 
-// watchers are the VMs that watch the store for all.
+// watchers returns the VMs that watch the store on behalf of all.
 func (r *Relay) watchers(now time.Time) []shed.VM {
-	vms := slices.DeleteFunc(r.present(now), func(vm shed.VM) bool {
-		return vm != r.mesh.self.VM && now.Sub(r.mesh.follow.LastContact(vm)) >= watchesBy
+	vms := slices.DeleteFunc(r.activeVMs(now), func(vm shed.VM) bool {
+		return vm != r.mesh.self.VM && now.Sub(r.mesh.follower.LastContact(vm)) >= watcherTimeout
 	})
-	return rank.Owners("store", r.strong(vms), watchers)
+	return rank.Owners("store", r.highCapacityVMs(vms), watcherCount)
 }
 
-// standing are the VMs that watch the store as long as it answers them.
-func (r *Relay) standing(now time.Time) []shed.VM {
-	return rank.Owners("store", r.strong(r.present(now)), watchers)
+// standingWatchers returns the VMs that watch the store when it answers them.
+func (r *Relay) standingWatchers(now time.Time) []shed.VM {
+	return rank.Owners("store", r.highCapacityVMs(r.activeVMs(now)), watcherCount)
 }
 
-// readStore makes one call to the store and takes in what it says.
+// readStore makes one call to the store and applies its answer.
 func (r *Relay) readStore(ctx context.Context, call follow.StoreCall) error {
 	r.mu.Lock()
-	rd := reading{from: roster.FromStore, after: r.roster.AsOf()}
+	rd := storeReading{from: roster.FromStore, after: r.roster.AsOf()}
 	r.mu.Unlock()
 	r.stats.storeCalls.Inc(1)
 	var err error
@@ -120,98 +119,98 @@
 		rd.items, rd.asOf, err = r.cfg.Store.Watch(ctx, rd.after, r.prefs.Load().Relay.Watch)
 	}
 	if errors.Is(err, shed.ErrHistoryGone) {
-		r.forgotten = true
-		r.log.WithField("after", rd.after).Info("store has no history since then; reading all of it")
+		r.historyCompacted = true
+		r.log.WithField("after", rd.after).Info("store history was compacted; reading all items")
 		return nil
 	}
 	if err != nil {
 		return err
 	}
 	if call == follow.List {
-		r.forgotten = false
+		r.historyCompacted = false
 	}
 	if call == follow.ListReplica || call == follow.ReadChanges {
 		r.log.WithFields(logrus.Fields{"after": rd.after, "as_of": rd.asOf, "items": len(rd.items), "whole": rd.whole}).
 			Info("store read at the start")
 	}
-	r.learn(rd)
+	r.applyReading(rd)
 	return nil
 }
 
-// reading is what the store or a peer said: changes after a revision, or all items if
-// whole.
-type reading struct {
+// storeReading is an answer of the store or a peer: the changes after a revision, or all items
+// if whole.
+type storeReading struct {
 	from        roster.Source
 	items       []shed.Item
 	after, asOf shed.Revision
 	whole       bool
 }
 
-// learn takes in what the store or a peer said, and passes on what the store did. One
-// thing is taken in at a time: the same configuration often comes from two sides, and
-// the second finds it known.
-func (r *Relay) learn(rd reading) {
-	r.learning.Lock()
-	defer r.learning.Unlock()
-	r.setTaking(true)
-	defer r.setTaking(false)
+// applyReading applies an answer of the store or a peer, and forwards changes from the store.
+// Readings are applied one at a time: the same configuration often arrives from two sources,
+// and the second is then already known.
+func (r *Relay) applyReading(rd storeReading) {
+	r.applyMu.Lock()
+	defer r.applyMu.Unlock()
+	r.setApplying(true)
+	defer r.setApplying(false)
 	l := roster.Update{Source: rd.from, AsOf: rd.asOf, Complete: rd.whole}
 	for _, item := range rd.items {
 		if r.cfg.Store.IsRecordKey(item.Key) {
-			l.Items = append(l.Items, r.read(item))
+			l.Items = append(l.Items, r.parseItem(item))
 		}
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := time.Now()
-	tellers := r.watchers(now)
+	watchers := r.watchers(now)
 	if now.Sub(r.roster.LastContact()) > follow.StaleAfter {
-		tellers = r.standing(now)
+		watchers = r.standingWatchers(now)
 	}
-	r.tellChanges(r.roster.Apply(now, l))
+	r.logRosterChanges(r.roster.Apply(now, l))
 	r.picker.RetainServers(r.roster.HasServer)
 	r.accept.Prune(r.roster.HasRoute)
 	r.limits.Prune(now, r.roster.HasServer)
-	r.book.Prune(now)
-	r.waits.Prune(now)
-	if rd.from == roster.FromStore && len(l.Items) > 0 && rd.after > 0 && slices.Contains(tellers, r.mesh.self.VM) {
-		r.passOn(rd.after, tellers)
+	r.turnBook.Prune(now)
+	r.deniedTurns.Prune(now)
+	if rd.from == roster.FromStore && len(l.Items) > 0 && rd.after > 0 && slices.Contains(watchers, r.mesh.self.VM) {
+		r.forwardChanges(rd.after, watchers)
 	}
 }
 
-func (r *Relay) setTaking(taking bool) {
+func (r *Relay) setApplying(taking bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.mesh.taking = taking
+	r.mesh.applying = taking
 }
 
-// read finds out what an item says, unless it is known here: a configuration comes
-// from several sides, and each reading takes a small VM a good part of a second.
-func (r *Relay) read(item shed.Item) roster.Entry {
+// parseItem parses an item, unless it is already held here: a configuration arrives from
+// several sources, and parsing it takes a low-capacity VM a good part of a second.
+func (r *Relay) parseItem(item shed.Item) roster.Entry {
 	e := roster.Entry{Item: item}
-	if item.Deleted || r.knows(item) {
+	if item.Deleted || r.hasItem(item) {
 		return e
 	}
 	fact, err := r.cfg.Store.ParseRecord(item)
 	if err != nil {
-		r.log.WithField("key", item.Key).WithError(err).Warn("item of the store is not used")
+		r.log.WithField("key", item.Key).WithError(err).Warn("invalid item of the store ignored")
 		return e
 	}
 	e.Record = fact
 	return e
 }
 
-// knows tells whether this VM holds the item, or a newer one of its key.
-func (r *Relay) knows(item shed.Item) bool {
+// hasItem reports whether this VM holds the item or a newer version of it.
+func (r *Relay) hasItem(item shed.Item) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.roster.Item(item.Key).Revision >= item.Revision
 }
 
-// tellChanges logs what the roster believes anew. The caller holds mu.
-func (r *Relay) tellChanges(changes []roster.Change) {
+// logRosterChanges logs changes of the roster's view. The caller holds mu.
+func (r *Relay) logRosterChanges(changes []roster.Change) {
 	for _, c := range changes {
-		r.stats.beliefs.Inc(1)
+		r.stats.stateChanges.Inc(1)
 		fields := logrus.Fields{"reason": c.Reason, "revision": c.Revision}
 		if c.Key != "" {
 			fields["key"] = c.Key
