--- a/internal/core/bench_test.go
+++ b/internal/core/bench_test.go
@@ -77,8 +77,8 @@
 		}
 	}
 	c.rules = nil
-	c.rulesAt = now
-	c.putInForce(now, rules)
+	c.firstRulesAt = now
+	c.applyRules(now, rules)
 	for id, srv := range rules.Servers {
 		if srv.Zone == "z00" {
 			c.Handle(now, benchReport(id, 1))
@@ -96,7 +96,7 @@
 	return shed.LoadReported{Server: id, Report: shed.LoadReport{Boot: "b", Sequence: seq, Warm: true, Done: 100000 + seq}}
 }
 
-func each(b *testing.B, run func(b *testing.B, c *Core)) {
+func forEachSize(b *testing.B, run func(b *testing.B, c *Core)) {
 	for _, s := range sizes {
 		b.Run(fmt.Sprintf("daemons=%d/servers=%d/workspaces=%d", s.daemons, s.servers, s.workspaces), func(b *testing.B) {
 			c := benchCore(b, s)
@@ -109,7 +109,7 @@
 
 // BenchmarkTick is the beat, ten times a second.
 func BenchmarkTick(b *testing.B) {
-	each(b, func(b *testing.B, c *Core) {
+	forEachSize(b, func(b *testing.B, c *Core) {
 		now := benchStart
 		for i := range b.N {
 			now = now.Add(shed.TickEvery)
@@ -120,7 +120,7 @@
 
 // BenchmarkLoadReport is one report of one server.
 func BenchmarkLoadReport(b *testing.B) {
-	each(b, func(b *testing.B, c *Core) {
+	forEachSize(b, func(b *testing.B, c *Core) {
 		for i := range b.N {
 			c.Handle(benchStart, benchReport("s-00-001", uint64(i+2)))
 		}
@@ -129,13 +129,13 @@
 
 // BenchmarkPlace finds a server of this zone for one stage call.
 func BenchmarkPlace(b *testing.B) {
-	each(b, func(b *testing.B, c *Core) {
+	forEachSize(b, func(b *testing.B, c *Core) {
 		stage := c.rules.Pipelines["p"].Stages[3]
 		for i := range b.N {
-			ask := shed.PlaceRequest{Stage: stage, Deadline: benchStart.Add(time.Minute)}
-			ask.Prefix = uint64(i)
-			ask.Pipeline = "p"
-			c.placeHere(benchStart, ask, c.pools[stage.Pool], "")
+			req := shed.PlaceRequest{Stage: stage, Deadline: benchStart.Add(time.Minute)}
+			req.Prefix = uint64(i)
+			req.Pipeline = "p"
+			c.placeInZone(benchStart, req, c.pools[stage.Pool], "")
 		}
 	})
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -25,10 +25,10 @@
 	defaultPolicy   = "affinity"
 	defaultNotice   = 2 * time.Second
 	defaultMaxDrain = 30 * time.Second
-	// defaultSureFor is how long a daemon that hears from nobody goes on with
+	// defaultFreshFor is how long a daemon that hears from nobody goes on with
 	// what it knows. New work at a closed zone or server ends within this and
 	// the lease of a send, half a second.
-	defaultSureFor = 2400 * time.Millisecond
+	defaultFreshFor = 2400 * time.Millisecond
 )
 
 // Config sets up a Core. Zero values take the defaults.
@@ -77,33 +77,33 @@
 	rules *shed.Rules
 	// pools are those of rules as seen from this zone.
 	pools map[shed.PoolID]*pool
-	// rulesAt is when the first rules came into force.
-	rulesAt time.Time
-	// viewSum is a hash of the view that viewChanged has told.
-	viewSum uint64
-	// alone: this daemon hears nobody, see unsure.
-	alone bool
-	// surveyed: every server of the zone has been heard of, or had its time.
-	surveyed bool
+	// firstRulesAt is when the first rules came into force.
+	firstRulesAt time.Time
+	// viewHash is a hash of the view that viewChanged has told.
+	viewHash uint64
+	// isolated: this daemon hears nobody, see unsure.
+	isolated bool
+	// serversKnown: every server of the zone has been heard of, or had its time.
+	serversKnown bool
 	// ready is what the driver was last told.
 	ready bool
 	stop  stop
 
-	// guests are the calls that run here for a peer.
-	guests map[shed.Call]bool
-	// waiting are those among them that wait for a place, oldest first.
-	waiting []waitingGuest
-	// local are the calls under way on servers of this zone.
-	local map[shed.Call]shed.ServerID
-	// handed are the calls under way at peers, with where.
-	handed map[shed.Call]target
-	// away are the requests that were handed to their ticket's home and have
+	// forwardedIn are the calls that run here for a peer.
+	forwardedIn map[shed.Call]bool
+	// queued are those among them that wait for a place, oldest first.
+	queued []queuedCall
+	// localCalls are the calls under way on servers of this zone.
+	localCalls map[shed.Call]shed.ServerID
+	// forwardedOut are the calls under way at peers, with where.
+	forwardedOut map[shed.Call]destination
+	// forwardedRequests are the requests that were handed to their ticket's home and have
 	// not come back.
-	away map[shed.RequestID]bool
-	// shunned are peers and zones that refused work or were lost, until when.
-	shunned map[string]time.Time
-	// handedTo counts them by zone.
-	handedTo map[shed.ZoneID]int
+	forwardedRequests map[shed.RequestID]bool
+	// backoffUntil are peers and zones that refused work or were lost, until when.
+	backoffUntil map[string]time.Time
+	// forwardedByZone counts them by zone.
+	forwardedByZone map[shed.ZoneID]int
 	// refusals counts those in a row by each other zone.
 	refusals map[shed.ZoneID]int
 	// scratch for the candidates of one placement.
@@ -113,8 +113,8 @@
 	out []shed.Action
 }
 
-// target is where a call was handed.
-type target struct {
+// destination is where a call was handed.
+type destination struct {
 	vm   shed.VM
 	zone shed.ZoneID
 }
@@ -131,27 +131,27 @@
 		cfg.MaxDrain = defaultMaxDrain
 	}
 	if cfg.Config.FreshFor == 0 {
-		cfg.Config.FreshFor = defaultSureFor
+		cfg.Config.FreshFor = defaultFreshFor
 	}
 	if cfg.Member.LeaseFor == 0 {
-		cfg.Member.LeaseFor = defaultSureFor
+		cfg.Member.LeaseFor = defaultFreshFor
 	}
 	policy, err := route.Named(cfg.Policy, cfg.Seed)
 	if err != nil {
 		return nil, err
 	}
 	c := &Core{
-		cfg:      cfg,
-		policy:   policy,
-		gate:     admit.New(cfg.Admit),
-		ledger:   cost.New(cost.Config{}),
-		guests:   make(map[shed.Call]bool),
-		local:    make(map[shed.Call]shed.ServerID),
-		handed:   make(map[shed.Call]target),
-		away:     make(map[shed.RequestID]bool),
-		shunned:  make(map[string]time.Time),
-		handedTo: make(map[shed.ZoneID]int),
-		refusals: make(map[shed.ZoneID]int),
+		cfg:               cfg,
+		policy:            policy,
+		gate:              admit.New(cfg.Admit),
+		ledger:            cost.New(cost.Config{}),
+		forwardedIn:       make(map[shed.Call]bool),
+		localCalls:        make(map[shed.Call]shed.ServerID),
+		forwardedOut:      make(map[shed.Call]destination),
+		forwardedRequests: make(map[shed.RequestID]bool),
+		backoffUntil:      make(map[string]time.Time),
+		forwardedByZone:   make(map[shed.ZoneID]int),
+		refusals:          make(map[shed.ZoneID]int),
 	}
 	c.build()
 	return c, nil
@@ -187,15 +187,15 @@
 	// Configuration sees every event first: it is the one that notices, by the
 	// time since the last tick, that the process was paused. A request that is
 	// handled between waking up and the next tick must already find it unready.
-	awake := c.config.Ready()
-	c.take(c.config.Handle(now, ev))
-	if awake && !c.config.Ready() {
-		c.take(c.load.Doubt(now))
+	wasReady := c.config.Ready()
+	c.emit(c.config.Handle(now, ev))
+	if wasReady && !c.config.Ready() {
+		c.emit(c.load.Doubt(now))
 	}
-	c.adopt(now)
+	c.adoptRules(now)
 	c.dispatch(now, ev)
-	c.guestsOn(now)
-	c.flowOn(now)
+	c.startQueuedCalls(now)
+	c.startWaitingRequests(now)
 	return c.out
 }
 
@@ -204,88 +204,88 @@
 	case shed.Tick:
 		c.tick(now, e)
 	case shed.RequestArrived:
-		c.arrived(now, e)
+		c.handleRequest(now, e)
 	case shed.StageRequested:
-		c.stageAsked(now, e)
+		c.handleStageRequest(now, e)
 	case shed.CallProgress:
-		c.callProgress(now, e)
+		c.handleCallProgress(now, e)
 	case shed.CallEnded:
-		c.callEnded(now, e)
+		c.handleCallEnded(now, e)
 	case shed.ForwardEnded:
-		delete(c.away, e.Request)
+		delete(c.forwardedRequests, e.Request)
 	case shed.CallerGone:
-		c.book(now, c.flow.Handle(now, e))
+		c.recordActions(now, c.flow.Handle(now, e))
 	case shed.PeerMessage:
-		c.message(now, e)
+		c.handlePeerMessage(now, e)
 	case shed.PeerLost:
-		c.shun(now, peerKey(e.Peer), shunLost)
-		c.take(c.member.Handle(now, e))
-		c.view(now)
+		c.backOff(now, peerKey(e.Peer), lostPeerBackoff)
+		c.emit(c.member.Handle(now, e))
+		c.updateView(now)
 	case shed.VMsRead:
-		c.take(c.member.Handle(now, e))
-		c.view(now)
+		c.emit(c.member.Handle(now, e))
+		c.updateView(now)
 	case shed.LoadReported, shed.ServerSilent:
-		c.take(c.load.Handle(now, ev))
-		c.take(c.slots.Handle(now, ev))
-		c.take(c.orders.Handle(now, ev))
+		c.emit(c.load.Handle(now, ev))
+		c.emit(c.slots.Handle(now, ev))
+		c.emit(c.orders.Handle(now, ev))
 	case shed.OrderEnded:
-		c.take(c.orders.Handle(now, e))
+		c.emit(c.orders.Handle(now, e))
 	case shed.StopRequested:
-		c.stopAsked(now, e)
+		c.handleStopRequest(now, e)
 	}
 }
 
-// take passes actions on that need no booking, and puts new rules in force.
-func (c *Core) take(acts []shed.Action) {
+// emit passes actions on that need no booking, and puts new rules in force.
+func (c *Core) emit(acts []shed.Action) {
 	c.out = append(c.out, acts...)
 }
 
 func (c *Core) tick(now time.Time, t shed.Tick) {
-	c.take(c.member.Handle(now, t))
-	c.view(now)
-	c.take(c.load.Handle(now, t))
-	c.take(c.slots.Handle(now, t))
-	c.take(c.orders.Handle(now, t))
+	c.emit(c.member.Handle(now, t))
+	c.updateView(now)
+	c.emit(c.load.Handle(now, t))
+	c.emit(c.slots.Handle(now, t))
+	c.emit(c.orders.Handle(now, t))
 	c.tickets.Expire(now)
-	c.book(now, c.flow.Handle(now, t))
-	c.forgetShunned(now)
-	c.stopTick(now)
-	c.tellReady(now)
+	c.recordActions(now, c.flow.Handle(now, t))
+	c.pruneBackoffs(now)
+	c.checkStop(now)
+	c.updateReady(now)
 }
 
-func (c *Core) message(now time.Time, m shed.PeerMessage) {
-	c.take(c.member.Handle(now, m))
-	c.take(c.load.Handle(now, m))
-	c.take(c.slots.Handle(now, m))
-	c.take(c.orders.Handle(now, m))
+func (c *Core) handlePeerMessage(now time.Time, m shed.PeerMessage) {
+	c.emit(c.member.Handle(now, m))
+	c.emit(c.load.Handle(now, m))
+	c.emit(c.slots.Handle(now, m))
+	c.emit(c.orders.Handle(now, m))
 	if move, ok := m.Message.(shed.TicketMove); ok && move.From == m.From {
 		c.tickets.Adopt(now, move)
 	}
-	c.view(now)
+	c.updateView(now)
 }
 
-// flowOn offers places that may have freed until nobody takes one more. Flow
+// startWaitingRequests offers places that may have freed until nobody takes one more. Flow
 // starts one call a step, so that each is booked before the next is placed.
-func (c *Core) flowOn(now time.Time) {
+func (c *Core) startWaitingRequests(now time.Time) {
 	for {
 		acts := c.flow.Freed(now)
-		if !c.book(now, acts) {
+		if !c.recordActions(now, acts) {
 			return
 		}
 	}
 }
 
-// book passes on what flow decided, and tells those who must know of it. It
+// recordActions passes on what flow decided, and tells those who must know of it. It
 // returns whether a call was started.
-func (c *Core) book(now time.Time, acts []shed.Action) bool {
+func (c *Core) recordActions(now time.Time, acts []shed.Action) bool {
 	started := false
 	for _, act := range acts {
 		switch a := act.(type) {
 		case shed.StartCall:
-			c.bookStart(now, a)
+			c.recordStart(now, a)
 			started = true
 		case shed.ForwardStage:
-			c.hand(a.Request.Call, a.To)
+			c.recordForward(a.Request.Call, a.To)
 			started = true
 		case shed.Finish:
 			c.tickets.Finished(now, a.Request, a)
@@ -295,8 +295,8 @@
 	return started
 }
 
-func (c *Core) bookStart(now time.Time, a shed.StartCall) {
-	c.local[a.Call] = a.Server
+func (c *Core) recordStart(now time.Time, a shed.StartCall) {
+	c.localCalls[a.Call] = a.Server
 	cand, _ := c.load.Candidate(now, a.Server)
 	c.load.Sent(now, a.Server, a.Call)
 	if cand.Cold {
--- a/internal/core/place.go
+++ b/internal/core/place.go
@@ -16,36 +16,36 @@
 	// maxHops bounds how often one stage call is handed over: to another zone,
 	// and there to the daemon that may use a cold server.
 	maxHops = 2
-	// comeBack is when to come back where nothing better is known.
-	comeBack = time.Second
-	// farTries is how many peers of another zone are tried before the next.
-	farTries = 3
+	// defaultRetryAfter is when to come back where nothing better is known.
+	defaultRetryAfter = time.Second
+	// peersPerZone is how many peers of another zone are tried before the next.
+	peersPerZone = 3
 )
 
 // Place implements shed.Placer: a server of this zone first, then a peer of
 // the zone that may use a cold one, then another zone.
-func (c *Core) Place(now time.Time, ask shed.PlaceRequest) shed.Placement {
-	if reason := c.unsure(now); reason != shed.ReasonNone {
+func (c *Core) Place(now time.Time, req shed.PlaceRequest) shed.Placement {
+	if reason := c.blockedReason(now); reason != shed.ReasonNone {
 		return shed.Placement{Kind: shed.PlaceWait, Reason: reason}
 	}
-	pool := c.pools[ask.Stage.Pool]
+	pool := c.pools[req.Stage.Pool]
 	if pool == nil {
-		return shed.Placement{Kind: shed.PlaceNowhere, Reason: shed.ReasonNoServer, RetryAfter: comeBack}
+		return shed.Placement{Kind: shed.PlaceNowhere, Reason: shed.ReasonNoServer, RetryAfter: defaultRetryAfter}
 	}
-	here := c.placeHere(now, ask, pool, "")
-	if here.Kind == shed.PlaceLocal || here.Kind == shed.PlacePeer {
-		return here
+	local := c.placeInZone(now, req, pool, "")
+	if local.Kind == shed.PlaceLocal || local.Kind == shed.PlacePeer {
+		return local
 	}
-	if far, ok := c.placeFar(now, ask, pool); ok {
-		return far
+	if remote, ok := c.placeInOtherZone(now, req, pool); ok {
+		return remote
 	}
-	if here.Kind == shed.PlaceWait || c.openElsewhere(ask, pool) {
-		return shed.Placement{Kind: shed.PlaceWait, Reason: here.Reason, Rule: here.Rule}
+	if local.Kind == shed.PlaceWait || c.hasOtherZones(req, pool) {
+		return shed.Placement{Kind: shed.PlaceWait, Reason: local.Reason, Rule: local.Rule}
 	}
-	return here
+	return local
 }
 
-// unsure is why this daemon may start no work at all at the moment.
+// blockedReason is why this daemon may start no work at all at the moment.
 //
 // One that woke from a pause doesn't know what was decided meanwhile. One that
 // hears neither the platform nor any daemon, of its own zone or another, may be
@@ -53,37 +53,37 @@
 // would see work go there for as long as it is cut off. The others of its zone
 // serve meanwhile. A zone that is cut off as a whole goes on, since its daemons
 // hear each other, and so does a daemon that is the only one left of its zone.
-func (c *Core) unsure(now time.Time) shed.Reason {
+func (c *Core) blockedReason(now time.Time) shed.Reason {
 	switch {
 	case !c.config.Ready():
 		return shed.ReasonWoke
-	case c.alone || c.hearsNobody(now):
+	case c.isolated || c.hasNoContact(now):
 		return shed.ReasonUnconfirmed
 	}
 	return shed.ReasonNone
 }
 
-func (c *Core) hearsNobody(now time.Time) bool {
+func (c *Core) hasNoContact(now time.Time) bool {
 	return !c.config.Fresh(now) && !c.member.Confirmed(now)
 }
 
-// lookAround notices when this daemon hears nobody, and when it hears somebody
+// updateIsolation notices when this daemon hears nobody, and when it hears somebody
 // again. Then it asks what is in force before it starts anything: the first
 // sign of life of a peer says nothing of what was decided meanwhile.
-func (c *Core) lookAround(now time.Time) {
-	switch nobody := c.hearsNobody(now); {
-	case nobody && c.config.Ready():
-		c.alone = true
-	case !nobody && c.alone:
-		c.alone = false
-		c.take(c.config.Doubt(now))
+func (c *Core) updateIsolation(now time.Time) {
+	switch noContact := c.hasNoContact(now); {
+	case noContact && c.config.Ready():
+		c.isolated = true
+	case !noContact && c.isolated:
+		c.isolated = false
+		c.emit(c.config.Doubt(now))
 	}
 }
 
 // MayResume tells whether a stream may go on at the server that holds it.
 func (c *Core) MayResume(now time.Time, id shed.ServerID) bool {
 	s := c.rules.Servers[id]
-	if s == nil || c.unsure(now) != shed.ReasonNone {
+	if s == nil || c.blockedReason(now) != shed.ReasonNone {
 		return false
 	}
 	open, _ := c.rules.ServerOpen(s)
@@ -91,19 +91,19 @@
 	return open && known && (!cand.Cold || c.load.Settled(id) && c.slots.Free(now, id) > 0)
 }
 
-// placeHere looks at this zone only. not is a peer that must not get the call.
-func (c *Core) placeHere(now time.Time, ask shed.PlaceRequest, pool *pool, not shed.VM) shed.Placement {
-	nowhere := shed.Placement{Kind: shed.PlaceNowhere, Reason: shed.ReasonNoServer, RetryAfter: comeBack}
-	if !ask.Stage.MayRunIn(c.cfg.Zone) {
-		nowhere.Rule = ask.Stage.Origin
+// placeInZone looks at this zone only. not is a peer that must not get the call.
+func (c *Core) placeInZone(now time.Time, req shed.PlaceRequest, pool *pool, exclude shed.VM) shed.Placement {
+	nowhere := shed.Placement{Kind: shed.PlaceNowhere, Reason: shed.ReasonNoServer, RetryAfter: defaultRetryAfter}
+	if !req.Stage.MayRunIn(c.cfg.Zone) {
+		nowhere.Rule = req.Stage.Origin
 		return nowhere
 	}
-	room := c.scratch[:0]
+	candidates := c.scratch[:0]
 	var cold []*shed.Server
 	open := 0
-	sharers := c.sharers(now)
-	for _, s := range pool.here {
-		if slices.Contains(ask.Avoid, s.ID) {
+	daemons := c.sendingDaemons(now)
+	for _, s := range pool.localServers {
+		if slices.Contains(req.Avoid, s.ID) {
 			continue
 		}
 		if c.orders.Draining(s.ID) {
@@ -112,30 +112,30 @@
 		}
 		ok, rule := c.rules.ServerOpen(s)
 		if !ok {
-			nowhere.Reason, nowhere.Rule = c.closedBy(s), rule
+			nowhere.Reason, nowhere.Rule = c.closedReason(s), rule
 			continue
 		}
 		open++
 		cand, known := c.load.Candidate(now, s.ID)
 		switch {
 		case !known:
-		case !cand.Cold && c.load.Room(s.ID) > 0 && c.load.MaySend(now, s.ID, unseenShare(s, sharers)):
-			room = append(room, cand)
+		case !cand.Cold && c.load.Room(s.ID) > 0 && c.load.MaySend(now, s.ID, unconfirmedCallLimit(s, daemons)):
+			candidates = append(candidates, cand)
 		case cand.Cold && c.load.Settled(s.ID) && cand.Running < s.ColdCapacity && c.slots.Free(now, s.ID) > 0:
-			room = append(room, cand)
+			candidates = append(candidates, cand)
 		case cand.Cold:
 			cold = append(cold, s)
 		}
 	}
-	c.scratch = room
-	if len(room) > 0 {
-		s := room[c.policy.Pick(now, ask.Prefix, room)].Server
+	c.scratch = candidates
+	if len(candidates) > 0 {
+		s := candidates[c.policy.Pick(now, req.Prefix, candidates)].Server
 		return shed.Placement{Kind: shed.PlaceLocal, Server: s}
 	}
 	if open == 0 {
 		return nowhere
 	}
-	if to, ok := c.slotOwner(now, ask, cold, not); ok {
+	if to, ok := c.slotOwner(now, req, cold, exclude); ok {
 		return shed.Placement{Kind: shed.PlacePeer, Peer: to}
 	}
 	reason := shed.ReasonServersBusy
@@ -145,25 +145,25 @@
 	return shed.Placement{Kind: shed.PlaceWait, Reason: reason}
 }
 
-// unseenShare is how many calls this daemon may have under way of which the
+// unconfirmedCallLimit is how many calls this daemon may have under way of which the
 // server has given no sign. A warm server may turn cold without warning; all
 // daemons' unseen calls together are then what hits it before anyone knows, so
 // each takes its share of what the server bears cold.
-func unseenShare(s *shed.Server, daemons int) int {
+func unconfirmedCallLimit(s *shed.Server, daemons int) int {
 	return max(1, s.ColdCapacity/max(1, daemons))
 }
 
-// sharers is how many daemons may send to the zone's servers; all too many if
+// sendingDaemons is how many daemons may send to the zone's servers; all too many if
 // this one doesn't know yet who else there is, so that it takes the least.
-func (c *Core) sharers(now time.Time) int {
+func (c *Core) sendingDaemons(now time.Time) int {
 	if !c.member.Confirmed(now) {
 		return math.MaxInt
 	}
 	return max(len(c.member.View().Zone(c.cfg.Zone)), len(c.member.Known()))
 }
 
-// closedBy says why the rules keep new work from the server.
-func (c *Core) closedBy(s *shed.Server) shed.Reason {
+// closedReason says why the rules keep new work from the server.
+func (c *Core) closedReason(s *shed.Server) shed.Reason {
 	if z := c.rules.Zones[s.Zone]; z != nil && z.OutOfService {
 		return shed.ReasonZoneOut
 	}
@@ -171,33 +171,33 @@
 }
 
 // slotOwner finds a peer of this zone that may use one of the cold servers.
-func (c *Core) slotOwner(now time.Time, ask shed.PlaceRequest, cold []*shed.Server, not shed.VM) (shed.VM, bool) {
-	if ask.Hops >= maxHops {
+func (c *Core) slotOwner(now time.Time, req shed.PlaceRequest, cold []*shed.Server, exclude shed.VM) (shed.VM, bool) {
+	if req.Hops >= maxHops {
 		return "", false
 	}
 	for _, s := range cold {
 		to, ok := c.slots.Ask(now, s.ID)
-		if ok && to != not && !c.isShunned(now, peerKey(to)) {
+		if ok && to != exclude && !c.isBackedOff(now, peerKey(to)) {
 			return to, true
 		}
 	}
 	return "", false
 }
 
-// placeFar finds a daemon of another zone. A daemon that is not sure of its
+// placeInOtherZone finds a daemon of another zone. A daemon that is not sure of its
 // configuration hands nothing to other zones: it can't know whether operators
 // have taken them out.
-func (c *Core) placeFar(now time.Time, ask shed.PlaceRequest, pool *pool) (shed.Placement, bool) {
-	if ask.Hops > 0 || !c.config.Fresh(now) {
+func (c *Core) placeInOtherZone(now time.Time, req shed.PlaceRequest, pool *pool) (shed.Placement, bool) {
+	if req.Hops > 0 || !c.config.Fresh(now) {
 		return shed.Placement{}, false
 	}
-	key := fmt.Sprintf("%s/%d/%d", ask.Call.Request, ask.Call.Stage, ask.Call.Attempt)
-	for _, z := range c.farZones(ask, pool) {
-		if c.zoneShunned(now, z) {
+	key := fmt.Sprintf("%s/%d/%d", req.Call.Request, req.Call.Stage, req.Call.Attempt)
+	for _, z := range c.otherZones(req, pool) {
+		if c.isZoneAvoided(now, z) {
 			continue
 		}
-		for _, vm := range rank.Owners(key, c.member.View().VMs(z), farTries) {
-			if !c.isShunned(now, peerKey(vm)) {
+		for _, vm := range rank.Owners(key, c.member.View().VMs(z), peersPerZone) {
+			if !c.isBackedOff(now, peerKey(vm)) {
 				return shed.Placement{Kind: shed.PlacePeer, Peer: vm}, true
 			}
 		}
@@ -205,32 +205,32 @@
 	return shed.Placement{}, false
 }
 
-// farZones are the other zones where the rules let the stage run, those of
+// otherZones are the other zones where the rules let the stage run, those of
 // this region first, and each daemon's requests in an order of their own.
-func (c *Core) farZones(ask shed.PlaceRequest, pool *pool) []shed.ZoneID {
+func (c *Core) otherZones(req shed.PlaceRequest, pool *pool) []shed.ZoneID {
 	var near, far []shed.ZoneID
-	for _, z := range pool.far {
+	for _, z := range pool.otherZones {
 		switch {
-		case !ask.Stage.MayRunIn(z):
+		case !req.Stage.MayRunIn(z):
 		case c.sameRegion(z):
 			near = append(near, z)
 		default:
 			far = append(far, z)
 		}
 	}
-	rotate(near, ask.Prefix+uint64(ask.Call.Attempt))
-	rotate(far, ask.Prefix+uint64(ask.Call.Attempt))
+	rotate(near, req.Prefix+uint64(req.Call.Attempt))
+	rotate(far, req.Prefix+uint64(req.Call.Attempt))
 	return append(near, far...)
 }
 
 // rotate turns the list by n, so that not all callers try the same one first.
-func rotate(list []shed.ZoneID, n uint64) {
-	if len(list) < 2 {
+func rotate(zones []shed.ZoneID, n uint64) {
+	if len(zones) < 2 {
 		return
 	}
-	k := int(n % uint64(len(list)))
-	turned := append(slices.Clone(list[k:]), list[:k]...)
-	copy(list, turned)
+	k := int(n % uint64(len(zones)))
+	rotated := append(slices.Clone(zones[k:]), zones[:k]...)
+	copy(zones, rotated)
 }
 
 func (c *Core) sameRegion(z shed.ZoneID) bool {
@@ -238,6 +238,6 @@
 	return own != nil && other != nil && own.Region == other.Region
 }
 
-func (c *Core) openElsewhere(ask shed.PlaceRequest, pool *pool) bool {
-	return ask.Hops == 0 && len(c.farZones(ask, pool)) > 0
+func (c *Core) hasOtherZones(req shed.PlaceRequest, pool *pool) bool {
+	return req.Hops == 0 && len(c.otherZones(req, pool)) > 0
 }
--- a/internal/core/arrive.go
+++ b/internal/core/request.go
@@ -9,29 +9,29 @@
 	"jasmineshed/internal/ticket"
 )
 
-// arrived takes in a request from a caller or from a peer that handed it over.
-func (c *Core) arrived(now time.Time, a shed.RequestArrived) {
-	if reason := c.notNow(now); reason != shed.ReasonNone {
-		c.refuse(a, reason, shed.Origin{}, comeBack)
+// handleRequest takes in a request from a caller or from a peer that handed it over.
+func (c *Core) handleRequest(now time.Time, a shed.RequestArrived) {
+	if reason := c.unavailableReason(now); reason != shed.ReasonNone {
+		c.refuseRequest(a, reason, shed.Origin{}, defaultRetryAfter)
 		return
 	}
-	if reason, rule := c.notAllowed(a); reason != shed.ReasonNone {
-		c.refuse(a, reason, rule, 0)
+	if reason, rule := c.denialReason(a); reason != shed.ReasonNone {
+		c.refuseRequest(a, reason, rule, 0)
 		return
 	}
 	if a.Ticketed {
-		c.ticketed(now, a)
+		c.handleTicketed(now, a)
 		return
 	}
-	c.book(now, c.flow.Handle(now, a))
+	c.recordActions(now, c.flow.Handle(now, a))
 }
 
-// notNow is why this daemon takes no requests at the moment.
-func (c *Core) notNow(now time.Time) shed.Reason {
+// unavailableReason is why this daemon takes no requests at the moment.
+func (c *Core) unavailableReason(now time.Time) shed.Reason {
 	if c.rules == nil {
 		return shed.ReasonNoConfig
 	}
-	if reason := c.unsure(now); reason != shed.ReasonNone {
+	if reason := c.blockedReason(now); reason != shed.ReasonNone {
 		return reason
 	}
 	if c.stop.refuses(now) {
@@ -40,8 +40,8 @@
 	return shed.ReasonNone
 }
 
-// notAllowed is why the rules don't let the request run.
-func (c *Core) notAllowed(a shed.RequestArrived) (shed.Reason, shed.Origin) {
+// denialReason is why the rules don't let the request run.
+func (c *Core) denialReason(a shed.RequestArrived) (shed.Reason, shed.Origin) {
 	p := c.rules.Pipelines[a.Pipeline]
 	if p == nil {
 		return shed.ReasonUnknownPipeline, shed.Origin{}
@@ -59,80 +59,80 @@
 	return shed.ReasonNone, shed.Origin{}
 }
 
-// refuse answers a request of which nothing was started here. It is not_run
+// refuseRequest answers a request of which nothing was started here. It is not_run
 // only for a request without a ticket: with one, an earlier repeat may have run
 // it, here or elsewhere.
-func (c *Core) refuse(a shed.RequestArrived, reason shed.Reason, rule shed.Origin, after time.Duration) {
+func (c *Core) refuseRequest(a shed.RequestArrived, reason shed.Reason, rule shed.Origin, retryAfter time.Duration) {
 	outcome := shed.OutcomeNotRun
 	if a.Ticketed {
 		outcome = shed.OutcomeUnknown
 	}
-	c.end(a, outcome, reason, rule, after)
+	c.finishRequest(a, outcome, reason, rule, retryAfter)
 }
 
-func (c *Core) end(a shed.RequestArrived, outcome shed.Outcome, reason shed.Reason, rule shed.Origin, after time.Duration) {
+func (c *Core) finishRequest(a shed.RequestArrived, outcome shed.Outcome, reason shed.Reason, rule shed.Origin, retryAfter time.Duration) {
 	c.out = append(c.out,
 		shed.Note{Reason: reason, Request: a.Request, Rule: rule},
-		shed.Finish{Request: a.Request, Outcome: outcome, Reason: reason, Rule: rule, RetryAfter: after})
+		shed.Finish{Request: a.Request, Outcome: outcome, Reason: reason, Rule: rule, RetryAfter: retryAfter})
 }
 
-// ticketed runs a request at its ticket's home, which is this process or
+// handleTicketed runs a request at its ticket's home, which is this process or
 // another one, and nowhere else.
-func (c *Core) ticketed(now time.Time, a shed.RequestArrived) {
+func (c *Core) handleTicketed(now time.Time, a shed.RequestArrived) {
 	home := c.Locate(a.Request)
 	switch {
-	case home.Self || c.fromIssuer(a):
-		c.start(now, a)
+	case home.Self || c.isFromIssuer(a):
+		c.startTicketed(now, a)
 	case home.Peer.VM == "" && home.Forged:
 		// Nobody ever gave out this id, so nothing ran under it.
-		c.end(a, shed.OutcomeNotRun, shed.ReasonTicketUnknown, shed.Origin{}, 0)
+		c.finishRequest(a, shed.OutcomeNotRun, shed.ReasonTicketUnknown, shed.Origin{}, 0)
 	case home.Peer.VM == "" || a.From.VM != "":
 		// A request that was handed here is not handed on: views that differ
 		// could send it round in circles.
-		c.end(a, shed.OutcomeUnknown, shed.ReasonHomeGone, shed.Origin{}, 0)
+		c.finishRequest(a, shed.OutcomeUnknown, shed.ReasonHomeGone, shed.Origin{}, 0)
 	default:
-		c.handOver(a, home.Peer)
+		c.forwardRequest(a, home.Peer)
 	}
 }
 
-// fromIssuer tells whether the process that gave out the ticket handed the
+// isFromIssuer tells whether the process that gave out the ticket handed the
 // request over itself: it has left the ticket here, even if word of its leaving
 // has not come yet.
-func (c *Core) fromIssuer(a shed.RequestArrived) bool {
+func (c *Core) isFromIssuer(a shed.RequestArrived) bool {
 	issuer, err := ticket.Home(a.Request)
 	return err == nil && a.From == issuer
 }
 
-func (c *Core) handOver(a shed.RequestArrived, home shed.Peer) {
-	c.away[a.Request] = true
+func (c *Core) forwardRequest(a shed.RequestArrived, home shed.Peer) {
+	c.forwardedRequests[a.Request] = true
 	c.out = append(c.out, shed.ForwardRequest{Request: a.Request, To: home, Deadline: a.Deadline})
 }
 
-// start runs a ticketed request here, if this is its first time.
-func (c *Core) start(now time.Time, a shed.RequestArrived) {
+// startTicketed runs a ticketed request here, if this is its first time.
+func (c *Core) startTicketed(now time.Time, a shed.RequestArrived) {
 	v := c.tickets.Start(now, a.Request, a.Workspace, a.Pipeline)
 	switch v.Kind {
 	case ticket.VerdictRun:
-		c.book(now, c.flow.Handle(now, a))
+		c.recordActions(now, c.flow.Handle(now, a))
 	case ticket.VerdictStored:
-		c.stored(a, v.Finish)
+		c.finishStored(a, v.Finish)
 	case ticket.VerdictJoin:
 		c.out = append(c.out, shed.JoinRequest{Request: a.Request})
 	case ticket.VerdictMoved:
 		if a.From.VM != "" {
-			c.end(a, shed.OutcomeUnknown, shed.ReasonHomeGone, shed.Origin{}, 0)
+			c.finishRequest(a, shed.OutcomeUnknown, shed.ReasonHomeGone, shed.Origin{}, 0)
 			return
 		}
-		c.handOver(a, v.Heir)
+		c.forwardRequest(a, v.Heir)
 	default:
 		outcome, reason := v.Outcome()
-		c.end(a, outcome, reason, shed.Origin{}, 0)
+		c.finishRequest(a, outcome, reason, shed.Origin{}, 0)
 	}
 }
 
-// stored gives a repeat the answer of the first one. Only a complete one has a
+// finishStored gives a repeat the answer of the first one. Only a complete one has a
 // payload, which the driver kept.
-func (c *Core) stored(a shed.RequestArrived, f shed.Finish) {
+func (c *Core) finishStored(a shed.RequestArrived, f shed.Finish) {
 	if f.Outcome == shed.OutcomeComplete {
 		c.out = append(c.out, shed.JoinRequest{Request: a.Request})
 		return
@@ -149,13 +149,13 @@
 	if p == c.cfg.Self {
 		return shed.Home{Self: true}
 	}
-	state, heir := c.member.Home(p)
+	state, successor := c.member.Home(p)
 	switch state {
 	case member.HomeLeft:
-		if heir == c.cfg.Self {
+		if successor == c.cfg.Self {
 			return shed.Home{Self: true}
 		}
-		return shed.Home{Peer: heir}
+		return shed.Home{Peer: successor}
 	case member.HomeDead:
 		return shed.Home{}
 	}
@@ -175,15 +175,15 @@
 // Issue gives out a ticket whose id embeds this process and random.
 func (c *Core) Issue(now time.Time, ws shed.WorkspaceID, pipeline shed.PipelineID, random [16]byte) (shed.Ticket, *shed.Finish) {
 	a := shed.RequestArrived{Workspace: ws, Pipeline: pipeline, Ticketed: true}
-	reason := c.notNow(now)
-	after := comeBack
-	if c.stop.asked {
+	reason := c.unavailableReason(now)
+	retryAfter := defaultRetryAfter
+	if c.stop.requested {
 		reason = shed.ReasonStopping
 	}
 	var rule shed.Origin
 	if reason == shed.ReasonNone {
-		after = 0
-		reason, rule = c.notAllowed(a)
+		retryAfter = 0
+		reason, rule = c.denialReason(a)
 	}
 	if reason == shed.ReasonNone {
 		id := ticket.ID(c.cfg.Self, random)
@@ -191,7 +191,7 @@
 		if err == nil {
 			return shed.Ticket{ID: id, Expires: expires}, nil
 		}
-		reason, after = shed.ReasonTicketsFull, comeBack
+		reason, retryAfter = shed.ReasonTicketsFull, defaultRetryAfter
 	}
-	return shed.Ticket{}, &shed.Finish{Outcome: shed.OutcomeNotRun, Reason: reason, Rule: rule, RetryAfter: after}
+	return shed.Ticket{}, &shed.Finish{Outcome: shed.OutcomeNotRun, Reason: reason, Rule: rule, RetryAfter: retryAfter}
 }
--- a/internal/core/status.go
+++ b/internal/core/status.go
@@ -76,9 +76,9 @@
 
 func (c *Core) status(now time.Time) Status {
 	s := Status{
-		Peer: c.cfg.Self, Zone: c.cfg.Zone, Ready: c.ready, Stopping: c.stop.asked,
+		Peer: c.cfg.Self, Zone: c.cfg.Zone, Ready: c.ready, Stopping: c.stop.requested,
 		Config: c.configStatus(now), ViewConfirmed: c.member.Confirmed(now),
-		LiveRequests: c.flow.Live(), GuestCalls: len(c.guests), Tickets: c.tickets.Len(),
+		LiveRequests: c.flow.Live(), GuestCalls: len(c.forwardedIn), Tickets: c.tickets.Len(),
 		Cost: c.costs(),
 	}
 	v := c.member.View()
--- a/internal/core/view.go
+++ b/internal/core/view.go
@@ -7,31 +7,31 @@
 	"jasmineshed/internal/member"
 )
 
-// view tells the packages who is alive, and how sure that is.
-func (c *Core) view(now time.Time) {
+// updateView tells the packages who is alive, and how sure that is.
+func (c *Core) updateView(now time.Time) {
 	v := c.member.View()
 	vms := v.VMs(c.cfg.Zone)
-	unsure := !c.member.Confirmed(now)
+	unconfirmed := !c.member.Confirmed(now)
 	known := c.member.Known()
 	hash := v.Hash(c.cfg.Zone)
 	c.slots.SetKnown(now, known)
-	c.take(c.slots.SetView(now, vms, hash, unsure))
+	c.emit(c.slots.SetView(now, vms, hash, unconfirmed))
 	c.orders.SetKnown(now, known)
-	c.orders.SetView(now, vms, hash, unsure)
-	c.viewChanged(now, v, vms)
-	c.lookAround(now)
+	c.orders.SetView(now, vms, hash, unconfirmed)
+	c.notifyViewChange(now, v, vms)
+	c.updateIsolation(now)
 }
 
-// viewChanged tells those that only want to know of changes.
-func (c *Core) viewChanged(now time.Time, v member.View, vms []shed.VM) {
+// notifyViewChange tells those that only want to know of changes.
+func (c *Core) notifyViewChange(now time.Time, v member.View, vms []shed.VM) {
 	var sum uint64
 	for _, z := range v.Zones() {
 		sum = sum*31 + v.Hash(z)
 	}
-	if sum == c.viewSum {
+	if sum == c.viewHash {
 		return
 	}
-	c.viewSum = sum
+	c.viewHash = sum
 	c.load.SetView(now, vms)
 	others := make(map[shed.ZoneID][]shed.Peer)
 	for _, z := range v.Zones() {
@@ -43,17 +43,17 @@
 }
 
 // surveyFor bounds the wait for the first load report of every server.
-const surveyFor = 3 * time.Second
+const firstReportTimeout = 3 * time.Second
 
-// survey looks whether every server of the zone that may have work has been
+// checkServersKnown looks whether every server of the zone that may have work has been
 // heard of. A daemon that took requests before would know no server that is
 // warm, and refuse what its zone could well carry.
-func (c *Core) survey(now time.Time) {
-	if c.surveyed || c.rules == nil {
+func (c *Core) checkServersKnown(now time.Time) {
+	if c.serversKnown || c.rules == nil {
 		return
 	}
-	c.surveyed = true
-	if now.Sub(c.rulesAt) > surveyFor {
+	c.serversKnown = true
+	if now.Sub(c.firstRulesAt) > firstReportTimeout {
 		return
 	}
 	for id, s := range c.rules.Servers {
@@ -62,15 +62,15 @@
 			continue
 		}
 		if _, _, heard := c.load.Report(now, id); !heard {
-			c.surveyed = false
+			c.serversKnown = false
 		}
 	}
 }
 
-// tellReady tells the driver when readiness changes.
-func (c *Core) tellReady(now time.Time) {
-	c.survey(now)
-	ready := c.surveyed && !c.stop.asked && c.unsure(now) == shed.ReasonNone
+// updateReady tells the driver when readiness changes.
+func (c *Core) updateReady(now time.Time) {
+	c.checkServersKnown(now)
+	ready := c.serversKnown && !c.stop.requested && c.blockedReason(now) == shed.ReasonNone
 	if ready != c.ready {
 		c.ready = ready
 		c.out = append(c.out, shed.SetReady{SetReady: ready})
