--- a/internal/core/bench_test.go
+++ b/internal/core/bench_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// size is one size to measure the slopes at.
+// size is a fleet size per zone to benchmark at.
 type size struct{ daemons, servers, workspaces int }
 
 // sizes are per zone; the last is the design size (52 daemons and 192 servers
@@ -21,7 +21,7 @@
 
 var benchStart = time.Date(2026, 11, 1, 12, 0, 0, 0, time.UTC)
 
-// benchRules has one pipeline of four stages over pools of equal size.
+// benchRules returns one pipeline of four stages over pools of equal size.
 func benchRules(s size) *shed.Rules {
 	r := &shed.Rules{
 		Revision: 1, Pipelines: map[shed.PipelineID]*shed.Pipeline{}, Pools: map[shed.PoolID]*shed.Pool{},
@@ -55,8 +55,8 @@
 	return r
 }
 
-// benchCore is a daemon that has rules, sees its zone and a few peers of the
-// others, and knows its servers as warm.
+// benchCore returns a daemon that has rules, sees its own zone and a few peers of
+// each other zone, and knows its servers as warm.
 func benchCore(b *testing.B, s size) *Core {
 	b.Helper()
 	rules := benchRules(s)
@@ -107,7 +107,7 @@
 	}
 }
 
-// BenchmarkTick is the beat, ten times a second.
+// BenchmarkTick measures one tick; a daemon handles ten per second.
 func BenchmarkTick(b *testing.B) {
 	forEachSize(b, func(b *testing.B, c *Core) {
 		now := benchStart
@@ -118,7 +118,7 @@
 	})
 }
 
-// BenchmarkLoadReport is one report of one server.
+// BenchmarkLoadReport measures one load report of one server.
 func BenchmarkLoadReport(b *testing.B) {
 	forEachSize(b, func(b *testing.B, c *Core) {
 		for i := range b.N {
@@ -127,7 +127,7 @@
 	})
 }
 
-// BenchmarkPlace finds a server of this zone for one stage call.
+// BenchmarkPlace measures finding a server of this zone for one stage call.
 func BenchmarkPlace(b *testing.B) {
 	forEachSize(b, func(b *testing.B, c *Core) {
 		stage := c.rules.Pipelines["p"].Stages[3]
--- a/internal/core/calls.go
+++ b/internal/core/calls.go
@@ -7,12 +7,12 @@
 )
 
 const (
-	// lostPeerBackoff is how long a peer whose link broke gets no work.
+	// lostPeerBackoff is how long a peer whose connection broke gets no work.
 	lostPeerBackoff = time.Second
-	// refusalBackoff is how long a peer or zone that refused gets no work, if it
-	// named no time itself.
+	// refusalBackoff is how long a peer or zone that refused a call gets no work,
+	// if the refusal has no RetryAfter.
 	refusalBackoff = 200 * time.Millisecond
-	// maxBackoff bounds what a peer may ask for.
+	// maxBackoff bounds the RetryAfter of a peer and the backoff of a zone.
 	maxBackoff = 5 * time.Second
 )
 
@@ -24,8 +24,8 @@
 		}
 	}
 	if to, forwarded := c.forwardedOut[e.Call]; forwarded {
-		// It has room again; waiting for the call's end would keep all others
-		// from the zone for the length of a generation.
+		// The zone has capacity again. Waiting for the end of the call instead would keep
+		// all other calls from the zone for the duration of a generation.
 		delete(c.refusals, to.zone)
 	}
 	if !c.forwardedIn[e.Call] {
@@ -52,7 +52,7 @@
 	c.recordActions(now, c.flow.Handle(now, e))
 }
 
-// updateBackoff notes that a peer, or its whole zone, gives no good answers just now.
+// updateBackoff backs off from a peer, or its whole zone, that failed or refused a call.
 func (c *Core) updateBackoff(now time.Time, to destination, e shed.CallEnded) {
 	switch e.End {
 	case shed.EndNotStarted:
@@ -68,10 +68,9 @@
 	}
 }
 
-// backOffAfterRefusal tells what a call that did not start says of the peer and of its
-// zone. One that this daemon itself held back for too long, as after a pause,
-// says nothing; only what the zone's servers are the reason for concerns all of
-// the zone.
+// backOffAfterRefusal backs off from the peer, and from its zone if the refusal is due to
+// the zone's servers. A call that this daemon itself delayed for too long, for example
+// during a pause, says nothing about the peer.
 func (c *Core) backOffAfterRefusal(now time.Time, to destination, reason shed.Reason, pause time.Duration) {
 	switch reason {
 	case shed.ReasonDeadline, shed.ReasonDuplicate, shed.ReasonTooManyHops:
@@ -88,17 +87,17 @@
 	c.backOff(now, peerKey(to.vm), pause)
 }
 
-// backOffZone keeps work from a zone that has no room, for longer with each refusal
-// in a row: while every zone is full, asking each other is only more work.
+// backOffZone backs off from a zone without free capacity, for longer with each consecutive
+// refusal: while every zone is full, requests between zones only add load.
 func (c *Core) backOffZone(now time.Time, z shed.ZoneID, pause time.Duration) {
 	n := c.refusals[z]
 	c.refusals[z] = min(n+1, maxRefusals)
 	c.backOff(now, zoneKey(z), min(pause<<n, maxBackoff))
 }
 
-// isZoneAvoided tells whether a zone gets no call now: it refused lately, or it
-// did so last and one call that tries it again is still out. Were all that wait
-// to try at once, most would come back refused and have spent a send for it.
+// isZoneAvoided reports whether a zone gets no call now: it refused recently, or its last
+// answer was a refusal and one call that probes it is still in flight. If all waiting calls
+// probed it at once, most would be refused and would have used up a send.
 func (c *Core) isZoneAvoided(now time.Time, z shed.ZoneID) bool {
 	if c.isBackedOff(now, zoneKey(z)) {
 		return true
@@ -106,14 +105,14 @@
 	return c.refusals[z] > 0 && c.forwardedByZone[z] > 0
 }
 
-// recordForward books a call that goes to a peer.
+// recordForward records a call that is forwarded to a peer.
 func (c *Core) recordForward(call shed.Call, to shed.VM) {
 	t := destination{vm: to, zone: c.zoneOf(to)}
 	c.forwardedOut[call] = t
 	c.forwardedByZone[t.zone]++
 }
 
-// maxRefusals bounds how often the pause doubles.
+// maxRefusals bounds how often the backoff doubles.
 const maxRefusals = 3
 
 func peerKey(vm shed.VM) string    { return "peer " + string(vm) }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -1,6 +1,6 @@
-// Package core is all of a daemon's decisions as one: it hands each event to
-// the packages that it concerns, answers where a stage call may run, and books
-// every start and end with those who must know of it.
+// Package core combines all decisions of a daemon: it dispatches each event to the
+// packages that handle it, decides where a stage call may run, and reports the start
+// and end of each call to the packages that track calls.
 package core
 
 import (
@@ -25,9 +25,9 @@
 	defaultPolicy   = "affinity"
 	defaultNotice   = 2 * time.Second
 	defaultMaxDrain = 30 * time.Second
-	// defaultFreshFor is how long a daemon that hears from nobody goes on with
-	// what it knows. New work at a closed zone or server ends within this and
-	// the lease of a send, half a second.
+	// defaultFreshFor is how long a daemon without any contact continues with its last known
+	// state. New work at a closed zone or server ends within this time plus the send lease
+	// (500 ms).
 	defaultFreshFor = 2400 * time.Millisecond
 )
 
@@ -38,14 +38,14 @@
 	Seeds []shed.VM
 	// Seed of all random choices.
 	Seed uint64
-	// Compile turns the text of a configuration into rules.
+	// Compile parses the text of a configuration into rules.
 	Compile func(text []byte, rev shed.Revision) (*shed.Rules, error)
-	// Policy picks servers; see route.Named.
+	// Policy names the policy that picks servers; see route.Named.
 	Policy string
-	// Notice is how long a stopping daemon still serves while the balancer
-	// notices that it is not ready.
+	// Notice is how long a stopping daemon still serves, so that the load balancer can
+	// notice that it is not ready.
 	Notice time.Duration
-	// MaxDrain bounds a graceful stop.
+	// MaxDrain bounds the duration of a graceful stop.
 	MaxDrain time.Duration
 
 	Config config.Config
@@ -59,7 +59,7 @@
 	Ticket ticket.Config
 }
 
-// Core is one daemon's decisions. It is not safe for concurrent use.
+// Core makes one daemon's decisions. It is not safe for concurrent use.
 type Core struct {
 	cfg     Config
 	config  *config.State
@@ -73,53 +73,52 @@
 	tickets *ticket.Table
 	policy  shed.Policy
 
-	// rules in force; nil until the first.
+	// rules are the rules in force; nil until the first.
 	rules *shed.Rules
-	// pools are those of rules as seen from this zone.
+	// pools are the pools of rules, split into this zone and others.
 	pools map[shed.PoolID]*pool
 	// firstRulesAt is when the first rules came into force.
 	firstRulesAt time.Time
-	// viewHash is a hash of the view that viewChanged has told.
+	// viewHash is the hash of the view that notifyViewChange passed on last.
 	viewHash uint64
-	// isolated: this daemon hears nobody, see unsure.
+	// isolated: this daemon has no contact to peers or platform, see blockedReason.
 	isolated bool
-	// serversKnown: every server of the zone has been heard of, or had its time.
+	// serversKnown: every server of the zone has reported its load, or the wait timed out.
 	serversKnown bool
-	// ready is what the driver was last told.
+	// ready is the readiness that the driver was last notified of.
 	ready bool
 	stop  stop
 
-	// forwardedIn are the calls that run here for a peer.
+	// forwardedIn are the calls that a peer forwarded here.
 	forwardedIn map[shed.Call]bool
-	// queued are those among them that wait for a place, oldest first.
+	// queued are the calls of forwardedIn that wait for a server, oldest first.
 	queued []queuedCall
-	// localCalls are the calls under way on servers of this zone.
+	// localCalls are the calls in flight on servers of this zone.
 	localCalls map[shed.Call]shed.ServerID
-	// forwardedOut are the calls under way at peers, with where.
+	// forwardedOut are the calls in flight at peers, with their destination.
 	forwardedOut map[shed.Call]destination
-	// forwardedRequests are the requests that were handed to their ticket's home and have
-	// not come back.
+	// forwardedRequests are the requests in flight at the home of their ticket.
 	forwardedRequests map[shed.RequestID]bool
-	// backoffUntil are peers and zones that refused work or were lost, until when.
+	// backoffUntil is until when peers and zones that refused work or were lost get none.
 	backoffUntil map[string]time.Time
-	// forwardedByZone counts them by zone.
+	// forwardedByZone counts forwardedOut by zone.
 	forwardedByZone map[shed.ZoneID]int
-	// refusals counts those in a row by each other zone.
+	// refusals counts consecutive refusals by each other zone, up to maxRefusals.
 	refusals map[shed.ZoneID]int
-	// scratch for the candidates of one placement.
+	// scratch is reused for the candidates of each placement.
 	scratch []shed.Candidate
 
-	// out gathers the actions of one event.
+	// out collects the actions of one event.
 	out []shed.Action
 }
 
-// destination is where a call was handed.
+// destination is the peer that a call was forwarded to.
 type destination struct {
 	vm   shed.VM
 	zone shed.ZoneID
 }
 
-// New makes a Core. It fails only on an unknown policy.
+// New returns a Core. It fails only for an unknown policy.
 func New(cfg Config) (*Core, error) {
 	if cfg.Policy == "" {
 		cfg.Policy = defaultPolicy
@@ -157,7 +156,7 @@
 	return c, nil
 }
 
-// build makes the parts that need to know who this process is.
+// build creates the components that depend on the identity of this process.
 func (c *Core) build() {
 	cfg := c.cfg
 	cfg.Config.Self, cfg.Config.Zone = cfg.Self, cfg.Zone
@@ -180,13 +179,13 @@
 	c.flow = flow.New(cfg.Flow)
 }
 
-// Handle takes one event and returns what to do, in order. The slice is the
-// caller's.
+// Handle processes one event and returns the resulting actions in order. The caller owns
+// the slice.
 func (c *Core) Handle(now time.Time, ev shed.Event) []shed.Action {
 	c.out = nil
-	// Configuration sees every event first: it is the one that notices, by the
-	// time since the last tick, that the process was paused. A request that is
-	// handled between waking up and the next tick must already find it unready.
+	// The configuration state gets every event first: it detects from the time since the
+	// last tick that the process was paused. A request that is handled between the end of
+	// the pause and the next tick must already find the daemon not ready.
 	wasReady := c.config.Ready()
 	c.emit(c.config.Handle(now, ev))
 	if wasReady && !c.config.Ready() {
@@ -235,7 +234,7 @@
 	}
 }
 
-// emit passes actions on that need no booking, and puts new rules in force.
+// emit appends actions that other components need not know of.
 func (c *Core) emit(acts []shed.Action) {
 	c.out = append(c.out, acts...)
 }
@@ -264,8 +263,8 @@
 	c.updateView(now)
 }
 
-// startWaitingRequests offers places that may have freed until nobody takes one more. Flow
-// starts one call a step, so that each is booked before the next is placed.
+// startWaitingRequests offers free servers to waiting requests until no more call starts.
+// Flow starts one call per step, so that each is recorded before the next is placed.
 func (c *Core) startWaitingRequests(now time.Time) {
 	for {
 		acts := c.flow.Freed(now)
@@ -275,8 +274,8 @@
 	}
 }
 
-// recordActions passes on what flow decided, and tells those who must know of it. It
-// returns whether a call was started.
+// recordActions emits the actions of flow and reports them to the components that track
+// calls and tickets. It returns whether a call was started.
 func (c *Core) recordActions(now time.Time, acts []shed.Action) bool {
 	started := false
 	for _, act := range acts {
--- a/internal/core/forwarded.go
+++ b/internal/core/forwarded.go
@@ -11,28 +11,28 @@
 	forwardedSendLease = 500 * time.Millisecond
 	// forwardedIdleTimeout is the longest time without a frame from a server.
 	forwardedIdleTimeout = 2 * time.Second
-	// forwardedRetryAfter is when a peer that was refused may ask again.
+	// forwardedRetryAfter is when a refused peer may retry.
 	forwardedRetryAfter = 200 * time.Millisecond
-	// maxQueueWait is the longest that a stage call of a peer waits for a place:
-	// about as long as a short call, so that each one meets some freed place.
+	// maxQueueWait is the longest time that a forwarded call waits for a server: about
+	// the duration of a short call, so that some server is likely to free up meanwhile.
 	maxQueueWait = 400 * time.Millisecond
-	// maxQueuedCalls bounds the stage calls of peers that wait.
+	// maxQueuedCalls bounds the forwarded calls that wait.
 	maxQueuedCalls = 64
 )
 
-// queuedCall is a stage call of a peer that waits for a place.
+// queuedCall is a forwarded call that waits for a server.
 //
-// Were it refused at once, each freed place would go to a request of this zone
-// that waits here, since the peer can only ask now and then. Requests of a zone
-// whose own servers are leaving then waited for another zone until their
-// deadlines, though both others served all of theirs.
+// If it were refused at once, each freed server would go to a waiting request of this
+// zone, since the peer can only retry now and then. Requests of a zone whose own servers
+// are leaving would then wait for another zone until their deadlines, although the other
+// zones serve all of their own requests.
 type queuedCall struct {
 	event shed.StageRequested
 	until time.Time
 }
 
-// handleStageRequest places a stage call that a peer handed over: under this daemon's
-// own rules, at once or not at all, and one attempt at the most.
+// handleStageRequest places a stage call that a peer forwarded: under this daemon's own
+// rules, with at most one attempt, and after a wait of at most maxQueueWait.
 func (c *Core) handleStageRequest(now time.Time, e shed.StageRequested) {
 	req := e.Request
 	stage, reason := c.resolveStage(now, req)
@@ -60,7 +60,7 @@
 	c.refuseForwarded(w, p)
 }
 
-// placeForwarded starts the guest's call, or passes it on, if that can be done now.
+// placeForwarded starts the call or forwards it again, if that is possible now.
 func (c *Core) placeForwarded(now time.Time, w queuedCall, stage shed.Stage) shed.Placement {
 	req := w.event.Request
 	req.Budget -= now.Sub(w.until.Add(-min(maxQueueWait, req.Budget/4)))
@@ -75,7 +75,7 @@
 	return p
 }
 
-// refuseForwarded answers a guest that was not placed.
+// refuseForwarded refuses a call that was not placed.
 func (c *Core) refuseForwarded(w queuedCall, p shed.Placement) {
 	if p.Kind == shed.PlaceLocal || p.Kind == shed.PlacePeer {
 		return
@@ -86,9 +86,9 @@
 	c.refuseStage(call, p.Reason, forwardedRetryAfter)
 }
 
-// startQueuedCalls offers places that may have freed to the guests that wait, the first
-// one first, and refuses those that have waited for too long. At most one is
-// started, so that the requests of this zone have their turn, too.
+// startQueuedCalls offers free servers to the queued calls, oldest first, and refuses those
+// that have waited too long. It starts at most one, so that the requests of this zone also
+// get servers.
 func (c *Core) startQueuedCalls(now time.Time) {
 	started := false
 	keep := c.queued[:0]
@@ -113,8 +113,8 @@
 	c.queued = keep
 }
 
-// resolveStage finds the stage in the rules in force here, which may be older or
-// newer than the sender's.
+// resolveStage looks up the stage in the rules in force here, which may be older or newer
+// than the sender's.
 func (c *Core) resolveStage(now time.Time, req shed.StageRequest) (shed.Stage, shed.Reason) {
 	if c.rules == nil {
 		return shed.Stage{}, shed.ReasonNoConfig
@@ -133,8 +133,8 @@
 	return stage, shed.ReasonNone
 }
 
-// isInFlight tells whether the attempt is here already, for a peer or for a
-// request of this daemon's own: a doubled or circling message.
+// isInFlight reports whether this attempt is already in flight here, for a peer or for a
+// request of this daemon: the message was duplicated or went round in a circle.
 func (c *Core) isInFlight(call shed.Call) bool {
 	_, local := c.localCalls[call]
 	_, handed := c.forwardedOut[call]
--- a/internal/core/place.go
+++ b/internal/core/place.go
@@ -13,17 +13,17 @@
 var _ shed.Placer = (*Core)(nil)
 
 const (
-	// maxHops bounds how often one stage call is handed over: to another zone,
-	// and there to the daemon that may use a cold server.
+	// maxHops bounds how often one stage call is forwarded: to another zone, and there
+	// to the daemon that may use a cold server.
 	maxHops = 2
-	// defaultRetryAfter is when to come back where nothing better is known.
+	// defaultRetryAfter is sent to callers if no better estimate is known.
 	defaultRetryAfter = time.Second
-	// peersPerZone is how many peers of another zone are tried before the next.
+	// peersPerZone is how many peers of another zone are tried before the next zone.
 	peersPerZone = 3
 )
 
-// Place implements shed.Placer: a server of this zone first, then a peer of
-// the zone that may use a cold one, then another zone.
+// Place implements shed.Placer. It prefers a server of this zone, then a peer of the
+// zone that may use a cold one, then another zone.
 func (c *Core) Place(now time.Time, req shed.PlaceRequest) shed.Placement {
 	if reason := c.blockedReason(now); reason != shed.ReasonNone {
 		return shed.Placement{Kind: shed.PlaceWait, Reason: reason}
@@ -45,14 +45,14 @@
 	return local
 }
 
-// blockedReason is why this daemon may start no work at all at the moment.
+// blockedReason is why this daemon must not start any work at the moment, if so.
 //
-// One that woke from a pause doesn't know what was decided meanwhile. One that
-// hears neither the platform nor any daemon, of its own zone or another, may be
-// alone in not knowing that its zone was taken out or a server leaves: callers
-// would see work go there for as long as it is cut off. The others of its zone
-// serve meanwhile. A zone that is cut off as a whole goes on, since its daemons
-// hear each other, and so does a daemon that is the only one left of its zone.
+// A daemon that resumes after a pause doesn't know what was decided meanwhile. A daemon
+// without contact to the platform and to any daemon, of its own zone or another, may be the
+// only one that doesn't know that its zone was taken out of service or that a server is
+// leaving, and would send work there for as long as it is partitioned off. The other daemons
+// of its zone serve meanwhile. A zone that is partitioned off as a whole continues, since its
+// daemons reach each other, and so does the only remaining daemon of a zone.
 func (c *Core) blockedReason(now time.Time) shed.Reason {
 	switch {
 	case !c.config.Ready():
@@ -67,9 +67,9 @@
 	return !c.config.Fresh(now) && !c.member.Confirmed(now)
 }
 
-// updateIsolation notices when this daemon hears nobody, and when it hears somebody
-// again. Then it asks what is in force before it starts anything: the first
-// sign of life of a peer says nothing of what was decided meanwhile.
+// updateIsolation detects when this daemon loses all contact and when it regains it. It then
+// asks for the configuration in force before it starts anything: the first message of a
+// peer doesn't say what was decided meanwhile.
 func (c *Core) updateIsolation(now time.Time) {
 	switch noContact := c.hasNoContact(now); {
 	case noContact && c.config.Ready():
@@ -80,7 +80,7 @@
 	}
 }
 
-// MayResume tells whether a stream may go on at the server that holds it.
+// MayResume reports whether a stream may be resumed at the server that holds it.
 func (c *Core) MayResume(now time.Time, id shed.ServerID) bool {
 	s := c.rules.Servers[id]
 	if s == nil || c.blockedReason(now) != shed.ReasonNone {
@@ -91,7 +91,7 @@
 	return open && known && (!cand.Cold || c.load.Settled(id) && c.slots.Free(now, id) > 0)
 }
 
-// placeInZone looks at this zone only. not is a peer that must not get the call.
+// placeInZone considers only this zone. The peer exclude must not get the call.
 func (c *Core) placeInZone(now time.Time, req shed.PlaceRequest, pool *pool, exclude shed.VM) shed.Placement {
 	nowhere := shed.Placement{Kind: shed.PlaceNowhere, Reason: shed.ReasonNoServer, RetryAfter: defaultRetryAfter}
 	if !req.Stage.MayRunIn(c.cfg.Zone) {
@@ -145,16 +145,16 @@
 	return shed.Placement{Kind: shed.PlaceWait, Reason: reason}
 }
 
-// unconfirmedCallLimit is how many calls this daemon may have under way of which the
-// server has given no sign. A warm server may turn cold without warning; all
-// daemons' unseen calls together are then what hits it before anyone knows, so
-// each takes its share of what the server bears cold.
+// unconfirmedCallLimit is how many calls this daemon may have in flight that the server has
+// not confirmed. A warm server may become cold without notice; until that is known, it
+// gets the unconfirmed calls of all daemons together, so each daemon is limited to its
+// share of the server's cold capacity.
 func unconfirmedCallLimit(s *shed.Server, daemons int) int {
 	return max(1, s.ColdCapacity/max(1, daemons))
 }
 
-// sendingDaemons is how many daemons may send to the zone's servers; all too many if
-// this one doesn't know yet who else there is, so that it takes the least.
+// sendingDaemons is how many daemons may send to the zone's servers. As long as the view
+// isn't confirmed, it is the maximum, so that this daemon takes the smallest share.
 func (c *Core) sendingDaemons(now time.Time) int {
 	if !c.member.Confirmed(now) {
 		return math.MaxInt
@@ -162,7 +162,7 @@
 	return max(len(c.member.View().Zone(c.cfg.Zone)), len(c.member.Known()))
 }
 
-// closedReason says why the rules keep new work from the server.
+// closedReason is why the rules exclude the server from new work.
 func (c *Core) closedReason(s *shed.Server) shed.Reason {
 	if z := c.rules.Zones[s.Zone]; z != nil && z.OutOfService {
 		return shed.ReasonZoneOut
@@ -184,9 +184,8 @@
 	return "", false
 }
 
-// placeInOtherZone finds a daemon of another zone. A daemon that is not sure of its
-// configuration hands nothing to other zones: it can't know whether operators
-// have taken them out.
+// placeInOtherZone finds a daemon of another zone. A daemon whose configuration is not fresh
+// forwards nothing to other zones, since operators may have taken them out of service.
 func (c *Core) placeInOtherZone(now time.Time, req shed.PlaceRequest, pool *pool) (shed.Placement, bool) {
 	if req.Hops > 0 || !c.config.Fresh(now) {
 		return shed.Placement{}, false
@@ -205,8 +204,8 @@
 	return shed.Placement{}, false
 }
 
-// otherZones are the other zones where the rules let the stage run, those of
-// this region first, and each daemon's requests in an order of their own.
+// otherZones returns the other zones where the rules let the stage run, those of this region
+// first. The order within a region depends on the request, to spread the load.
 func (c *Core) otherZones(req shed.PlaceRequest, pool *pool) []shed.ZoneID {
 	var near, far []shed.ZoneID
 	for _, z := range pool.otherZones {
@@ -223,7 +222,7 @@
 	return append(near, far...)
 }
 
-// rotate turns the list by n, so that not all callers try the same one first.
+// rotate rotates zones by n, so that not all callers try the same zone first.
 func rotate(zones []shed.ZoneID, n uint64) {
 	if len(zones) < 2 {
 		return
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -9,7 +9,7 @@
 	"jasmineshed/internal/ticket"
 )
 
-// handleRequest takes in a request from a caller or from a peer that handed it over.
+// handleRequest accepts a request from a caller or one that a peer forwarded.
 func (c *Core) handleRequest(now time.Time, a shed.RequestArrived) {
 	if reason := c.unavailableReason(now); reason != shed.ReasonNone {
 		c.refuseRequest(a, reason, shed.Origin{}, defaultRetryAfter)
@@ -26,7 +26,7 @@
 	c.recordActions(now, c.flow.Handle(now, a))
 }
 
-// unavailableReason is why this daemon takes no requests at the moment.
+// unavailableReason is why this daemon accepts no requests at the moment, if so.
 func (c *Core) unavailableReason(now time.Time) shed.Reason {
 	if c.rules == nil {
 		return shed.ReasonNoConfig
@@ -40,7 +40,7 @@
 	return shed.ReasonNone
 }
 
-// denialReason is why the rules don't let the request run.
+// denialReason is why the rules don't let the request run, if so.
 func (c *Core) denialReason(a shed.RequestArrived) (shed.Reason, shed.Origin) {
 	p := c.rules.Pipelines[a.Pipeline]
 	if p == nil {
@@ -59,9 +59,9 @@
 	return shed.ReasonNone, shed.Origin{}
 }
 
-// refuseRequest answers a request of which nothing was started here. It is not_run
-// only for a request without a ticket: with one, an earlier repeat may have run
-// it, here or elsewhere.
+// refuseRequest answers a request of which nothing was started here. The outcome is not_run
+// only for a request without a ticket: with one, an earlier attempt of the caller may have
+// run it, here or elsewhere.
 func (c *Core) refuseRequest(a shed.RequestArrived, reason shed.Reason, rule shed.Origin, retryAfter time.Duration) {
 	outcome := shed.OutcomeNotRun
 	if a.Ticketed {
@@ -76,28 +76,28 @@
 		shed.Finish{Request: a.Request, Outcome: outcome, Reason: reason, Rule: rule, RetryAfter: retryAfter})
 }
 
-// handleTicketed runs a request at its ticket's home, which is this process or
-// another one, and nowhere else.
+// handleTicketed runs a request only at its ticket's home, which is this process or
+// another one.
 func (c *Core) handleTicketed(now time.Time, a shed.RequestArrived) {
 	home := c.Locate(a.Request)
 	switch {
 	case home.Self || c.isFromIssuer(a):
 		c.startTicketed(now, a)
 	case home.Peer.VM == "" && home.Forged:
-		// Nobody ever gave out this id, so nothing ran under it.
+		// No process ever issued this id, so nothing ran under it.
 		c.finishRequest(a, shed.OutcomeNotRun, shed.ReasonTicketUnknown, shed.Origin{}, 0)
 	case home.Peer.VM == "" || a.From.VM != "":
-		// A request that was handed here is not handed on: views that differ
-		// could send it round in circles.
+		// A forwarded request is not forwarded again: with differing views it could
+		// circulate between daemons.
 		c.finishRequest(a, shed.OutcomeUnknown, shed.ReasonHomeGone, shed.Origin{}, 0)
 	default:
 		c.forwardRequest(a, home.Peer)
 	}
 }
 
-// isFromIssuer tells whether the process that gave out the ticket handed the
-// request over itself: it has left the ticket here, even if word of its leaving
-// has not come yet.
+// isFromIssuer reports whether the process that issued the ticket forwarded the request
+// itself: then it has moved the ticket here, even if the message that it is leaving has
+// not arrived yet.
 func (c *Core) isFromIssuer(a shed.RequestArrived) bool {
 	issuer, err := ticket.Home(a.Request)
 	return err == nil && a.From == issuer
@@ -108,7 +108,7 @@
 	c.out = append(c.out, shed.ForwardRequest{Request: a.Request, To: home, Deadline: a.Deadline})
 }
 
-// startTicketed runs a ticketed request here, if this is its first time.
+// startTicketed runs a ticketed request here unless it was started before.
 func (c *Core) startTicketed(now time.Time, a shed.RequestArrived) {
 	v := c.tickets.Start(now, a.Request, a.Workspace, a.Pipeline)
 	switch v.Kind {
@@ -130,8 +130,8 @@
 	}
 }
 
-// finishStored gives a repeat the answer of the first one. Only a complete one has a
-// payload, which the driver kept.
+// finishStored answers a retry with the stored answer. Only a complete answer has a
+// payload, which the driver keeps.
 func (c *Core) finishStored(a shed.RequestArrived, f shed.Finish) {
 	if f.Outcome == shed.OutcomeComplete {
 		c.out = append(c.out, shed.JoinRequest{Request: a.Request})
@@ -140,7 +140,7 @@
 	c.out = append(c.out, f)
 }
 
-// Locate tells which process a ticket's requests run at.
+// Locate returns the process that runs the requests of a ticket.
 func (c *Core) Locate(id shed.RequestID) shed.Home {
 	p, err := ticket.Home(id)
 	if err != nil {
@@ -159,20 +159,20 @@
 	case member.HomeDead:
 		return shed.Home{}
 	}
-	// Of other zones only a few processes are known; the id says where to ask,
-	// and another incarnation there says that it is not the home.
+	// Only a few processes of other zones are known here. The id contains the address,
+	// and a later incarnation there answers that it is not the home.
 	return shed.Home{Peer: p}
 }
 
-// Lookup gives the stored answer to a ticketed request, or an empty one if it
-// runs; false if it is not known here for this workspace.
+// Lookup returns the stored answer to a ticketed request, or an empty one if the request
+// is running; false if it is not known here for this workspace.
 func (c *Core) Lookup(now time.Time, id shed.RequestID, ws shed.WorkspaceID) (shed.Finish, bool) {
 	v := c.tickets.Lookup(now, id, ws)
 	known := v.Kind == ticket.VerdictJoin || v.Kind == ticket.VerdictStored
 	return v.Finish, known
 }
 
-// Issue gives out a ticket whose id embeds this process and random.
+// Issue issues a ticket whose id embeds this process and the random bytes.
 func (c *Core) Issue(now time.Time, ws shed.WorkspaceID, pipeline shed.PipelineID, random [16]byte) (shed.Ticket, *shed.Finish) {
 	a := shed.RequestArrived{Workspace: ws, Pipeline: pipeline, Ticketed: true}
 	reason := c.unavailableReason(now)
--- a/internal/core/rules.go
+++ b/internal/core/rules.go
@@ -8,7 +8,7 @@
 	shed "jasmineshed"
 )
 
-// adoptRules puts rules in force that config has taken.
+// adoptRules applies the newest rules of the configuration state.
 func (c *Core) adoptRules(now time.Time) {
 	rules := c.config.Rules()
 	if rules == nil || rules == c.rules {
@@ -35,10 +35,10 @@
 	c.flow.SetRules(rules)
 }
 
-// pool is what placing needs of one pool, worked out once for each revision: a
-// pool's servers in all zones are too many to go through for each call.
+// pool is the part of a pool that placement needs. It is computed once per revision: a
+// pool has too many servers in all zones to iterate over them for each call.
 type pool struct {
-	// localServers are its servers in this zone, by id, closed ones too.
+	// localServers are its servers in this zone, by id, including closed ones.
 	localServers []*shed.Server
 	// otherZones are the other zones that have an open server, by id.
 	otherZones []shed.ZoneID
--- a/internal/core/status.go
+++ b/internal/core/status.go
@@ -8,7 +8,7 @@
 	"jasmineshed/internal/cost"
 )
 
-// Status is what a daemon believes, and how old each belief is.
+// Status is the state that a daemon assumes, and the age of each part.
 type Status struct {
 	Peer     shed.Peer    `json:"peer"`
 	Zone     shed.ZoneID  `json:"zone"`
@@ -26,7 +26,7 @@
 	Cost []StageCost `json:"cost"`
 }
 
-// ConfigStatus is what is believed of the configuration.
+// ConfigStatus is the state of the configuration.
 type ConfigStatus struct {
 	Revision shed.Revision `json:"revision"`
 	Ready    bool          `json:"ready"`
@@ -36,7 +36,7 @@
 	Confirmed time.Duration `json:"confirmed_ago_ns"`
 	// Watching: this daemon reads the platform for its zone.
 	Watching bool `json:"watching"`
-	// Asked and Heard count peers at the last start or wake.
+	// Asked and Heard count peers asked and replies since the last start or pause.
 	Asked int `json:"peers_asked"`
 	Heard int `json:"peers_heard"`
 	// Invalid is the platform's newest revision if it has faults.
@@ -46,7 +46,7 @@
 	Woke    int           `json:"woke"`
 }
 
-// StageCost is what one stage has cost.
+// StageCost is the accumulated cost of one stage.
 type StageCost struct {
 	Pipeline shed.PipelineID `json:"pipeline"`
 	Stage    shed.StageID    `json:"stage"`
--- a/internal/core/stop.go
+++ b/internal/core/stop.go
@@ -8,19 +8,19 @@
 	"jasmineshed/internal/rank"
 )
 
-// stop is a graceful stop under way.
+// stop is the state of a graceful stop.
 type stop struct {
 	requested  bool
 	skipNotice bool
-	// noticeUntil is when the balancer has surely noticed that this VM is not ready;
-	// before it, requests that still come are served.
+	// noticeUntil is when the load balancer has certainly noticed that this VM is not
+	// ready; requests that arrive before are served.
 	noticeUntil time.Time
-	// drainUntil is when the process ends whatever still runs.
+	// drainUntil is when the process exits even if requests still run.
 	drainUntil time.Time
 	exited     bool
 }
 
-// refuses tells whether new requests are refused.
+// refuses reports whether new requests are refused.
 func (s *stop) refuses(now time.Time) bool {
 	return s.requested && (s.skipNotice || !now.Before(s.noticeUntil))
 }
@@ -34,10 +34,10 @@
 	c.stop.skipNotice = c.stop.skipNotice || e.SkipNotice
 }
 
-// leaveGroup gives the unused tickets to a peer of the zone and tells the others.
-// The tickets are forgotten here before they are sent: if the message is lost
-// they are lost with it and their callers are told outcome_unknown, but no
-// ticket can ever be started twice.
+// leaveGroup moves the unused tickets to a peer of the zone and announces the stop to the
+// others. The tickets are removed here before they are sent: if the message is lost, the
+// tickets are lost too and their callers get outcome_unknown, but no ticket can ever be
+// started twice.
 func (c *Core) leaveGroup(now time.Time) {
 	successor := c.pickSuccessor()
 	if successor.VM != "" {
@@ -65,11 +65,11 @@
 	return m.Peer
 }
 
-// checkStop ends the process once nothing runs any more, or time is up.
+// checkStop exits once nothing is in flight or the drain time is over.
 func (c *Core) checkStop(now time.Time) {
 	if c.member.Overruled() && !c.stop.requested {
-		// A later process claims this VM's address, and peers drop all that this
-		// one says. What it runs may still end; it must start nothing.
+		// A later process claims this VM's address, and peers drop all messages of this
+		// one. Its calls in flight may still end, but it must start nothing.
 		c.out = append(c.out, shed.Note{Reason: member.ReasonOverruled, Peer: c.cfg.Self.VM})
 		c.handleStopRequest(now, shed.StopRequested{SkipNotice: true})
 	}
--- a/internal/core/view.go
+++ b/internal/core/view.go
@@ -7,7 +7,7 @@
 	"jasmineshed/internal/member"
 )
 
-// updateView tells the packages who is alive, and how sure that is.
+// updateView passes on which VMs are alive and whether that is confirmed.
 func (c *Core) updateView(now time.Time) {
 	v := c.member.View()
 	vms := v.VMs(c.cfg.Zone)
@@ -22,7 +22,7 @@
 	c.updateIsolation(now)
 }
 
-// notifyViewChange tells those that only want to know of changes.
+// notifyViewChange notifies the components that only need to know of changes.
 func (c *Core) notifyViewChange(now time.Time, v member.View, vms []shed.VM) {
 	var sum uint64
 	for _, z := range v.Zones() {
@@ -42,12 +42,12 @@
 	c.config.SetPeers(v.Zone(c.cfg.Zone), others)
 }
 
-// surveyFor bounds the wait for the first load report of every server.
+// firstReportTimeout bounds the wait for the first load report of every server.
 const firstReportTimeout = 3 * time.Second
 
-// checkServersKnown looks whether every server of the zone that may have work has been
-// heard of. A daemon that took requests before would know no server that is
-// warm, and refuse what its zone could well carry.
+// checkServersKnown checks whether every open server of the zone has reported its load. A
+// daemon that accepted requests earlier would know no warm server and would refuse load that
+// its zone can handle.
 func (c *Core) checkServersKnown(now time.Time) {
 	if c.serversKnown || c.rules == nil {
 		return
@@ -67,7 +67,7 @@
 	}
 }
 
-// updateReady tells the driver when readiness changes.
+// updateReady notifies the driver when readiness changes.
 func (c *Core) updateReady(now time.Time) {
 	c.checkServersKnown(now)
 	ready := c.serversKnown && !c.stop.requested && c.blockedReason(now) == shed.ReasonNone
