--- a/internal/flow/ends.go
+++ b/internal/flow/ends.go
@@ -9,12 +9,12 @@
 	shed "jasmineshed"
 )
 
-// live returns the request whose live call this is, or nil with a note. What
+// runningRequest returns the request whose live call this is, or nil with a note. What
 // an earlier attempt still sends must not touch the request: its result would
 // be taken for the live attempt's, or its failure repeated.
-func (f *Flow) live(call shed.Call, server shed.ServerID) *request {
+func (f *Flow) runningRequest(call shed.Call, server shed.ServerID) *request {
 	r := f.requests[call.Request]
-	if r != nil && r.state == stateRunning && (r.call == call || f.off.staleEnds) {
+	if r != nil && r.state == stateRunning && (r.call == call || f.disabled.staleEnds) {
 		return r
 	}
 	reason := shed.ReasonStaleAttempt
@@ -25,36 +25,36 @@
 	return nil
 }
 
-func (f *Flow) progress(p shed.CallProgress) {
-	if r := f.live(p.Call, p.Server); r != nil {
+func (f *Flow) handleProgress(p shed.CallProgress) {
+	if r := f.runningRequest(p.Call, p.Server); r != nil {
 		r.trail.Progress(p)
 	}
 }
 
-// callerGone cancels the request, unless it must run on.
-func (f *Flow) callerGone(now time.Time, id shed.RequestID) {
+// handleCallerGone cancels the request, unless it must run on.
+func (f *Flow) handleCallerGone(now time.Time, id shed.RequestID) {
 	r := f.requests[id]
 	if r == nil {
 		return
 	}
-	if f.runsOn(r) && !f.off.runOnIfBound {
-		r.gone = true
+	if f.outlivesCaller(r) && !f.disabled.outliveCaller {
+		r.callerGone = true
 		return
 	}
 	f.finish(now, r, trail.End{Cause: trail.CauseGone, Reason: shed.ReasonCallerGone})
 }
 
-// runsOn tells whether the request goes on without its caller. With a ticket
+// outlivesCaller tells whether the request goes on without its caller. With a ticket
 // the caller is likely to come back by another way, as its connection may only
 // have gone silent, and a ticket starts once: cancelled, all that a repeat
 // could be told is that it was. And where a stage that must run at most once
 // may have run, its end must become known. The deadline bounds both.
-func (f *Flow) runsOn(r *request) bool {
+func (f *Flow) outlivesCaller(r *request) bool {
 	return r.arrived.Ticketed || r.trail.Bound()
 }
 
-func (f *Flow) callEnded(now time.Time, e shed.CallEnded) {
-	r := f.live(e.Call, e.Server)
+func (f *Flow) handleCallEnded(now time.Time, e shed.CallEnded) {
+	r := f.runningRequest(e.Call, e.Server)
 	if r == nil {
 		return
 	}
@@ -66,18 +66,18 @@
 	}
 	f.setState(r, stateNew, time.Time{})
 	if e.End == shed.EndComplete {
-		f.stageDone(now, r, e)
+		f.completeStage(now, r, e)
 		return
 	}
 	f.emit(shed.Note{Reason: e.Reason, Request: r.arrived.Request, Server: e.Server, Zone: e.Zone})
-	f.recover(now, r, e)
+	f.handleFailure(now, r, e)
 }
 
-func (f *Flow) stageDone(now time.Time, r *request, e shed.CallEnded) {
+func (f *Flow) completeStage(now time.Time, r *request, e shed.CallEnded) {
 	f.cfg.Budget.Succeeded(now)
-	key := admit.StageKey{Pipeline: r.pipeline.ID, Stage: r.at().ID}
+	key := admit.StageKey{Pipeline: r.pipeline.ID, Stage: r.currentStage().ID}
 	f.cfg.Admit.Observe(now, key, r.trail.Took(e.Call))
-	if f.late(now, r) {
+	if f.isLate(now, r) {
 		f.finish(now, r, trail.End{Cause: trail.CauseDeadline, Reason: shed.ReasonDeadline})
 		return
 	}
@@ -85,7 +85,7 @@
 	r.stage++
 	r.avoid = nil
 	r.resumes = 0
-	r.asides = 0
+	r.queueSkips = 0
 	if r.stage < len(r.pipeline.Stages) {
 		f.advance(now, r)
 		return
@@ -94,21 +94,21 @@
 	f.finish(now, r, trail.End{Cause: trail.CauseDone})
 }
 
-// late tells whether a result came after the deadline, before the tick that
+// isLate tells whether a result came after the deadline, before the tick that
 // would have ended the request. What must run at most once and ran to its
 // whole end is told as such all the same: a caller that heard only of the
 // deadline would not know it.
-func (f *Flow) late(now time.Time, r *request) bool {
-	if f.off.checkLate || !now.After(r.arrived.Deadline) {
+func (f *Flow) isLate(now time.Time, r *request) bool {
+	if f.disabled.checkLate || !now.After(r.arrived.Deadline) {
 		return false
 	}
 	last := r.stage == len(r.pipeline.Stages)-1
 	return !last || r.pipeline.Idempotent()
 }
 
-// recover decides what follows a call that gave no result.
-func (f *Flow) recover(now time.Time, r *request, e shed.CallEnded) {
-	if r.gone && !f.runsOn(r) {
+// handleFailure decides what follows a call that gave no result.
+func (f *Flow) handleFailure(now time.Time, r *request, e shed.CallEnded) {
+	if r.callerGone && !f.outlivesCaller(r) {
 		f.finish(now, r, trail.End{Cause: trail.CauseGone, Reason: shed.ReasonCallerGone})
 		return
 	}
@@ -116,10 +116,10 @@
 		f.finish(now, r, trail.End{Cause: trail.CauseDeadline, Reason: shed.ReasonDeadline})
 		return
 	}
-	if f.resume(now, r, e) {
+	if f.tryResume(now, r, e) {
 		return
 	}
-	if reason := f.noRetry(now, r, e); reason != shed.ReasonNone {
+	if reason := f.noRetryReason(now, r, e); reason != shed.ReasonNone {
 		f.finish(now, r, trail.End{
 			Cause:      causeOf(e.End),
 			Reason:     reason,
@@ -137,10 +137,10 @@
 	return trail.CauseRefused
 }
 
-// noRetry is why the stage may not be sent again, or ReasonNone if it may. It
+// noRetryReason is why the stage may not be sent again, or ReasonNone if it may. It
 // takes from the budget, so it is asked last.
-func (f *Flow) noRetry(now time.Time, r *request, e shed.CallEnded) shed.Reason {
-	if !r.trail.MayRepeat(r.stage) && !f.off.mayRepeat {
+func (f *Flow) noRetryReason(now time.Time, r *request, e shed.CallEnded) shed.Reason {
+	if !r.trail.MayRepeat(r.stage) && !f.disabled.mayRepeat {
 		return orElse(e.Reason, shed.ReasonBroken)
 	}
 	if r.trail.Reached(r.stage) >= f.cfg.MaxAttempts || r.trail.Attempts(r.stage) >= f.cfg.MaxSends {
@@ -177,29 +177,29 @@
 	if e.End == shed.EndNotStarted && e.Reason == shed.ReasonNoServer {
 		r.avoid = nil
 	}
-	if e.End == shed.EndNotStarted && r.trail.Attempts(r.stage) > 1 && !noRoom(e.Reason) {
+	if e.End == shed.EndNotStarted && r.trail.Attempts(r.stage) > 1 && !isCapacityRefusal(e.Reason) {
 		f.backOff(now, r)
 		return
 	}
 	f.advance(now, r)
 }
 
-// noRoom tells whether a peer refused because its servers are full or cold.
-func noRoom(reason shed.Reason) bool {
+// isCapacityRefusal tells whether a peer refused because its servers are full or cold.
+func isCapacityRefusal(reason shed.Reason) bool {
 	return reason == shed.ReasonServersBusy || reason == shed.ReasonServerCold
 }
 
-// resume goes on with a stream that broke midway, on the server that holds it.
+// tryResume goes on with a stream that broke midway, on the server that holds it.
 // It runs nothing anew, so it is open to stages that must not run twice too,
 // and is not paid from the retry budget.
-func (f *Flow) resume(now time.Time, r *request, e shed.CallEnded) bool {
-	s := r.local
-	if e.End != shed.EndBroken || s == nil || r.at().Kind != shed.KindGenerate {
+func (f *Flow) tryResume(now time.Time, r *request, e shed.CallEnded) bool {
+	s := r.localServer
+	if e.End != shed.EndBroken || s == nil || r.currentStage().Kind != shed.KindGenerate {
 		return false
 	}
 	// Without progress since the last resume the stream is gone or its server
 	// is; trying again would only spend the time left.
-	if e.Tokens <= r.offset || r.resumes >= f.cfg.MaxResumes {
+	if e.Tokens <= r.tokensBefore || r.resumes >= f.cfg.MaxResumes {
 		return false
 	}
 	if r.trail.Reached(r.stage) >= f.cfg.MaxAttempts || !f.mayResume(now, s) {
--- a/internal/flow/flow.go
+++ b/internal/flow/flow.go
@@ -64,13 +64,13 @@
 // both be given the last place of a cold server. The caller books a start
 // first and then calls Freed until that returns no start.
 type Flow struct {
-	cfg   Config
-	off   safeguards
-	rules *shed.Rules
+	cfg      Config
+	disabled safeguards
+	rules    *shed.Rules
 	// requests are those accepted and not yet finished.
 	requests map[shed.RequestID]*request
-	// wakes orders all requests by the time at which something must be done.
-	wakes wakeHeap
+	// byWakeTime orders all requests by the time at which something must be done.
+	byWakeTime wakeHeap
 	// stopping is why nothing new is accepted; empty while it is.
 	stopping shed.Reason
 	// out gathers the actions of the step; started tells whether a start is
@@ -82,16 +82,16 @@
 
 // safeguards can be turned off by tests, to show that the proof needs them.
 type safeguards struct {
-	staleEnds    bool
-	mayRepeat    bool
-	oneFinish    bool
-	checkLate    bool
-	oneStart     bool
-	runOnIfBound bool
-	hopeless     bool
-	boundPause   bool
-	stepAside    bool
-	needed       bool
+	staleEnds     bool
+	mayRepeat     bool
+	oneFinish     bool
+	checkLate     bool
+	oneStart      bool
+	outliveCaller bool
+	checkDeadline bool
+	boundBackoff  bool
+	skipQueue     bool
+	likelyTime    bool
 }
 
 // New returns a flow without requests.
@@ -136,13 +136,13 @@
 	f.begin()
 	switch e := ev.(type) {
 	case shed.RequestArrived:
-		f.arrived(now, e)
+		f.handleRequest(now, e)
 	case shed.CallerGone:
-		f.callerGone(now, e.Request)
+		f.handleCallerGone(now, e.Request)
 	case shed.CallProgress:
-		f.progress(e)
+		f.handleProgress(e)
 	case shed.CallEnded:
-		f.callEnded(now, e)
+		f.handleCallEnded(now, e)
 	case shed.Tick:
 		f.tick(now)
 	}
@@ -153,7 +153,7 @@
 // It starts one at the most.
 func (f *Flow) Freed(now time.Time) []shed.Action {
 	f.begin()
-	f.drain(now)
+	f.startWaiting(now)
 	return f.out
 }
 
@@ -164,19 +164,19 @@
 
 func (f *Flow) emit(a shed.Action) { f.out = append(f.out, a) }
 
-func (f *Flow) arrived(now time.Time, a shed.RequestArrived) {
+func (f *Flow) handleRequest(now time.Time, a shed.RequestArrived) {
 	if f.requests[a.Request] != nil {
 		f.emit(shed.Note{Reason: shed.ReasonDuplicate, Request: a.Request})
 		return
 	}
-	p, refusal := f.pipeline(a)
+	p, refusal := f.pipelineOf(a)
 	if p == nil {
 		f.emit(trail.Refuse(a.Request, refusal))
 		return
 	}
 	key := admit.KeyOf(&p.Stages[0])
 	verdict := f.cfg.Admit.Admit(now, admit.Ask{
-		Waiting:  f.waiting(a, time.Time{}),
+		Waiting:  f.queueEntry(a, time.Time{}),
 		Pipeline: p,
 		Deadline: a.Deadline,
 		Queue:    key,
@@ -196,7 +196,7 @@
 	f.advance(now, r)
 }
 
-func (f *Flow) pipeline(a shed.RequestArrived) (*shed.Pipeline, trail.End) {
+func (f *Flow) pipelineOf(a shed.RequestArrived) (*shed.Pipeline, trail.End) {
 	if f.stopping != shed.ReasonNone {
 		return nil, trail.End{Reason: f.stopping}
 	}
@@ -212,19 +212,19 @@
 
 // tick ends what has run out of time and lets one request that waited go on.
 func (f *Flow) tick(now time.Time) {
-	for len(f.wakes) > 0 && !f.wakes[0].wake.After(now) {
-		r := heap.Pop(&f.wakes).(*request)
-		f.woke(now, r)
+	for len(f.byWakeTime) > 0 && !f.byWakeTime[0].wakeAt.After(now) {
+		r := heap.Pop(&f.byWakeTime).(*request)
+		f.handleWake(now, r)
 	}
-	f.drain(now)
+	f.startWaiting(now)
 }
 
-func (f *Flow) woke(now time.Time, r *request) {
+func (f *Flow) handleWake(now time.Time, r *request) {
 	switch r.state {
 	case stateBackoff:
 		f.advance(now, r)
 	case stateWaiting:
-		f.giveUp(now, r, r.waits)
+		f.giveUp(now, r, r.waitReason)
 	case stateRunning:
 		f.finish(now, r, trail.End{Cause: trail.CauseDeadline, Reason: shed.ReasonDeadline})
 	}
@@ -239,8 +239,8 @@
 	f.emit(r.trail.Finish(now, end))
 	r.trail.Book(f.cfg.Ledger, r.pipeline.ID)
 	f.cfg.Admit.Drop(r.arrived.Request)
-	f.setState(r, stateOver, time.Time{})
-	if !f.off.oneFinish {
+	f.setState(r, stateFinished, time.Time{})
+	if !f.disabled.oneFinish {
 		delete(f.requests, r.arrived.Request)
 	}
 }
--- a/internal/flow/flow_test.go
+++ b/internal/flow/flow_test.go
@@ -18,16 +18,18 @@
 // fakePlacer places by a function; it counts the calls on each server, as core
 // does, from what the flow emits.
 type fakePlacer struct {
-	place func(shed.PlaceRequest) shed.Placement
+	placeFunc func(shed.PlaceRequest) shed.Placement
 }
 
-func (p *fakePlacer) Place(_ time.Time, ask shed.PlaceRequest) shed.Placement { return p.place(ask) }
+func (p *fakePlacer) Place(_ time.Time, req shed.PlaceRequest) shed.Placement {
+	return p.placeFunc(req)
+}
 
 func server(id shed.ServerID) *shed.Server {
 	return &shed.Server{ID: id, Pool: "p", Zone: "a", Capacity: 4, ColdCapacity: 1}
 }
 
-func onServer(id shed.ServerID) func(shed.PlaceRequest) shed.Placement {
+func placeOn(id shed.ServerID) func(shed.PlaceRequest) shed.Placement {
 	s := server(id)
 	return func(shed.PlaceRequest) shed.Placement {
 		return shed.Placement{Kind: shed.PlaceLocal, Server: s}
@@ -52,7 +54,7 @@
 
 func newFlow(place func(shed.PlaceRequest) shed.Placement) *Flow {
 	f := New(Config{
-		Placer: &fakePlacer{place: place},
+		Placer: &fakePlacer{placeFunc: place},
 		Budget: retry.New(retry.Config{}),
 		Admit:  admit.New(admit.Config{}),
 		Ledger: cost.New(cost.Config{}),
@@ -61,12 +63,12 @@
 	return f
 }
 
-func arrived(id shed.RequestID, p shed.PipelineID) shed.RequestArrived {
+func newRequest(id shed.RequestID, p shed.PipelineID) shed.RequestArrived {
 	return shed.RequestArrived{Request: id, Pipeline: p, Workspace: "w", Deadline: start.Add(6 * time.Second)}
 }
 
-// only returns the actions of one type.
-func only[A shed.Action](acts []shed.Action) []A {
+// actionsOf returns the actions of one type.
+func actionsOf[A shed.Action](acts []shed.Action) []A {
 	var out []A
 	for _, a := range acts {
 		if a, ok := a.(A); ok {
@@ -77,19 +79,19 @@
 }
 
 func TestStagesInOrderToComplete(t *testing.T) {
-	f := newFlow(onServer("s1"))
+	f := newFlow(placeOn("s1"))
 	now := start
-	acts := f.Handle(now, arrived("r", "draft"))
+	acts := f.Handle(now, newRequest("r", "draft"))
 	for stage := range uint8(2) {
-		calls := only[shed.StartCall](acts)
+		calls := actionsOf[shed.StartCall](acts)
 		require.Len(t, calls, 1)
 		require.Equal(t, shed.Call{Request: "r", Stage: stage, Attempt: 1}, calls[0].Call)
 		require.Equal(t, now.Add(DefaultLease), calls[0].SendBy)
 		now = now.Add(400 * time.Millisecond)
 		acts = f.Handle(now, shed.CallEnded{Call: calls[0].Call, End: shed.EndComplete, Server: "s1", Zone: "a"})
-		require.Equal(t, []shed.StageDone{{Call: calls[0].Call}}, only[shed.StageDone](acts))
+		require.Equal(t, []shed.StageDone{{Call: calls[0].Call}}, actionsOf[shed.StageDone](acts))
 	}
-	fin := only[shed.Finish](acts)
+	fin := actionsOf[shed.Finish](acts)
 	require.Len(t, fin, 1)
 	require.Equal(t, shed.OutcomeComplete, fin[0].Outcome)
 	require.Equal(t, shed.Cost(100_000), fin[0].Stages[0].Useful)
--- a/internal/flow/matrix_test.go
+++ b/internal/flow/matrix_test.go
@@ -23,35 +23,35 @@
 func matrixFaults() []fault {
 	faults := []fault{
 		{"caller gone", func(w *world) {
-			w.o.requests["r1"].gone = true
+			w.oracle.requests["r1"].callerGone = true
 			w.handle(shed.CallerGone{Request: "r1"})
 		}},
 		{"end doubled", func(w *world) {
-			for _, e := range w.old {
+			for _, e := range w.pastEnds {
 				w.handle(e)
 			}
 		}},
 		{"end of another attempt", func(w *world) {
-			for _, c := range w.open {
+			for _, c := range w.inFlight {
 				c.Attempt++
 				w.handle(shed.CallEnded{Call: c, End: shed.EndComplete})
 			}
 		}},
 		{"end of another stage", func(w *world) {
-			for _, c := range w.open {
+			for _, c := range w.inFlight {
 				c.Stage++
 				w.handle(shed.CallEnded{Call: c, End: shed.EndComplete})
 			}
 		}},
-		{"paused past the deadline", func(w *world) { w.leap(time.Minute) }},
+		{"paused past the deadline", func(w *world) { w.skipTime(time.Minute) }},
 		{"result after the deadline, before the tick", func(w *world) {
 			w.now = w.now.Add(time.Minute)
 			w.endFirst(shed.EndComplete, 0)
 		}},
-		{"paused, not past the deadline", func(w *world) { w.leap(2 * time.Second) }},
+		{"paused, not past the deadline", func(w *world) { w.skipTime(2 * time.Second) }},
 		{"arrived twice", func(w *world) {
-			if w.o.requests["r1"].finish == nil {
-				w.handle(arrived("r1", "draft"))
+			if w.oracle.requests["r1"].finish == nil {
+				w.handle(newRequest("r1", "draft"))
 			}
 		}},
 		{"not started, twice in a row", func(w *world) {
@@ -72,27 +72,27 @@
 	return faults
 }
 
-func (w *world) leap(d time.Duration) {
+func (w *world) skipTime(d time.Duration) {
 	w.now = w.now.Add(d)
 	w.handle(shed.Tick{Wall: w.now})
-	w.o.settled(w.now)
+	w.oracle.checkBetweenSteps(w.now)
 }
 
 func (w *world) endFirst(end shed.CallEnd, tokens shed.Tokens) {
-	if len(w.open) == 0 {
+	if len(w.inFlight) == 0 {
 		return
 	}
-	c := w.open[0]
-	w.ended(shed.CallEnded{Call: c, End: end, Server: w.on[c], Tokens: tokens, Reason: shed.ReasonBroken})
+	c := w.inFlight[0]
+	w.endCall(shed.CallEnded{Call: c, End: end, Server: w.serverOf[c], Tokens: tokens, Reason: shed.ReasonBroken})
 }
 
 const matrixSteps = 7
 
-// cell runs one request, with the faults in place of the steps given, and
+// runCell runs one request, with the faults in place of the steps given, and
 // returns what the oracle found.
-func cell(p shed.PipelineID, off safeguards, at map[int][]fault) []string {
-	w := newWorld(off)
-	w.placing = func() int {
+func runCell(p shed.PipelineID, disabled safeguards, faultsAt map[int][]fault) []string {
+	w := newWorld(disabled)
+	w.nextPlacing = func() int {
 		if len(w.script) == 0 {
 			return -1
 		}
@@ -100,25 +100,25 @@
 		w.script = w.script[1:]
 		return k
 	}
-	a := arrived("r1", p)
-	w.o.arrived(a, testRules().Pipelines[p])
+	a := newRequest("r1", p)
+	w.oracle.addRequest(a, testRules().Pipelines[p])
 	w.handle(a)
 	for step := range matrixSteps {
-		for _, f := range at[step] {
+		for _, f := range faultsAt[step] {
 			f.do(w)
 		}
-		if len(at[step]) == 0 {
+		if len(faultsAt[step]) == 0 {
 			w.endFirst(shed.EndComplete, 20)
 		}
-		w.leap(100 * time.Millisecond)
+		w.skipTime(100 * time.Millisecond)
 	}
-	w.close()
-	return w.o.faults
+	w.passAllDeadlines()
+	return w.oracle.faults
 }
 
-// everyCell calls visit for each fault at each step and for each pair of faults
+// forEachCell calls visit for each fault at each step and for each pair of faults
 // at each pair of steps, the same step included, until visit returns false.
-func everyCell(visit func(p shed.PipelineID, name string, at map[int][]fault) bool) {
+func forEachCell(visit func(p shed.PipelineID, name string, at map[int][]fault) bool) {
 	faults := matrixFaults()
 	for _, p := range []shed.PipelineID{"draft", "publish"} {
 		for i := range matrixSteps * len(faults) {
@@ -128,9 +128,9 @@
 			}
 			for k := step * len(faults); k < matrixSteps*len(faults); k++ {
 				g, later := faults[k%len(faults)], k/len(faults)
-				at := map[int][]fault{step: {f}}
-				at[later] = append(at[later], g)
-				if !visit(p, fmt.Sprintf("%d %s, %d %s", step, f.name, later, g.name), at) {
+				faultsAt := map[int][]fault{step: {f}}
+				faultsAt[later] = append(faultsAt[later], g)
+				if !visit(p, fmt.Sprintf("%d %s, %d %s", step, f.name, later, g.name), faultsAt) {
 					return
 				}
 			}
@@ -143,9 +143,9 @@
 // must not: the step before the fault may have sent it already.
 func TestFaultMatrix(t *testing.T) {
 	cells := 0
-	everyCell(func(p shed.PipelineID, name string, at map[int][]fault) bool {
+	forEachCell(func(p shed.PipelineID, name string, at map[int][]fault) bool {
 		cells++
-		return assert.Empty(t, cell(p, safeguards{}, at), "%s: %s", p, name)
+		return assert.Empty(t, runCell(p, safeguards{}, at), "%s: %s", p, name)
 	})
 	t.Logf("%d cells", cells)
 }
@@ -154,20 +154,20 @@
 // it. "one start" and "bound pause" need a second request and three faults in a
 // row, so they are left to the state machine.
 func TestFaultMatrixCatchesEachSafeguardOff(t *testing.T) {
-	for name, off := range mutants() {
-		if off.oneStart || off.boundPause {
+	for name, disabled := range mutants() {
+		if disabled.oneStart || disabled.boundBackoff {
 			continue
 		}
 		t.Run(name, func(t *testing.T) {
-			red := ""
-			everyCell(func(p shed.PipelineID, cellName string, at map[int][]fault) bool {
-				if faults := cell(p, off, at); len(faults) > 0 {
-					red = fmt.Sprintf("%s: %s: %v", p, cellName, faults)
+			firstFailure := ""
+			forEachCell(func(p shed.PipelineID, cellName string, at map[int][]fault) bool {
+				if faults := runCell(p, disabled, at); len(faults) > 0 {
+					firstFailure = fmt.Sprintf("%s: %s: %v", p, cellName, faults)
 				}
-				return red == ""
+				return firstFailure == ""
 			})
-			require.NotEmpty(t, red, "no cell went red")
-			t.Log(red)
+			require.NotEmpty(t, firstFailure, "no cell went red")
+			t.Log(firstFailure)
 		})
 	}
 }
--- a/internal/flow/oracle_test.go
+++ b/internal/flow/oracle_test.go
@@ -13,19 +13,19 @@
 // and nothing of the implementation.
 type oracle struct {
 	now      time.Time
-	requests map[shed.RequestID]*seen
+	requests map[shed.RequestID]*observed
 	faults   []string
 }
 
-// seen is what the oracle saw of one request.
-type seen struct {
-	pipeline *shed.Pipeline
-	deadline time.Time
-	ticketed bool
-	sends    []*send
-	done     []shed.Call
-	finish   *shed.Finish
-	gone     bool
+// observed is what the oracle saw of one request.
+type observed struct {
+	pipeline   *shed.Pipeline
+	deadline   time.Time
+	ticketed   bool
+	sends      []*send
+	done       []shed.Call
+	finish     *shed.Finish
+	callerGone bool
 }
 
 // send is one call that left; end is 0 until its end came in.
@@ -36,21 +36,21 @@
 	canceled bool
 }
 
-func newOracle() *oracle { return &oracle{requests: map[shed.RequestID]*seen{}} }
+func newOracle() *oracle { return &oracle{requests: map[shed.RequestID]*observed{}} }
 
 func (o *oracle) fault(format string, args ...any) {
 	o.faults = append(o.faults, fmt.Sprintf(format, args...))
 }
 
-func (o *oracle) arrived(a shed.RequestArrived, p *shed.Pipeline) {
+func (o *oracle) addRequest(a shed.RequestArrived, p *shed.Pipeline) {
 	if o.requests[a.Request] == nil {
-		o.requests[a.Request] = &seen{pipeline: p, deadline: a.Deadline, ticketed: a.Ticketed}
+		o.requests[a.Request] = &observed{pipeline: p, deadline: a.Deadline, ticketed: a.Ticketed}
 	}
 }
 
-// ended is told before the flow is. It returns false for an end that is not of
+// recordEnd is told before the flow is. It returns false for an end that is not of
 // a call in flight, which must change nothing.
-func (o *oracle) ended(e shed.CallEnded) bool {
+func (o *oracle) recordEnd(e shed.CallEnded) bool {
 	for _, s := range o.sendsOf(e.Call.Request) {
 		if s.call == e.Call && s.end == 0 {
 			s.end = e.End
@@ -67,24 +67,24 @@
 	return nil
 }
 
-// step judges the actions of one step at now.
-func (o *oracle) step(now time.Time, acts []shed.Action) {
+// checkStep judges the actions of one step at now.
+func (o *oracle) checkStep(now time.Time, acts []shed.Action) {
 	o.now = now
 	starts := 0
 	for _, a := range acts {
 		switch a := a.(type) {
 		case shed.StartCall:
 			starts++
-			o.sent(&send{call: a.Call, resumed: a.ResumeFrom > 0}, a.SendBy)
+			o.checkSend(&send{call: a.Call, resumed: a.ResumeFrom > 0}, a.SendBy)
 		case shed.ForwardStage:
 			starts++
-			o.sent(&send{call: a.Request.Call}, a.SendBy)
+			o.checkSend(&send{call: a.Request.Call}, a.SendBy)
 		case shed.CancelCall:
-			o.cancelled(a.Call)
+			o.checkCancel(a.Call)
 		case shed.StageDone:
-			o.stageDone(a.Call)
+			o.checkStageDone(a.Call)
 		case shed.Finish:
-			o.finished(a)
+			o.checkFinish(a)
 		}
 	}
 	if starts > 1 {
@@ -92,33 +92,33 @@
 	}
 }
 
-func (o *oracle) sent(s *send, until time.Time) {
+func (o *oracle) checkSend(s *send, sendBy time.Time) {
 	r := o.requests[s.call.Request]
 	if r == nil || r.finish != nil {
 		o.fault("%v sent for a request that is not live", s.call)
 		return
 	}
-	if until.After(r.deadline) || o.now.After(r.deadline) {
+	if sendBy.After(r.deadline) || o.now.After(r.deadline) {
 		o.fault("%v may be sent after the deadline", s.call)
 	}
 	if int(s.call.Stage) != len(r.done) {
 		o.fault("%v sent out of order", s.call)
 	}
 	reached, sends := 0, 1
-	for _, before := range r.sends {
-		if before.end == 0 && !before.canceled {
-			o.fault("%v sent while %v is live", s.call, before.call)
+	for _, earlier := range r.sends {
+		if earlier.end == 0 && !earlier.canceled {
+			o.fault("%v sent while %v is live", s.call, earlier.call)
 		}
-		if before.call.Stage != s.call.Stage {
+		if earlier.call.Stage != s.call.Stage {
 			continue
 		}
 		sends++
-		if before.end != shed.EndNotStarted {
+		if earlier.end != shed.EndNotStarted {
 			reached++
 		}
-		open := before.end == 0 || before.end.MayHaveRun()
-		if open && !s.resumed && !r.pipeline.Stages[s.call.Stage].Idempotent {
-			o.fault("%v must run at most once, but %v may have run", s.call, before.call)
+		mayHaveRun := earlier.end == 0 || earlier.end.MayHaveRun()
+		if mayHaveRun && !s.resumed && !r.pipeline.Stages[s.call.Stage].Idempotent {
+			o.fault("%v must run at most once, but %v may have run", s.call, earlier.call)
 		}
 	}
 	if reached >= DefaultMaxAttempts || sends > DefaultMaxSends {
@@ -127,7 +127,7 @@
 	r.sends = append(r.sends, s)
 }
 
-func (o *oracle) cancelled(c shed.Call) {
+func (o *oracle) checkCancel(c shed.Call) {
 	for _, s := range o.sendsOf(c.Request) {
 		if s.call == c {
 			s.canceled = true
@@ -140,12 +140,12 @@
 	if at := r.pipeline.Stages[c.Stage]; at.Idempotent {
 		later = admit.Minimum(r.pipeline, int(c.Stage)+1)
 	}
-	if r.gone && o.now.Add(later).Before(r.deadline) && r.bound() {
+	if r.callerGone && o.now.Add(later).Before(r.deadline) && r.outlivesCaller() {
 		o.fault("%v cancelled for a caller, though its outcome must become known", c)
 	}
 }
 
-func (o *oracle) stageDone(c shed.Call) {
+func (o *oracle) checkStageDone(c shed.Call) {
 	r := o.requests[c.Request]
 	if r.finish != nil || int(c.Stage) != len(r.done) {
 		o.fault("%v done out of order", c)
@@ -159,7 +159,7 @@
 	o.fault("%v done without a whole result", c)
 }
 
-func (o *oracle) finished(f shed.Finish) {
+func (o *oracle) checkFinish(f shed.Finish) {
 	r := o.requests[f.Request]
 	if r == nil || r.finish != nil {
 		o.fault("%s: no answer was due: %v", f.Request, f.Outcome)
@@ -183,11 +183,11 @@
 			o.fault("%s: not_run, but a call may have reached a server", f.Request)
 		}
 	case shed.OutcomeUnknown:
-		if !r.inDoubt() {
+		if !r.outcomeUnknown() {
 			o.fault("%s: unknown, but nothing is in doubt", f.Request)
 		}
 	}
-	if r.inDoubt() && f.Outcome != shed.OutcomeUnknown {
+	if r.outcomeUnknown() && f.Outcome != shed.OutcomeUnknown {
 		o.fault("%s: %d, but a stage is in doubt", f.Request, f.Outcome)
 	}
 	if f.Outcome != shed.OutcomeComplete && f.Reason == shed.ReasonNone {
@@ -202,7 +202,7 @@
 
 // reached tells whether a send of the stage, or of any for -1, can have come to
 // a server.
-func (r *seen) reached(stage int) bool {
+func (r *observed) reached(stage int) bool {
 	for _, s := range r.sends {
 		if s.end != shed.EndNotStarted && (stage < 0 || int(s.call.Stage) == stage) {
 			return true
@@ -211,9 +211,9 @@
 	return false
 }
 
-// bound tells whether the request must run on without its caller: it has a
+// outlivesCaller tells whether the request must run on without its caller: it has a
 // ticket, or a stage that must run at most once may have run.
-func (r *seen) bound() bool {
+func (r *observed) outlivesCaller() bool {
 	if r.ticketed {
 		return true
 	}
@@ -225,9 +225,9 @@
 	return false
 }
 
-// inDoubt tells whether such a stage has neither result nor error.
-func (r *seen) inDoubt() bool {
-	doubt := false
+// outcomeUnknown tells whether such a stage has neither result nor error.
+func (r *observed) outcomeUnknown() bool {
+	unknown := false
 	for _, s := range r.sends {
 		if r.pipeline.Stages[s.call.Stage].Idempotent {
 			continue
@@ -236,14 +236,14 @@
 		case shed.EndComplete:
 			return false
 		case 0, shed.EndBroken, shed.EndBadReply, shed.EndCancelled:
-			doubt = true
+			unknown = true
 		}
 	}
-	return doubt
+	return unknown
 }
 
-// settled judges what must hold between steps.
-func (o *oracle) settled(now time.Time) {
+// checkBetweenSteps judges what must hold between steps.
+func (o *oracle) checkBetweenSteps(now time.Time) {
 	for id, r := range o.requests {
 		if r.finish != nil {
 			continue
@@ -251,7 +251,7 @@
 		if now.After(r.deadline) {
 			o.fault("%s: no answer after its deadline", id)
 		}
-		if r.gone && !r.bound() {
+		if r.callerGone && !r.outlivesCaller() {
 			o.fault("%s: goes on for nobody", id)
 		}
 	}
--- a/internal/flow/request.go
+++ b/internal/flow/request.go
@@ -20,7 +20,7 @@
 	stateBackoff
 	// stateRunning: call is live.
 	stateRunning
-	stateOver
+	stateFinished
 )
 
 // request is one accepted request.
@@ -33,32 +33,32 @@
 	stage int
 	// call is the live call; void unless running.
 	call shed.Call
-	// local is the server of the live call if it runs in this zone.
-	local *shed.Server
-	// offset is how many tokens were here before the live call.
-	offset  shed.Tokens
-	resumes int
-	// asides counts how often it stepped aside in this stage.
-	asides int
+	// localServer is the server of the live call if it runs in this zone.
+	localServer *shed.Server
+	// tokensBefore is how many tokens were here before the live call.
+	tokensBefore shed.Tokens
+	resumes      int
+	// queueSkips counts how often it stepped aside in this stage.
+	queueSkips int
 	// avoid are the servers that failed this stage, at most maxAvoid.
 	avoid []shed.ServerID
-	// waits is why the last placing found no room.
-	waits shed.Reason
-	// gone: the caller went away, but the end must become known.
-	gone bool
-	// wake is when something must be done; index is its place in the heap, -1
+	// waitReason is why the last placing found no room.
+	waitReason shed.Reason
+	// callerGone: the caller went away, but the end must become known.
+	callerGone bool
+	// wakeAt is when something must be done; index is its place in the heap, -1
 	// if it has none.
-	wake  time.Time
-	index int
+	wakeAt time.Time
+	index  int
 }
 
-func (r *request) at() *shed.Stage { return &r.pipeline.Stages[r.stage] }
+func (r *request) currentStage() *shed.Stage { return &r.pipeline.Stages[r.stage] }
 
 // cutoff is when the live stage's result is worth nothing any more. For a
 // stage that must run at most once that is only the request's own deadline,
 // since knowing how it ended is worth something by itself.
 func (r *request) cutoff() time.Time {
-	if !r.at().Idempotent {
+	if !r.currentStage().Idempotent {
 		return r.arrived.Deadline
 	}
 	return r.arrived.Deadline.Add(-admit.Minimum(r.pipeline, r.stage+1))
@@ -67,15 +67,15 @@
 // setState moves the request to a state and sets its wake; a zero wake is none.
 func (f *Flow) setState(r *request, s state, wake time.Time) {
 	r.state = s
-	r.wake = wake
+	r.wakeAt = wake
 	switch {
 	case wake.IsZero() && r.index >= 0:
-		heap.Remove(&f.wakes, r.index)
+		heap.Remove(&f.byWakeTime, r.index)
 	case wake.IsZero():
 	case r.index >= 0:
-		heap.Fix(&f.wakes, r.index)
+		heap.Fix(&f.byWakeTime, r.index)
 	default:
-		heap.Push(&f.wakes, r)
+		heap.Push(&f.byWakeTime, r)
 	}
 }
 
@@ -84,8 +84,8 @@
 func (h wakeHeap) Len() int { return len(h) }
 
 func (h wakeHeap) Less(i, j int) bool {
-	if !h[i].wake.Equal(h[j].wake) {
-		return h[i].wake.Before(h[j].wake)
+	if !h[i].wakeAt.Equal(h[j].wakeAt) {
+		return h[i].wakeAt.Before(h[j].wakeAt)
 	}
 	return h[i].arrived.Request < h[j].arrived.Request
 }
--- a/internal/flow/story_test.go
+++ b/internal/flow/scenario_test.go
@@ -14,40 +14,40 @@
 	shed "jasmineshed"
 )
 
-func read(t *testing.T, name string) string {
+func readFile(t *testing.T, name string) string {
 	t.Helper()
 	text, err := os.ReadFile(name)
 	require.NoError(t, err)
 	return string(text)
 }
 
-func ended(c shed.Call, end shed.CallEnd, tokens shed.Tokens) shed.CallEnded {
+func callEnd(c shed.Call, end shed.CallEnd, tokens shed.Tokens) shed.CallEnded {
 	return shed.CallEnded{Call: c, End: end, Server: "s1", Zone: "a", Tokens: tokens, Reason: shed.ReasonBroken}
 }
 
-// writing runs a draft up to its generate stage, whose call it returns.
-func writing(t *testing.T, f *Flow) shed.StartCall {
+// startGenerate runs a draft up to its generate stage, whose call it returns.
+func startGenerate(t *testing.T, f *Flow) shed.StartCall {
 	t.Helper()
-	acts := f.Handle(start, arrived("r", "draft"))
-	acts = f.Handle(start, ended(only[shed.StartCall](acts)[0].Call, shed.EndComplete, 0))
-	return only[shed.StartCall](acts)[0]
+	acts := f.Handle(start, newRequest("r", "draft"))
+	acts = f.Handle(start, callEnd(actionsOf[shed.StartCall](acts)[0].Call, shed.EndComplete, 0))
+	return actionsOf[shed.StartCall](acts)[0]
 }
 
 // The connection to the engine breaks after 40 tokens. The caller sees the text
 // go on: the stream is resumed where it was, on the server that holds it. All of
 // the work counts as useful, since none was done twice.
 func TestStreamIsResumed(t *testing.T) {
-	f := newFlow(onServer("s1"))
-	first := writing(t, f)
+	f := newFlow(placeOn("s1"))
+	first := startGenerate(t, f)
 	now := start.Add(time.Second)
-	acts := f.Handle(now, ended(first.Call, shed.EndBroken, 40))
-	next := only[shed.StartCall](acts)
+	acts := f.Handle(now, callEnd(first.Call, shed.EndBroken, 40))
+	next := actionsOf[shed.StartCall](acts)
 	require.Len(t, next, 1)
 	require.Equal(t, first.Call, next[0].Resumes)
 	require.Equal(t, shed.Tokens(40), next[0].ResumeFrom)
 	require.Equal(t, uint16(2), next[0].Call.Attempt)
 	now = now.Add(time.Second)
-	fin := only[shed.Finish](f.Handle(now, ended(next[0].Call, shed.EndComplete, 90)))[0]
+	fin := actionsOf[shed.Finish](f.Handle(now, callEnd(next[0].Call, shed.EndComplete, 90)))[0]
 	require.Equal(t, shed.OutcomeComplete, fin.Outcome)
 	require.Equal(t, cost.Of(2*time.Second, 4), fin.Stages[1].Useful)
 	require.Zero(t, fin.Stages[1].Wasted)
@@ -61,22 +61,22 @@
 			rules := testRules()
 			rules.Servers["s1"].Leaving = true
 			f.SetRules(rules)
-			return f.Handle(start, ended(c, shed.EndBroken, 40))
+			return f.Handle(start, callEnd(c, shed.EndBroken, 40))
 		},
 		"no progress": func(_ *testing.T, f *Flow, c shed.Call) []shed.Action {
-			return f.Handle(start, ended(c, shed.EndBroken, 0))
+			return f.Handle(start, callEnd(c, shed.EndBroken, 0))
 		},
 		"stream gone": func(t *testing.T, f *Flow, c shed.Call) []shed.Action {
-			resumed := only[shed.StartCall](f.Handle(start, ended(c, shed.EndBroken, 40)))
+			resumed := actionsOf[shed.StartCall](f.Handle(start, callEnd(c, shed.EndBroken, 40)))
 			require.Equal(t, shed.Tokens(40), resumed[0].ResumeFrom)
-			return f.Handle(start, ended(resumed[0].Call, shed.EndBroken, 40))
+			return f.Handle(start, callEnd(resumed[0].Call, shed.EndBroken, 40))
 		},
 	}
 	for name, run := range cases {
 		t.Run(name, func(t *testing.T) {
-			f := newFlow(onServer("s1"))
-			acts := run(t, f, writing(t, f).Call)
-			again := only[shed.StartCall](acts)
+			f := newFlow(placeOn("s1"))
+			acts := run(t, f, startGenerate(t, f).Call)
+			again := actionsOf[shed.StartCall](acts)
 			require.Len(t, again, 1)
 			require.Zero(t, again[0].ResumeFrom)
 		})
@@ -87,39 +87,39 @@
 // unknown whether it was published, for the caller's own repeat too. So it runs
 // on, and the repeat is told that it is complete.
 func TestPublicationOutlivesItsCaller(t *testing.T) {
-	f := newFlow(onServer("s1"))
-	acts := f.Handle(start, arrived("r", "publish"))
-	acts = f.Handle(start, ended(only[shed.StartCall](acts)[0].Call, shed.EndComplete, 0))
-	publish := only[shed.StartCall](acts)[0]
+	f := newFlow(placeOn("s1"))
+	acts := f.Handle(start, newRequest("r", "publish"))
+	acts = f.Handle(start, callEnd(actionsOf[shed.StartCall](acts)[0].Call, shed.EndComplete, 0))
+	publish := actionsOf[shed.StartCall](acts)[0]
 	require.Empty(t, f.Handle(start, shed.CallerGone{Request: "r"}))
-	acts = f.Handle(start, ended(publish.Call, shed.EndComplete, 0))
-	acts = f.Handle(start, ended(only[shed.StartCall](acts)[0].Call, shed.EndComplete, 0))
-	require.Equal(t, shed.OutcomeComplete, only[shed.Finish](acts)[0].Outcome)
+	acts = f.Handle(start, callEnd(publish.Call, shed.EndComplete, 0))
+	acts = f.Handle(start, callEnd(actionsOf[shed.StartCall](acts)[0].Call, shed.EndComplete, 0))
+	require.Equal(t, shed.OutcomeComplete, actionsOf[shed.Finish](acts)[0].Outcome)
 }
 
 // The caller's connection goes silent before anything was published, and it
 // comes back with the same ticket. Had the first connection's end cancelled the
 // request, the ticket would be used up and the caller be told only "cancelled".
 func TestTicketedRequestWaitsForItsCallersReturn(t *testing.T) {
-	f := newFlow(onServer("s1"))
-	a := arrived("r", "publish")
+	f := newFlow(placeOn("s1"))
+	a := newRequest("r", "publish")
 	a.Ticketed = true
 	acts := f.Handle(start, a)
 	require.Empty(t, f.Handle(start, shed.CallerGone{Request: "r"}))
 	for range 3 {
-		acts = f.Handle(start, ended(only[shed.StartCall](acts)[0].Call, shed.EndComplete, 0))
+		acts = f.Handle(start, callEnd(actionsOf[shed.StartCall](acts)[0].Call, shed.EndComplete, 0))
 	}
-	require.Equal(t, shed.OutcomeComplete, only[shed.Finish](acts)[0].Outcome)
+	require.Equal(t, shed.OutcomeComplete, actionsOf[shed.Finish](acts)[0].Outcome)
 }
 
 // The link breaks while the publication runs. It is told as unknown at once:
 // waiting could not tell more, and a repeat could publish twice.
 func TestBrokenPublicationIsUnknown(t *testing.T) {
-	f := newFlow(onServer("s1"))
-	acts := f.Handle(start, arrived("r", "publish"))
-	acts = f.Handle(start, ended(only[shed.StartCall](acts)[0].Call, shed.EndComplete, 0))
-	acts = f.Handle(start, ended(only[shed.StartCall](acts)[0].Call, shed.EndBroken, 0))
-	fin := only[shed.Finish](acts)[0]
+	f := newFlow(placeOn("s1"))
+	acts := f.Handle(start, newRequest("r", "publish"))
+	acts = f.Handle(start, callEnd(actionsOf[shed.StartCall](acts)[0].Call, shed.EndComplete, 0))
+	acts = f.Handle(start, callEnd(actionsOf[shed.StartCall](acts)[0].Call, shed.EndBroken, 0))
+	fin := actionsOf[shed.Finish](acts)[0]
 	require.Equal(t, shed.OutcomeUnknown, fin.Outcome)
 	require.Equal(t, []bool{true, true, false}, []bool{fin.Stages[0].Ran, fin.Stages[1].Ran, fin.Stages[2].Ran})
 }
@@ -128,15 +128,15 @@
 // is spent and each costs one call only: without the budget the failing servers
 // would carry four times the load.
 func TestRetriesEndWithTheBudget(t *testing.T) {
-	f := newFlow(onServer("s1"))
+	f := newFlow(placeOn("s1"))
 	calls := 0
 	const requests = 200
 	for i := range requests {
 		id := shed.RequestID(rune('a' + i))
-		acts := f.Handle(start, arrived(id, "draft"))
-		for len(only[shed.StartCall](acts)) > 0 {
+		acts := f.Handle(start, newRequest(id, "draft"))
+		for len(actionsOf[shed.StartCall](acts)) > 0 {
 			calls++
-			acts = f.Handle(start, ended(only[shed.StartCall](acts)[0].Call, shed.EndError, 0))
+			acts = f.Handle(start, callEnd(actionsOf[shed.StartCall](acts)[0].Call, shed.EndError, 0))
 		}
 	}
 	require.Zero(t, f.Live())
@@ -149,10 +149,10 @@
 	f := newFlow(func(shed.PlaceRequest) shed.Placement {
 		return shed.Placement{Kind: shed.PlaceWait, Reason: shed.ReasonServerCold}
 	})
-	require.Empty(t, f.Handle(start, arrived("r", "draft")))
+	require.Empty(t, f.Handle(start, newRequest("r", "draft")))
 	latest := start.Add(6*time.Second - 110*time.Millisecond)
 	require.Empty(t, f.Handle(latest.Add(-1), shed.Tick{}))
-	fin := only[shed.Finish](f.Handle(latest, shed.Tick{}))[0]
+	fin := actionsOf[shed.Finish](f.Handle(latest, shed.Tick{}))[0]
 	require.Equal(t, shed.OutcomeNotRun, fin.Outcome)
 	require.Equal(t, shed.ReasonServerCold, fin.Reason)
 	require.Positive(t, fin.RetryAfter)
@@ -161,20 +161,20 @@
 // A draft failed on s2, and s1 is full. It waits for s1, but the next caller's
 // draft goes to s2 at once and does not wait behind it.
 func TestOneThatAvoidsAServerHoldsUpNobody(t *testing.T) {
-	for _, off := range []bool{false, true} {
+	for _, disabled := range []bool{false, true} {
 		f := newFlow(func(ask shed.PlaceRequest) shed.Placement {
 			if len(ask.Avoid) > 0 {
 				return shed.Placement{Kind: shed.PlaceWait, Reason: shed.ReasonServersBusy}
 			}
-			return onServer("s2")(ask)
+			return placeOn("s2")(ask)
 		})
-		f.off.stepAside = off
-		first := only[shed.StartCall](f.Handle(start, arrived("first", "draft")))[0]
-		failed := ended(first.Call, shed.EndOverloaded, 0)
+		f.disabled.skipQueue = disabled
+		first := actionsOf[shed.StartCall](f.Handle(start, newRequest("first", "draft")))[0]
+		failed := callEnd(first.Call, shed.EndOverloaded, 0)
 		failed.Server = "s2"
-		require.Empty(t, only[shed.StartCall](f.Handle(start, failed)))
-		acts := f.Handle(start, arrived("second", "draft"))
-		require.Equal(t, !off, len(only[shed.StartCall](acts)) == 1, "safeguard off: %v", off)
+		require.Empty(t, actionsOf[shed.StartCall](f.Handle(start, failed)))
+		acts := f.Handle(start, newRequest("second", "draft"))
+		require.Equal(t, !disabled, len(actionsOf[shed.StartCall](acts)) == 1, "safeguard off: %v", disabled)
 	}
 }
 
@@ -185,14 +185,14 @@
 		if len(ask.Avoid) > 0 {
 			return shed.Placement{Kind: shed.PlaceWait, Reason: shed.ReasonServersBusy}
 		}
-		return onServer("s2")(ask)
+		return placeOn("s2")(ask)
 	})
-	failed := ended(only[shed.StartCall](f.Handle(start, arrived("r", "draft")))[0].Call, shed.EndOverloaded, 0)
+	failed := callEnd(actionsOf[shed.StartCall](f.Handle(start, newRequest("r", "draft")))[0].Call, shed.EndOverloaded, 0)
 	failed.Server = "s2"
 	f.Handle(start, failed)
 	started := 0
 	for now := start; now.Before(start.Add(time.Second)); now = now.Add(shed.TickEvery) {
-		started += len(only[shed.StartCall](f.Handle(now, shed.Tick{})))
+		started += len(actionsOf[shed.StartCall](f.Handle(now, shed.Tick{})))
 	}
 	require.Equal(t, 1, started)
 }
@@ -204,13 +204,13 @@
 	f := newFlow(func(shed.PlaceRequest) shed.Placement {
 		return shed.Placement{Kind: shed.PlacePeer, Peer: "10.0.0.2:1"}
 	})
-	first := only[shed.ForwardStage](f.Handle(start, arrived("r", "draft")))[0]
-	failed := ended(first.Request.Call, shed.EndOverloaded, 0)
+	first := actionsOf[shed.ForwardStage](f.Handle(start, newRequest("r", "draft")))[0]
+	failed := callEnd(first.Request.Call, shed.EndOverloaded, 0)
 	failed.Server = "s2"
-	second := only[shed.ForwardStage](f.Handle(start, failed))[0]
+	second := actionsOf[shed.ForwardStage](f.Handle(start, failed))[0]
 	require.Equal(t, []shed.ServerID{"s2"}, second.Request.Avoid)
 	f.Handle(start, shed.CallEnded{Call: second.Request.Call, End: shed.EndNotStarted, Reason: shed.ReasonNoServer})
-	third := only[shed.ForwardStage](f.Handle(start.Add(time.Second), shed.Tick{}))
+	third := actionsOf[shed.ForwardStage](f.Handle(start.Add(time.Second), shed.Tick{}))
 	require.Len(t, third, 1)
 	require.Empty(t, third[0].Request.Avoid)
 }
@@ -219,18 +219,18 @@
 // half a second left. Started, it would be cut off by the deadline and its
 // caller told "unknown". It is refused instead, with nothing published.
 func TestPublicationIsNotStartedTooLate(t *testing.T) {
-	for _, off := range []bool{false, true} {
-		f := newFlow(onServer("s1"))
-		f.off.needed = off
+	for _, disabled := range []bool{false, true} {
+		f := newFlow(placeOn("s1"))
+		f.disabled.likelyTime = disabled
 		for range 20 {
 			f.cfg.Admit.Observe(start, admit.StageKey{Pipeline: "publish", Stage: "publish"}, time.Second)
 		}
-		acts := f.Handle(start, arrived("r", "publish"))
+		acts := f.Handle(start, newRequest("r", "publish"))
 		late := start.Add(5500 * time.Millisecond)
-		acts = f.Handle(late, ended(only[shed.StartCall](acts)[0].Call, shed.EndComplete, 0))
-		require.Equal(t, off, len(only[shed.StartCall](acts)) == 1, "safeguard off: %v", off)
-		if !off {
-			require.Equal(t, shed.OutcomeRefused, only[shed.Finish](acts)[0].Outcome)
+		acts = f.Handle(late, callEnd(actionsOf[shed.StartCall](acts)[0].Call, shed.EndComplete, 0))
+		require.Equal(t, disabled, len(actionsOf[shed.StartCall](acts)) == 1, "safeguard off: %v", disabled)
+		if !disabled {
+			require.Equal(t, shed.OutcomeRefused, actionsOf[shed.Finish](acts)[0].Outcome)
 		}
 	}
 }
@@ -238,29 +238,29 @@
 // The package that records calls must stay the only one that builds answers, or an
 // answer could say "not run" of a call that it has no record of.
 func TestOnlyTheTrailFinishes(t *testing.T) {
-	f := newFlow(onServer("s1"))
-	require.Equal(t, shed.OutcomeNotRun, only[shed.Finish](f.Handle(start, arrived("r", "none")))[0].Outcome)
+	f := newFlow(placeOn("s1"))
+	require.Equal(t, shed.OutcomeNotRun, actionsOf[shed.Finish](f.Handle(start, newRequest("r", "none")))[0].Outcome)
 	for _, name := range []string{"flow.go", "request.go", "place.go", "ends.go"} {
-		text := read(t, name)
+		text := readFile(t, name)
 		require.NotContains(t, text, "shed.Finish{", name)
 		require.NotContains(t, text, "Outcome: ", name)
 	}
 }
 
 func BenchmarkRequest(b *testing.B) {
-	f := newFlow(onServer("s1"))
+	f := newFlow(placeOn("s1"))
 	b.ReportAllocs()
 	for range b.N {
-		acts := f.Handle(start, arrived("r", "draft"))
-		acts = f.Handle(start, ended(acts[0].(shed.StartCall).Call, shed.EndComplete, 0))
-		f.Handle(start, ended(acts[1].(shed.StartCall).Call, shed.EndComplete, 0))
+		acts := f.Handle(start, newRequest("r", "draft"))
+		acts = f.Handle(start, callEnd(acts[0].(shed.StartCall).Call, shed.EndComplete, 0))
+		f.Handle(start, callEnd(acts[1].(shed.StartCall).Call, shed.EndComplete, 0))
 	}
 }
 
 func BenchmarkTickWith1000Live(b *testing.B) {
-	f := newFlow(onServer("s1"))
+	f := newFlow(placeOn("s1"))
 	for i := range 1000 {
-		f.Handle(start, arrived(shed.RequestID(rune(0x4e00+i)), "draft"))
+		f.Handle(start, newRequest(shed.RequestID(rune(0x4e00+i)), "draft"))
 	}
 	b.ReportAllocs()
 	for range b.N {
@@ -271,9 +271,9 @@
 // BenchmarkLive keeps every request live: its bytes are what one takes, with
 // the map's growth, hence an upper bound.
 func BenchmarkLive(b *testing.B) {
-	f := newFlow(onServer("s1"))
+	f := newFlow(placeOn("s1"))
 	b.ReportAllocs()
 	for i := range b.N {
-		f.Handle(start, arrived(shed.RequestID(strconv.Itoa(i)), "draft"))
+		f.Handle(start, newRequest(shed.RequestID(strconv.Itoa(i)), "draft"))
 	}
 }
