--- a/internal/flow/ends.go
+++ b/internal/flow/ends.go
@@ -9,9 +9,9 @@
 	shed "jasmineshed"
 )
 
-// runningRequest returns the request whose live call this is, or nil with a note. What
-// an earlier attempt still sends must not touch the request: its result would
-// be taken for the live attempt's, or its failure repeated.
+// runningRequest returns the request whose current call this is, or nil with a note. A late
+// message of an earlier attempt must not touch the request: its result would be taken for the
+// current attempt's, or its failure would be retried again.
 func (f *Flow) runningRequest(call shed.Call, server shed.ServerID) *request {
 	r := f.requests[call.Request]
 	if r != nil && r.state == stateRunning && (r.call == call || f.disabled.staleEnds) {
@@ -31,7 +31,7 @@
 	}
 }
 
-// handleCallerGone cancels the request, unless it must run on.
+// handleCallerGone cancels the request, unless it must continue.
 func (f *Flow) handleCallerGone(now time.Time, id shed.RequestID) {
 	r := f.requests[id]
 	if r == nil {
@@ -44,11 +44,11 @@
 	f.finish(now, r, trail.End{Cause: trail.CauseGone, Reason: shed.ReasonCallerGone})
 }
 
-// outlivesCaller tells whether the request goes on without its caller. With a ticket
-// the caller is likely to come back by another way, as its connection may only
-// have gone silent, and a ticket starts once: cancelled, all that a repeat
-// could be told is that it was. And where a stage that must run at most once
-// may have run, its end must become known. The deadline bounds both.
+// outlivesCaller reports whether the request continues without its caller. A caller with a
+// ticket is likely to return on another connection, as the first may only have stalled, and a
+// ticket starts only once: if the request were cancelled, a retry could only be told so. And
+// if a stage that must run at most once may have run, its end must become known. In both
+// cases the deadline bounds the request.
 func (f *Flow) outlivesCaller(r *request) bool {
 	return r.arrived.Ticketed || r.trail.Bound()
 }
@@ -94,10 +94,9 @@
 	f.finish(now, r, trail.End{Cause: trail.CauseDone})
 }
 
-// isLate tells whether a result came after the deadline, before the tick that
-// would have ended the request. What must run at most once and ran to its
-// whole end is told as such all the same: a caller that heard only of the
-// deadline would not know it.
+// isLate reports whether a result arrived after the deadline, but before the tick that would
+// have ended the request. If a stage must run at most once and the request completed, the
+// caller still gets the result: from a deadline error it would not know that the stage ran.
 func (f *Flow) isLate(now time.Time, r *request) bool {
 	if f.disabled.checkLate || !now.After(r.arrived.Deadline) {
 		return false
@@ -106,7 +105,7 @@
 	return !last || r.pipeline.Idempotent()
 }
 
-// handleFailure decides what follows a call that gave no result.
+// handleFailure decides what follows a call without a result.
 func (f *Flow) handleFailure(now time.Time, r *request, e shed.CallEnded) {
 	if r.callerGone && !f.outlivesCaller(r) {
 		f.finish(now, r, trail.End{Cause: trail.CauseGone, Reason: shed.ReasonCallerGone})
@@ -137,8 +136,8 @@
 	return trail.CauseRefused
 }
 
-// noRetryReason is why the stage may not be sent again, or ReasonNone if it may. It
-// takes from the budget, so it is asked last.
+// noRetryReason is why the stage must not be sent again, or ReasonNone if it may. It must be
+// called last, since it takes from the retry budget.
 func (f *Flow) noRetryReason(now time.Time, r *request, e shed.CallEnded) shed.Reason {
 	if !r.trail.MayRepeat(r.stage) && !f.disabled.mayRepeat {
 		return orElse(e.Reason, shed.ReasonBroken)
@@ -146,8 +145,8 @@
 	if r.trail.Reached(r.stage) >= f.cfg.MaxAttempts || r.trail.Attempts(r.stage) >= f.cfg.MaxSends {
 		return shed.ReasonAttempts
 	}
-	// A call that reached no server put no load on one, so a repeat of it is
-	// not what the budget is there to stop.
+	// A call that reached no server put no load on one, so the budget, which limits the load
+	// of retries, doesn't apply to it.
 	if e.End != shed.EndNotStarted && !f.cfg.Budget.Take(now) {
 		return shed.ReasonRetryBudget
 	}
@@ -161,19 +160,18 @@
 	return a
 }
 
-// retry sends the stage again, elsewhere if it can. Whatever kept two calls
-// from so much as leaving would likely keep the next ones too, so these back
-// off. A call that a peer refused for want of room rather waits in the queue
-// with the others: backing off, it would be seen by nobody who predicts how
-// long the wait is, and requests would be let in that can't be done.
+// retry sends the stage again, if possible to another server. If two calls did not even start,
+// the next one would likely fail for the same reason, so it backs off first. A call that a
+// peer refused for lack of capacity waits in the queue with the others instead: a request in
+// backoff isn't counted by the prediction of queueing time, so requests would be admitted
+// that can't be served in time.
 func (f *Flow) retry(now time.Time, r *request, e shed.CallEnded) {
 	if e.Server != "" && len(r.avoid) < maxAvoid {
 		r.avoid = append(r.avoid, e.Server)
 	}
-	// A peer with none but avoided servers says that it has none, at once, in
-	// every try. The request would be kept from a whole zone by one failure, and
-	// be refused for want of time while servers are free. As where this zone has
-	// no other server, an avoided one is better than none.
+	// A peer that has only avoided servers refuses at once, on every try. One failure would
+	// keep the request from a whole zone, and it would be refused for lack of time while
+	// servers are free. As in this zone, an avoided server is better than none.
 	if e.End == shed.EndNotStarted && e.Reason == shed.ReasonNoServer {
 		r.avoid = nil
 	}
@@ -184,21 +182,21 @@
 	f.advance(now, r)
 }
 
-// isCapacityRefusal tells whether a peer refused because its servers are full or cold.
+// isCapacityRefusal reports whether a peer refused because its servers are full or cold.
 func isCapacityRefusal(reason shed.Reason) bool {
 	return reason == shed.ReasonServersBusy || reason == shed.ReasonServerCold
 }
 
-// tryResume goes on with a stream that broke midway, on the server that holds it.
-// It runs nothing anew, so it is open to stages that must not run twice too,
-// and is not paid from the retry budget.
+// tryResume continues a broken stream on the server that holds it. This runs nothing again,
+// so it is also allowed for stages that must not run twice, and takes nothing from the retry
+// budget.
 func (f *Flow) tryResume(now time.Time, r *request, e shed.CallEnded) bool {
 	s := r.localServer
 	if e.End != shed.EndBroken || s == nil || r.currentStage().Kind != shed.KindGenerate {
 		return false
 	}
-	// Without progress since the last resume the stream is gone or its server
-	// is; trying again would only spend the time left.
+	// Without progress since the last resume, the stream or its server is gone; another try
+	// would only use up the remaining time.
 	if e.Tokens <= r.tokensBefore || r.resumes >= f.cfg.MaxResumes {
 		return false
 	}
--- a/internal/flow/flow.go
+++ b/internal/flow/flow.go
@@ -1,6 +1,6 @@
-// Package flow drives the requests that this daemon accepted through their
-// stages: one live call per stage, retries only where they can't double work,
-// and exactly one final answer for each request.
+// Package flow drives the requests that this daemon accepted through their stages: one call
+// in flight per stage, retries only where they can't duplicate work, and exactly one final
+// answer for each request.
 package flow
 
 import (
@@ -28,8 +28,8 @@
 // maxAvoid bounds the servers that a stage call asks to avoid.
 const maxAvoid = 8
 
-// Resumer is implemented by a Placer that has a say in whether a server may go
-// on with a stream that it holds.
+// Resumer is implemented by a Placer that decides whether a server may resume a stream that
+// it holds.
 type Resumer interface {
 	MayResume(now time.Time, server shed.ServerID) bool
 }
@@ -41,46 +41,45 @@
 	Budget *retry.Budget
 	Admit  *admit.Gate
 	Ledger *cost.Ledger
-	// MaxAttempts bounds the calls of one stage that can have come to a server,
-	// resumes included.
+	// MaxAttempts bounds the calls of one stage that can have reached a server,
+	// including resumes.
 	MaxAttempts int
-	// MaxSends bounds all calls of one stage, with those that reached nothing.
+	// MaxSends bounds all calls of one stage, including those that reached no server.
 	MaxSends int
-	// MaxResumes bounds how often one stage's stream is resumed.
+	// MaxResumes bounds how often the stream of one stage is resumed.
 	MaxResumes int
-	// Silence is StartCall.Silence.
+	// Silence is StartCall.IdleTimeout.
 	Silence time.Duration
 	// Lease bounds the time between a decision to send and the send.
 	Lease time.Duration
-	// Backoff is the wait before a repeat that has nowhere new to go; it
-	// doubles with each attempt.
+	// Backoff is the wait before a retry that has no other server to go to; it doubles
+	// with each attempt.
 	Backoff time.Duration
 }
 
 // Flow holds the live requests. It is not safe for concurrent use.
 //
-// Every slice of actions that it returns holds at most one StartCall or
-// ForwardStage: the Placer reserves nothing, so two placements in one step could
-// both be given the last place of a cold server. The caller books a start
-// first and then calls Freed until that returns no start.
+// Every slice of actions that it returns holds at most one StartCall or ForwardStage: the
+// Placer reserves nothing, so two placements in one step could both get the last slot of a
+// cold server. The caller records a start first and then calls Freed until that returns no
+// start.
 type Flow struct {
 	cfg      Config
 	disabled safeguards
 	rules    *shed.Rules
-	// requests are those accepted and not yet finished.
+	// requests are the accepted and not yet finished ones.
 	requests map[shed.RequestID]*request
-	// byWakeTime orders all requests by the time at which something must be done.
+	// byWakeTime orders the requests by the time at which they need attention.
 	byWakeTime wakeHeap
-	// stopping is why nothing new is accepted; empty while it is.
+	// stopping is why new requests are refused; empty while they are accepted.
 	stopping shed.Reason
-	// out gathers the actions of the step; started tells whether a start is
-	// among them.
+	// out collects the actions of the step; started tells whether a start is among them.
 	out     []shed.Action
 	started bool
 	queues  []admit.QueueKey
 }
 
-// safeguards can be turned off by tests, to show that the proof needs them.
+// safeguards can be disabled by tests, to prove that the tests detect their absence.
 type safeguards struct {
 	staleEnds     bool
 	mayRepeat     bool
@@ -117,20 +116,20 @@
 	return &Flow{cfg: cfg, requests: map[shed.RequestID]*request{}}
 }
 
-// SetRules puts rules in force. A request goes on with the pipeline that it
-// was accepted with; where its stages may run follows the new rules at once.
+// SetRules applies new rules. A request keeps the pipeline that it was accepted with; where
+// its stages may run follows the new rules at once.
 func (f *Flow) SetRules(rules *shed.Rules) {
 	f.rules = rules
 	f.cfg.Admit.SetRules(rules)
 }
 
-// Stop refuses whatever arrives from now on; what is live goes on to its end.
+// Stop refuses all new requests; live ones continue to their end.
 func (f *Flow) Stop(reason shed.Reason) { f.stopping = reason }
 
 // Live counts the requests that have no final answer yet.
 func (f *Flow) Live() int { return len(f.requests) }
 
-// Handle takes one step. Events of other packages are ignored. The slice is
+// Handle processes one event. Events of other packages are ignored. The slice is
 // valid until the next step.
 func (f *Flow) Handle(now time.Time, ev shed.Event) []shed.Action {
 	f.begin()
@@ -149,8 +148,7 @@
 	return f.out
 }
 
-// Freed offers places that may have freed to those who wait, in queue order.
-// It starts one at the most.
+// Freed offers free servers to the waiting requests, in queue order. It starts at most one.
 func (f *Flow) Freed(now time.Time) []shed.Action {
 	f.begin()
 	f.startWaiting(now)
@@ -210,7 +208,7 @@
 	return p, trail.End{}
 }
 
-// tick ends what has run out of time and lets one request that waited go on.
+// tick handles all requests whose wake time has come and starts at most one waiting request.
 func (f *Flow) tick(now time.Time) {
 	for len(f.byWakeTime) > 0 && !f.byWakeTime[0].wakeAt.After(now) {
 		r := heap.Pop(&f.byWakeTime).(*request)
@@ -230,8 +228,8 @@
 	}
 }
 
-// finish gives the request its one answer and forgets it. A call that still
-// runs is cancelled: its result would be dropped.
+// finish emits the final answer of the request and removes it. A call in flight is
+// cancelled, since its result would be dropped.
 func (f *Flow) finish(now time.Time, r *request, end trail.End) {
 	if r.state == stateRunning {
 		f.emit(shed.CancelCall{Call: r.call, Reason: end.Reason})
--- a/internal/flow/flow_test.go
+++ b/internal/flow/flow_test.go
@@ -15,8 +15,7 @@
 
 var start = time.Unix(1_700_000_000, 0)
 
-// fakePlacer places by a function; it counts the calls on each server, as core
-// does, from what the flow emits.
+// fakePlacer places calls by a function.
 type fakePlacer struct {
 	placeFunc func(shed.PlaceRequest) shed.Placement
 }
--- a/internal/flow/machine_test.go
+++ b/internal/flow/machine_test.go
@@ -25,7 +25,7 @@
 	os.Exit(m.Run())
 }
 
-// world is a flow with two fake servers, whose ends are drawn at random.
+// world is a flow with two fake servers that end calls at random.
 type world struct {
 	t        *rapid.T
 	f        *Flow
@@ -36,8 +36,8 @@
 	pastEnds []shed.CallEnded
 	serverOf map[shed.Call]shed.ServerID
 	load     map[shed.ServerID]int
-	// nextPlacing draws the answer of the placer: 0 nowhere, 1 a peer, 2 wait, else
-	// a server that has room.
+	// nextPlacing draws the placer's answer: 0 nowhere, 1 a peer, 2 wait, otherwise a server
+	// with free capacity.
 	nextPlacing func() int
 	script      []int
 }
@@ -51,7 +51,7 @@
 	return w
 }
 
-// place gives a server that has room, by the load that the world has seen.
+// place returns a server with free capacity, by the load that the world has recorded.
 func (w *world) place(req shed.PlaceRequest) shed.Placement {
 	switch w.nextPlacing() {
 	case 0:
@@ -77,7 +77,7 @@
 	return shed.Placement{Kind: shed.PlaceWait, Reason: shed.ReasonServersBusy}
 }
 
-// applyActions books a step's actions, as core would, and has them judged.
+// applyActions records a step's actions, as core would, and has the oracle check them.
 func (w *world) applyActions(acts []shed.Action) {
 	w.oracle.checkStep(w.now, acts)
 	for _, a := range acts {
@@ -87,7 +87,7 @@
 			w.serverOf[a.Call] = a.Server
 			w.load[a.Server]++
 			if w.load[a.Server] > worldCapacity {
-				w.oracle.fault("%s got more than it bears", a.Server)
+				w.oracle.fault("%s got more calls than its capacity", a.Server)
 			}
 		case shed.ForwardStage:
 			w.inFlight = append(w.inFlight, a.Request.Call)
@@ -177,7 +177,7 @@
 	w.handle(shed.CallerGone{Request: id})
 }
 
-// passTime lets time go on; a process that was paused ticks late.
+// passTime advances the clock; a process that was paused ticks late.
 func (w *world) passTime(*rapid.T) {
 	w.now = w.now.Add(time.Duration(rapid.IntRange(1, 1500).Draw(w.t, "ms")) * time.Millisecond)
 	if rapid.IntRange(0, 3).Draw(w.t, "end first") == 0 {
@@ -213,38 +213,38 @@
 	}
 }
 
-// passAllDeadlines lets all deadlines pass; every request must have its answer then.
+// passAllDeadlines moves past all deadlines; every request must have its answer then.
 func (w *world) passAllDeadlines() {
 	w.now = w.now.Add(time.Minute)
 	w.handle(shed.Tick{Wall: w.now})
 	w.oracle.checkBetweenSteps(w.now)
 	if w.f.Live() != 0 {
-		w.oracle.fault("%d requests left", w.f.Live())
+		w.oracle.fault("%d requests without an answer", w.f.Live())
 	}
 }
 
-// Servers answer, fail, break and answer twice in any order while callers come
-// and go and the process sleeps. Whatever happens, each caller sees exactly one
-// answer, and one that is true: the oracle compares it with every call sent.
+// Servers answer, fail, break and answer twice in any order while callers come and go and the
+// process is paused. Each caller must get exactly one answer, and a true one: the oracle
+// compares it with every call sent.
 func TestAnyOrderOfEvents(t *testing.T) {
 	rapid.Check(t, stateMachine(safeguards{}))
 }
 
-// mutants turn off one safeguard each.
+// mutants disable one safeguard each.
 func mutants() map[string]safeguards {
 	return map[string]safeguards{
-		"stale ends":      {staleEnds: true},
-		"may repeat":      {mayRepeat: true},
-		"one finish":      {oneFinish: true},
-		"check late":      {checkLate: true},
-		"one start":       {oneStart: true},
-		"run on if bound": {outliveCaller: true},
-		"hopeless":        {checkDeadline: true},
-		"bound pause":     {boundBackoff: true},
+		"stale ends":     {staleEnds: true},
+		"may repeat":     {mayRepeat: true},
+		"one finish":     {oneFinish: true},
+		"check late":     {checkLate: true},
+		"one start":      {oneStart: true},
+		"outlive caller": {outliveCaller: true},
+		"check deadline": {checkDeadline: true},
+		"bound backoff":  {boundBackoff: true},
 	}
 }
 
-// recorder takes the failure of a check that is meant to fail.
+// recorder records the failure of a check that is expected to fail.
 type recorder struct {
 	testing.TB
 	failed bool
@@ -254,9 +254,9 @@
 func (r *recorder) Logf(string, ...any)   {}
 func (r *recorder) Errorf(string, ...any) { r.failed = true }
 
-// Each safeguard is turned off in turn. The symptom differs (a doubled
-// publication, a false "not run", two answers, an overloaded server), but in
-// each case the oracle must see it, or its silence above would prove nothing.
+// Each safeguard is disabled in turn. The symptoms differ (a duplicated publication, a false
+// "not run", two answers, an overloaded server), but the oracle must detect each of them, or
+// its passing above would prove nothing.
 func TestOracleCatchesEachSafeguardOff(t *testing.T) {
 	settings := map[string]string{"rapid.shrinktime": "0s", "rapid.nofailfile": "true"}
 	for name, value := range settings {
@@ -268,7 +268,7 @@
 		t.Run(name, func(t *testing.T) {
 			r := &recorder{TB: t}
 			rapid.Check(r, stateMachine(disabled))
-			require.True(t, r.failed, "the oracle saw nothing")
+			require.True(t, r.failed, "the oracle found no fault")
 		})
 	}
 }
--- a/internal/flow/matrix_test.go
+++ b/internal/flow/matrix_test.go
@@ -11,15 +11,15 @@
 	shed "jasmineshed"
 )
 
-// fault is something that happens in place of the next good step.
+// fault is an event that replaces the next good step.
 type fault struct {
 	name string
 	do   func(*world)
 }
 
-// matrixFaults are all that can come to the flow at any step: each bad end of
-// the live call, ends that are doubled or of another attempt, callers that
-// leave, time that leaps, and servers that can't be had.
+// matrixFaults returns all faults that can occur at a step: each failure of the current call,
+// ends that are duplicated or of another attempt, callers that leave, jumps of the clock, and
+// no available server.
 func matrixFaults() []fault {
 	faults := []fault{
 		{"caller gone", func(w *world) {
@@ -88,8 +88,8 @@
 
 const matrixSteps = 7
 
-// runCell runs one request, with the faults in place of the steps given, and
-// returns what the oracle found.
+// runCell runs one request, with faults in place of the given steps, and returns the faults
+// that the oracle found.
 func runCell(p shed.PipelineID, disabled safeguards, faultsAt map[int][]fault) []string {
 	w := newWorld(disabled)
 	w.nextPlacing = func() int {
@@ -138,9 +138,9 @@
 	}
 }
 
-// Every fault comes at every step of a request, then every pair of faults. The
-// caller must see one true answer in each cell, and nothing may run twice that
-// must not: the step before the fault may have sent it already.
+// Every fault occurs at every step of a request, then every pair of faults. In each cell the
+// caller must get one true answer, and a stage that must run at most once must not run twice:
+// the step before the fault may have sent it already.
 func TestFaultMatrix(t *testing.T) {
 	cells := 0
 	forEachCell(func(p shed.PipelineID, name string, at map[int][]fault) bool {
@@ -150,9 +150,9 @@
 	t.Logf("%d cells", cells)
 }
 
-// With a safeguard off some cell must go red, or the matrix proves nothing of
-// it. "one start" and "bound pause" need a second request and three faults in a
-// row, so they are left to the state machine.
+// With a safeguard disabled some cell must fail, or the matrix proves nothing about it. "one
+// start" needs a second request and "bound backoff" three faults in a row, so these are left
+// to the state machine.
 func TestFaultMatrixCatchesEachSafeguardOff(t *testing.T) {
 	for name, disabled := range mutants() {
 		if disabled.oneStart || disabled.boundBackoff {
@@ -166,7 +166,7 @@
 				}
 				return firstFailure == ""
 			})
-			require.NotEmpty(t, firstFailure, "no cell went red")
+			require.NotEmpty(t, firstFailure, "no cell failed")
 			t.Log(firstFailure)
 		})
 	}
--- a/internal/flow/oracle_test.go
+++ b/internal/flow/oracle_test.go
@@ -9,8 +9,8 @@
 	shed "jasmineshed"
 )
 
-// oracle judges a run by what came in and what went out. It knows the promises
-// and nothing of the implementation.
+// oracle checks a run by its events and actions. It knows the guarantees of the flow, but
+// nothing of the implementation.
 type oracle struct {
 	now      time.Time
 	requests map[shed.RequestID]*observed
@@ -28,7 +28,7 @@
 	callerGone bool
 }
 
-// send is one call that left; end is 0 until its end came in.
+// send is one call that was sent; end is 0 until the call has ended.
 type send struct {
 	call     shed.Call
 	resumed  bool
@@ -48,8 +48,8 @@
 	}
 }
 
-// recordEnd is told before the flow is. It returns false for an end that is not of
-// a call in flight, which must change nothing.
+// recordEnd is called before the flow handles the end. It returns false for an end that is
+// not of a call in flight, which must change nothing.
 func (o *oracle) recordEnd(e shed.CallEnded) bool {
 	for _, s := range o.sendsOf(e.Call.Request) {
 		if s.call == e.Call && s.end == 0 {
@@ -67,7 +67,7 @@
 	return nil
 }
 
-// checkStep judges the actions of one step at now.
+// checkStep checks the actions of one step.
 func (o *oracle) checkStep(now time.Time, acts []shed.Action) {
 	o.now = now
 	starts := 0
@@ -133,8 +133,8 @@
 			s.canceled = true
 		}
 	}
-	// A cancel is no end: the call may have run. It is in order once the stages
-	// after it can't be done in time any more.
+	// A cancel doesn't end the call, which may have run. It is allowed once the later stages
+	// can't be done in time any more.
 	r := o.requests[c.Request]
 	var later time.Duration
 	if at := r.pipeline.Stages[c.Stage]; at.Idempotent {
@@ -156,13 +156,13 @@
 			return
 		}
 	}
-	o.fault("%v done without a whole result", c)
+	o.fault("%v done without a complete result", c)
 }
 
 func (o *oracle) checkFinish(f shed.Finish) {
 	r := o.requests[f.Request]
 	if r == nil || r.finish != nil {
-		o.fault("%s: no answer was due: %v", f.Request, f.Outcome)
+		o.fault("%s: unexpected answer: %v", f.Request, f.Outcome)
 		return
 	}
 	r.finish = &f
@@ -184,11 +184,11 @@
 		}
 	case shed.OutcomeUnknown:
 		if !r.outcomeUnknown() {
-			o.fault("%s: unknown, but nothing is in doubt", f.Request)
+			o.fault("%s: unknown, but the outcome of each stage is known", f.Request)
 		}
 	}
 	if r.outcomeUnknown() && f.Outcome != shed.OutcomeUnknown {
-		o.fault("%s: %d, but a stage is in doubt", f.Request, f.Outcome)
+		o.fault("%s: %d, but the outcome of a stage is unknown", f.Request, f.Outcome)
 	}
 	if f.Outcome != shed.OutcomeComplete && f.Reason == shed.ReasonNone {
 		o.fault("%s: no reason given", f.Request)
@@ -200,8 +200,8 @@
 	}
 }
 
-// reached tells whether a send of the stage, or of any for -1, can have come to
-// a server.
+// reached reports whether a send of the stage, or of any stage for -1, can have reached a
+// server.
 func (r *observed) reached(stage int) bool {
 	for _, s := range r.sends {
 		if s.end != shed.EndNotStarted && (stage < 0 || int(s.call.Stage) == stage) {
@@ -211,7 +211,7 @@
 	return false
 }
 
-// outlivesCaller tells whether the request must run on without its caller: it has a
+// outlivesCaller reports whether the request must continue without its caller: it has a
 // ticket, or a stage that must run at most once may have run.
 func (r *observed) outlivesCaller() bool {
 	if r.ticketed {
@@ -225,7 +225,7 @@
 	return false
 }
 
-// outcomeUnknown tells whether such a stage has neither result nor error.
+// outcomeUnknown reports whether such a stage has neither result nor error.
 func (r *observed) outcomeUnknown() bool {
 	unknown := false
 	for _, s := range r.sends {
@@ -242,7 +242,7 @@
 	return unknown
 }
 
-// checkBetweenSteps judges what must hold between steps.
+// checkBetweenSteps checks what must hold between steps.
 func (o *oracle) checkBetweenSteps(now time.Time) {
 	for id, r := range o.requests {
 		if r.finish != nil {
@@ -252,7 +252,7 @@
 			o.fault("%s: no answer after its deadline", id)
 		}
 		if r.callerGone && !r.outlivesCaller() {
-			o.fault("%s: goes on for nobody", id)
+			o.fault("%s: continues without its caller", id)
 		}
 	}
 }
--- a/internal/flow/place.go
+++ b/internal/flow/place.go
@@ -9,8 +9,7 @@
 	shed "jasmineshed"
 )
 
-// advance finds a server for the stage at hand, behind those who wait for the
-// same servers already.
+// advance places the current stage, behind the requests that already wait for the same servers.
 func (f *Flow) advance(now time.Time, r *request) {
 	key := admit.KeyOf(r.currentStage())
 	if f.started && !f.disabled.oneStart || f.cfg.Admit.Len(key) > 0 {
@@ -45,11 +44,11 @@
 	return true
 }
 
-// skipQueue keeps a request that avoids servers out of the queue, and returns
-// whether it did. At the head of the queue it would hold up all those behind it
-// that could go to the very server it avoids. It does so a few times only: on
-// its own it hardly ever meets the moment at which another server frees, so it
-// then takes its turn like the others, and any server.
+// skipQueue keeps a request that avoids servers out of the queue, and returns whether it did.
+// At the head of the queue it would block all requests behind it that could use the very
+// server that it avoids. It skips the queue at most maxQueueSkips times per stage: outside the
+// queue it is rarely placed at the moment at which another server becomes free, so after that
+// it queues like the others and accepts any server.
 func (f *Flow) skipQueue(now time.Time, r *request) bool {
 	if len(r.avoid) == 0 || f.disabled.skipQueue {
 		return false
@@ -63,11 +62,11 @@
 	return true
 }
 
-// maxAsides bounds how often a request steps aside in one stage.
+// maxQueueSkips bounds how often a request skips the queue in one stage.
 const maxQueueSkips = 2
 
-// cannotMeetDeadline tells whether the rest of the pipeline can't be done in time even
-// if it is started now. Starting it would only take a place from another.
+// cannotMeetDeadline reports whether the rest of the pipeline can't be done in time even if it
+// is started now. Starting it would only take capacity from another request.
 func (f *Flow) cannotMeetDeadline(now time.Time, r *request) bool {
 	if f.disabled.checkDeadline {
 		return false
@@ -75,11 +74,10 @@
 	return now.Add(f.minRemaining(now, r)).After(r.arrived.Deadline)
 }
 
-// minRemaining is the least time that a start must leave. A stage that must run at
-// most once needs what it likely takes: started later, it would run into the
-// deadline, and its caller be told that the outcome is unknown where "not run"
-// could have been told. Half of the pipeline's time always suffices, so that
-// one slow spell can't keep the stage from ever being tried again.
+// minRemaining is the least time that must remain at a start. A stage that must run at most
+// once needs its likely duration: started later, it would run into the deadline, and its caller
+// would be told that the outcome is unknown instead of "not run". Half of the pipeline's
+// deadline always suffices, so that one slow phase can't prevent all further tries of the stage.
 func (f *Flow) minRemaining(now time.Time, r *request) time.Duration {
 	least := admit.Minimum(r.pipeline, r.stage)
 	if r.currentStage().Idempotent || f.disabled.likelyTime {
@@ -128,7 +126,7 @@
 	return a
 }
 
-// run makes a recorded call the live one.
+// run makes a recorded call the current one.
 func (f *Flow) run(r *request, a shed.StartCall, s *shed.Server) {
 	f.started = true
 	r.call = a.Call
@@ -155,8 +153,8 @@
 	f.emit(a)
 }
 
-// sendBy bounds the time from here to the send, so that a process which was
-// paused in between does not send on what it knew before.
+// sendBy bounds the time until the send, so that a process that was paused in between does not
+// send on the basis of an outdated state.
 func (f *Flow) sendBy(now time.Time, r *request) time.Time {
 	sendBy := now.Add(f.cfg.Lease)
 	if cutoff := r.cutoff(); cutoff.Before(sendBy) {
@@ -170,8 +168,8 @@
 	return int(slack / (100 * time.Millisecond))
 }
 
-// handleNoServer ends the request, unless only the servers it avoids are left: they
-// are better than none, after a pause.
+// handleNoServer ends the request, unless only the servers that it avoids are left: after a
+// backoff these are better than none.
 func (f *Flow) handleNoServer(now time.Time, r *request, p shed.Placement) {
 	if len(r.avoid) > 0 {
 		r.avoid = nil
@@ -186,8 +184,8 @@
 	})
 }
 
-// backOff waits before the next try, or gives up at once if the wait would
-// leave too little time.
+// backOff waits before the next try, or gives up at once if the wait would leave too little
+// time.
 func (f *Flow) backOff(now time.Time, r *request) {
 	pause := f.cfg.Backoff << min(max(r.trail.Attempts(r.stage)-1, 0), maxBackoffShift)
 	remaining := r.arrived.Deadline.Sub(now) - admit.Minimum(r.pipeline, r.stage)
@@ -198,10 +196,10 @@
 	f.setState(r, stateBackoff, now.Add(pause))
 }
 
-// maxShift bounds how far Backoff doubles.
+// maxBackoffShift bounds how often Backoff doubles.
 const maxBackoffShift = 5
 
-// enqueue lets the request wait for as long as it may still make its deadline.
+// enqueue lets the request wait for as long as it can still meet its deadline.
 func (f *Flow) enqueue(now time.Time, r *request, key admit.QueueKey) {
 	latest := r.arrived.Deadline.Add(-f.cfg.Admit.Least(now, r.pipeline, r.stage))
 	if !latest.After(now) {
@@ -251,7 +249,7 @@
 	return f.cfg.Admit.RetryAfter(now, admit.KeyOf(r.currentStage()), f.queueEntry(r.arrived, time.Time{}))
 }
 
-// startWaiting starts one of those who wait, if there is room for it.
+// startWaiting starts one waiting request, if there is capacity for it.
 func (f *Flow) startWaiting(now time.Time) {
 	f.queues = f.cfg.Admit.Queues(f.queues[:0])
 	for _, key := range f.queues {
--- a/internal/flow/request.go
+++ b/internal/flow/request.go
@@ -14,11 +14,11 @@
 
 const (
 	stateNew state = iota
-	// stateWaiting: in a queue of the gate.
+	// stateWaiting: in a queue of the admission gate.
 	stateWaiting
-	// stateBackoff: waits for its wake, then is placed again.
+	// stateBackoff: waits for its wake time, then is placed again.
 	stateBackoff
-	// stateRunning: call is live.
+	// stateRunning: call is in flight.
 	stateRunning
 	stateFinished
 )
@@ -29,34 +29,33 @@
 	pipeline *shed.Pipeline
 	trail    *trail.Trail
 	state    state
-	// stage is the index of the stage at work; it only grows.
+	// stage is the index of the current stage; it only grows.
 	stage int
-	// call is the live call; void unless running.
+	// call is the call in flight; void unless running.
 	call shed.Call
-	// localServer is the server of the live call if it runs in this zone.
+	// localServer is the server of the call in flight if it runs in this zone.
 	localServer *shed.Server
-	// tokensBefore is how many tokens were here before the live call.
+	// tokensBefore is how many tokens had arrived before the call in flight.
 	tokensBefore shed.Tokens
 	resumes      int
-	// queueSkips counts how often it stepped aside in this stage.
+	// queueSkips counts how often it skipped the queue in this stage.
 	queueSkips int
 	// avoid are the servers that failed this stage, at most maxAvoid.
 	avoid []shed.ServerID
-	// waitReason is why the last placing found no room.
+	// waitReason is why the last placement found no free server.
 	waitReason shed.Reason
-	// callerGone: the caller went away, but the end must become known.
+	// callerGone: the caller is gone, but the end must become known.
 	callerGone bool
-	// wakeAt is when something must be done; index is its place in the heap, -1
-	// if it has none.
+	// wakeAt is when the request needs attention; index is its place in the heap, -1 if it
+	// has none.
 	wakeAt time.Time
 	index  int
 }
 
 func (r *request) currentStage() *shed.Stage { return &r.pipeline.Stages[r.stage] }
 
-// cutoff is when the live stage's result is worth nothing any more. For a
-// stage that must run at most once that is only the request's own deadline,
-// since knowing how it ended is worth something by itself.
+// cutoff is when the result of the current stage becomes useless. For a stage that must run
+// at most once it is the request's own deadline, since knowing its outcome is useful in itself.
 func (r *request) cutoff() time.Time {
 	if !r.currentStage().Idempotent {
 		return r.arrived.Deadline
@@ -64,7 +63,7 @@
 	return r.arrived.Deadline.Add(-admit.Minimum(r.pipeline, r.stage+1))
 }
 
-// setState moves the request to a state and sets its wake; a zero wake is none.
+// setState moves the request to a state and sets its wake time; zero is none.
 func (f *Flow) setState(r *request, s state, wake time.Time) {
 	r.state = s
 	r.wakeAt = wake
--- a/internal/flow/scenario_test.go
+++ b/internal/flow/scenario_test.go
@@ -25,7 +25,7 @@
 	return shed.CallEnded{Call: c, End: end, Server: "s1", Zone: "a", Tokens: tokens, Reason: shed.ReasonBroken}
 }
 
-// startGenerate runs a draft up to its generate stage, whose call it returns.
+// startGenerate runs a draft up to its generate stage and returns the call of that stage.
 func startGenerate(t *testing.T, f *Flow) shed.StartCall {
 	t.Helper()
 	acts := f.Handle(start, newRequest("r", "draft"))
@@ -33,9 +33,8 @@
 	return actionsOf[shed.StartCall](acts)[0]
 }
 
-// The connection to the engine breaks after 40 tokens. The caller sees the text
-// go on: the stream is resumed where it was, on the server that holds it. All of
-// the work counts as useful, since none was done twice.
+// The connection to the engine breaks after 40 tokens. The stream is resumed where it stopped,
+// on the server that holds it. All of the work counts as useful, since none was done twice.
 func TestStreamIsResumed(t *testing.T) {
 	f := newFlow(placeOn("s1"))
 	first := startGenerate(t, f)
@@ -53,8 +52,8 @@
 	require.Zero(t, fin.Stages[1].Wasted)
 }
 
-// The engine lost the stream, or its server is leaving by now: then the draft
-// runs again from its start, elsewhere, and the first part was wasted.
+// The engine lost the stream, or its server is leaving by now: the draft runs again from its
+// start, elsewhere, and the first part was wasted.
 func TestStreamThatCannotBeResumedRunsAgain(t *testing.T) {
 	cases := map[string]func(*testing.T, *Flow, shed.Call) []shed.Action{
 		"server leaves": func(_ *testing.T, f *Flow, c shed.Call) []shed.Action {
@@ -83,9 +82,9 @@
 	}
 }
 
-// The caller of a publication hangs up while it runs. Cancelling would leave it
-// unknown whether it was published, for the caller's own repeat too. So it runs
-// on, and the repeat is told that it is complete.
+// The caller of a publication disconnects while it runs. Cancelling would leave it unknown
+// whether it was published, also for the caller's own retry. So it continues, and the retry
+// gets the complete answer.
 func TestPublicationOutlivesItsCaller(t *testing.T) {
 	f := newFlow(placeOn("s1"))
 	acts := f.Handle(start, newRequest("r", "publish"))
@@ -97,9 +96,9 @@
 	require.Equal(t, shed.OutcomeComplete, actionsOf[shed.Finish](acts)[0].Outcome)
 }
 
-// The caller's connection goes silent before anything was published, and it
-// comes back with the same ticket. Had the first connection's end cancelled the
-// request, the ticket would be used up and the caller be told only "cancelled".
+// The caller's connection stalls before anything was published, and the caller retries with the
+// same ticket. If the end of the first connection cancelled the request, the ticket would be
+// used up and the caller would only be told "cancelled".
 func TestTicketedRequestWaitsForItsCallersReturn(t *testing.T) {
 	f := newFlow(placeOn("s1"))
 	a := newRequest("r", "publish")
@@ -112,8 +111,8 @@
 	require.Equal(t, shed.OutcomeComplete, actionsOf[shed.Finish](acts)[0].Outcome)
 }
 
-// The link breaks while the publication runs. It is told as unknown at once:
-// waiting could not tell more, and a repeat could publish twice.
+// The connection breaks while the publication runs. The outcome is reported as unknown at once:
+// waiting could not tell more, and a retry could publish twice.
 func TestBrokenPublicationIsUnknown(t *testing.T) {
 	f := newFlow(placeOn("s1"))
 	acts := f.Handle(start, newRequest("r", "publish"))
@@ -124,9 +123,8 @@
 	require.Equal(t, []bool{true, true, false}, []bool{fin.Stages[0].Ran, fin.Stages[1].Ran, fin.Stages[2].Ran})
 }
 
-// Every server fails. The first few requests are tried again, then the budget
-// is spent and each costs one call only: without the budget the failing servers
-// would carry four times the load.
+// Every server fails. The first few requests are retried, then the budget is used up and each
+// costs one call only: without the budget the failing servers would get four times the load.
 func TestRetriesEndWithTheBudget(t *testing.T) {
 	f := newFlow(placeOn("s1"))
 	calls := 0
@@ -143,8 +141,8 @@
 	require.LessOrEqual(t, calls, requests+20)
 }
 
-// Requests wait for a full server. Those whose time runs out while they wait
-// are told at once that nothing was run, not when the server has room again.
+// Requests wait for a full server. Those whose time runs out while they wait must be answered
+// "not run" at once, not when the server has free capacity again.
 func TestWaitingEndsWhenHopeless(t *testing.T) {
 	f := newFlow(func(shed.PlaceRequest) shed.Placement {
 		return shed.Placement{Kind: shed.PlaceWait, Reason: shed.ReasonServerCold}
@@ -178,8 +176,8 @@
 	}
 }
 
-// The only other server stays full. The draft does not avoid the one that
-// failed it until its deadline: after a while any server is better than none.
+// The only other server stays full. The draft must not avoid the server that failed it until
+// its deadline: after a while any server is better than none.
 func TestAvoidingEndsWhereNothingElseFrees(t *testing.T) {
 	f := newFlow(func(ask shed.PlaceRequest) shed.Placement {
 		if len(ask.Avoid) > 0 {
@@ -197,9 +195,9 @@
 	require.Equal(t, 1, started)
 }
 
-// A draft fails at the only server of the other zone, and the peer there then
-// has none for it. The caller is not kept from that zone until the deadline: the
-// next try may use the server again.
+// A draft fails at the only server of the other zone, and the peer there then has no other
+// server for it. The draft must not be kept from that zone until the deadline: the next try
+// may use the server again.
 func TestAvoidingEndsWhereAPeerHasNothingElse(t *testing.T) {
 	f := newFlow(func(shed.PlaceRequest) shed.Placement {
 		return shed.Placement{Kind: shed.PlacePeer, Peer: "10.0.0.2:1"}
@@ -215,9 +213,9 @@
 	require.Empty(t, third[0].Request.Avoid)
 }
 
-// Publishing takes a second of late, and a publication comes to that stage with
-// half a second left. Started, it would be cut off by the deadline and its
-// caller told "unknown". It is refused instead, with nothing published.
+// Publishing has recently taken a second, and a publication reaches that stage with half a
+// second left. If it were started, the deadline would cut it off and its caller would be told
+// "unknown". It is refused instead, with nothing published.
 func TestPublicationIsNotStartedTooLate(t *testing.T) {
 	for _, disabled := range []bool{false, true} {
 		f := newFlow(placeOn("s1"))
@@ -235,8 +233,8 @@
 	}
 }
 
-// The package that records calls must stay the only one that builds answers, or an
-// answer could say "not run" of a call that it has no record of.
+// The package that records calls must remain the only one that builds answers, or an answer
+// could say "not run" about a call that it has no record of.
 func TestOnlyTheTrailFinishes(t *testing.T) {
 	f := newFlow(placeOn("s1"))
 	require.Equal(t, shed.OutcomeNotRun, actionsOf[shed.Finish](f.Handle(start, newRequest("r", "none")))[0].Outcome)
@@ -268,8 +266,8 @@
 	}
 }
 
-// BenchmarkLive keeps every request live: its bytes are what one takes, with
-// the map's growth, hence an upper bound.
+// BenchmarkLive keeps every request live: its bytes per operation are the memory of one request,
+// including the growth of the map, hence an upper bound.
 func BenchmarkLive(b *testing.B) {
 	f := newFlow(placeOn("s1"))
 	b.ReportAllocs()
