--- a/internal/flow/trail/finish.go
+++ b/internal/flow/trail/finish.go
@@ -49,7 +49,7 @@
 // run to now.
 func (t *Trail) Finish(now time.Time, end End) shed.Finish {
 	outcome := t.outcome(end.Cause)
-	t.close(now, outcome, end.Cause)
+	t.settleCosts(now, outcome, end.Cause)
 	return shed.Finish{
 		Request:    t.request,
 		Outcome:    outcome,
@@ -65,11 +65,11 @@
 	reached, done := false, true
 	for i := range t.stages {
 		s := &t.stages[i]
-		if s.inDoubt() {
+		if s.outcomeUnknown() {
 			return shed.OutcomeUnknown
 		}
-		reached = reached || s.reached()
-		done = done && s.winner() >= 0
+		reached = reached || s.reachedServer()
+		done = done && s.completedCall() >= 0
 	}
 	switch {
 	case c == CauseDone && done:
@@ -86,13 +86,13 @@
 	return shed.OutcomeFailed
 }
 
-// close settles the cost of every call.
-func (t *Trail) close(now time.Time, outcome shed.Outcome, c Cause) {
+// settleCosts settles the cost of every call.
+func (t *Trail) settleCosts(now time.Time, outcome shed.Outcome, c Cause) {
 	for i := range t.stages {
 		s := &t.stages[i]
 		useful := -1
 		if outcome == shed.OutcomeComplete {
-			useful = s.winner()
+			useful = s.completedCall()
 		}
 		for k := range s.calls {
 			s.calls[k].settle(now, c)
@@ -110,11 +110,11 @@
 // settle books the call as waste; close then takes the useful ones out.
 func (c *call) settle(now time.Time, cause Cause) {
 	if c.end == 0 {
-		c.took = now.Sub(c.at)
+		c.duration = now.Sub(c.sentAt)
 	}
 	switch c.end {
 	case 0, shed.EndComplete:
-		c.use = wasteOf(cause)
+		c.use = wasteUse(cause)
 	case shed.EndCancelled:
 		c.use = cost.Cancelled
 	default:
@@ -122,7 +122,7 @@
 	}
 }
 
-func wasteOf(c Cause) cost.Use {
+func wasteUse(c Cause) cost.Use {
 	switch c {
 	case CauseGone:
 		return cost.Cancelled
@@ -136,7 +136,7 @@
 	if c.end == shed.EndNotStarted || c.end == shed.EndOverloaded {
 		return 0
 	}
-	return cost.Of(c.took, c.capacity)
+	return cost.Of(c.duration, c.capacity)
 }
 
 func (t *Trail) reports() []shed.StageReport {
@@ -148,11 +148,11 @@
 }
 
 func (s *stage) report() shed.StageReport {
-	r := shed.StageReport{Stage: s.id, Attempts: uint16(len(s.calls)), Ran: s.reached()}
+	r := shed.StageReport{Stage: s.id, Attempts: uint16(len(s.calls)), Ran: s.reachedServer()}
 	if len(s.calls) == 0 {
 		return r
 	}
-	shown := s.winner()
+	shown := s.completedCall()
 	if shown < 0 {
 		shown = len(s.calls) - 1
 	}
@@ -161,7 +161,7 @@
 	r.Tokens = s.calls[shown].tokens
 	for i := range s.calls {
 		c := &s.calls[i]
-		r.Took += c.took
+		r.Took += c.duration
 		if c.use == cost.Useful {
 			r.Useful += c.cost()
 			continue
--- a/internal/flow/trail/trail.go
+++ b/internal/flow/trail/trail.go
@@ -34,8 +34,8 @@
 
 // call is one recorded send. end is 0 until the driver tells the call's end.
 type call struct {
-	at       time.Time
-	took     time.Duration
+	sentAt   time.Time
+	duration time.Duration
 	end      shed.CallEnd
 	server   shed.ServerID
 	zone     shed.ZoneID
@@ -71,7 +71,7 @@
 	a.Server = s.ID
 	a.URL = s.URL
 	t.record(a.Call, call{
-		at:       now,
+		sentAt:   now,
 		server:   s.ID,
 		zone:     s.Zone,
 		capacity: s.Capacity,
@@ -83,7 +83,7 @@
 // Hand records the call as sent, then returns the action that hands it over.
 func (t *Trail) Hand(now time.Time, a shed.ForwardStage) shed.ForwardStage {
 	a.Request.Call = t.Next(int(a.Request.Call.Stage))
-	t.record(a.Request.Call, call{at: now})
+	t.record(a.Request.Call, call{sentAt: now})
 	return a
 }
 
@@ -95,7 +95,7 @@
 // Progress notes which server runs the call, as a far daemon may have chosen
 // it.
 func (t *Trail) Progress(p shed.CallProgress) {
-	c := t.find(p.Call)
+	c := t.findCall(p.Call)
 	if c == nil || c.end != 0 {
 		return
 	}
@@ -109,12 +109,12 @@
 // Ended records a call's end. It returns false, and changes nothing, for a
 // call that was never sent or has ended already.
 func (t *Trail) Ended(now time.Time, e shed.CallEnded) bool {
-	c := t.find(e.Call)
+	c := t.findCall(e.Call)
 	if c == nil || c.end != 0 {
 		return false
 	}
 	c.end = e.End
-	c.took = now.Sub(c.at)
+	c.duration = now.Sub(c.sentAt)
 	c.tokens = max(c.tokens, e.Tokens)
 	if e.Server != "" {
 		c.server = e.Server
@@ -124,16 +124,16 @@
 }
 
 // Known tells whether the call was sent by this trail.
-func (t *Trail) Known(id shed.Call) bool { return t.find(id) != nil }
+func (t *Trail) Known(id shed.Call) bool { return t.findCall(id) != nil }
 
 // Capacity sets the places of the server that ran a handed call, for its cost.
 func (t *Trail) Capacity(id shed.Call, capacity int) {
-	if c := t.find(id); c != nil && c.capacity == 0 {
+	if c := t.findCall(id); c != nil && c.capacity == 0 {
 		c.capacity = capacity
 	}
 }
 
-func (t *Trail) find(id shed.Call) *call {
+func (t *Trail) findCall(id shed.Call) *call {
 	if id.Request != t.request || int(id.Stage) >= len(t.stages) {
 		return nil
 	}
@@ -160,8 +160,8 @@
 
 // Took is how long the call ran, once it has ended.
 func (t *Trail) Took(id shed.Call) time.Duration {
-	if c := t.find(id); c != nil {
-		return c.took
+	if c := t.findCall(id); c != nil {
+		return c.duration
 	}
 	return 0
 }
@@ -195,9 +195,9 @@
 	return false
 }
 
-// reached tells whether any send can have come to a backend server. A server
+// reachedServer tells whether any send can have come to a backend server. A server
 // that refused for overload was reached, although it ran nothing.
-func (s *stage) reached() bool {
+func (s *stage) reachedServer() bool {
 	for i := range s.calls {
 		if s.calls[i].end != shed.EndNotStarted {
 			return true
@@ -206,8 +206,8 @@
 	return false
 }
 
-// winner is the index of the call that gave the stage's result, or -1.
-func (s *stage) winner() int {
+// completedCall is the index of the call that gave the stage's result, or -1.
+func (s *stage) completedCall() int {
 	for i := range s.calls {
 		if s.calls[i].end == shed.EndComplete {
 			return i
@@ -216,10 +216,10 @@
 	return -1
 }
 
-// inDoubt tells whether the stage must run at most once and nobody can say
+// outcomeUnknown tells whether the stage must run at most once and nobody can say
 // whether it did. A server's own answer, result or error, leaves no doubt.
-func (s *stage) inDoubt() bool {
-	if s.idempotent || s.winner() >= 0 {
+func (s *stage) outcomeUnknown() bool {
+	if s.idempotent || s.completedCall() >= 0 {
 		return false
 	}
 	for i := range s.calls {
