--- a/internal/flow/trail/finish.go
+++ b/internal/flow/trail/finish.go
@@ -8,15 +8,15 @@
 	shed "jasmineshed"
 )
 
-// Cause is why a request ends. The outcome follows from it and from what was
-// sent. The set is closed.
+// Cause is why a request ends. The outcome follows from it and from what was sent. The set of
+// causes is closed.
 type Cause uint8
 
 // The causes.
 const (
-	// CauseDone: the last stage's result is here.
+	// CauseDone: the last stage has its result.
 	CauseDone Cause = iota + 1
-	// CauseRefused: it is given up on, though nothing is wrong with it.
+	// CauseRefused: the daemon gave up on it, though no stage failed.
 	CauseRefused
 	// CauseFailed: a stage failed.
 	CauseFailed
@@ -45,8 +45,7 @@
 	}
 }
 
-// Finish builds the request's final answer. Calls that have not ended count as
-// run to now.
+// Finish builds the request's final answer. Calls that have not ended are charged until now.
 func (t *Trail) Finish(now time.Time, end End) shed.Finish {
 	outcome := t.outcome(end.Cause)
 	t.settleCosts(now, outcome, end.Cause)
@@ -60,7 +59,7 @@
 	}
 }
 
-// outcome never takes the cause's word for what was sent.
+// outcome decides what was sent from the recorded calls, never from the cause.
 func (t *Trail) outcome(c Cause) shed.Outcome {
 	reached, done := false, true
 	for i := range t.stages {
@@ -86,7 +85,7 @@
 	return shed.OutcomeFailed
 }
 
-// settleCosts settles the cost of every call.
+// settleCosts decides for each call whether its cost was useful or wasted.
 func (t *Trail) settleCosts(now time.Time, outcome shed.Outcome, c Cause) {
 	for i := range t.stages {
 		s := &t.stages[i]
@@ -97,7 +96,7 @@
 		for k := range s.calls {
 			s.calls[k].settle(now, c)
 		}
-		// What a stream brought before it was resumed is part of the result.
+		// The part of a stream before it was resumed belongs to the result.
 		for k := useful; k >= 0; k-- {
 			s.calls[k].use = cost.Useful
 			if !s.calls[k].resumes {
@@ -107,7 +106,7 @@
 	}
 }
 
-// settle books the call as waste; close then takes the useful ones out.
+// settle marks the call as waste; settleCosts then marks the useful ones.
 func (c *call) settle(now time.Time, cause Cause) {
 	if c.end == 0 {
 		c.duration = now.Sub(c.sentAt)
@@ -171,8 +170,8 @@
 	return r
 }
 
-// Book adds the cost of every call that reached a server to the ledger. It is
-// called once, after Finish.
+// Book adds the cost of every call that reached a server to the ledger. It must be called
+// once, after Finish.
 func (t *Trail) Book(l *cost.Ledger, p shed.PipelineID) {
 	for i := range t.stages {
 		s := &t.stages[i]
--- a/internal/flow/trail/trail.go
+++ b/internal/flow/trail/trail.go
@@ -1,8 +1,7 @@
-// Package trail is the history of one request's stage calls. A call that is to
-// be sent passes through here first, and the final answer is built here and
-// nowhere else. So an answer can't say "not run" about a call that was sent:
-// whoever sends has no way round the record, and whoever finishes has no say
-// in the outcome beyond the cause.
+// Package trail records the stage calls of one request. Every call is recorded here before it
+// is sent, and the final answer is built only here, so an answer can't say "not run" about a
+// call that was sent: no sender can bypass the record, and the code that finishes a request
+// decides only the cause, not the outcome.
 package trail
 
 import (
@@ -32,7 +31,7 @@
 	calls []call
 }
 
-// call is one recorded send. end is 0 until the driver tells the call's end.
+// call is one recorded send. end is 0 until the driver reports the call's end.
 type call struct {
 	sentAt   time.Time
 	duration time.Duration
@@ -41,7 +40,7 @@
 	zone     shed.ZoneID
 	tokens   shed.Tokens
 	capacity int
-	// resumes: this call went on with the stream of the one before.
+	// resumes: this call resumed the stream of the previous one.
 	resumes bool
 	use     cost.Use
 }
@@ -56,7 +55,7 @@
 	return t
 }
 
-// Next is the call that the next send of the stage gets.
+// Next returns the identity of the next call of the stage.
 func (t *Trail) Next(stage int) shed.Call {
 	return shed.Call{
 		Request: t.request,
@@ -80,7 +79,7 @@
 	return a
 }
 
-// Hand records the call as sent, then returns the action that hands it over.
+// Hand records the call as sent, then returns the action that forwards it.
 func (t *Trail) Hand(now time.Time, a shed.ForwardStage) shed.ForwardStage {
 	a.Request.Call = t.Next(int(a.Request.Call.Stage))
 	t.record(a.Request.Call, call{sentAt: now})
@@ -92,8 +91,7 @@
 	s.calls = append(s.calls, c)
 }
 
-// Progress notes which server runs the call, as a far daemon may have chosen
-// it.
+// Progress records which server runs the call, as a daemon of another zone may have chosen it.
 func (t *Trail) Progress(p shed.CallProgress) {
 	c := t.findCall(p.Call)
 	if c == nil || c.end != 0 {
@@ -123,10 +121,10 @@
 	return true
 }
 
-// Known tells whether the call was sent by this trail.
+// Known reports whether the call was sent by this trail.
 func (t *Trail) Known(id shed.Call) bool { return t.findCall(id) != nil }
 
-// Capacity sets the places of the server that ran a handed call, for its cost.
+// Capacity sets the capacity of the server that ran a forwarded call, for its cost.
 func (t *Trail) Capacity(id shed.Call, capacity int) {
 	if c := t.findCall(id); c != nil && c.capacity == 0 {
 		c.capacity = capacity
@@ -147,7 +145,7 @@
 // Attempts counts the sends of a stage.
 func (t *Trail) Attempts(stage int) int { return len(t.stages[stage].calls) }
 
-// Reached counts the sends of a stage that can have come to a server.
+// Reached counts the sends of a stage that can have reached a server.
 func (t *Trail) Reached(stage int) int {
 	n := 0
 	for i := range t.stages[stage].calls {
@@ -158,7 +156,7 @@
 	return n
 }
 
-// Took is how long the call ran, once it has ended.
+// Took returns how long the call ran, once it has ended.
 func (t *Trail) Took(id shed.Call) time.Duration {
 	if c := t.findCall(id); c != nil {
 		return c.duration
@@ -166,14 +164,14 @@
 	return 0
 }
 
-// MayRepeat tells whether the stage may be started anew: it is idempotent, or
+// MayRepeat reports whether the stage may be started again: it is idempotent, or
 // none of its sends can have run.
 func (t *Trail) MayRepeat(stage int) bool {
 	s := &t.stages[stage]
 	return s.idempotent || !s.mayHaveRun()
 }
 
-// Bound tells whether a non-idempotent stage may have run, so that the
+// Bound reports whether a non-idempotent stage may have run, so that the
 // request's end must become known even if its caller has gone.
 func (t *Trail) Bound() bool {
 	for i := range t.stages {
@@ -195,7 +193,7 @@
 	return false
 }
 
-// reachedServer tells whether any send can have come to a backend server. A server
+// reachedServer reports whether any send can have reached a backend server. A server
 // that refused for overload was reached, although it ran nothing.
 func (s *stage) reachedServer() bool {
 	for i := range s.calls {
@@ -206,7 +204,7 @@
 	return false
 }
 
-// completedCall is the index of the call that gave the stage's result, or -1.
+// completedCall is the index of the call that produced the stage's result, or -1.
 func (s *stage) completedCall() int {
 	for i := range s.calls {
 		if s.calls[i].end == shed.EndComplete {
@@ -216,8 +214,8 @@
 	return -1
 }
 
-// outcomeUnknown tells whether the stage must run at most once and nobody can say
-// whether it did. A server's own answer, result or error, leaves no doubt.
+// outcomeUnknown reports whether the stage must run at most once and it is unknown whether it
+// did. A server's own answer, result or error, settles it.
 func (s *stage) outcomeUnknown() bool {
 	if s.idempotent || s.completedCall() >= 0 {
 		return false
