--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -267,7 +267,7 @@
 // Flow starts one call per step, so that each is recorded before the next is placed.
 func (c *Core) startWaitingRequests(now time.Time) {
 	for {
-		acts := c.flow.Freed(now)
+		acts := c.flow.StartNext(now)
 		if !c.recordActions(now, acts) {
 			return
 		}
--- a/internal/flow/machine_test.go
+++ b/internal/flow/machine_test.go
@@ -98,7 +98,7 @@
 func (w *world) handle(ev shed.Event) {
 	w.applyActions(w.f.Handle(w.now, ev))
 	for {
-		acts := w.f.Freed(w.now)
+		acts := w.f.StartNext(w.now)
 		w.applyActions(acts)
 		if len(actionsOf[shed.StartCall](acts))+len(actionsOf[shed.ForwardStage](acts)) == 0 {
 			return
--- a/internal/flow/place.go
+++ b/internal/flow/place.go
@@ -115,7 +115,7 @@
 		SendBy:      f.sendBy(now, r),
 		Deadline:    r.cutoff(),
 		Priority:    priority(r.cutoff().Sub(now)),
-		IdleTimeout: f.cfg.Silence,
+		IdleTimeout: f.cfg.IdleTimeout,
 	}
 	if f.rules == nil {
 		return a
@@ -137,12 +137,12 @@
 }
 
 func (f *Flow) forward(now time.Time, r *request, to shed.VM) {
-	a := r.trail.Hand(now, shed.ForwardStage{
+	a := r.trail.Forward(now, shed.ForwardStage{
 		To:          to,
 		Request:     f.placeRequest(now, r).StageRequest,
 		SendBy:      f.sendBy(now, r),
 		Deadline:    r.cutoff(),
-		IdleTimeout: f.cfg.Silence,
+		IdleTimeout: f.cfg.IdleTimeout,
 	})
 	a.Request.Hops++
 	f.started = true
@@ -156,7 +156,7 @@
 // sendBy bounds the time until the send, so that a process that was paused in between does not
 // send on the basis of an outdated state.
 func (f *Flow) sendBy(now time.Time, r *request) time.Time {
-	sendBy := now.Add(f.cfg.Lease)
+	sendBy := now.Add(f.cfg.SendLease)
 	if cutoff := r.cutoff(); cutoff.Before(sendBy) {
 		return cutoff
 	}
--- a/internal/flow/trail/finish.go
+++ b/internal/flow/trail/finish.go
@@ -22,8 +22,8 @@
 	CauseFailed
 	// CauseDeadline: the deadline passed.
 	CauseDeadline
-	// CauseGone: the caller went away.
-	CauseGone
+	// CauseCallerGone: the caller went away.
+	CauseCallerGone
 )
 
 // End is how and why a request ends.
@@ -73,7 +73,7 @@
 	switch {
 	case c == CauseDone && done:
 		return shed.OutcomeComplete
-	case c == CauseGone:
+	case c == CauseCallerGone:
 		return shed.OutcomeCancelled
 	case !reached:
 		return shed.OutcomeNotRun
@@ -123,7 +123,7 @@
 
 func wasteUse(c Cause) cost.Use {
 	switch c {
-	case CauseGone:
+	case CauseCallerGone:
 		return cost.Cancelled
 	case CauseDeadline:
 		return cost.Late
@@ -170,9 +170,9 @@
 	return r
 }
 
-// Book adds the cost of every call that reached a server to the ledger. It must be called
+// AddCosts adds the cost of every call that reached a server to the ledger. It must be called
 // once, after Finish.
-func (t *Trail) Book(l *cost.Ledger, p shed.PipelineID) {
+func (t *Trail) AddCosts(l *cost.Ledger, p shed.PipelineID) {
 	for i := range t.stages {
 		s := &t.stages[i]
 		key := cost.Key{Pipeline: p, Stage: s.id}
--- a/internal/flow/trail/trail.go
+++ b/internal/flow/trail/trail.go
@@ -79,8 +79,8 @@
 	return a
 }
 
-// Hand records the call as sent, then returns the action that forwards it.
-func (t *Trail) Hand(now time.Time, a shed.ForwardStage) shed.ForwardStage {
+// Forward records the call as sent, then returns the action that forwards it.
+func (t *Trail) Forward(now time.Time, a shed.ForwardStage) shed.ForwardStage {
 	a.Request.Call = t.Next(int(a.Request.Call.Stage))
 	t.record(a.Request.Call, call{sentAt: now})
 	return a
@@ -91,8 +91,8 @@
 	s.calls = append(s.calls, c)
 }
 
-// Progress records which server runs the call, as a daemon of another zone may have chosen it.
-func (t *Trail) Progress(p shed.CallProgress) {
+// RecordProgress records which server runs the call, as a daemon of another zone may have chosen it.
+func (t *Trail) RecordProgress(p shed.CallProgress) {
 	c := t.findCall(p.Call)
 	if c == nil || c.end != 0 {
 		return
@@ -104,9 +104,9 @@
 	c.tokens = max(c.tokens, p.Tokens)
 }
 
-// Ended records a call's end. It returns false, and changes nothing, for a
+// RecordEnd records a call's end. It returns false, and changes nothing, for a
 // call that was never sent or has ended already.
-func (t *Trail) Ended(now time.Time, e shed.CallEnded) bool {
+func (t *Trail) RecordEnd(now time.Time, e shed.CallEnded) bool {
 	c := t.findCall(e.Call)
 	if c == nil || c.end != 0 {
 		return false
@@ -121,11 +121,11 @@
 	return true
 }
 
-// Known reports whether the call was sent by this trail.
-func (t *Trail) Known(id shed.Call) bool { return t.findCall(id) != nil }
+// HasCall reports whether the call was sent by this trail.
+func (t *Trail) HasCall(id shed.Call) bool { return t.findCall(id) != nil }
 
-// Capacity sets the capacity of the server that ran a forwarded call, for its cost.
-func (t *Trail) Capacity(id shed.Call, capacity int) {
+// SetCapacity sets the capacity of the server that ran a forwarded call, for its cost.
+func (t *Trail) SetCapacity(id shed.Call, capacity int) {
 	if c := t.findCall(id); c != nil && c.capacity == 0 {
 		c.capacity = capacity
 	}
@@ -156,8 +156,8 @@
 	return n
 }
 
-// Took returns how long the call ran, once it has ended.
-func (t *Trail) Took(id shed.Call) time.Duration {
+// Duration returns how long the call ran, once it has ended.
+func (t *Trail) Duration(id shed.Call) time.Duration {
 	if c := t.findCall(id); c != nil {
 		return c.duration
 	}
@@ -171,9 +171,9 @@
 	return s.idempotent || !s.mayHaveRun()
 }
 
-// Bound reports whether a non-idempotent stage may have run, so that the
+// MustReportOutcome reports whether a non-idempotent stage may have run, so that the
 // request's end must become known even if its caller has gone.
-func (t *Trail) Bound() bool {
+func (t *Trail) MustReportOutcome() bool {
 	for i := range t.stages {
 		s := &t.stages[i]
 		if !s.idempotent && s.mayHaveRun() {
