--- a/internal/core/forwarded.go
+++ b/internal/core/forwarded.go
@@ -137,8 +137,8 @@
 // request of this daemon: the message was duplicated or went round in a circle.
 func (c *Core) isInFlight(call shed.Call) bool {
 	_, local := c.localCalls[call]
-	_, handed := c.forwardedOut[call]
-	return local || handed || c.forwardedIn[call]
+	_, forwarded := c.forwardedOut[call]
+	return local || forwarded || c.forwardedIn[call]
 }
 
 func (c *Core) refuseStage(call shed.Call, reason shed.Reason, retryAfter time.Duration) {
