--- a/internal/core/status.go
+++ b/internal/core/status.go
@@ -36,7 +36,7 @@
 	ConfirmedAgo time.Duration `json:"confirmed_ago_ns"`
 	// Watching: this daemon reads the platform for its zone.
 	Watching bool `json:"watching"`
-	// PeersAsked and Heard count peers asked and replies since the last start or pause.
+	// PeersAsked and PeersReplied count peers at the last start or end of a pause.
 	PeersAsked   int `json:"peers_asked"`
 	PeersReplied int `json:"peers_heard"`
 	// Invalid is the platform's newest revision if it has faults.
--- a/internal/flow/flow.go
+++ b/internal/flow/flow.go
@@ -61,8 +61,8 @@
 //
 // Every slice of actions that it returns holds at most one StartCall or ForwardStage: the
 // Placer reserves nothing, so two placements in one step could both get the last slot of a
-// cold server. The caller records a start first and then calls Freed until that returns no
-// start.
+// cold server. The caller records a start first and then calls StartNext until that returns
+// no start.
 type Flow struct {
 	cfg      Config
 	disabled safeguards
