--- a/internal/flow/trail/trail.go
+++ b/internal/flow/trail/trail.go
@@ -91,7 +91,8 @@
 	s.calls = append(s.calls, c)
 }
 
-// RecordProgress records which server runs the call, as a daemon of another zone may have chosen it.
+// RecordProgress records which server runs the call, as a daemon of another zone may have
+// chosen it.
 func (t *Trail) RecordProgress(p shed.CallProgress) {
 	c := t.findCall(p.Call)
 	if c == nil || c.end != 0 {
