--- a/internal/core/bench_test.go
+++ b/internal/core/bench_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// size is one size to measure the slopes at.
+// size is a fleet size per zone to benchmark at.
 type size struct{ daemons, servers, workspaces int }
 
 // sizes are per zone; the last is the design size (52 daemons and 192 servers
@@ -21,7 +21,7 @@
 
 var benchStart = time.Date(2026, 11, 1, 12, 0, 0, 0, time.UTC)
 
-// benchRules has one pipeline of four stages over pools of equal size.
+// benchRules returns one pipeline of four stages over pools of equal size.
 func benchRules(s size) *shed.Rules {
 	r := &shed.Rules{
 		Revision: 1, Pipelines: map[shed.PipelineID]*shed.Pipeline{}, Pools: map[shed.PoolID]*shed.Pool{},
@@ -55,8 +55,8 @@
 	return r
 }
 
-// benchCore is a daemon that has rules, sees its zone and a few peers of the
-// others, and knows its servers as warm.
+// benchCore returns a daemon that has rules, sees its own zone and a few peers of
+// each other zone, and knows its servers as warm.
 func benchCore(b *testing.B, s size) *Core {
 	b.Helper()
 	rules := benchRules(s)
@@ -77,8 +77,8 @@
 		}
 	}
 	c.rules = nil
-	c.rulesAt = now
-	c.putInForce(now, rules)
+	c.firstRulesAt = now
+	c.applyRules(now, rules)
 	for id, srv := range rules.Servers {
 		if srv.Zone == "z00" {
 			c.Handle(now, benchReport(id, 1))
@@ -96,7 +96,7 @@
 	return shed.LoadReported{Server: id, Report: shed.LoadReport{Boot: "b", Sequence: seq, Warm: true, Done: 100000 + seq}}
 }
 
-func each(b *testing.B, run func(b *testing.B, c *Core)) {
+func forEachSize(b *testing.B, run func(b *testing.B, c *Core)) {
 	for _, s := range sizes {
 		b.Run(fmt.Sprintf("daemons=%d/servers=%d/workspaces=%d", s.daemons, s.servers, s.workspaces), func(b *testing.B) {
 			c := benchCore(b, s)
@@ -107,9 +107,9 @@
 	}
 }
 
-// BenchmarkTick is the beat, ten times a second.
+// BenchmarkTick measures one tick; a daemon handles ten per second.
 func BenchmarkTick(b *testing.B) {
-	each(b, func(b *testing.B, c *Core) {
+	forEachSize(b, func(b *testing.B, c *Core) {
 		now := benchStart
 		for i := range b.N {
 			now = now.Add(shed.TickEvery)
@@ -118,24 +118,24 @@
 	})
 }
 
-// BenchmarkLoadReport is one report of one server.
+// BenchmarkLoadReport measures one load report of one server.
 func BenchmarkLoadReport(b *testing.B) {
-	each(b, func(b *testing.B, c *Core) {
+	forEachSize(b, func(b *testing.B, c *Core) {
 		for i := range b.N {
 			c.Handle(benchStart, benchReport("s-00-001", uint64(i+2)))
 		}
 	})
 }
 
-// BenchmarkPlace finds a server of this zone for one stage call.
+// BenchmarkPlace measures finding a server of this zone for one stage call.
 func BenchmarkPlace(b *testing.B) {
-	each(b, func(b *testing.B, c *Core) {
+	forEachSize(b, func(b *testing.B, c *Core) {
 		stage := c.rules.Pipelines["p"].Stages[3]
 		for i := range b.N {
-			ask := shed.PlaceRequest{Stage: stage, Deadline: benchStart.Add(time.Minute)}
-			ask.Prefix = uint64(i)
-			ask.Pipeline = "p"
-			c.placeHere(benchStart, ask, c.pools[stage.Pool], "")
+			req := shed.PlaceRequest{Stage: stage, Deadline: benchStart.Add(time.Minute)}
+			req.Prefix = uint64(i)
+			req.Pipeline = "p"
+			c.placeInZone(benchStart, req, c.pools[stage.Pool], "")
 		}
 	})
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -1,6 +1,6 @@
-// Package core is all of a daemon's decisions as one: it hands each event to
-// the packages that it concerns, answers where a stage call may run, and books
-// every start and end with those who must know of it.
+// Package core combines all decisions of a daemon: it dispatches each event to the
+// packages that handle it, decides where a stage call may run, and reports the start
+// and end of each call to the packages that track calls.
 package core
 
 import (
@@ -25,10 +25,10 @@
 	defaultPolicy   = "affinity"
 	defaultNotice   = 2 * time.Second
 	defaultMaxDrain = 30 * time.Second
-	// defaultSureFor is how long a daemon that hears from nobody goes on with
-	// what it knows. New work at a closed zone or server ends within this and
-	// the lease of a send, half a second.
-	defaultSureFor = 2400 * time.Millisecond
+	// defaultFreshFor is how long a daemon without any contact continues with its last known
+	// state. New work at a closed zone or server ends within this time plus the send lease
+	// (500 ms).
+	defaultFreshFor = 2400 * time.Millisecond
 )
 
 // Config sets up a Core. Zero values take the defaults.
@@ -38,14 +38,14 @@
 	Seeds []shed.VM
 	// Seed of all random choices.
 	Seed uint64
-	// Compile turns the text of a configuration into rules.
+	// Compile parses the text of a configuration into rules.
 	Compile func(text []byte, rev shed.Revision) (*shed.Rules, error)
-	// Policy picks servers; see route.Named.
+	// Policy names the policy that picks servers; see route.Named.
 	Policy string
-	// Notice is how long a stopping daemon still serves while the balancer
-	// notices that it is not ready.
+	// Notice is how long a stopping daemon still serves, so that the load balancer can
+	// notice that it is not ready.
 	Notice time.Duration
-	// MaxDrain bounds a graceful stop.
+	// MaxDrain bounds the duration of a graceful stop.
 	MaxDrain time.Duration
 
 	Config config.Config
@@ -59,7 +59,7 @@
 	Ticket ticket.Config
 }
 
-// Core is one daemon's decisions. It is not safe for concurrent use.
+// Core makes one daemon's decisions. It is not safe for concurrent use.
 type Core struct {
 	cfg     Config
 	config  *config.State
@@ -73,53 +73,52 @@
 	tickets *ticket.Table
 	policy  shed.Policy
 
-	// rules in force; nil until the first.
+	// rules are the rules in force; nil until the first.
 	rules *shed.Rules
-	// pools are those of rules as seen from this zone.
+	// pools are the pools of rules, split into this zone and others.
 	pools map[shed.PoolID]*pool
-	// rulesAt is when the first rules came into force.
-	rulesAt time.Time
-	// viewSum is a hash of the view that viewChanged has told.
-	viewSum uint64
-	// alone: this daemon hears nobody, see unsure.
-	alone bool
-	// surveyed: every server of the zone has been heard of, or had its time.
-	surveyed bool
-	// ready is what the driver was last told.
+	// firstRulesAt is when the first rules came into force.
+	firstRulesAt time.Time
+	// viewHash is the hash of the view that notifyViewChange passed on last.
+	viewHash uint64
+	// isolated: this daemon has no contact to peers or platform, see blockedReason.
+	isolated bool
+	// serversKnown: every server of the zone has reported its load, or the wait timed out.
+	serversKnown bool
+	// ready is the readiness that the driver was last notified of.
 	ready bool
 	stop  stop
 
-	// guests are the calls that run here for a peer.
-	guests map[shed.Call]bool
-	// waiting are those among them that wait for a place, oldest first.
-	waiting []waitingGuest
-	// local are the calls under way on servers of this zone.
-	local map[shed.Call]shed.ServerID
-	// handed are the calls under way at peers, with where.
-	handed map[shed.Call]target
-	// away are the requests that were handed to their ticket's home and have
-	// not come back.
-	away map[shed.RequestID]bool
-	// shunned are peers and zones that refused work or were lost, until when.
-	shunned map[string]time.Time
-	// handedTo counts them by zone.
-	handedTo map[shed.ZoneID]int
-	// refusals counts those in a row by each other zone.
+	// forwardedIn are the calls that a peer forwarded here.
+	forwardedIn map[shed.Call]bool
+	// queued are the calls of forwardedIn that wait for a server, oldest first.
+	queued []queuedCall
+	// localCalls are the calls in flight on servers of this zone.
+	localCalls map[shed.Call]shed.ServerID
+	// forwardedOut are the calls in flight at peers, with their destination.
+	forwardedOut map[shed.Call]destination
+	// forwardedRequests are the requests in flight at the home of their ticket.
+	forwardedRequests map[shed.RequestID]bool
+	// backoffUntil is until when peers and zones that refused work or were lost get none.
+	backoffUntil map[string]time.Time
+	// forwardedByZone counts forwardedOut by zone.
+	forwardedByZone map[shed.ZoneID]int
+	// refusals counts consecutive refusals by each other zone, up to maxRefusals.
 	refusals map[shed.ZoneID]int
-	// scratch for the candidates of one placement.
+	// scratch is reused for the candidates of each placement.
 	scratch []shed.Candidate
 
-	// out gathers the actions of one event.
+	// out collects the actions of one event.
 	out []shed.Action
 }
 
-// target is where a call was handed.
-type target struct {
+// destination is the peer that a call was forwarded to.
+type destination struct {
 	vm   shed.VM
 	zone shed.ZoneID
 }
 
-// New makes a Core. It fails only on an unknown policy.
+// New returns a Core. It fails only for an unknown policy.
 func New(cfg Config) (*Core, error) {
 	if cfg.Policy == "" {
 		cfg.Policy = defaultPolicy
@@ -131,33 +130,33 @@
 		cfg.MaxDrain = defaultMaxDrain
 	}
 	if cfg.Config.FreshFor == 0 {
-		cfg.Config.FreshFor = defaultSureFor
+		cfg.Config.FreshFor = defaultFreshFor
 	}
 	if cfg.Member.LeaseFor == 0 {
-		cfg.Member.LeaseFor = defaultSureFor
+		cfg.Member.LeaseFor = defaultFreshFor
 	}
 	policy, err := route.Named(cfg.Policy, cfg.Seed)
 	if err != nil {
 		return nil, err
 	}
 	c := &Core{
-		cfg:      cfg,
-		policy:   policy,
-		gate:     admit.New(cfg.Admit),
-		ledger:   cost.New(cost.Config{}),
-		guests:   make(map[shed.Call]bool),
-		local:    make(map[shed.Call]shed.ServerID),
-		handed:   make(map[shed.Call]target),
-		away:     make(map[shed.RequestID]bool),
-		shunned:  make(map[string]time.Time),
-		handedTo: make(map[shed.ZoneID]int),
-		refusals: make(map[shed.ZoneID]int),
+		cfg:               cfg,
+		policy:            policy,
+		gate:              admit.New(cfg.Admit),
+		ledger:            cost.New(cost.Config{}),
+		forwardedIn:       make(map[shed.Call]bool),
+		localCalls:        make(map[shed.Call]shed.ServerID),
+		forwardedOut:      make(map[shed.Call]destination),
+		forwardedRequests: make(map[shed.RequestID]bool),
+		backoffUntil:      make(map[string]time.Time),
+		forwardedByZone:   make(map[shed.ZoneID]int),
+		refusals:          make(map[shed.ZoneID]int),
 	}
 	c.build()
 	return c, nil
 }
 
-// build makes the parts that need to know who this process is.
+// build creates the components that depend on the identity of this process.
 func (c *Core) build() {
 	cfg := c.cfg
 	cfg.Config.Self, cfg.Config.Zone = cfg.Self, cfg.Zone
@@ -180,22 +179,22 @@
 	c.flow = flow.New(cfg.Flow)
 }
 
-// Handle takes one event and returns what to do, in order. The slice is the
-// caller's.
+// Handle processes one event and returns the resulting actions in order. The caller owns
+// the slice.
 func (c *Core) Handle(now time.Time, ev shed.Event) []shed.Action {
 	c.out = nil
-	// Configuration sees every event first: it is the one that notices, by the
-	// time since the last tick, that the process was paused. A request that is
-	// handled between waking up and the next tick must already find it unready.
-	awake := c.config.Ready()
-	c.take(c.config.Handle(now, ev))
-	if awake && !c.config.Ready() {
-		c.take(c.load.Doubt(now))
+	// The configuration state gets every event first: it detects from the time since the
+	// last tick that the process was paused. A request that is handled between the end of
+	// the pause and the next tick must already find the daemon not ready.
+	wasReady := c.config.Ready()
+	c.emit(c.config.Handle(now, ev))
+	if wasReady && !c.config.Ready() {
+		c.emit(c.load.Doubt(now))
 	}
-	c.adopt(now)
+	c.adoptRules(now)
 	c.dispatch(now, ev)
-	c.guestsOn(now)
-	c.flowOn(now)
+	c.startQueuedCalls(now)
+	c.startWaitingRequests(now)
 	return c.out
 }
 
@@ -204,88 +203,88 @@
 	case shed.Tick:
 		c.tick(now, e)
 	case shed.RequestArrived:
-		c.arrived(now, e)
+		c.handleRequest(now, e)
 	case shed.StageRequested:
-		c.stageAsked(now, e)
+		c.handleStageRequest(now, e)
 	case shed.CallProgress:
-		c.callProgress(now, e)
+		c.handleCallProgress(now, e)
 	case shed.CallEnded:
-		c.callEnded(now, e)
+		c.handleCallEnded(now, e)
 	case shed.ForwardEnded:
-		delete(c.away, e.Request)
+		delete(c.forwardedRequests, e.Request)
 	case shed.CallerGone:
-		c.book(now, c.flow.Handle(now, e))
+		c.recordActions(now, c.flow.Handle(now, e))
 	case shed.PeerMessage:
-		c.message(now, e)
+		c.handlePeerMessage(now, e)
 	case shed.PeerLost:
-		c.shun(now, peerKey(e.Peer), shunLost)
-		c.take(c.member.Handle(now, e))
-		c.view(now)
+		c.backOff(now, peerKey(e.Peer), lostPeerBackoff)
+		c.emit(c.member.Handle(now, e))
+		c.updateView(now)
 	case shed.VMsRead:
-		c.take(c.member.Handle(now, e))
-		c.view(now)
+		c.emit(c.member.Handle(now, e))
+		c.updateView(now)
 	case shed.LoadReported, shed.ServerSilent:
-		c.take(c.load.Handle(now, ev))
-		c.take(c.slots.Handle(now, ev))
-		c.take(c.orders.Handle(now, ev))
+		c.emit(c.load.Handle(now, ev))
+		c.emit(c.slots.Handle(now, ev))
+		c.emit(c.orders.Handle(now, ev))
 	case shed.OrderEnded:
-		c.take(c.orders.Handle(now, e))
+		c.emit(c.orders.Handle(now, e))
 	case shed.StopRequested:
-		c.stopAsked(now, e)
+		c.handleStopRequest(now, e)
 	}
 }
 
-// take passes actions on that need no booking, and puts new rules in force.
-func (c *Core) take(acts []shed.Action) {
+// emit appends actions that other components need not know of.
+func (c *Core) emit(acts []shed.Action) {
 	c.out = append(c.out, acts...)
 }
 
 func (c *Core) tick(now time.Time, t shed.Tick) {
-	c.take(c.member.Handle(now, t))
-	c.view(now)
-	c.take(c.load.Handle(now, t))
-	c.take(c.slots.Handle(now, t))
-	c.take(c.orders.Handle(now, t))
+	c.emit(c.member.Handle(now, t))
+	c.updateView(now)
+	c.emit(c.load.Handle(now, t))
+	c.emit(c.slots.Handle(now, t))
+	c.emit(c.orders.Handle(now, t))
 	c.tickets.Expire(now)
-	c.book(now, c.flow.Handle(now, t))
-	c.forgetShunned(now)
-	c.stopTick(now)
-	c.tellReady(now)
+	c.recordActions(now, c.flow.Handle(now, t))
+	c.pruneBackoffs(now)
+	c.checkStop(now)
+	c.updateReady(now)
 }
 
-func (c *Core) message(now time.Time, m shed.PeerMessage) {
-	c.take(c.member.Handle(now, m))
-	c.take(c.load.Handle(now, m))
-	c.take(c.slots.Handle(now, m))
-	c.take(c.orders.Handle(now, m))
+func (c *Core) handlePeerMessage(now time.Time, m shed.PeerMessage) {
+	c.emit(c.member.Handle(now, m))
+	c.emit(c.load.Handle(now, m))
+	c.emit(c.slots.Handle(now, m))
+	c.emit(c.orders.Handle(now, m))
 	if move, ok := m.Message.(shed.TicketMove); ok && move.From == m.From {
 		c.tickets.Adopt(now, move)
 	}
-	c.view(now)
+	c.updateView(now)
 }
 
-// flowOn offers places that may have freed until nobody takes one more. Flow
-// starts one call a step, so that each is booked before the next is placed.
-func (c *Core) flowOn(now time.Time) {
+// startWaitingRequests offers free servers to waiting requests until no more call starts.
+// Flow starts one call per step, so that each is recorded before the next is placed.
+func (c *Core) startWaitingRequests(now time.Time) {
 	for {
-		acts := c.flow.Freed(now)
-		if !c.book(now, acts) {
+		acts := c.flow.StartNext(now)
+		if !c.recordActions(now, acts) {
 			return
 		}
 	}
 }
 
-// book passes on what flow decided, and tells those who must know of it. It
-// returns whether a call was started.
-func (c *Core) book(now time.Time, acts []shed.Action) bool {
+// recordActions emits the actions of flow and reports them to the components that track
+// calls and tickets. It returns whether a call was started.
+func (c *Core) recordActions(now time.Time, acts []shed.Action) bool {
 	started := false
 	for _, act := range acts {
 		switch a := act.(type) {
 		case shed.StartCall:
-			c.bookStart(now, a)
+			c.recordStart(now, a)
 			started = true
 		case shed.ForwardStage:
-			c.hand(a.Request.Call, a.To)
+			c.recordForward(a.Request.Call, a.To)
 			started = true
 		case shed.Finish:
 			c.tickets.Finished(now, a.Request, a)
@@ -295,8 +294,8 @@
 	return started
 }
 
-func (c *Core) bookStart(now time.Time, a shed.StartCall) {
-	c.local[a.Call] = a.Server
+func (c *Core) recordStart(now time.Time, a shed.StartCall) {
+	c.localCalls[a.Call] = a.Server
 	cand, _ := c.load.Candidate(now, a.Server)
 	c.load.Sent(now, a.Server, a.Call)
 	if cand.Cold {
--- a/internal/flow/ends.go
+++ b/internal/flow/ends.go
@@ -9,75 +9,75 @@
 	shed "jasmineshed"
 )
 
-// live returns the request whose live call this is, or nil with a note. What
-// an earlier attempt still sends must not touch the request: its result would
-// be taken for the live attempt's, or its failure repeated.
-func (f *Flow) live(call shed.Call, server shed.ServerID) *request {
+// runningRequest returns the request whose current call this is, or nil with a note. A late
+// message of an earlier attempt must not touch the request: its result would be taken for the
+// current attempt's, or its failure would be retried again.
+func (f *Flow) runningRequest(call shed.Call, server shed.ServerID) *request {
 	r := f.requests[call.Request]
-	if r != nil && r.state == stateRunning && (r.call == call || f.off.staleEnds) {
+	if r != nil && r.state == stateRunning && (r.call == call || f.disabled.staleEnds) {
 		return r
 	}
 	reason := shed.ReasonStaleAttempt
-	if r != nil && r.trail.Known(call) {
+	if r != nil && r.trail.HasCall(call) {
 		reason = shed.ReasonDuplicate
 	}
 	f.emit(shed.Note{Reason: reason, Request: call.Request, Server: server})
 	return nil
 }
 
-func (f *Flow) progress(p shed.CallProgress) {
-	if r := f.live(p.Call, p.Server); r != nil {
-		r.trail.Progress(p)
+func (f *Flow) handleProgress(p shed.CallProgress) {
+	if r := f.runningRequest(p.Call, p.Server); r != nil {
+		r.trail.RecordProgress(p)
 	}
 }
 
-// callerGone cancels the request, unless it must run on.
-func (f *Flow) callerGone(now time.Time, id shed.RequestID) {
+// handleCallerGone cancels the request, unless it must continue.
+func (f *Flow) handleCallerGone(now time.Time, id shed.RequestID) {
 	r := f.requests[id]
 	if r == nil {
 		return
 	}
-	if f.runsOn(r) && !f.off.runOnIfBound {
-		r.gone = true
+	if f.outlivesCaller(r) && !f.disabled.outliveCaller {
+		r.callerGone = true
 		return
 	}
-	f.finish(now, r, trail.End{Cause: trail.CauseGone, Reason: shed.ReasonCallerGone})
+	f.finish(now, r, trail.End{Cause: trail.CauseCallerGone, Reason: shed.ReasonCallerGone})
 }
 
-// runsOn tells whether the request goes on without its caller. With a ticket
-// the caller is likely to come back by another way, as its connection may only
-// have gone silent, and a ticket starts once: cancelled, all that a repeat
-// could be told is that it was. And where a stage that must run at most once
-// may have run, its end must become known. The deadline bounds both.
-func (f *Flow) runsOn(r *request) bool {
-	return r.arrived.Ticketed || r.trail.Bound()
+// outlivesCaller reports whether the request continues without its caller. A caller with a
+// ticket is likely to return on another connection, as the first may only have stalled, and a
+// ticket starts only once: if the request were cancelled, a retry could only be told so. And
+// if a stage that must run at most once may have run, its end must become known. In both
+// cases the deadline bounds the request.
+func (f *Flow) outlivesCaller(r *request) bool {
+	return r.arrived.Ticketed || r.trail.MustReportOutcome()
 }
 
-func (f *Flow) callEnded(now time.Time, e shed.CallEnded) {
-	r := f.live(e.Call, e.Server)
+func (f *Flow) handleCallEnded(now time.Time, e shed.CallEnded) {
+	r := f.runningRequest(e.Call, e.Server)
 	if r == nil {
 		return
 	}
-	r.trail.Ended(now, e)
+	r.trail.RecordEnd(now, e)
 	if f.rules != nil {
 		if s := f.rules.Servers[e.Server]; s != nil {
-			r.trail.Capacity(e.Call, s.Capacity)
+			r.trail.SetCapacity(e.Call, s.Capacity)
 		}
 	}
 	f.setState(r, stateNew, time.Time{})
 	if e.End == shed.EndComplete {
-		f.stageDone(now, r, e)
+		f.completeStage(now, r, e)
 		return
 	}
 	f.emit(shed.Note{Reason: e.Reason, Request: r.arrived.Request, Server: e.Server, Zone: e.Zone})
-	f.recover(now, r, e)
+	f.handleFailure(now, r, e)
 }
 
-func (f *Flow) stageDone(now time.Time, r *request, e shed.CallEnded) {
+func (f *Flow) completeStage(now time.Time, r *request, e shed.CallEnded) {
 	f.cfg.Budget.Succeeded(now)
-	key := admit.StageKey{Pipeline: r.pipeline.ID, Stage: r.at().ID}
-	f.cfg.Admit.Observe(now, key, r.trail.Took(e.Call))
-	if f.late(now, r) {
+	key := admit.StageKey{Pipeline: r.pipeline.ID, Stage: r.currentStage().ID}
+	f.cfg.Admit.Observe(now, key, r.trail.Duration(e.Call))
+	if f.isLate(now, r) {
 		f.finish(now, r, trail.End{Cause: trail.CauseDeadline, Reason: shed.ReasonDeadline})
 		return
 	}
@@ -85,7 +85,7 @@
 	r.stage++
 	r.avoid = nil
 	r.resumes = 0
-	r.asides = 0
+	r.queueSkips = 0
 	if r.stage < len(r.pipeline.Stages) {
 		f.advance(now, r)
 		return
@@ -94,32 +94,31 @@
 	f.finish(now, r, trail.End{Cause: trail.CauseDone})
 }
 
-// late tells whether a result came after the deadline, before the tick that
-// would have ended the request. What must run at most once and ran to its
-// whole end is told as such all the same: a caller that heard only of the
-// deadline would not know it.
-func (f *Flow) late(now time.Time, r *request) bool {
-	if f.off.checkLate || !now.After(r.arrived.Deadline) {
+// isLate reports whether a result arrived after the deadline, but before the tick that would
+// have ended the request. If a stage must run at most once and the request completed, the
+// caller still gets the result: from a deadline error it would not know that the stage ran.
+func (f *Flow) isLate(now time.Time, r *request) bool {
+	if f.disabled.checkLate || !now.After(r.arrived.Deadline) {
 		return false
 	}
 	last := r.stage == len(r.pipeline.Stages)-1
 	return !last || r.pipeline.Idempotent()
 }
 
-// recover decides what follows a call that gave no result.
-func (f *Flow) recover(now time.Time, r *request, e shed.CallEnded) {
-	if r.gone && !f.runsOn(r) {
-		f.finish(now, r, trail.End{Cause: trail.CauseGone, Reason: shed.ReasonCallerGone})
+// handleFailure decides what follows a call without a result.
+func (f *Flow) handleFailure(now time.Time, r *request, e shed.CallEnded) {
+	if r.callerGone && !f.outlivesCaller(r) {
+		f.finish(now, r, trail.End{Cause: trail.CauseCallerGone, Reason: shed.ReasonCallerGone})
 		return
 	}
 	if !now.Before(r.cutoff()) {
 		f.finish(now, r, trail.End{Cause: trail.CauseDeadline, Reason: shed.ReasonDeadline})
 		return
 	}
-	if f.resume(now, r, e) {
+	if f.tryResume(now, r, e) {
 		return
 	}
-	if reason := f.noRetry(now, r, e); reason != shed.ReasonNone {
+	if reason := f.noRetryReason(now, r, e); reason != shed.ReasonNone {
 		f.finish(now, r, trail.End{
 			Cause:      causeOf(e.End),
 			Reason:     reason,
@@ -137,17 +136,17 @@
 	return trail.CauseRefused
 }
 
-// noRetry is why the stage may not be sent again, or ReasonNone if it may. It
-// takes from the budget, so it is asked last.
-func (f *Flow) noRetry(now time.Time, r *request, e shed.CallEnded) shed.Reason {
-	if !r.trail.MayRepeat(r.stage) && !f.off.mayRepeat {
+// noRetryReason is why the stage must not be sent again, or ReasonNone if it may. It must be
+// called last, since it takes from the retry budget.
+func (f *Flow) noRetryReason(now time.Time, r *request, e shed.CallEnded) shed.Reason {
+	if !r.trail.MayRepeat(r.stage) && !f.disabled.mayRepeat {
 		return orElse(e.Reason, shed.ReasonBroken)
 	}
 	if r.trail.Reached(r.stage) >= f.cfg.MaxAttempts || r.trail.Attempts(r.stage) >= f.cfg.MaxSends {
 		return shed.ReasonAttempts
 	}
-	// A call that reached no server put no load on one, so a repeat of it is
-	// not what the budget is there to stop.
+	// A call that reached no server put no load on one, so the budget, which limits the load
+	// of retries, doesn't apply to it.
 	if e.End != shed.EndNotStarted && !f.cfg.Budget.Take(now) {
 		return shed.ReasonRetryBudget
 	}
@@ -161,45 +160,44 @@
 	return a
 }
 
-// retry sends the stage again, elsewhere if it can. Whatever kept two calls
-// from so much as leaving would likely keep the next ones too, so these back
-// off. A call that a peer refused for want of room rather waits in the queue
-// with the others: backing off, it would be seen by nobody who predicts how
-// long the wait is, and requests would be let in that can't be done.
+// retry sends the stage again, if possible to another server. If two calls did not even start,
+// the next one would likely fail for the same reason, so it backs off first. A call that a
+// peer refused for lack of capacity waits in the queue with the others instead: a request in
+// backoff isn't counted by the prediction of queueing time, so requests would be admitted
+// that can't be served in time.
 func (f *Flow) retry(now time.Time, r *request, e shed.CallEnded) {
 	if e.Server != "" && len(r.avoid) < maxAvoid {
 		r.avoid = append(r.avoid, e.Server)
 	}
-	// A peer with none but avoided servers says that it has none, at once, in
-	// every try. The request would be kept from a whole zone by one failure, and
-	// be refused for want of time while servers are free. As where this zone has
-	// no other server, an avoided one is better than none.
+	// A peer that has only avoided servers refuses at once, on every try. One failure would
+	// keep the request from a whole zone, and it would be refused for lack of time while
+	// servers are free. As in this zone, an avoided server is better than none.
 	if e.End == shed.EndNotStarted && e.Reason == shed.ReasonNoServer {
 		r.avoid = nil
 	}
-	if e.End == shed.EndNotStarted && r.trail.Attempts(r.stage) > 1 && !noRoom(e.Reason) {
+	if e.End == shed.EndNotStarted && r.trail.Attempts(r.stage) > 1 && !isCapacityRefusal(e.Reason) {
 		f.backOff(now, r)
 		return
 	}
 	f.advance(now, r)
 }
 
-// noRoom tells whether a peer refused because its servers are full or cold.
-func noRoom(reason shed.Reason) bool {
+// isCapacityRefusal reports whether a peer refused because its servers are full or cold.
+func isCapacityRefusal(reason shed.Reason) bool {
 	return reason == shed.ReasonServersBusy || reason == shed.ReasonServerCold
 }
 
-// resume goes on with a stream that broke midway, on the server that holds it.
-// It runs nothing anew, so it is open to stages that must not run twice too,
-// and is not paid from the retry budget.
-func (f *Flow) resume(now time.Time, r *request, e shed.CallEnded) bool {
-	s := r.local
-	if e.End != shed.EndBroken || s == nil || r.at().Kind != shed.KindGenerate {
+// tryResume continues a broken stream on the server that holds it. This runs nothing again,
+// so it is also allowed for stages that must not run twice, and takes nothing from the retry
+// budget.
+func (f *Flow) tryResume(now time.Time, r *request, e shed.CallEnded) bool {
+	s := r.localServer
+	if e.End != shed.EndBroken || s == nil || r.currentStage().Kind != shed.KindGenerate {
 		return false
 	}
-	// Without progress since the last resume the stream is gone or its server
-	// is; trying again would only spend the time left.
-	if e.Tokens <= r.offset || r.resumes >= f.cfg.MaxResumes {
+	// Without progress since the last resume, the stream or its server is gone; another try
+	// would only use up the remaining time.
+	if e.Tokens <= r.tokensBefore || r.resumes >= f.cfg.MaxResumes {
 		return false
 	}
 	if r.trail.Reached(r.stage) >= f.cfg.MaxAttempts || !f.mayResume(now, s) {
--- a/internal/flow/flow.go
+++ b/internal/flow/flow.go
@@ -1,6 +1,6 @@
-// Package flow drives the requests that this daemon accepted through their
-// stages: one live call per stage, retries only where they can't double work,
-// and exactly one final answer for each request.
+// Package flow drives the requests that this daemon accepted through their stages: one call
+// in flight per stage, retries only where they can't duplicate work, and exactly one final
+// answer for each request.
 package flow
 
 import (
@@ -20,16 +20,16 @@
 	DefaultMaxAttempts = 4
 	DefaultMaxSends    = 16
 	DefaultMaxResumes  = 2
-	DefaultSilence     = 2 * time.Second
-	DefaultLease       = 500 * time.Millisecond
+	DefaultIdleTimeout = 2 * time.Second
+	DefaultSendLease   = 500 * time.Millisecond
 	DefaultBackoff     = 50 * time.Millisecond
 )
 
 // maxAvoid bounds the servers that a stage call asks to avoid.
 const maxAvoid = 8
 
-// Resumer is implemented by a Placer that has a say in whether a server may go
-// on with a stream that it holds.
+// Resumer is implemented by a Placer that decides whether a server may resume a stream that
+// it holds.
 type Resumer interface {
 	MayResume(now time.Time, server shed.ServerID) bool
 }
@@ -41,57 +41,56 @@
 	Budget *retry.Budget
 	Admit  *admit.Gate
 	Ledger *cost.Ledger
-	// MaxAttempts bounds the calls of one stage that can have come to a server,
-	// resumes included.
+	// MaxAttempts bounds the calls of one stage that can have reached a server,
+	// including resumes.
 	MaxAttempts int
-	// MaxSends bounds all calls of one stage, with those that reached nothing.
+	// MaxSends bounds all calls of one stage, including those that reached no server.
 	MaxSends int
-	// MaxResumes bounds how often one stage's stream is resumed.
+	// MaxResumes bounds how often the stream of one stage is resumed.
 	MaxResumes int
-	// Silence is StartCall.Silence.
-	Silence time.Duration
-	// Lease bounds the time between a decision to send and the send.
-	Lease time.Duration
-	// Backoff is the wait before a repeat that has nowhere new to go; it
-	// doubles with each attempt.
+	// IdleTimeout is StartCall.IdleTimeout.
+	IdleTimeout time.Duration
+	// SendLease bounds the time between a decision to send and the send.
+	SendLease time.Duration
+	// Backoff is the wait before a retry that has no other server to go to; it doubles
+	// with each attempt.
 	Backoff time.Duration
 }
 
 // Flow holds the live requests. It is not safe for concurrent use.
 //
-// Every slice of actions that it returns holds at most one StartCall or
-// ForwardStage: the Placer reserves nothing, so two placements in one step could
-// both be given the last place of a cold server. The caller books a start
-// first and then calls Freed until that returns no start.
+// Every slice of actions that it returns holds at most one StartCall or ForwardStage: the
+// Placer reserves nothing, so two placements in one step could both get the last slot of a
+// cold server. The caller records a start first and then calls StartNext until that returns
+// no start.
 type Flow struct {
-	cfg   Config
-	off   safeguards
-	rules *shed.Rules
-	// requests are those accepted and not yet finished.
+	cfg      Config
+	disabled safeguards
+	rules    *shed.Rules
+	// requests are the accepted and not yet finished ones.
 	requests map[shed.RequestID]*request
-	// wakes orders all requests by the time at which something must be done.
-	wakes wakeHeap
-	// stopping is why nothing new is accepted; empty while it is.
+	// byWakeTime orders the requests by the time at which they need attention.
+	byWakeTime wakeHeap
+	// stopping is why new requests are refused; empty while they are accepted.
 	stopping shed.Reason
-	// out gathers the actions of the step; started tells whether a start is
-	// among them.
+	// out collects the actions of the step; started tells whether a start is among them.
 	out     []shed.Action
 	started bool
 	queues  []admit.QueueKey
 }
 
-// safeguards can be turned off by tests, to show that the proof needs them.
+// safeguards can be disabled by tests, to prove that the tests detect their absence.
 type safeguards struct {
-	staleEnds    bool
-	mayRepeat    bool
-	oneFinish    bool
-	checkLate    bool
-	oneStart     bool
-	runOnIfBound bool
-	hopeless     bool
-	boundPause   bool
-	stepAside    bool
-	needed       bool
+	staleEnds     bool
+	mayRepeat     bool
+	oneFinish     bool
+	checkLate     bool
+	oneStart      bool
+	outliveCaller bool
+	checkDeadline bool
+	boundBackoff  bool
+	skipQueue     bool
+	likelyTime    bool
 }
 
 // New returns a flow without requests.
@@ -105,11 +104,11 @@
 	if cfg.MaxResumes == 0 {
 		cfg.MaxResumes = DefaultMaxResumes
 	}
-	if cfg.Silence == 0 {
-		cfg.Silence = DefaultSilence
+	if cfg.IdleTimeout == 0 {
+		cfg.IdleTimeout = DefaultIdleTimeout
 	}
-	if cfg.Lease == 0 {
-		cfg.Lease = DefaultLease
+	if cfg.SendLease == 0 {
+		cfg.SendLease = DefaultSendLease
 	}
 	if cfg.Backoff == 0 {
 		cfg.Backoff = DefaultBackoff
@@ -117,43 +116,42 @@
 	return &Flow{cfg: cfg, requests: map[shed.RequestID]*request{}}
 }
 
-// SetRules puts rules in force. A request goes on with the pipeline that it
-// was accepted with; where its stages may run follows the new rules at once.
+// SetRules applies new rules. A request keeps the pipeline that it was accepted with; where
+// its stages may run follows the new rules at once.
 func (f *Flow) SetRules(rules *shed.Rules) {
 	f.rules = rules
 	f.cfg.Admit.SetRules(rules)
 }
 
-// Stop refuses whatever arrives from now on; what is live goes on to its end.
+// Stop refuses all new requests; live ones continue to their end.
 func (f *Flow) Stop(reason shed.Reason) { f.stopping = reason }
 
 // Live counts the requests that have no final answer yet.
 func (f *Flow) Live() int { return len(f.requests) }
 
-// Handle takes one step. Events of other packages are ignored. The slice is
+// Handle processes one event. Events of other packages are ignored. The slice is
 // valid until the next step.
 func (f *Flow) Handle(now time.Time, ev shed.Event) []shed.Action {
 	f.begin()
 	switch e := ev.(type) {
 	case shed.RequestArrived:
-		f.arrived(now, e)
+		f.handleRequest(now, e)
 	case shed.CallerGone:
-		f.callerGone(now, e.Request)
+		f.handleCallerGone(now, e.Request)
 	case shed.CallProgress:
-		f.progress(e)
+		f.handleProgress(e)
 	case shed.CallEnded:
-		f.callEnded(now, e)
+		f.handleCallEnded(now, e)
 	case shed.Tick:
 		f.tick(now)
 	}
 	return f.out
 }
 
-// Freed offers places that may have freed to those who wait, in queue order.
-// It starts one at the most.
-func (f *Flow) Freed(now time.Time) []shed.Action {
+// StartNext offers free servers to the waiting requests, in queue order. It starts at most one.
+func (f *Flow) StartNext(now time.Time) []shed.Action {
 	f.begin()
-	f.drain(now)
+	f.startWaiting(now)
 	return f.out
 }
 
@@ -164,19 +162,19 @@
 
 func (f *Flow) emit(a shed.Action) { f.out = append(f.out, a) }
 
-func (f *Flow) arrived(now time.Time, a shed.RequestArrived) {
+func (f *Flow) handleRequest(now time.Time, a shed.RequestArrived) {
 	if f.requests[a.Request] != nil {
 		f.emit(shed.Note{Reason: shed.ReasonDuplicate, Request: a.Request})
 		return
 	}
-	p, refusal := f.pipeline(a)
+	p, refusal := f.pipelineOf(a)
 	if p == nil {
 		f.emit(trail.Refuse(a.Request, refusal))
 		return
 	}
 	key := admit.KeyOf(&p.Stages[0])
 	verdict := f.cfg.Admit.Admit(now, admit.Ask{
-		Waiting:  f.waiting(a, time.Time{}),
+		Waiting:  f.queueEntry(a, time.Time{}),
 		Pipeline: p,
 		Deadline: a.Deadline,
 		Queue:    key,
@@ -196,7 +194,7 @@
 	f.advance(now, r)
 }
 
-func (f *Flow) pipeline(a shed.RequestArrived) (*shed.Pipeline, trail.End) {
+func (f *Flow) pipelineOf(a shed.RequestArrived) (*shed.Pipeline, trail.End) {
 	if f.stopping != shed.ReasonNone {
 		return nil, trail.End{Reason: f.stopping}
 	}
@@ -210,37 +208,37 @@
 	return p, trail.End{}
 }
 
-// tick ends what has run out of time and lets one request that waited go on.
+// tick handles all requests whose wake time has come and starts at most one waiting request.
 func (f *Flow) tick(now time.Time) {
-	for len(f.wakes) > 0 && !f.wakes[0].wake.After(now) {
-		r := heap.Pop(&f.wakes).(*request)
-		f.woke(now, r)
+	for len(f.byWakeTime) > 0 && !f.byWakeTime[0].wakeAt.After(now) {
+		r := heap.Pop(&f.byWakeTime).(*request)
+		f.handleWake(now, r)
 	}
-	f.drain(now)
+	f.startWaiting(now)
 }
 
-func (f *Flow) woke(now time.Time, r *request) {
+func (f *Flow) handleWake(now time.Time, r *request) {
 	switch r.state {
 	case stateBackoff:
 		f.advance(now, r)
 	case stateWaiting:
-		f.giveUp(now, r, r.waits)
+		f.giveUp(now, r, r.waitReason)
 	case stateRunning:
 		f.finish(now, r, trail.End{Cause: trail.CauseDeadline, Reason: shed.ReasonDeadline})
 	}
 }
 
-// finish gives the request its one answer and forgets it. A call that still
-// runs is cancelled: its result would be dropped.
+// finish emits the final answer of the request and removes it. A call in flight is
+// cancelled, since its result would be dropped.
 func (f *Flow) finish(now time.Time, r *request, end trail.End) {
 	if r.state == stateRunning {
 		f.emit(shed.CancelCall{Call: r.call, Reason: end.Reason})
 	}
 	f.emit(r.trail.Finish(now, end))
-	r.trail.Book(f.cfg.Ledger, r.pipeline.ID)
+	r.trail.AddCosts(f.cfg.Ledger, r.pipeline.ID)
 	f.cfg.Admit.Drop(r.arrived.Request)
-	f.setState(r, stateOver, time.Time{})
-	if !f.off.oneFinish {
+	f.setState(r, stateFinished, time.Time{})
+	if !f.disabled.oneFinish {
 		delete(f.requests, r.arrived.Request)
 	}
 }
--- a/internal/flow/matrix_test.go
+++ b/internal/flow/matrix_test.go
@@ -11,47 +11,47 @@
 	shed "jasmineshed"
 )
 
-// fault is something that happens in place of the next good step.
+// fault is an event that replaces the next good step.
 type fault struct {
 	name string
 	do   func(*world)
 }
 
-// matrixFaults are all that can come to the flow at any step: each bad end of
-// the live call, ends that are doubled or of another attempt, callers that
-// leave, time that leaps, and servers that can't be had.
+// matrixFaults returns all faults that can occur at a step: each failure of the current call,
+// ends that are duplicated or of another attempt, callers that leave, jumps of the clock, and
+// no available server.
 func matrixFaults() []fault {
 	faults := []fault{
 		{"caller gone", func(w *world) {
-			w.o.requests["r1"].gone = true
+			w.oracle.requests["r1"].callerGone = true
 			w.handle(shed.CallerGone{Request: "r1"})
 		}},
 		{"end doubled", func(w *world) {
-			for _, e := range w.old {
+			for _, e := range w.pastEnds {
 				w.handle(e)
 			}
 		}},
 		{"end of another attempt", func(w *world) {
-			for _, c := range w.open {
+			for _, c := range w.inFlight {
 				c.Attempt++
 				w.handle(shed.CallEnded{Call: c, End: shed.EndComplete})
 			}
 		}},
 		{"end of another stage", func(w *world) {
-			for _, c := range w.open {
+			for _, c := range w.inFlight {
 				c.Stage++
 				w.handle(shed.CallEnded{Call: c, End: shed.EndComplete})
 			}
 		}},
-		{"paused past the deadline", func(w *world) { w.leap(time.Minute) }},
+		{"paused past the deadline", func(w *world) { w.skipTime(time.Minute) }},
 		{"result after the deadline, before the tick", func(w *world) {
 			w.now = w.now.Add(time.Minute)
 			w.endFirst(shed.EndComplete, 0)
 		}},
-		{"paused, not past the deadline", func(w *world) { w.leap(2 * time.Second) }},
+		{"paused, not past the deadline", func(w *world) { w.skipTime(2 * time.Second) }},
 		{"arrived twice", func(w *world) {
-			if w.o.requests["r1"].finish == nil {
-				w.handle(arrived("r1", "draft"))
+			if w.oracle.requests["r1"].finish == nil {
+				w.handle(newRequest("r1", "draft"))
 			}
 		}},
 		{"not started, twice in a row", func(w *world) {
@@ -72,27 +72,27 @@
 	return faults
 }
 
-func (w *world) leap(d time.Duration) {
+func (w *world) skipTime(d time.Duration) {
 	w.now = w.now.Add(d)
 	w.handle(shed.Tick{Wall: w.now})
-	w.o.settled(w.now)
+	w.oracle.checkBetweenSteps(w.now)
 }
 
 func (w *world) endFirst(end shed.CallEnd, tokens shed.Tokens) {
-	if len(w.open) == 0 {
+	if len(w.inFlight) == 0 {
 		return
 	}
-	c := w.open[0]
-	w.ended(shed.CallEnded{Call: c, End: end, Server: w.on[c], Tokens: tokens, Reason: shed.ReasonBroken})
+	c := w.inFlight[0]
+	w.endCall(shed.CallEnded{Call: c, End: end, Server: w.serverOf[c], Tokens: tokens, Reason: shed.ReasonBroken})
 }
 
 const matrixSteps = 7
 
-// cell runs one request, with the faults in place of the steps given, and
-// returns what the oracle found.
-func cell(p shed.PipelineID, off safeguards, at map[int][]fault) []string {
-	w := newWorld(off)
-	w.placing = func() int {
+// runCell runs one request, with faults in place of the given steps, and returns the faults
+// that the oracle found.
+func runCell(p shed.PipelineID, disabled safeguards, faultsAt map[int][]fault) []string {
+	w := newWorld(disabled)
+	w.nextPlacing = func() int {
 		if len(w.script) == 0 {
 			return -1
 		}
@@ -100,25 +100,25 @@
 		w.script = w.script[1:]
 		return k
 	}
-	a := arrived("r1", p)
-	w.o.arrived(a, testRules().Pipelines[p])
+	a := newRequest("r1", p)
+	w.oracle.addRequest(a, testRules().Pipelines[p])
 	w.handle(a)
 	for step := range matrixSteps {
-		for _, f := range at[step] {
+		for _, f := range faultsAt[step] {
 			f.do(w)
 		}
-		if len(at[step]) == 0 {
+		if len(faultsAt[step]) == 0 {
 			w.endFirst(shed.EndComplete, 20)
 		}
-		w.leap(100 * time.Millisecond)
+		w.skipTime(100 * time.Millisecond)
 	}
-	w.close()
-	return w.o.faults
+	w.passAllDeadlines()
+	return w.oracle.faults
 }
 
-// everyCell calls visit for each fault at each step and for each pair of faults
+// forEachCell calls visit for each fault at each step and for each pair of faults
 // at each pair of steps, the same step included, until visit returns false.
-func everyCell(visit func(p shed.PipelineID, name string, at map[int][]fault) bool) {
+func forEachCell(visit func(p shed.PipelineID, name string, at map[int][]fault) bool) {
 	faults := matrixFaults()
 	for _, p := range []shed.PipelineID{"draft", "publish"} {
 		for i := range matrixSteps * len(faults) {
@@ -128,9 +128,9 @@
 			}
 			for k := step * len(faults); k < matrixSteps*len(faults); k++ {
 				g, later := faults[k%len(faults)], k/len(faults)
-				at := map[int][]fault{step: {f}}
-				at[later] = append(at[later], g)
-				if !visit(p, fmt.Sprintf("%d %s, %d %s", step, f.name, later, g.name), at) {
+				faultsAt := map[int][]fault{step: {f}}
+				faultsAt[later] = append(faultsAt[later], g)
+				if !visit(p, fmt.Sprintf("%d %s, %d %s", step, f.name, later, g.name), faultsAt) {
 					return
 				}
 			}
@@ -138,36 +138,36 @@
 	}
 }
 
-// Every fault comes at every step of a request, then every pair of faults. The
-// caller must see one true answer in each cell, and nothing may run twice that
-// must not: the step before the fault may have sent it already.
+// Every fault occurs at every step of a request, then every pair of faults. In each cell the
+// caller must get one true answer, and a stage that must run at most once must not run twice:
+// the step before the fault may have sent it already.
 func TestFaultMatrix(t *testing.T) {
 	cells := 0
-	everyCell(func(p shed.PipelineID, name string, at map[int][]fault) bool {
+	forEachCell(func(p shed.PipelineID, name string, at map[int][]fault) bool {
 		cells++
-		return assert.Empty(t, cell(p, safeguards{}, at), "%s: %s", p, name)
+		return assert.Empty(t, runCell(p, safeguards{}, at), "%s: %s", p, name)
 	})
 	t.Logf("%d cells", cells)
 }
 
-// With a safeguard off some cell must go red, or the matrix proves nothing of
-// it. "one start" and "bound pause" need a second request and three faults in a
-// row, so they are left to the state machine.
+// With a safeguard disabled some cell must fail, or the matrix proves nothing about it. "one
+// start" needs a second request and "bound backoff" three faults in a row, so these are left
+// to the state machine.
 func TestFaultMatrixCatchesEachSafeguardOff(t *testing.T) {
-	for name, off := range mutants() {
-		if off.oneStart || off.boundPause {
+	for name, disabled := range mutants() {
+		if disabled.oneStart || disabled.boundBackoff {
 			continue
 		}
 		t.Run(name, func(t *testing.T) {
-			red := ""
-			everyCell(func(p shed.PipelineID, cellName string, at map[int][]fault) bool {
-				if faults := cell(p, off, at); len(faults) > 0 {
-					red = fmt.Sprintf("%s: %s: %v", p, cellName, faults)
+			firstFailure := ""
+			forEachCell(func(p shed.PipelineID, cellName string, at map[int][]fault) bool {
+				if faults := runCell(p, disabled, at); len(faults) > 0 {
+					firstFailure = fmt.Sprintf("%s: %s: %v", p, cellName, faults)
 				}
-				return red == ""
+				return firstFailure == ""
 			})
-			require.NotEmpty(t, red, "no cell went red")
-			t.Log(red)
+			require.NotEmpty(t, firstFailure, "no cell failed")
+			t.Log(firstFailure)
 		})
 	}
 }
--- a/internal/flow/request.go
+++ b/internal/flow/request.go
@@ -14,13 +14,13 @@
 
 const (
 	stateNew state = iota
-	// stateWaiting: in a queue of the gate.
+	// stateWaiting: in a queue of the admission gate.
 	stateWaiting
-	// stateBackoff: waits for its wake, then is placed again.
+	// stateBackoff: waits for its wake time, then is placed again.
 	stateBackoff
-	// stateRunning: call is live.
+	// stateRunning: call is in flight.
 	stateRunning
-	stateOver
+	stateFinished
 )
 
 // request is one accepted request.
@@ -29,53 +29,52 @@
 	pipeline *shed.Pipeline
 	trail    *trail.Trail
 	state    state
-	// stage is the index of the stage at work; it only grows.
+	// stage is the index of the current stage; it only grows.
 	stage int
-	// call is the live call; void unless running.
+	// call is the call in flight; void unless running.
 	call shed.Call
-	// local is the server of the live call if it runs in this zone.
-	local *shed.Server
-	// offset is how many tokens were here before the live call.
-	offset  shed.Tokens
-	resumes int
-	// asides counts how often it stepped aside in this stage.
-	asides int
+	// localServer is the server of the call in flight if it runs in this zone.
+	localServer *shed.Server
+	// tokensBefore is how many tokens had arrived before the call in flight.
+	tokensBefore shed.Tokens
+	resumes      int
+	// queueSkips counts how often it skipped the queue in this stage.
+	queueSkips int
 	// avoid are the servers that failed this stage, at most maxAvoid.
 	avoid []shed.ServerID
-	// waits is why the last placing found no room.
-	waits shed.Reason
-	// gone: the caller went away, but the end must become known.
-	gone bool
-	// wake is when something must be done; index is its place in the heap, -1
-	// if it has none.
-	wake  time.Time
-	index int
+	// waitReason is why the last placement found no free server.
+	waitReason shed.Reason
+	// callerGone: the caller is gone, but the end must become known.
+	callerGone bool
+	// wakeAt is when the request needs attention; index is its place in the heap, -1 if it
+	// has none.
+	wakeAt time.Time
+	index  int
 }
 
-func (r *request) at() *shed.Stage { return &r.pipeline.Stages[r.stage] }
+func (r *request) currentStage() *shed.Stage { return &r.pipeline.Stages[r.stage] }
 
-// cutoff is when the live stage's result is worth nothing any more. For a
-// stage that must run at most once that is only the request's own deadline,
-// since knowing how it ended is worth something by itself.
+// cutoff is when the result of the current stage becomes useless. For a stage that must run
+// at most once it is the request's own deadline, since knowing its outcome is useful in itself.
 func (r *request) cutoff() time.Time {
-	if !r.at().Idempotent {
+	if !r.currentStage().Idempotent {
 		return r.arrived.Deadline
 	}
 	return r.arrived.Deadline.Add(-admit.Minimum(r.pipeline, r.stage+1))
 }
 
-// setState moves the request to a state and sets its wake; a zero wake is none.
+// setState moves the request to a state and sets its wake time; zero is none.
 func (f *Flow) setState(r *request, s state, wake time.Time) {
 	r.state = s
-	r.wake = wake
+	r.wakeAt = wake
 	switch {
 	case wake.IsZero() && r.index >= 0:
-		heap.Remove(&f.wakes, r.index)
+		heap.Remove(&f.byWakeTime, r.index)
 	case wake.IsZero():
 	case r.index >= 0:
-		heap.Fix(&f.wakes, r.index)
+		heap.Fix(&f.byWakeTime, r.index)
 	default:
-		heap.Push(&f.wakes, r)
+		heap.Push(&f.byWakeTime, r)
 	}
 }
 
@@ -84,8 +83,8 @@
 func (h wakeHeap) Len() int { return len(h) }
 
 func (h wakeHeap) Less(i, j int) bool {
-	if !h[i].wake.Equal(h[j].wake) {
-		return h[i].wake.Before(h[j].wake)
+	if !h[i].wakeAt.Equal(h[j].wakeAt) {
+		return h[i].wakeAt.Before(h[j].wakeAt)
 	}
 	return h[i].arrived.Request < h[j].arrived.Request
 }
--- a/internal/flow/trail/finish.go
+++ b/internal/flow/trail/finish.go
@@ -8,22 +8,22 @@
 	shed "jasmineshed"
 )
 
-// Cause is why a request ends. The outcome follows from it and from what was
-// sent. The set is closed.
+// Cause is why a request ends. The outcome follows from it and from what was sent. The set of
+// causes is closed.
 type Cause uint8
 
 // The causes.
 const (
-	// CauseDone: the last stage's result is here.
+	// CauseDone: the last stage has its result.
 	CauseDone Cause = iota + 1
-	// CauseRefused: it is given up on, though nothing is wrong with it.
+	// CauseRefused: the daemon gave up on it, though no stage failed.
 	CauseRefused
 	// CauseFailed: a stage failed.
 	CauseFailed
 	// CauseDeadline: the deadline passed.
 	CauseDeadline
-	// CauseGone: the caller went away.
-	CauseGone
+	// CauseCallerGone: the caller went away.
+	CauseCallerGone
 )
 
 // End is how and why a request ends.
@@ -45,11 +45,10 @@
 	}
 }
 
-// Finish builds the request's final answer. Calls that have not ended count as
-// run to now.
+// Finish builds the request's final answer. Calls that have not ended are charged until now.
 func (t *Trail) Finish(now time.Time, end End) shed.Finish {
 	outcome := t.outcome(end.Cause)
-	t.close(now, outcome, end.Cause)
+	t.settleCosts(now, outcome, end.Cause)
 	return shed.Finish{
 		Request:    t.request,
 		Outcome:    outcome,
@@ -60,21 +59,21 @@
 	}
 }
 
-// outcome never takes the cause's word for what was sent.
+// outcome decides what was sent from the recorded calls, never from the cause.
 func (t *Trail) outcome(c Cause) shed.Outcome {
 	reached, done := false, true
 	for i := range t.stages {
 		s := &t.stages[i]
-		if s.inDoubt() {
+		if s.outcomeUnknown() {
 			return shed.OutcomeUnknown
 		}
-		reached = reached || s.reached()
-		done = done && s.winner() >= 0
+		reached = reached || s.reachedServer()
+		done = done && s.completedCall() >= 0
 	}
 	switch {
 	case c == CauseDone && done:
 		return shed.OutcomeComplete
-	case c == CauseGone:
+	case c == CauseCallerGone:
 		return shed.OutcomeCancelled
 	case !reached:
 		return shed.OutcomeNotRun
@@ -86,18 +85,18 @@
 	return shed.OutcomeFailed
 }
 
-// close settles the cost of every call.
-func (t *Trail) close(now time.Time, outcome shed.Outcome, c Cause) {
+// settleCosts decides for each call whether its cost was useful or wasted.
+func (t *Trail) settleCosts(now time.Time, outcome shed.Outcome, c Cause) {
 	for i := range t.stages {
 		s := &t.stages[i]
 		useful := -1
 		if outcome == shed.OutcomeComplete {
-			useful = s.winner()
+			useful = s.completedCall()
 		}
 		for k := range s.calls {
 			s.calls[k].settle(now, c)
 		}
-		// What a stream brought before it was resumed is part of the result.
+		// The part of a stream before it was resumed belongs to the result.
 		for k := useful; k >= 0; k-- {
 			s.calls[k].use = cost.Useful
 			if !s.calls[k].resumes {
@@ -107,14 +106,14 @@
 	}
 }
 
-// settle books the call as waste; close then takes the useful ones out.
+// settle marks the call as waste; settleCosts then marks the useful ones.
 func (c *call) settle(now time.Time, cause Cause) {
 	if c.end == 0 {
-		c.took = now.Sub(c.at)
+		c.duration = now.Sub(c.sentAt)
 	}
 	switch c.end {
 	case 0, shed.EndComplete:
-		c.use = wasteOf(cause)
+		c.use = wasteUse(cause)
 	case shed.EndCancelled:
 		c.use = cost.Cancelled
 	default:
@@ -122,9 +121,9 @@
 	}
 }
 
-func wasteOf(c Cause) cost.Use {
+func wasteUse(c Cause) cost.Use {
 	switch c {
-	case CauseGone:
+	case CauseCallerGone:
 		return cost.Cancelled
 	case CauseDeadline:
 		return cost.Late
@@ -136,7 +135,7 @@
 	if c.end == shed.EndNotStarted || c.end == shed.EndOverloaded {
 		return 0
 	}
-	return cost.Of(c.took, c.capacity)
+	return cost.Of(c.duration, c.capacity)
 }
 
 func (t *Trail) reports() []shed.StageReport {
@@ -148,11 +147,11 @@
 }
 
 func (s *stage) report() shed.StageReport {
-	r := shed.StageReport{Stage: s.id, Attempts: uint16(len(s.calls)), Ran: s.reached()}
+	r := shed.StageReport{Stage: s.id, Attempts: uint16(len(s.calls)), Ran: s.reachedServer()}
 	if len(s.calls) == 0 {
 		return r
 	}
-	shown := s.winner()
+	shown := s.completedCall()
 	if shown < 0 {
 		shown = len(s.calls) - 1
 	}
@@ -161,7 +160,7 @@
 	r.Tokens = s.calls[shown].tokens
 	for i := range s.calls {
 		c := &s.calls[i]
-		r.Took += c.took
+		r.Took += c.duration
 		if c.use == cost.Useful {
 			r.Useful += c.cost()
 			continue
@@ -171,9 +170,9 @@
 	return r
 }
 
-// Book adds the cost of every call that reached a server to the ledger. It is
-// called once, after Finish.
-func (t *Trail) Book(l *cost.Ledger, p shed.PipelineID) {
+// AddCosts adds the cost of every call that reached a server to the ledger. It must be called
+// once, after Finish.
+func (t *Trail) AddCosts(l *cost.Ledger, p shed.PipelineID) {
 	for i := range t.stages {
 		s := &t.stages[i]
 		key := cost.Key{Pipeline: p, Stage: s.id}
