--- a/internal/slots/compare_test.go
+++ b/internal/slots/compare_test.go
@@ -10,84 +10,84 @@
 	"jasmineshed/internal/rank"
 )
 
-// rival is one way to share what a cold server bears; docs/design/cold.md
+// strategy is one way to share what a cold server bears; docs/design/cold.md
 // weighs them by the figures of BenchmarkRivals.
-type rival uint8
+type strategy uint8
 
 const (
-	staticSplit rival = iota // each VM of the list has its share, dead or alive
-	naiveKeeper              // the first by view counts for all, at once
-	safeKeeper               // the same, but the keeper is chosen as a slot
+	staticSplit strategy = iota // each VM of the list has its share, dead or alive
+	naiveLeader                 // the first by view counts for all, at once
+	safeLeader                  // the same, but the keeper is chosen as a slot
 	slotTable
 )
 
-// contest is a cold server that bears four before a zone, under a fault at 1 s.
-type contest struct {
-	rival  rival
-	now    time.Time
-	vms    []shed.VM
-	tables []*Table
-	part   []int
-	awake  []time.Time // when each is awake again
-	calls  []flightOf
-	done   int
-	peak   int
-	n      int
+// simulation is a cold server that bears four before a zone, under a fault at 1 s.
+type simulation struct {
+	strategy  strategy
+	now       time.Time
+	vms       []shed.VM
+	tables    []*Table
+	partition []int
+	awakeAt   []time.Time // when each is awake again
+	calls     []activeCall
+	completed int
+	peak      int
+	sent      int
 }
 
-type flightOf struct {
-	by  int
-	id  shed.Call
-	end time.Time
+type activeCall struct {
+	sender int
+	call   shed.Call
+	endsAt time.Time
 }
 
-var contestStart = time.Unix(1000, 0)
+var simulationStart = time.Unix(1000, 0)
 
 const (
-	contestBears = 4
-	contestCall  = time.Second
-	contestWarm  = 40 // completions
-	never        = 10 * time.Minute
+	coldCapacity = 4
+	callTime     = time.Second
+	warmAfter    = 40 // completions
+	maxRunTime   = 10 * time.Minute
 )
 
-func newContest(r rival, n int) *contest {
-	c := &contest{rival: r, now: contestStart, part: make([]int, n), awake: make([]time.Time, n)}
-	bears := contestBears
-	if r == safeKeeper {
-		bears = 1
+func newSimulation(r strategy, n int) *simulation {
+	c := &simulation{strategy: r, now: simulationStart, partition: make([]int, n), awakeAt: make([]time.Time, n)}
+	capacity := coldCapacity
+	if r == safeLeader {
+		capacity = 1
 	}
 	for i := range n {
 		c.vms = append(c.vms, shed.VM(fmt.Sprintf("10.0.0.%d:1", i)))
-		t := New(Config{Self: c.vms[i], LongestCall: 2 * contestCall, ReleaseUpTo: -1})
-		t.SetServers(c.now, []*shed.Server{{ID: "s1", ColdCapacity: bears, Capacity: 9}})
+		t := New(Config{Self: c.vms[i], LongestCall: 2 * callTime, ReleaseUpTo: -1})
+		t.SetServers(c.now, []*shed.Server{{ID: "s1", ColdCapacity: capacity, Capacity: 9}})
 		c.tables = append(c.tables, t)
 	}
 	// All have long been up when the server turns cold.
 	for range 600 {
-		c.look()
+		c.updateViews()
 		c.now = c.now.Add(step)
 	}
 	return c
 }
 
-// sees: with whom i reckons; it learns of the fault after six seconds.
-func (c *contest) sees(i, j int, age time.Duration) bool {
-	return i == j || age < 6*time.Second || c.part[i] == c.part[j] && !c.now.Before(c.awake[j])
+// hasInView: with whom i reckons; it learns of the fault after six seconds.
+func (c *simulation) hasInView(i, j int, age time.Duration) bool {
+	return i == j || age < 6*time.Second || c.partition[i] == c.partition[j] && !c.now.Before(c.awakeAt[j])
 }
 
-func (c *contest) view(i int) []shed.VM {
+func (c *simulation) view(i int) []shed.VM {
 	var out []shed.VM
 	for j := range c.vms {
-		if c.sees(i, j, c.now.Sub(contestStart)-61*time.Second) {
+		if c.hasInView(i, j, c.now.Sub(simulationStart)-61*time.Second) {
 			out = append(out, c.vms[j])
 		}
 	}
 	return out
 }
 
-func (c *contest) look() {
+func (c *simulation) updateViews() {
 	for i, t := range c.tables {
-		if !c.now.Before(c.awake[i]) {
+		if !c.now.Before(c.awakeAt[i]) {
 			v := c.view(i)
 			t.SetKnown(c.now, c.vms)
 			t.SetView(c.now, v, uint64(len(v)), false)
@@ -95,30 +95,30 @@
 	}
 }
 
-// sender returns who sends a call that came to i, or -1.
-func (c *contest) sender(i int) int {
-	switch c.rival {
+// selectSender returns who sends a call that came to i, or -1.
+func (c *simulation) selectSender(i int) int {
+	switch c.strategy {
 	case staticSplit:
-		for s := range contestBears {
+		for s := range coldCapacity {
 			owner, _ := rank.Owner(slotKey("s1", s), c.vms)
-			if j := c.find(owner); c.reaches(i, j) && c.own(j) < c.share(j) {
+			if j := c.indexOf(owner); c.canReach(i, j) && c.activeCalls(j) < c.ownedSlots(j) {
 				return j
 			}
 		}
-	case naiveKeeper:
+	case naiveLeader:
 		owner, _ := rank.Owner(slotKey("s1", 0), c.view(i))
-		if j := c.find(owner); c.reaches(i, j) && c.own(j) < contestBears {
+		if j := c.indexOf(owner); c.canReach(i, j) && c.activeCalls(j) < coldCapacity {
 			return j
 		}
-	case safeKeeper:
+	case safeLeader:
 		for j, t := range c.tables {
-			if c.reaches(i, j) && t.Holds(c.now, "s1", 0) && c.own(j) < contestBears {
+			if c.canReach(i, j) && t.Holds(c.now, "s1", 0) && c.activeCalls(j) < coldCapacity {
 				return j
 			}
 		}
 	case slotTable:
 		for j, t := range c.tables {
-			if c.reaches(i, j) && t.Take(c.now, "s1", shed.Call{Request: shed.RequestID(fmt.Sprint(c.n))}).OK() {
+			if c.canReach(i, j) && t.Take(c.now, "s1", shed.Call{Request: shed.RequestID(fmt.Sprint(c.sent))}).OK() {
 				return j
 			}
 		}
@@ -126,7 +126,7 @@
 	return -1
 }
 
-func (c *contest) find(vm shed.VM) int {
+func (c *simulation) indexOf(vm shed.VM) int {
 	for i := range c.vms {
 		if c.vms[i] == vm {
 			return i
@@ -135,21 +135,21 @@
 	return -1
 }
 
-func (c *contest) reaches(i, j int) bool {
-	return c.part[i] == c.part[j] && !c.now.Before(c.awake[i]) && !c.now.Before(c.awake[j])
+func (c *simulation) canReach(i, j int) bool {
+	return c.partition[i] == c.partition[j] && !c.now.Before(c.awakeAt[i]) && !c.now.Before(c.awakeAt[j])
 }
 
-func (c *contest) own(j int) (n int) {
+func (c *simulation) activeCalls(j int) (n int) {
 	for _, f := range c.calls {
-		if f.by == j {
+		if f.sender == j {
 			n++
 		}
 	}
 	return n
 }
 
-func (c *contest) share(j int) (n int) {
-	for s := range contestBears {
+func (c *simulation) ownedSlots(j int) (n int) {
+	for s := range coldCapacity {
 		if owner, _ := rank.Owner(slotKey("s1", s), c.vms); owner == c.vms[j] {
 			n++
 		}
@@ -158,20 +158,20 @@
 }
 
 // run gives the time until the server is warm.
-func (c *contest) run(fault func(c *contest)) time.Duration {
+func (c *simulation) run(fault func(c *simulation)) time.Duration {
 	rng := rand.New(rand.NewPCG(1, 1))
 	from := c.now
-	for c.done < contestWarm && c.now.Sub(from) < never {
+	for c.completed < warmAfter && c.now.Sub(from) < maxRunTime {
 		c.now = c.now.Add(step)
 		if c.now.Sub(from) == time.Second {
 			fault(c)
 		}
-		c.look()
-		c.finish()
-		for range 2 * contestBears {
-			c.n++
-			if j := c.sender(rng.IntN(len(c.vms))); j >= 0 {
-				c.calls = append(c.calls, flightOf{j, shed.Call{Request: shed.RequestID(fmt.Sprint(c.n))}, c.now.Add(contestCall)})
+		c.updateViews()
+		c.finishCalls()
+		for range 2 * coldCapacity {
+			c.sent++
+			if j := c.selectSender(rng.IntN(len(c.vms))); j >= 0 {
+				c.calls = append(c.calls, activeCall{j, shed.Call{Request: shed.RequestID(fmt.Sprint(c.sent))}, c.now.Add(callTime)})
 			}
 		}
 		c.peak = max(c.peak, len(c.calls))
@@ -179,16 +179,16 @@
 	return c.now.Sub(from)
 }
 
-func (c *contest) finish() {
-	var live []flightOf
+func (c *simulation) finishCalls() {
+	var live []activeCall
 	for _, f := range c.calls {
-		if c.now.Before(f.end) {
+		if c.now.Before(f.endsAt) {
 			live = append(live, f)
 			continue
 		}
-		c.done++
-		if !c.now.Before(c.awake[f.by]) {
-			c.tables[f.by].Release(c.now, f.id, shed.EndComplete)
+		c.completed++
+		if !c.now.Before(c.awakeAt[f.sender]) {
+			c.tables[f.sender].Release(c.now, f.call, shed.EndComplete)
 		}
 	}
 	c.calls = live
@@ -197,23 +197,23 @@
 // BenchmarkRivals gives the highest number of calls at once, of which the
 // server bears four, and the time until it has completed forty.
 func BenchmarkRivals(b *testing.B) {
-	keeper, _ := rank.Owner(slotKey("s1", 0), newContest(naiveKeeper, 7).vms)
+	leader, _ := rank.Owner(slotKey("s1", 0), newSimulation(naiveLeader, 7).vms)
 	for _, fault := range []struct {
 		name string
-		do   func(c *contest, k int)
+		do   func(c *simulation, k int)
 	}{
-		{"none", func(_ *contest, _ int) {}},
-		{"keeper_dies", func(c *contest, k int) { c.awake[k] = c.now.Add(time.Hour) }},
-		{"keeper_freezes_20s", func(c *contest, k int) { c.awake[k] = c.now.Add(20 * time.Second) }},
-		{"keeper_cut_off", func(c *contest, k int) { c.part[k] = 1 }},
+		{"none", func(_ *simulation, _ int) {}},
+		{"keeper_dies", func(c *simulation, k int) { c.awakeAt[k] = c.now.Add(time.Hour) }},
+		{"keeper_freezes_20s", func(c *simulation, k int) { c.awakeAt[k] = c.now.Add(20 * time.Second) }},
+		{"keeper_cut_off", func(c *simulation, k int) { c.partition[k] = 1 }},
 	} {
 		for r, name := range []string{"static_split", "naive_keeper", "safe_keeper", "slots"} {
 			b.Run(fault.name+"/"+name, func(b *testing.B) {
 				for b.Loop() {
-					c := newContest(rival(r), 7)
-					took := c.run(func(c *contest) { fault.do(c, c.find(keeper)) })
+					c := newSimulation(strategy(r), 7)
+					elapsed := c.run(func(c *simulation) { fault.do(c, c.indexOf(leader)) })
 					b.ReportMetric(float64(c.peak), "peak")
-					b.ReportMetric(took.Seconds(), "s_to_warm")
+					b.ReportMetric(elapsed.Seconds(), "s_to_warm")
 				}
 			})
 		}
--- a/internal/slots/table.go
+++ b/internal/slots/table.go
@@ -52,39 +52,39 @@
 // Table is one daemon's share of the slots of its zone's servers.
 type Table struct {
 	cfg Config
-	// off removes safeguards; only tests set it.
-	off safeguards
+	// disabled removes safeguards; only tests set it.
+	disabled safeguards
 
 	view []shed.VM // sorted
 	hash uint64
 	// known are the zone's VMs that may be alive, seen or not.
 	known []shed.VM
-	// lost is when a known VM was last seen to be out of the view.
-	lost map[shed.VM]time.Time
-	// released is when a VM said, in answer to turn, that under hash it is clean.
-	released map[shed.VM]time.Time
-	// turn is new after each change of the view.
-	turn uint64
-	// heard is the last turn of each peer, to be answered.
-	heard map[shed.VM]uint64
+	// missingSince is when a known VM was last seen to be out of the view.
+	missingSince map[shed.VM]time.Time
+	// releasedAt is when a VM said, in answer to turn, that under hash it is clean.
+	releasedAt map[shed.VM]time.Time
+	// epoch is new after each change of the view.
+	epoch uint64
+	// peerEpochs is the last turn of each peer, to be answered.
+	peerEpochs map[shed.VM]uint64
 
 	servers map[shed.ServerID]*entry
 	order   []shed.ServerID // sorted keys of servers
-	calls   map[shed.Call]*hold
+	calls   map[shed.Call]*heldCall
 
 	// trusted: the view is confirmed and holds a majority of the known VMs.
 	trusted   bool
 	trustedAt time.Time
-	changed   time.Time
-	// longest is LongestCall, or more if the rules allow more.
-	longest time.Duration
-	toldAt  time.Time
+	changedAt time.Time
+	// longestCall is LongestCall, or more if the rules allow more.
+	longestCall   time.Duration
+	lastBroadcast time.Time
 }
 
 // safeguards names what tests may switch off to see the oracle go red.
 type safeguards struct {
-	noWait, noMajority, noWake, forgetBroken bool
-	noRelease, noTurn, noReport, noRegain    bool
+	noWait, noMajority, noPauseCheck, freeBroken bool
+	noRelease, noEpoch, noReport, noReset        bool
 }
 
 // entry is one server's slots.
@@ -94,31 +94,31 @@
 	// inFlight counts this daemon's calls on the server, with those started
 	// while it was warm.
 	inFlight int
-	// next rotates over the peers to ask.
-	next int
+	// nextSlot rotates over the peers to ask.
+	nextSlot int
 	// running is how many calls the server said it had, and reportAt when.
-	running  int
-	reportAt time.Time
+	running    int
+	reportedAt time.Time
 }
 
 // slot is one share of a server.
 type slot struct {
 	owner shed.VM
-	// since is when this daemon gained it; void if owner is another.
-	since time.Time
+	// ownedSince is when this daemon gained it; void if owner is another.
+	ownedSince time.Time
 }
 
-// hold is one call that occupies a share.
-type hold struct {
+// heldCall is one call that occupies a share.
+type heldCall struct {
 	server shed.ServerID
-	// cold: it was granted a slot, so it counts for releases.
-	cold bool
-	// until is when the server has surely ended it; zero while its end is
+	// granted: it was granted a slot, so it counts for releases.
+	granted bool
+	// occupiedUntil is when the server has surely ended it; zero while its end is
 	// still to come.
-	until   time.Time
-	started time.Time
-	// ended is when this daemon gave it up; zero while it hasn't.
-	ended time.Time
+	occupiedUntil time.Time
+	started       time.Time
+	// abandonedAt is when this daemon gave it up; zero while it hasn't.
+	abandonedAt time.Time
 }
 
 // Answer tells the kinds of Grant apart. The set is closed.
@@ -157,13 +157,13 @@
 		cfg.ReleaseUpTo = DefaultReleaseUpTo
 	}
 	return &Table{
-		cfg:      cfg,
-		longest:  cfg.LongestCall,
-		lost:     map[shed.VM]time.Time{},
-		released: map[shed.VM]time.Time{},
-		heard:    map[shed.VM]uint64{},
-		servers:  map[shed.ServerID]*entry{},
-		calls:    map[shed.Call]*hold{},
+		cfg:          cfg,
+		longestCall:  cfg.LongestCall,
+		missingSince: map[shed.VM]time.Time{},
+		releasedAt:   map[shed.VM]time.Time{},
+		peerEpochs:   map[shed.VM]uint64{},
+		servers:      map[shed.ServerID]*entry{},
+		calls:        map[shed.Call]*heldCall{},
 	}
 }
 
@@ -173,14 +173,14 @@
 	}
 }
 
-// wait is how long a gained slot stays unused.
-func (t *Table) wait() time.Duration { return t.cfg.Settle + t.longest }
+// gainWait is how long a gained slot stays unused.
+func (t *Table) gainWait() time.Duration { return t.cfg.Settle + t.longestCall }
 
 // SetLongest tells the longest deadline in the rules in force, if that is more
 // than LongestCall. It never gets shorter again, since calls under older rules
 // may still run. Rules reach all daemons well within Settle, and a slot's wait
 // is worked out when it is to be used, so nobody goes by too short a time.
-func (t *Table) SetLongest(d time.Duration) { t.longest = max(t.longest, d) }
+func (t *Table) SetLongest(d time.Duration) { t.longestCall = max(t.longestCall, d) }
 
 // SetServers tells which servers of this zone the rules name.
 func (t *Table) SetServers(now time.Time, servers []*shed.Server) []shed.Action {
@@ -228,7 +228,7 @@
 		if owner == s.owner {
 			continue
 		}
-		*s = slot{owner: owner, since: now}
+		*s = slot{owner: owner, ownedSince: now}
 	}
 }
 
@@ -238,18 +238,18 @@
 // until Release.
 func (t *Table) Take(now time.Time, server shed.ServerID, call shed.Call) Grant {
 	e := t.servers[server]
-	if e == nil || !t.trust(now) {
+	if e == nil || !t.isTrusted(now) {
 		return Grant{Answer: GrantNone}
 	}
-	if _, twice := t.calls[call]; twice {
+	if _, exists := t.calls[call]; exists {
 		return Grant{Answer: GrantNone}
 	}
 	if t.Free(now, server) > 0 {
-		t.hold(now, server, call, true)
+		t.addCall(now, server, call, true)
 		return Grant{Answer: GrantOK}
 	}
-	grant := Grant{Answer: GrantNone, Ripe: t.ripe(e)}
-	if peer, ok := t.other(e); ok {
+	grant := Grant{Answer: GrantNone, Ripe: t.firstUsableAt(e)}
+	if peer, ok := t.nextOwner(e); ok {
 		grant.Answer = GrantAsk
 		grant.Peer = peer
 	}
@@ -262,21 +262,21 @@
 	if t.servers[server] == nil || t.calls[call] != nil {
 		return
 	}
-	t.hold(now, server, call, false)
+	t.addCall(now, server, call, false)
 }
 
-func (t *Table) hold(now time.Time, server shed.ServerID, call shed.Call, cold bool) {
+func (t *Table) addCall(now time.Time, server shed.ServerID, call shed.Call, cold bool) {
 	t.servers[server].inFlight++
-	t.calls[call] = &hold{server: server, cold: cold, started: now}
+	t.calls[call] = &heldCall{server: server, granted: cold, started: now}
 }
 
 // Free returns how many more calls this daemon may send to the cold server.
 func (t *Table) Free(now time.Time, server shed.ServerID) int {
 	e := t.servers[server]
-	if e == nil || !t.trust(now) {
+	if e == nil || !t.isTrusted(now) {
 		return 0
 	}
-	return max(0, t.usable(now, e)-e.inFlight)
+	return max(0, t.usableSlots(now, e)-e.inFlight)
 }
 
 // Holds tells whether slot i of the server is this daemon's to use. One daemon
@@ -284,47 +284,47 @@
 // that only one may do.
 func (t *Table) Holds(now time.Time, server shed.ServerID, i int) bool {
 	e := t.servers[server]
-	if e == nil || i >= len(e.slots) || !t.trust(now) {
+	if e == nil || i >= len(e.slots) || !t.isTrusted(now) {
 		return false
 	}
-	return t.ripened(now, e.slots[i])
+	return t.isUsable(now, e.slots[i])
 }
 
-// ripened tells whether the slot is this daemon's and its wait is over.
-func (t *Table) ripened(now time.Time, s slot) bool {
+// isUsable tells whether the slot is this daemon's and its wait is over.
+func (t *Table) isUsable(now time.Time, s slot) bool {
 	if s.owner != t.cfg.Self {
 		return false
 	}
-	return t.off.noWait || !now.Before(s.since.Add(t.wait()))
+	return t.disabled.noWait || !now.Before(s.ownedSince.Add(t.gainWait()))
 }
 
-// usable counts the slots that are this daemon's and that nobody else can
+// usableSlots counts the slots that are this daemon's and that nobody else can
 // still use.
-func (t *Table) usable(now time.Time, e *entry) int {
-	mine, old := 0, 0
+func (t *Table) usableSlots(now time.Time, e *entry) int {
+	owned, ripe := 0, 0
 	for _, s := range e.slots {
 		if s.owner != t.cfg.Self {
 			continue
 		}
-		mine++
-		if t.ripened(now, s) {
-			old++
+		owned++
+		if t.isUsable(now, s) {
+			ripe++
 		}
 	}
-	if old == mine {
-		return old
+	if ripe == owned {
+		return ripe
 	}
-	return max(old, t.early(now, e, mine))
+	return max(ripe, t.earlyUsable(now, e, owned))
 }
 
-// ripe returns when the first of this daemon's slots can be used.
-func (t *Table) ripe(e *entry) time.Time {
+// firstUsableAt returns when the first of this daemon's slots can be used.
+func (t *Table) firstUsableAt(e *entry) time.Time {
 	var first time.Time
 	for _, s := range e.slots {
 		if s.owner != t.cfg.Self {
 			continue
 		}
-		at := s.since.Add(t.wait())
+		at := s.ownedSince.Add(t.gainWait())
 		if first.IsZero() || at.Before(first) {
 			first = at
 		}
@@ -332,12 +332,12 @@
 	return first
 }
 
-// other returns a peer that owns one of the slots; in turn, so that no owner
+// nextOwner returns a peer that owns one of the slots; in turn, so that no owner
 // gets all the work.
-func (t *Table) other(e *entry) (shed.VM, bool) {
+func (t *Table) nextOwner(e *entry) (shed.VM, bool) {
 	for range e.slots {
-		e.next = (e.next + 1) % len(e.slots)
-		owner := e.slots[e.next].owner
+		e.nextSlot = (e.nextSlot + 1) % len(e.slots)
+		owner := e.slots[e.nextSlot].owner
 		if owner != "" && owner != t.cfg.Self {
 			return owner, true
 		}
@@ -349,25 +349,25 @@
 // the server still runs it, its share stays taken for as long as that can last.
 func (t *Table) Release(now time.Time, call shed.Call, end shed.CallEnd) []shed.Action {
 	h := t.calls[call]
-	if h == nil || !h.until.IsZero() {
+	if h == nil || !h.occupiedUntil.IsZero() {
 		return nil
 	}
-	if stillRuns(end) && !t.off.forgetBroken {
-		h.ended = now
-		h.until = h.started.Add(t.cfg.Flight + t.longest)
+	if mayStillRun(end) && !t.disabled.freeBroken {
+		h.abandonedAt = now
+		h.occupiedUntil = h.started.Add(t.cfg.Flight + t.longestCall)
 		return nil
 	}
-	t.drop(call, h)
-	return t.tell(now)
+	t.removeCall(call, h)
+	return t.broadcastRelease(now)
 }
 
-// stillRuns: the server has not told the call's end. It may not know yet that
+// mayStillRun: the server has not told the call's end. It may not know yet that
 // the connection broke, and the next call could overtake a cancel.
-func stillRuns(end shed.CallEnd) bool {
+func mayStillRun(end shed.CallEnd) bool {
 	return end == shed.EndBroken || end == shed.EndBadReply || end == shed.EndCancelled
 }
 
-func (t *Table) drop(call shed.Call, h *hold) {
+func (t *Table) removeCall(call shed.Call, h *heldCall) {
 	delete(t.calls, call)
 	if e := t.servers[h.server]; e != nil {
 		e.inFlight--
@@ -378,8 +378,8 @@
 // this daemon trusts now.
 func (t *Table) Ask(now time.Time, server shed.ServerID) (shed.VM, bool) {
 	e := t.servers[server]
-	if e == nil || !t.trust(now) {
+	if e == nil || !t.isTrusted(now) {
 		return "", false
 	}
-	return t.other(e)
+	return t.nextOwner(e)
 }
--- a/internal/slots/table_test.go
+++ b/internal/slots/table_test.go
@@ -23,15 +23,15 @@
 	os.Exit(m.Run())
 }
 
-// script runs a world through faults at chosen moments; the time between two
+// runScript runs a world through faults at chosen moments; the time between two
 // is up to nine seconds, so that several can fall within one wait.
-func script(choose func(name string, n int) int, off safeguards) *world {
-	w := newWorld(uint64(choose("seed", 1<<20)), 2+choose("procs", 4), 1+choose("bears", 3), off)
+func runScript(choose func(name string, n int) int, off safeguards) *simulatedZone {
+	w := newSimulatedZone(uint64(choose("seed", 1<<20)), 2+choose("procs", 4), 1+choose("bears", 3), off)
 	for range choose("faults", 16) {
-		w.fault(choose("kind", 8), choose("who", 8), choose("n", 128))
+		w.applyFault(choose("kind", 8), choose("who", 8), choose("n", 128))
 		for range 1 + choose("steps", 90) {
 			w.advance()
-			if w.overshoot() != nil {
+			if w.checkCapacity() != nil {
 				return w
 			}
 		}
@@ -44,10 +44,10 @@
 // that go by different views would each fill the server on their own.
 func TestServerNeverRunsMoreThanItBears(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		w := script(func(name string, n int) int {
+		w := runScript(func(name string, n int) int {
 			return rapid.IntRange(0, n-1).Draw(rt, name)
 		}, safeguards{})
-		if err := w.overshoot(); err != nil {
+		if err := w.checkCapacity(); err != nil {
 			rt.Fatal(err)
 		}
 	})
@@ -62,14 +62,14 @@
 	}{
 		{"gained slots are used at once", safeguards{noWait: true}},
 		{"a minority goes on", safeguards{noMajority: true}},
-		{"a pause is not noticed", safeguards{noWake: true}},
-		{"a broken call gives its slot back at once", safeguards{forgetBroken: true}},
+		{"a pause is not noticed", safeguards{noPauseCheck: true}},
+		{"a broken call gives its slot back at once", safeguards{freeBroken: true}},
 		{"nobody's release is waited for", safeguards{noRelease: true}},
 		{"the server's report is not waited for", safeguards{noReport: true}},
-		{"after doubt all slots count as before", safeguards{noRegain: true}},
+		{"after doubt all slots count as before", safeguards{noReset: true}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			seed, err := firstRed(tc.off, 4000)
+			seed, err := firstFailure(tc.off, 4000)
 			require.Error(t, err)
 			t.Logf("seed %d: %v", seed, err)
 		})
@@ -87,25 +87,25 @@
 		free int
 	}{
 		{"as it is", safeguards{}, 0},
-		{"without the turn", safeguards{noTurn: true}, 4},
+		{"without the turn", safeguards{noEpoch: true}, 4},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			now := time.Unix(1000, 0)
 			server := &shed.Server{ID: "s1", Capacity: 4, ColdCapacity: 4}
 			table := New(Config{Self: "a"})
-			table.off = tc.off
+			table.disabled = tc.off
 			table.SetServers(now, []*shed.Server{server})
 			table.SetKnown(now, []shed.VM{"b"})
-			see := func(hash uint64, vms ...shed.VM) {
+			setView := func(hash uint64, vms ...shed.VM) {
 				now = now.Add(step)
 				table.SetView(now, vms, hash, false)
 			}
-			see(1, "a", "b")
-			old := shed.SlotRelease{ViewHash: 1, Epoch: 5, SeenEpoch: table.turn}
-			see(2, "a")
-			see(1, "a", "b")
+			setView(1, "a", "b")
+			old := shed.SlotRelease{ViewHash: 1, Epoch: 5, SeenEpoch: table.epoch}
+			setView(2, "a")
+			setView(1, "a", "b")
 			for range 50 {
-				see(1, "a", "b")
+				setView(1, "a", "b")
 				table.Handle(now, shed.Tick{Wall: now})
 				table.Handle(now, shed.PeerMessage{From: shed.Peer{VM: "b"}, Message: old})
 				table.Handle(now, shed.LoadReported{Server: "s1", Report: shed.LoadReport{Boot: "x"}})
@@ -121,10 +121,10 @@
 func TestZoneRestartUsesColdServersSoon(t *testing.T) {
 	for _, n := range []int{1, 2, 3, 9} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
-			took, free := restartZone(n)
+			elapsed, free := restartZone(n)
 			wait := DefaultSettle + DefaultLongestCall
-			t.Logf("%d daemons use a cold server %s after the restart; full wait %s", n, took, wait)
-			require.Less(t, took, wait/2)
+			t.Logf("%d daemons use a cold server %s after the restart; full wait %s", n, elapsed, wait)
+			require.Less(t, elapsed, wait/2)
 			// Each daemon leaves one of its slots to the call of before, since
 			// none knows in whose slot it runs.
 			require.LessOrEqual(t, free, 3)
@@ -135,7 +135,7 @@
 
 // restartZone gives the time from the restart of n daemons, whose views are
 // confirmed three seconds later, until they use slots, and how many.
-func restartZone(n int) (took time.Duration, free int) {
+func restartZone(n int) (elapsed time.Duration, free int) {
 	now := time.Unix(1000, 0)
 	start := now
 	var vms []shed.VM
@@ -159,7 +159,7 @@
 				table.Handle(now, shed.LoadReported{Server: "s1", Report: report})
 			}
 			for _, a := range out {
-				post(tables, now, vm, a)
+				deliver(tables, now, vm, a)
 			}
 		}
 		for _, vm := range vms {
@@ -169,12 +169,12 @@
 	return now.Sub(start), free
 }
 
-// post delivers the message and all that it gives rise to.
-func post(tables map[shed.VM]*Table, now time.Time, from shed.VM, a shed.Action) {
+// deliver delivers the message and all that it gives rise to.
+func deliver(tables map[shed.VM]*Table, now time.Time, from shed.VM, a shed.Action) {
 	send := a.(shed.SendPeer)
 	ev := shed.PeerMessage{From: shed.Peer{VM: from}, Message: send.Message}
 	for _, answer := range tables[send.To].Handle(now, ev) {
-		post(tables, now, send.To, answer)
+		deliver(tables, now, send.To, answer)
 	}
 }
 
@@ -209,11 +209,11 @@
 	})
 }
 
-func firstRed(off safeguards, seeds uint64) (uint64, error) {
+func firstFailure(off safeguards, seeds uint64) (uint64, error) {
 	for seed := range seeds {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		w := script(func(_ string, n int) int { return rng.IntN(n) }, off)
-		if err := w.overshoot(); err != nil {
+		w := runScript(func(_ string, n int) int { return rng.IntN(n) }, off)
+		if err := w.checkCapacity(); err != nil {
 			return seed, err
 		}
 	}
