--- a/internal/slots/compare_test.go
+++ b/internal/slots/compare_test.go
@@ -10,25 +10,25 @@
 	"jasmineshed/internal/rank"
 )
 
-// strategy is one way to share what a cold server bears; docs/design/cold.md
-// weighs them by the figures of BenchmarkRivals.
+// strategy is one way to divide the capacity of a cold server; docs/design/cold.md compares them by
+// the results of BenchmarkRivals.
 type strategy uint8
 
 const (
-	staticSplit strategy = iota // each VM of the list has its share, dead or alive
-	naiveLeader                 // the first by view counts for all, at once
-	safeLeader                  // the same, but the keeper is chosen as a slot
+	staticSplit strategy = iota // each listed VM has a fixed share, dead or alive
+	naiveLeader                 // the VM ranked first by view admits all calls, without a wait
+	safeLeader                  // the same, but the leader is the VM that may use one slot
 	slotTable
 )
 
-// simulation is a cold server that bears four before a zone, under a fault at 1 s.
+// simulation is a zone that calls a cold server with a capacity of four, with a fault after 1 s.
 type simulation struct {
 	strategy  strategy
 	now       time.Time
 	vms       []shed.VM
 	tables    []*Table
 	partition []int
-	awakeAt   []time.Time // when each is awake again
+	awakeAt   []time.Time // when each VM runs again after a freeze
 	calls     []activeCall
 	completed int
 	peak      int
@@ -62,7 +62,7 @@
 		t.SetServers(c.now, []*shed.Server{{ID: "s1", ColdCapacity: capacity, Capacity: 9}})
 		c.tables = append(c.tables, t)
 	}
-	// All have long been up when the server turns cold.
+	// All VMs have been up for a minute when the server turns cold.
 	for range 600 {
 		c.updateViews()
 		c.now = c.now.Add(step)
@@ -70,7 +70,7 @@
 	return c
 }
 
-// hasInView: with whom i reckons; it learns of the fault after six seconds.
+// hasInView reports whether VM i sees VM j as alive; faults are detected after six seconds.
 func (c *simulation) hasInView(i, j int, age time.Duration) bool {
 	return i == j || age < 6*time.Second || c.partition[i] == c.partition[j] && !c.now.Before(c.awakeAt[j])
 }
@@ -95,7 +95,7 @@
 	}
 }
 
-// selectSender returns who sends a call that came to i, or -1.
+// selectSender returns the VM that sends a call received by VM i, or -1.
 func (c *simulation) selectSender(i int) int {
 	switch c.strategy {
 	case staticSplit:
@@ -157,7 +157,7 @@
 	return n
 }
 
-// run gives the time until the server is warm.
+// run returns the time until the server has completed warmAfter calls.
 func (c *simulation) run(fault func(c *simulation)) time.Duration {
 	rng := rand.New(rand.NewPCG(1, 1))
 	from := c.now
@@ -194,8 +194,8 @@
 	c.calls = live
 }
 
-// BenchmarkRivals gives the highest number of calls at once, of which the
-// server bears four, and the time until it has completed forty.
+// BenchmarkRivals reports the highest number of concurrent calls, of which the server can handle
+// four, and the time until it has completed forty.
 func BenchmarkRivals(b *testing.B) {
 	leader, _ := rank.Owner(slotKey("s1", 0), newSimulation(naiveLeader, 7).vms)
 	for _, fault := range []struct {
@@ -203,11 +203,11 @@
 		do   func(c *simulation, k int)
 	}{
 		{"none", func(_ *simulation, _ int) {}},
-		{"keeper_dies", func(c *simulation, k int) { c.awakeAt[k] = c.now.Add(time.Hour) }},
-		{"keeper_freezes_20s", func(c *simulation, k int) { c.awakeAt[k] = c.now.Add(20 * time.Second) }},
-		{"keeper_cut_off", func(c *simulation, k int) { c.partition[k] = 1 }},
+		{"leader_dies", func(c *simulation, k int) { c.awakeAt[k] = c.now.Add(time.Hour) }},
+		{"leader_freezes_20s", func(c *simulation, k int) { c.awakeAt[k] = c.now.Add(20 * time.Second) }},
+		{"leader_partitioned", func(c *simulation, k int) { c.partition[k] = 1 }},
 	} {
-		for r, name := range []string{"static_split", "naive_keeper", "safe_keeper", "slots"} {
+		for r, name := range []string{"static_split", "naive_leader", "safe_leader", "slots"} {
 			b.Run(fault.name+"/"+name, func(b *testing.B) {
 				for b.Loop() {
 					c := newSimulation(strategy(r), 7)
--- a/internal/slots/release.go
+++ b/internal/slots/release.go
@@ -7,16 +7,15 @@
 	shed "jasmineshed"
 )
 
-// earlyUsable returns how many of mine slots may be used before their wait is over.
+// earlyUsable returns how many of the owned slots may be used before their wait is over.
 //
-// After a restart of the whole zone every slot is newly gained, and the full
-// wait would leave every cold server unused for its length. It can be cut short
-// when nobody who might still use the slots is left: every peer of the view has
-// said that under this very view it uses only its own slots, and every other
-// VM that may be alive has said so too or was out of the view for Settle. What
-// may then still run are calls of processes that are gone. The server's report,
-// made after that, counts them; they only get fewer, so the slots beyond that
-// count are free.
+// After a restart of the whole zone every slot is newly gained, and the full wait would leave every
+// cold server unused for that long. The wait can be cut short when no VM can still use the slots
+// under another view: every peer of the view has reported that under this same view it uses only
+// its own slots, and every other VM that may be alive has reported that too or has been out of the
+// view for Settle. Then only calls of processes that are gone may still run. A load report of the
+// server made after that counts them; their number only falls, so the slots beyond that count are
+// free.
 func (t *Table) earlyUsable(now time.Time, e *entry, owned int) int {
 	since, ok := t.ownersOnlySince(now)
 	if !ok {
@@ -31,8 +30,8 @@
 	return max(0, owned-e.running)
 }
 
-// ownersOnlySince returns a time since which only the owners by this view can have
-// started calls, or false if others still can.
+// ownersOnlySince returns a time since which only the owners by this view can have started calls,
+// or false if other VMs still can.
 func (t *Table) ownersOnlySince(now time.Time) (time.Time, bool) {
 	since := t.changedAt
 	for _, vm := range t.view {
@@ -54,7 +53,7 @@
 	return since, !now.Before(since)
 }
 
-// inactiveSince returns when a VM outside the view has surely stopped using slots.
+// inactiveSince returns the time since which a VM outside the view can't have used slots.
 func (t *Table) inactiveSince(vm shed.VM) time.Time {
 	if at, ok := t.releasedAt[vm]; ok {
 		return at
@@ -62,9 +61,9 @@
 	return t.missingSince[vm].Add(t.cfg.Settle)
 }
 
-// handleRelease takes in a peer's SlotRelease. It counts only if it answers the
-// present turn, so it was sent after this daemon's last change of view: a late
-// one from an earlier, equal view could hide calls started in between.
+// handleRelease processes a peer's SlotRelease. It counts only if it answers the current epoch, so
+// it was sent after this daemon's last change of view: a late one from an earlier, equal view could
+// hide calls started in between.
 func (t *Table) handleRelease(now time.Time, from shed.VM, m shed.SlotRelease) []shed.Action {
 	if m.ViewHash == t.hash && (m.SeenEpoch == t.epoch || t.disabled.noEpoch) {
 		if _, ok := t.releasedAt[from]; !ok {
@@ -81,10 +80,10 @@
 	return []shed.Action{t.releaseMessage(from)}
 }
 
-// broadcastRelease sends a SlotRelease to the zone once this daemon uses only slots that
-// the present view gives it. It is sent again until the full wait would be over
-// anyway, since it may be lost; in a large zone not at all, where a change
-// moves few slots and the messages would cost more than the wait.
+// broadcastRelease sends a SlotRelease to the zone once this daemon uses only slots that it owns by
+// the current view. It is repeated until the full wait would be over anyway, since messages may be
+// lost. It isn't sent in a large zone, where a change of view moves few slots and the messages
+// would cost more than the wait.
 func (t *Table) broadcastRelease(now time.Time) []shed.Action {
 	if now.Sub(t.lastBroadcast) < t.cfg.ReleaseEvery || !t.canRelease(now) {
 		return nil
@@ -107,7 +106,7 @@
 	}}
 }
 
-// canRelease tells whether a SlotRelease would be true and of use.
+// canRelease reports whether a SlotRelease would be true and still useful.
 func (t *Table) canRelease(now time.Time) bool {
 	if !t.isTrusted(now) || len(t.view) > t.cfg.ReleaseUpTo {
 		return false
@@ -115,8 +114,8 @@
 	return now.Sub(t.changedAt) <= t.gainWait() && t.callsFitOwned()
 }
 
-// callsFitOwned tells whether the calls that were granted slots fit into the slots
-// that the present view gives.
+// callsFitOwned reports whether the calls that were granted slots fit into the slots that this
+// daemon owns by the current view.
 func (t *Table) callsFitOwned() bool {
 	granted := map[shed.ServerID]int{}
 	for _, h := range t.calls {
--- a/internal/slots/table.go
+++ b/internal/slots/table.go
@@ -1,11 +1,11 @@
-// Package slots shares out what a cold backend server bears among the daemons
-// of its zone, with no message on the path of a request.
+// Package slots divides the capacity of cold backend servers among the daemons of their zone,
+// without a message on the path of a request.
 //
-// A server that bears n calls at once has n slots. Slot i belongs to the daemon
-// that a rendezvous hash ranks first among those alive. Each daemon works this
-// out from its own view; as views change out of step, a daemon that gains a
-// slot waits until the loser can't use it any more. docs/design/cold.md has the
-// argument why the sum over all daemons never passes n.
+// A server that can handle n calls at once while it is cold has n slots. Slot i belongs to the live
+// daemon that rendezvous hashing ranks first. Each daemon computes this from its own view of the
+// zone. Views change at different times, so a daemon that gains a slot waits until the previous
+// owner can't use it any more. docs/design/cold.md explains why all daemons together never have
+// more than n calls on the server.
 package slots
 
 import (
@@ -17,29 +17,28 @@
 	"jasmineshed/internal/rank"
 )
 
-// Config sets up a Table.
+// Config configures a Table.
 type Config struct {
 	Self shed.VM
-	// Settle is the longest time for which a daemon may still start calls on a
-	// view that this one has given up: twice the time in which a death, a cut
-	// or its end is noticed, plus Flight. Twice, since a cut that ends before
-	// one side has noticed it is noticed as ended by the other side as late.
+	// Settle is the longest time for which a daemon may still start calls on a view that this one
+	// has replaced: twice the time to detect a death, a network partition or its end, plus Flight.
+	// Twice, because a partition may end before one side has detected it; the other side then
+	// detects its end just as late.
 	Settle time.Duration
-	// LongestCall is the longest time that a call can run on a server after
-	// its arrival there, by any rules; see SetLongest. Deadlines that travel
-	// with the call enforce it.
+	// LongestCall is the longest time that a call can run on a server after it arrived there, under
+	// any rules; see SetLongest. It is enforced by the deadlines sent with the calls.
 	LongestCall time.Duration
-	// Flight is the longest time from a decision to the call's arrival.
+	// Flight is the longest time from the decision to send a call to its arrival.
 	Flight time.Duration
-	// TickGap is the longest time without a Tick for which slots still count.
+	// TickGap is the longest time without a Tick for which slots may still be used.
 	TickGap time.Duration
-	// ReleaseEvery is how often releases are sent again, since they may be
-	// lost; ReleaseUpTo is the largest zone in which they are sent at all.
+	// ReleaseEvery is the interval at which releases are repeated, since they may be lost;
+	// ReleaseUpTo is the size of the largest zone in which they are sent at all.
 	ReleaseEvery time.Duration
 	ReleaseUpTo  int
 }
 
-// Defaults for what a Config leaves at 0.
+// Defaults of the Config fields that are 0.
 const (
 	DefaultSettle       = 18 * time.Second
 	DefaultLongestCall  = 8 * time.Second
@@ -49,23 +48,26 @@
 	DefaultReleaseUpTo  = 12
 )
 
-// Table is one daemon's share of the slots of its zone's servers.
+// Table holds one daemon's share of the slots of its zone's servers. It is not safe for concurrent
+// use.
 type Table struct {
 	cfg Config
-	// disabled removes safeguards; only tests set it.
+	// disabled switches off safeguards; only tests set it.
 	disabled safeguards
 
 	view []shed.VM // sorted
 	hash uint64
-	// known are the zone's VMs that may be alive, seen or not.
+	// known holds the zone's VMs that may be alive, whether in view or not.
 	known []shed.VM
-	// missingSince is when a known VM was last seen to be out of the view.
+	// missingSince is when a known VM was found missing from the view, or when trust in the view
+	// was last regained, if that is later.
 	missingSince map[shed.VM]time.Time
-	// releasedAt is when a VM said, in answer to turn, that under hash it is clean.
+	// releasedAt is when a VM reported, in answer to epoch, that under hash it uses only its own
+	// slots.
 	releasedAt map[shed.VM]time.Time
-	// epoch is new after each change of the view.
+	// epoch changes with each change of the view.
 	epoch uint64
-	// peerEpochs is the last turn of each peer, to be answered.
+	// peerEpochs is the last epoch received from each peer; releases to it return it.
 	peerEpochs map[shed.VM]uint64
 
 	servers map[shed.ServerID]*entry
@@ -76,77 +78,78 @@
 	trusted   bool
 	trustedAt time.Time
 	changedAt time.Time
-	// longestCall is LongestCall, or more if the rules allow more.
+	// longestCall is Config.LongestCall, or more if the rules allow longer calls.
 	longestCall   time.Duration
 	lastBroadcast time.Time
 }
 
-// safeguards names what tests may switch off to see the oracle go red.
+// safeguards lists the checks that tests switch off to prove that their oracle detects the
+// resulting overload.
 type safeguards struct {
 	noWait, noMajority, noPauseCheck, freeBroken bool
 	noRelease, noEpoch, noReport, noReset        bool
 }
 
-// entry is one server's slots.
+// entry holds the slots of one server.
 type entry struct {
 	server *shed.Server
 	slots  []slot
-	// inFlight counts this daemon's calls on the server, with those started
-	// while it was warm.
+	// inFlight counts this daemon's calls on the server, including those started while it was warm.
 	inFlight int
-	// nextSlot rotates over the peers to ask.
+	// nextSlot rotates over the slots whose owners are asked.
 	nextSlot int
-	// running is how many calls the server said it had, and reportAt when.
+	// running is the number of calls in the server's last load report, and reportedAt the earliest
+	// time at which that was made.
 	running    int
 	reportedAt time.Time
 }
 
-// slot is one share of a server.
+// slot is one unit of a cold server's capacity.
 type slot struct {
 	owner shed.VM
-	// ownedSince is when this daemon gained it; void if owner is another.
+	// ownedSince is when this daemon gained the slot; meaningless if another VM owns it.
 	ownedSince time.Time
 }
 
-// heldCall is one call that occupies a share.
+// heldCall is a call that occupies a slot.
 type heldCall struct {
 	server shed.ServerID
-	// granted: it was granted a slot, so it counts for releases.
+	// granted: the call was granted a slot, so it is checked before a SlotRelease is sent.
 	granted bool
-	// occupiedUntil is when the server has surely ended it; zero while its end is
-	// still to come.
+	// occupiedUntil is when the server must have ended an abandoned call; zero until the call is
+	// abandoned.
 	occupiedUntil time.Time
 	started       time.Time
-	// abandonedAt is when this daemon gave it up; zero while it hasn't.
+	// abandonedAt is when this daemon lost or cancelled the call; zero until then.
 	abandonedAt time.Time
 }
 
-// Answer tells the kinds of Grant apart. The set is closed.
+// Answer is the kind of a Grant. The set is closed.
 type Answer uint8
 
-// The answers to Take.
+// The kinds of Grant that Take returns.
 const (
-	// GrantNone: nobody is known who may send the call now.
+	// GrantNone: no VM is known that may send the call now.
 	GrantNone Answer = iota + 1
 	// GrantOK: the call occupies a slot until Release.
 	GrantOK
-	// GrantAsk: this daemon has no free slot, but Peer has one by the view.
+	// GrantAsk: this daemon has no free slot, but by its view Peer owns one.
 	GrantAsk
 )
 
-// Grant is the answer to Take.
+// Grant is the result of Take.
 type Grant struct {
 	Answer Answer
 	Peer   shed.VM
-	// Ripe is when one of this daemon's slots can first be used; zero if it
-	// has none or doesn't trust its view.
+	// Ripe is when the first of this daemon's slots can be used; zero if it owns none or doesn't
+	// trust its view.
 	Ripe time.Time
 }
 
-// OK tells whether the call may be sent from here.
+// OK reports whether the call may be sent from here.
 func (g Grant) OK() bool { return g.Answer == GrantOK }
 
-// New returns a table that knows nobody: it waits before it uses any slot.
+// New returns a table with an empty view, so it waits before it uses any slot.
 func New(cfg Config) *Table {
 	orDefault(&cfg.Settle, DefaultSettle)
 	orDefault(&cfg.LongestCall, DefaultLongestCall)
@@ -176,13 +179,13 @@
 // gainWait is how long a gained slot stays unused.
 func (t *Table) gainWait() time.Duration { return t.cfg.Settle + t.longestCall }
 
-// SetLongest tells the longest deadline in the rules in force, if that is more
-// than LongestCall. It never gets shorter again, since calls under older rules
-// may still run. Rules reach all daemons well within Settle, and a slot's wait
-// is worked out when it is to be used, so nobody goes by too short a time.
+// SetLongest raises the longest call time to the longest deadline in the current rules, if that is
+// more than LongestCall. It is never lowered again, since calls under older rules may still run.
+// Rules reach all daemons well within Settle, and the wait of a slot is computed when the slot is
+// to be used, so no daemon uses too short a wait.
 func (t *Table) SetLongest(d time.Duration) { t.longestCall = max(t.longestCall, d) }
 
-// SetServers tells which servers of this zone the rules name.
+// SetServers replaces the servers of this zone that the rules list.
 func (t *Table) SetServers(now time.Time, servers []*shed.Server) []shed.Action {
 	keep := make(map[shed.ServerID]bool, len(servers))
 	for _, s := range servers {
@@ -219,8 +222,8 @@
 	}
 }
 
-// assign works out who owns the server's slots. A slot that this daemon held
-// already keeps its age.
+// assign computes the owners of the server's slots. A slot that this daemon already owned keeps its
+// ownedSince.
 func (t *Table) assign(now time.Time, e *entry) {
 	for i := range e.slots {
 		s := &e.slots[i]
@@ -234,8 +237,8 @@
 
 func slotKey(id shed.ServerID, i int) string { return fmt.Sprintf("%s#%d", id, i) }
 
-// Take asks to send the call to a server that is cold. GrantOK occupies a slot
-// until Release.
+// Take requests a slot for a call to a cold server. With GrantOK the call occupies a slot until
+// Release.
 func (t *Table) Take(now time.Time, server shed.ServerID, call shed.Call) Grant {
 	e := t.servers[server]
 	if e == nil || !t.isTrusted(now) {
@@ -256,8 +259,8 @@
 	return grant
 }
 
-// Occupy counts a call that was sent while the server was warm: should it turn
-// cold, the call takes up part of this daemon's share.
+// Occupy counts a call that was sent while the server was warm: if the server turns cold, the call
+// takes up one of this daemon's slots.
 func (t *Table) Occupy(now time.Time, server shed.ServerID, call shed.Call) {
 	if t.servers[server] == nil || t.calls[call] != nil {
 		return
@@ -279,9 +282,8 @@
 	return max(0, t.usableSlots(now, e)-e.inFlight)
 }
 
-// Holds tells whether slot i of the server is this daemon's to use. One daemon
-// at the most holds it at a time, so it also serves to choose who does a thing
-// that only one may do.
+// Holds reports whether this daemon may use slot i of the server. At most one daemon may at any
+// time, so it also serves to elect the daemon for a task that only one may do.
 func (t *Table) Holds(now time.Time, server shed.ServerID, i int) bool {
 	e := t.servers[server]
 	if e == nil || i >= len(e.slots) || !t.isTrusted(now) {
@@ -290,7 +292,7 @@
 	return t.isUsable(now, e.slots[i])
 }
 
-// isUsable tells whether the slot is this daemon's and its wait is over.
+// isUsable reports whether this daemon owns the slot and its wait is over.
 func (t *Table) isUsable(now time.Time, s slot) bool {
 	if s.owner != t.cfg.Self {
 		return false
@@ -298,8 +300,7 @@
 	return t.disabled.noWait || !now.Before(s.ownedSince.Add(t.gainWait()))
 }
 
-// usableSlots counts the slots that are this daemon's and that nobody else can
-// still use.
+// usableSlots counts the slots that this daemon owns and no other daemon can still use.
 func (t *Table) usableSlots(now time.Time, e *entry) int {
 	owned, ripe := 0, 0
 	for _, s := range e.slots {
@@ -332,8 +333,8 @@
 	return first
 }
 
-// nextOwner returns a peer that owns one of the slots; in turn, so that no owner
-// gets all the work.
+// nextOwner returns a peer that owns one of the slots. It rotates over the slots, so that no single
+// owner gets all the work.
 func (t *Table) nextOwner(e *entry) (shed.VM, bool) {
 	for range e.slots {
 		e.nextSlot = (e.nextSlot + 1) % len(e.slots)
@@ -345,8 +346,8 @@
 	return "", false
 }
 
-// Release tells that the call has ended. After an end that leaves open whether
-// the server still runs it, its share stays taken for as long as that can last.
+// Release records that the call has ended. If the server may still run it, its slot stays occupied
+// for as long as that can last.
 func (t *Table) Release(now time.Time, call shed.Call, end shed.CallEnd) []shed.Action {
 	h := t.calls[call]
 	if h == nil || !h.occupiedUntil.IsZero() {
@@ -361,8 +362,8 @@
 	return t.broadcastRelease(now)
 }
 
-// mayStillRun: the server has not told the call's end. It may not know yet that
-// the connection broke, and the next call could overtake a cancel.
+// mayStillRun reports whether the server didn't confirm the end of the call. It may not have
+// noticed yet that the connection broke, and the next call could overtake a cancellation.
 func mayStillRun(end shed.CallEnd) bool {
 	return end == shed.EndBroken || end == shed.EndBadReply || end == shed.EndCancelled
 }
@@ -374,8 +375,7 @@
 	}
 }
 
-// Ask returns a peer that may send a call to the cold server, by the view that
-// this daemon trusts now.
+// Ask returns a peer that may send a call to the cold server, if this daemon trusts its view.
 func (t *Table) Ask(now time.Time, server shed.ServerID) (shed.VM, bool) {
 	e := t.servers[server]
 	if e == nil || !t.isTrusted(now) {
--- a/internal/slots/table_test.go
+++ b/internal/slots/table_test.go
@@ -14,7 +14,7 @@
 	shed "jasmineshed"
 )
 
-// TestMain fixes the seed of the random worlds, unless a flag gives one.
+// TestMain fixes the seed of the random simulations, unless a flag sets one.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if seed := flag.Lookup("rapid.seed"); seed.Value.String() == "0" {
@@ -23,10 +23,10 @@
 	os.Exit(m.Run())
 }
 
-// runScript runs a world through faults at chosen moments; the time between two
-// is up to nine seconds, so that several can fall within one wait.
+// runScript runs a zone through random faults. The time between two faults is up to nine seconds,
+// so that several can fall within one wait.
 func runScript(choose func(name string, n int) int, off safeguards) *simulatedZone {
-	w := newSimulatedZone(uint64(choose("seed", 1<<20)), 2+choose("procs", 4), 1+choose("bears", 3), off)
+	w := newSimulatedZone(uint64(choose("seed", 1<<20)), 2+choose("procs", 4), 1+choose("capacity", 3), off)
 	for range choose("faults", 16) {
 		w.applyFault(choose("kind", 8), choose("who", 8), choose("n", 128))
 		for range 1 + choose("steps", 90) {
@@ -39,9 +39,9 @@
 	return w
 }
 
-// A caller sees a cold server fall over, and with it every call on it. Views
-// change out of step: split, frozen, restarted, late, and in pairs; daemons
-// that go by different views would each fill the server on their own.
+// Guards against overloading a cold server, which fails all its calls. Views change at different
+// times: daemons are partitioned, frozen, restarted, delayed, several at once. Daemons with
+// different views could each fill the server on their own.
 func TestServerNeverRunsMoreThanItBears(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		w := runScript(func(name string, n int) int {
@@ -53,20 +53,20 @@
 	})
 }
 
-// An oracle that never went red proves nothing: each safeguard is taken away
-// in turn, and the same worlds must then show a server that runs too much.
+// Proves that the oracle detects overload: each safeguard is switched off in turn, and the same
+// simulations must then show a server that runs too many calls.
 func TestOracleCatchesMissingSafeguards(t *testing.T) {
 	for _, tc := range []struct {
 		name string
 		off  safeguards
 	}{
 		{"gained slots are used at once", safeguards{noWait: true}},
-		{"a minority goes on", safeguards{noMajority: true}},
-		{"a pause is not noticed", safeguards{noPauseCheck: true}},
-		{"a broken call gives its slot back at once", safeguards{freeBroken: true}},
-		{"nobody's release is waited for", safeguards{noRelease: true}},
-		{"the server's report is not waited for", safeguards{noReport: true}},
-		{"after doubt all slots count as before", safeguards{noReset: true}},
+		{"a minority continues", safeguards{noMajority: true}},
+		{"a pause is not detected", safeguards{noPauseCheck: true}},
+		{"a broken call frees its slot at once", safeguards{freeBroken: true}},
+		{"releases of peers are not awaited", safeguards{noRelease: true}},
+		{"the server's load report is not awaited", safeguards{noReport: true}},
+		{"slots keep their age after trust is regained", safeguards{noReset: true}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			seed, err := firstFailure(tc.off, 4000)
@@ -76,18 +76,17 @@
 	}
 }
 
-// A peer released its slots; the view changed and changed back, and the peer
-// gained slots in between. The network doubles the old release: it must not
-// make this daemon think that the peer uses nothing now. The random worlds are
-// too kind to find this one.
+// A peer released its slots; then the view changed and changed back, and the peer gained slots in
+// between. If the network duplicates the old release, it must not count as the peer's current
+// state. The random simulations don't find this case.
 func TestLateReleaseDoesNotCount(t *testing.T) {
 	for _, tc := range []struct {
 		name string
 		off  safeguards
 		free int
 	}{
-		{"as it is", safeguards{}, 0},
-		{"without the turn", safeguards{noEpoch: true}, 4},
+		{"all safeguards", safeguards{}, 0},
+		{"without the epoch", safeguards{noEpoch: true}, 4},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			now := time.Unix(1000, 0)
@@ -116,25 +115,25 @@
 	}
 }
 
-// The whole zone restarts at once while its servers are cold and still run a
-// call of before. They must not stay unused for the length of the full wait.
+// The whole zone restarts at once while its servers are cold and still run a call from before. The
+// servers must not stay unused for the full wait.
 func TestZoneRestartUsesColdServersSoon(t *testing.T) {
 	for _, n := range []int{1, 2, 3, 9} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			elapsed, free := restartZone(n)
 			wait := DefaultSettle + DefaultLongestCall
-			t.Logf("%d daemons use a cold server %s after the restart; full wait %s", n, elapsed, wait)
+			t.Logf("%d daemons use a cold server %s after the restart; full wait is %s", n, elapsed, wait)
 			require.Less(t, elapsed, wait/2)
-			// Each daemon leaves one of its slots to the call of before, since
-			// none knows in whose slot it runs.
+			// Each daemon leaves one of its slots to the old call, since none knows
+			// whose slot that occupies.
 			require.LessOrEqual(t, free, 3)
 			require.Positive(t, free)
 		})
 	}
 }
 
-// restartZone gives the time from the restart of n daemons, whose views are
-// confirmed three seconds later, until they use slots, and how many.
+// restartZone returns the time from the restart of n daemons, whose views are confirmed three
+// seconds later, until they use slots, and the number of slots used.
 func restartZone(n int) (elapsed time.Duration, free int) {
 	now := time.Unix(1000, 0)
 	start := now
@@ -169,7 +168,7 @@
 	return now.Sub(start), free
 }
 
-// deliver delivers the message and all that it gives rise to.
+// deliver handles the message at its receiver, and all messages sent in response.
 func deliver(tables map[shed.VM]*Table, now time.Time, from shed.VM, a shed.Action) {
 	send := a.(shed.SendPeer)
 	ev := shed.PeerMessage{From: shed.Peer{VM: from}, Message: send.Message}
--- a/internal/slots/view.go
+++ b/internal/slots/view.go
@@ -8,10 +8,9 @@
 	"jasmineshed/internal/rank"
 )
 
-// SetView tells who is alive in the zone, this daemon among them, and the hash
-// of that view. unsure means that the view may not be relied on: the process
-// woke from a pause, or just started, and peers haven't confirmed the view yet.
-// Call it on every Tick; it costs little while nothing changes.
+// SetView sets the live VMs of the zone, this daemon among them, and the hash of that view. unsure
+// means that the view can't be trusted: the process has just started or resumed after a pause, and
+// peers haven't confirmed the view yet. Call it on every Tick; it is cheap while nothing changes.
 func (t *Table) SetView(now time.Time, vms []shed.VM, hash uint64, unsure bool) []shed.Action {
 	if hash != t.hash || !slices.Equal(vms, t.view) {
 		t.view = slices.Sorted(slices.Values(vms))
@@ -27,9 +26,9 @@
 	return t.broadcastRelease(now)
 }
 
-// SetKnown tells which VMs of the zone may be alive, whether this daemon sees
-// them or not: those of the platform's list and those that were alive lately.
-// A VM that left, or that is dead and no longer on the list, is not among them.
+// SetKnown sets the VMs of the zone that may be alive, whether this daemon sees them or not: those
+// of the platform's list and those that were alive recently. A VM that left, or that is dead and no
+// longer listed, is not among them.
 func (t *Table) SetKnown(now time.Time, vms []shed.VM) {
 	t.known = slices.Sorted(slices.Values(vms))
 	t.updateMissing(now)
@@ -54,11 +53,11 @@
 	}
 }
 
-// hasMajority tells whether the view holds more than half of the known VMs. When
-// the zone is split, each part sees the other one dead and would take over its
-// slots; servers would get up to twice what they bear. Only one part can have a
-// majority, and the other one stops, so the sum holds however long it lasts.
-// Of two equal halves the one goes on that has the VM ranked first.
+// hasMajority reports whether the view holds more than half of the known VMs. In a network
+// partition each side sees the other one as dead and would take over its slots; servers would get
+// up to twice their capacity. Only one side can have a majority, and the other one stops, so the
+// limit holds however long the partition lasts. Of two equal halves, the one with the VM ranked
+// first continues.
 func (t *Table) hasMajority() bool {
 	if t.disabled.noMajority {
 		return true
@@ -76,11 +75,10 @@
 	return slices.Contains(t.view, first)
 }
 
-// setTrusted records whether the view may be relied on. While it could not be,
-// peers may have declared this daemon dead and taken its slots. They start to
-// use them after Settle + LongestCall at the soonest, and learn that it is back
-// within Settle; so after up to LongestCall the slots are still its own, and
-// after longer they count as just gained.
+// setTrusted records whether the view can be trusted. While it couldn't, peers may have declared
+// this daemon dead and taken its slots. They start to use them after Settle + LongestCall at the
+// earliest, and learn within Settle that it is back. So the slots remain its own after an outage of
+// up to LongestCall; after a longer one they count as just gained.
 func (t *Table) setTrusted(now time.Time, trusted bool) {
 	last := t.trustedAt
 	if t.trusted && now.Sub(last) > t.cfg.TickGap && !t.disabled.noPauseCheck {
@@ -101,11 +99,10 @@
 	t.resetAfterRegain(now, last)
 }
 
-// resetAfterRegain starts anew what this daemon can't have known while its view was not
-// to be relied on. Slots gained since last were perhaps another one's until a
-// moment ago, when its part of the zone lost the majority to this one; so were
-// those of the VMs out of view. Releases from before count no more, since peers
-// may have gone through other views meanwhile.
+// resetAfterRegain discards what may have changed while the view wasn't trusted. Slots gained since
+// last may have been in use by another daemon until just now, when its side of the partition lost
+// the majority to this one; so may those of the VMs out of view. Earlier releases no longer count,
+// since peers may have had other views meanwhile.
 func (t *Table) resetAfterRegain(now, last time.Time) {
 	t.startEpoch(now)
 	for vm := range t.missingSince {
@@ -128,8 +125,8 @@
 	clear(t.releasedAt)
 }
 
-// isTrusted tells whether slots count now. A process that was paused may handle
-// other events before its first Tick; the age of the last one gives it away.
+// isTrusted reports whether slots may be used now. A process that was paused may handle other
+// events before its first Tick, so the age of the last Tick is checked too.
 func (t *Table) isTrusted(now time.Time) bool {
 	if t.disabled.noPauseCheck {
 		return t.trusted
@@ -137,7 +134,7 @@
 	return t.trusted && now.Sub(t.trustedAt) <= t.cfg.TickGap
 }
 
-// Handle takes Tick, SlotRelease, LoadReported and LoadDigest.
+// Handle processes Tick, SlotRelease, LoadReported and LoadDigest.
 func (t *Table) Handle(now time.Time, ev shed.Event) []shed.Action {
 	switch ev := ev.(type) {
 	case shed.Tick:
@@ -156,8 +153,8 @@
 		return t.handleRelease(now, ev.From.VM, m)
 	case shed.LoadDigest:
 		for id, r := range m.Reports {
-			// A daemon that saw the server restart tells of it under sequence 0,
-			// before the server has counted anything.
+			// A daemon that saw the server restart reports this with sequence 0, before the server
+			// has counted anything.
 			if r.Sequence > 0 {
 				t.applyReport(now, id, r)
 			}
@@ -168,7 +165,7 @@
 
 func (t *Table) applyReport(now time.Time, id shed.ServerID, r shed.LoadReport) {
 	e := t.servers[id]
-	// The report may have been on its way for as long as a call may.
+	// The report may have been in transit for as long as a call can be.
 	at := now.Add(-r.Age - t.cfg.Flight)
 	if e == nil || at.Before(e.reportedAt) {
 		return
@@ -178,9 +175,9 @@
 	t.freeAbandoned(id, at, e.running)
 }
 
-// freeAbandoned gives back the shares of calls that were given up, but for as many as
-// the server said it runs: it counts those of them that it still has. They can
-// no longer be on their way, since the report was made Flight after their end.
+// freeAbandoned frees the slots of abandoned calls, except for as many as the server reports
+// running: that number includes those of them that still run. None can still be in transit, since
+// the report was made Flight after they were abandoned.
 func (t *Table) freeAbandoned(id shed.ServerID, at time.Time, running int) {
 	var abandoned []shed.Call
 	for call, h := range t.calls {
--- a/internal/slots/zone_test.go
+++ b/internal/slots/zone_test.go
@@ -8,7 +8,7 @@
 	shed "jasmineshed"
 )
 
-// The world's own bounds, which the tables are told as Settle and LongestCall.
+// Bounds of the simulation; the tables get Settle and LongestCall from them.
 const (
 	detectBound = 2 * time.Second
 	maxFlight   = 300 * time.Millisecond
@@ -18,8 +18,8 @@
 
 var serverIDs = []shed.ServerID{"s1", "s2"}
 
-// simulatedZone is a zone in which the views of the processes follow the truth late
-// and out of step, and the servers count what they run.
+// simulatedZone is a zone in which the views of the processes follow the true state with random
+// delays, and which counts the calls that the servers run.
 type simulatedZone struct {
 	now       time.Time
 	rng       *rand.Rand
@@ -37,15 +37,15 @@
 	vm           shed.VM
 	table        *Table
 	boot         uint64
-	partition    int // processes of one part reach one another
+	partition    int // processes of one partition reach one another
 	up           bool
 	leaving      bool
-	frozenUntil  time.Time // until when
-	unsureUntil  time.Time // until when the view is unconfirmed
+	frozenUntil  time.Time
+	unsureUntil  time.Time // the view is unconfirmed until then
 	inView       map[shed.VM]bool
-	leavingBoot  map[shed.VM]uint64 // boot that was heard to be leaving
+	leavingBoot  map[shed.VM]uint64 // boot that was reported as leaving
 	exitedAt     time.Time
-	viewChangeAt map[shed.VM]time.Time // when the view follows the truth
+	viewChangeAt map[shed.VM]time.Time // when the view follows the true state
 }
 
 type serverCall struct {
@@ -55,7 +55,7 @@
 	boot      uint64
 	arrivesAt time.Time // arrival at the server
 	endsAt    time.Time // end at the server
-	breaksAt  time.Time // when the connection breaks; zero: never
+	breaksAt  time.Time // when the connection breaks; zero if never
 	released  bool
 }
 
@@ -111,12 +111,12 @@
 
 func (w *simulatedZone) isRunning(p *proc) bool { return p.up && !w.now.Before(p.frozenUntil) }
 
-// isReachable tells whether p could see q now, if it were not late.
+// isReachable reports whether p would see q now if its view had no delay.
 func (w *simulatedZone) isReachable(p, q *proc) bool {
 	return p == q && !p.leaving || p != q && w.isRunning(q) && !q.leaving && p.partition == q.partition
 }
 
-// advance lets one step pass.
+// advance simulates one step.
 func (w *simulatedZone) advance() {
 	w.now = w.now.Add(step)
 	w.endCalls()
@@ -126,7 +126,7 @@
 			continue
 		}
 		if w.rng.IntN(2) == 0 {
-			w.sendCalls(p) // after a pause this comes before the first tick
+			w.sendCalls(p) // after a pause, calls may be sent before the first tick
 		}
 		w.updateView(p)
 		w.perform(p, p.table.Handle(w.now, shed.Tick{Wall: w.now}))
@@ -135,7 +135,7 @@
 	w.countRunning()
 }
 
-// updateView lets the view of p follow the truth, each peer by itself and late.
+// updateView lets p's view of each peer follow the true state, each with its own delay.
 func (w *simulatedZone) updateView(p *proc) {
 	hash := uint64(14695981039346656037)
 	var view, known []shed.VM
@@ -164,8 +164,8 @@
 	w.perform(p, p.table.SetView(w.now, view, hash, w.now.Before(p.unsureUntil)))
 }
 
-// knowsLeaving tells whether p knows that the process on q is leaving; that it has
-// gone, so that a new one may be there, p notices late.
+// knowsLeaving reports whether p knows that the process on q is leaving. That this process has
+// gone, so that a new one may run there, p detects late.
 func (w *simulatedZone) knowsLeaving(p, q *proc) bool {
 	if p.leavingBoot[q.vm] != q.boot || !q.up {
 		return p.leavingBoot[q.vm] != 0 && w.now.Before(q.exitedAt.Add(detectBound))
@@ -173,7 +173,7 @@
 	return true
 }
 
-// kill ends the process; its calls run on at the servers.
+// kill ends the process; its calls continue on the servers.
 func (w *simulatedZone) kill(p *proc) {
 	if p.up {
 		p.up, p.exitedAt = false, w.now
@@ -183,7 +183,7 @@
 func (w *simulatedZone) perform(p *proc, actions []shed.Action) {
 	for _, a := range actions {
 		send, ok := a.(shed.SendPeer)
-		for range w.rng.IntN(3) { // lost, once or doubled
+		for range w.rng.IntN(3) { // lost, delivered once, or duplicated
 			if ok {
 				ev := shed.PeerMessage{From: shed.Peer{VM: p.vm}, Message: send.Message}
 				w.messages = append(w.messages, message{send.To, w.now.Add(w.randomUpTo(2 * time.Second)), p.partition, ev})
@@ -208,7 +208,7 @@
 	w.messages = later
 }
 
-// sendCalls sends as much as the table allows.
+// sendCalls sends as many calls as the table allows.
 func (w *simulatedZone) sendCalls(p *proc) {
 	for _, server := range serverIDs {
 		w.callCount++
@@ -246,7 +246,7 @@
 	w.calls = live
 }
 
-// countRunning is the oracle's eye: what each server runs at once.
+// countRunning records for the oracle how many calls each server runs at once.
 func (w *simulatedZone) countRunning() {
 	n := map[shed.ServerID]int{}
 	for _, r := range w.calls {
@@ -266,23 +266,23 @@
 	}
 }
 
-// checkCapacity names a server that ran more calls than it bears.
+// checkCapacity returns an error for a server that ran more calls than its capacity.
 func (w *simulatedZone) checkCapacity() error {
 	for _, id := range serverIDs {
 		if w.peak[id] > w.capacity[id] {
-			return fmt.Errorf("%s ran %d calls at once and bears %d", id, w.peak[id], w.capacity[id])
+			return fmt.Errorf("%s ran %d concurrent calls, capacity is %d", id, w.peak[id], w.capacity[id])
 		}
 	}
 	return nil
 }
 
-// applyFault brings about one fault or mends one.
+// applyFault starts or ends one fault.
 func (w *simulatedZone) applyFault(kind, who, n int) {
 	p := w.procs[who%len(w.procs)]
 	switch kind {
-	case 0: // a split, or its mending
+	case 0: // one process is partitioned off, or rejoins
 		p.partition = n % 2
-	case 1: // a part of several
+	case 1: // a partition of several processes
 		for i, q := range w.procs {
 			q.partition = n >> i & 1
 		}
