--- a/internal/member/clock.go
+++ b/internal/member/clock.go
@@ -30,16 +30,16 @@
 // address. This one should stop: peers drop all that it says.
 func (g *Group) Overruled() bool { return g.overruled }
 
-// doubt opens a new confirmation of the view.
-func (g *Group) doubt(now time.Time) { g.unsure = now }
+// requireConfirmation opens a new confirmation of the view.
+func (g *Group) requireConfirmation(now time.Time) { g.unconfirmedSince = now }
 
-// toldDead opens a new confirmation that can't end before the next such word
+// noteReportedDead opens a new confirmation that can't end before the next such word
 // would have come: a process that hears its peers, but that they don't hear, is
 // told again and again, and must not pass as confirmed in between by the word
 // of the few that share its fate.
-func (g *Group) toldDead(now time.Time) {
-	g.doubt(now)
-	g.doubtUntil = now.Add(g.cfg.DeadEvery + g.cfg.ProbeEvery)
+func (g *Group) noteReportedDead(now time.Time) {
+	g.requireConfirmation(now)
+	g.unconfirmedUntil = now.Add(g.cfg.DeadEvery + g.cfg.ProbeEvery)
 }
 
 // Confirmed tells whether what this process believes can be relied on now. It
@@ -52,7 +52,7 @@
 	if g.clock.wall.IsZero() || now.Sub(g.clock.now) > g.cfg.FreezeAfter {
 		return false
 	}
-	if now.Before(g.doubtUntil) {
+	if now.Before(g.unconfirmedUntil) {
 		return false
 	}
 	peers, answered, lease := 0, 0, false
@@ -62,14 +62,14 @@
 			continue
 		}
 		peers++
-		if r.asked.After(g.unsure) {
+		if r.ackedProbeSentAt.After(g.unconfirmedSince) {
 			answered++
 		}
-		lease = lease || now.Sub(r.acked) <= g.cfg.LeaseFor
+		lease = lease || now.Sub(r.ackedAt) <= g.cfg.LeaseFor
 	}
 	if peers == 0 {
 		// Nobody to ask. All that could be alive had the time to show it.
-		return now.Sub(g.unsure) > g.cfg.DetectBound()
+		return now.Sub(g.unconfirmedSince) > g.cfg.DetectBound()
 	}
-	return lease && answered >= min(peers, confirmers)
+	return lease && answered >= min(peers, minConfirmations)
 }
--- a/internal/member/group.go
+++ b/internal/member/group.go
@@ -71,28 +71,28 @@
 
 // How many are probed and told.
 const (
-	// ringWatch is how many successors on the zone's ring a process watches in
+	// ringProbes is how many successors on the zone's ring a process watches in
 	// each round, so each is watched by as many.
-	ringWatch = 2
-	// roundRandom is how many others of the zone it probes, in random order.
-	roundRandom = 1
-	// roundFar is how many contacts in other zones it probes.
-	roundFar = 2
-	// roundUnknown is how many VMs of its zone that it never heard it tries.
-	roundUnknown = 2
-	// relays is how many peers are asked to probe for it.
-	relays = 3
-	// contactsMax is how many processes of each other zone it knows.
-	contactsMax = 3
-	// gossipMax bounds the members in a message, in the normal case.
-	gossipMax = 5
+	ringProbes = 2
+	// randomProbes is how many others of the zone it probes, in random order.
+	randomProbes = 1
+	// remoteProbes is how many contacts in other zones it probes.
+	remoteProbes = 2
+	// unknownProbes is how many VMs of its zone that it never heard it tries.
+	unknownProbes = 2
+	// relayProbes is how many peers are asked to probe for it.
+	relayProbes = 3
+	// maxContacts is how many processes of each other zone it knows.
+	maxContacts = 3
+	// maxGossip bounds the members in a message, in the normal case.
+	maxGossip = 5
 	// spreadFactor times the binary logarithm of the zone's size is how often
 	// one piece of news is sent on.
 	spreadFactor = 3
-	// heirsMax bounds the memory of those that left.
-	heirsMax = 4096
-	// confirmers is how many peers must answer for a view to be confirmed.
-	confirmers = 2
+	// maxDepartures bounds the memory of those that left.
+	maxDepartures = 4096
+	// minConfirmations is how many peers must answer for a view to be confirmed.
+	minConfirmations = 2
 )
 
 // The reasons of the notes that this package takes.
@@ -118,65 +118,65 @@
 	// listedAt is when the platform last gave its list.
 	listedAt time.Time
 
-	// mute is when a VM that was never heard last failed to answer.
-	mute map[shed.VM]time.Time
+	// unresponsive is when a VM that was never heard last failed to answer.
+	unresponsive map[shed.VM]time.Time
 
-	news  []news
-	heirs map[shed.Peer]left
-	// heirOrder holds the keys of heirs, oldest first.
-	heirOrder []shed.Peer
+	updates    []update
+	departures map[shed.Peer]departure
+	// departureOrder holds the keys of heirs, oldest first.
+	departureOrder []shed.Peer
 
-	pending  []pending // by sequence
-	sequence uint64
-	shuffled []shed.VM // what is left of this turn's random order
-	farAt    int
-	lostAt   int
-	syncAt   int
+	pending      []pendingProbe // by sequence
+	sequence     uint64
+	randomOrder  []shed.VM // what is left of this turn's random order
+	remoteIndex  int
+	unknownIndex int
+	syncIndex    int
 
-	nextRound time.Time
-	nextDead  time.Time
-	nextVMs   time.Time
+	nextRound     time.Time
+	nextDeadProbe time.Time
+	nextVMList    time.Time
 
 	clock clock
-	// joined is when the first round began.
-	joined time.Time
-	unsure time.Time // since when the view is to be confirmed; zero: it is
-	// doubtUntil is the soonest end of the confirmation.
-	doubtUntil time.Time
-	woke       bool
+	// joinedAt is when the first round began.
+	joinedAt         time.Time
+	unconfirmedSince time.Time // since when the view is to be confirmed; zero: it is
+	// unconfirmedUntil is the soonest end of the confirmation.
+	unconfirmedUntil time.Time
+	woke             bool
 	// overruled: another process with a later incarnation runs on this VM.
 	overruled bool
 
 	// view and the contacts far are worked out anew if dirty.
-	view  View
-	far   []shed.VM
-	dirty bool
+	view   View
+	remote []shed.VM
+	dirty  bool
 }
 
 // record is what is known of a VM's present process.
 type record struct {
 	shed.Member
-	// heard is its last message to this process; acked its last answer.
-	heard, acked time.Time
-	// asked is when the probe that it last answered was sent.
-	asked time.Time
+	// receivedAt is its last message to this process; acked its last answer.
+	receivedAt, ackedAt time.Time
+	// ackedProbeSentAt is when the probe that it last answered was sent.
+	ackedProbeSentAt time.Time
 	// suspectAt is when its death was first held possible; zero: it isn't.
 	suspectAt time.Time
 	deadAt    time.Time
-	// since is when this process was first known to be there, or back.
-	since time.Time
+	// upSince is when this process was first known to be there, or back.
+	upSince time.Time
 }
 
-// news is a member still to be told to others.
-type news struct {
+// update is a member still to be told to others.
+type update struct {
 	shed.Member
-	left int
+	sendsLeft int
 }
 
-// left tells where the tickets of a process went.
-type left struct {
-	heir shed.Peer
-	at   time.Time
+// departure tells where the tickets of a process went.
+type departure struct {
+	successor shed.Peer
+	at        time.Time
 }
 
 // New returns a group that knows only itself.
@@ -194,14 +194,14 @@
 		cfg.SyncMost = DefaultSyncMost
 	}
 	return &Group{
-		cfg:     cfg,
-		rng:     rand.New(rand.NewPCG(cfg.Seed, uint64(cfg.Self.Incarnation))),
-		self:    shed.Member{Peer: cfg.Self, Zone: cfg.Zone, Status: shed.StatusAlive, Power: cfg.Power},
-		members: map[shed.VM]*record{},
-		listed:  map[shed.VM]shed.VMEntry{},
-		heirs:   map[shed.Peer]left{},
-		mute:    map[shed.VM]time.Time{},
-		dirty:   true,
+		cfg:          cfg,
+		rng:          rand.New(rand.NewPCG(cfg.Seed, uint64(cfg.Self.Incarnation))),
+		self:         shed.Member{Peer: cfg.Self, Zone: cfg.Zone, Status: shed.StatusAlive, Power: cfg.Power},
+		members:      map[shed.VM]*record{},
+		listed:       map[shed.VM]shed.VMEntry{},
+		departures:   map[shed.Peer]departure{},
+		unresponsive: map[shed.VM]time.Time{},
+		dirty:        true,
 	}
 }
 
@@ -221,13 +221,13 @@
 func (g *Group) Handle(now time.Time, ev shed.Event) []shed.Action {
 	switch ev := ev.(type) {
 	case shed.Tick:
-		return g.tick(now, ev)
+		return g.handleTick(now, ev)
 	case shed.VMsRead:
-		g.vmsRead(now, ev)
+		g.updateList(now, ev)
 	case shed.PeerMessage:
-		return g.message(now, ev)
+		return g.handleMessage(now, ev)
 	case shed.PeerLost:
-		return g.peerLost(now, ev.Peer)
+		return g.handlePeerLost(now, ev.Peer)
 	case shed.StopRequested:
 		return g.Leave(shed.Peer{})
 	}
@@ -236,60 +236,60 @@
 
 // Leave tells the zone that this process leaves, and who has its tickets; heir
 // may be zero as long as that is open.
-func (g *Group) Leave(heir shed.Peer) []shed.Action {
+func (g *Group) Leave(successor shed.Peer) []shed.Action {
 	g.self.Status = shed.StatusLeaving
-	if heir != (shed.Peer{}) {
-		g.self.Successor = heir
+	if successor != (shed.Peer{}) {
+		g.self.Successor = successor
 	}
 	g.dirty = true
 	var out []shed.Action
 	for _, vm := range g.zonePeers() {
 		out = g.probe(g.clock.now, out, vm)
 	}
-	for _, vm := range g.farContacts() {
+	for _, vm := range g.remoteContacts() {
 		out = g.probe(g.clock.now, out, vm)
 	}
 	return out
 }
 
-func (g *Group) tick(now time.Time, tick shed.Tick) []shed.Action {
-	g.woke = g.clock.tick(now, tick, g.cfg.FreezeAfter)
-	if g.woke || g.unsure.IsZero() && g.nextRound.IsZero() {
-		g.doubt(now)
+func (g *Group) handleTick(now time.Time, handleTick shed.Tick) []shed.Action {
+	g.woke = g.clock.tick(now, handleTick, g.cfg.FreezeAfter)
+	if g.woke || g.unconfirmedSince.IsZero() && g.nextRound.IsZero() {
+		g.requireConfirmation(now)
 	}
 	if g.woke {
-		g.afterFreeze(now)
+		g.resetAfterFreeze(now)
 	}
-	out := g.expire(now)
+	out := g.expireProbes(now)
 	if !now.Before(g.nextRound) {
-		g.nextRound = now.Add(g.roundLength(now))
-		out = g.round(now, out)
+		g.nextRound = now.Add(g.roundInterval(now))
+		out = g.probeRound(now, out)
 	}
-	if !now.Before(g.nextVMs) {
+	if !now.Before(g.nextVMList) {
 		// Jitter, so that a fleet that starts at once doesn't read at once.
 		jitter := time.Duration(g.rng.Int64N(int64(g.cfg.VMsEvery/2) + 1))
-		g.nextVMs = now.Add(g.cfg.VMsEvery*3/4 + jitter)
+		g.nextVMList = now.Add(g.cfg.VMsEvery*3/4 + jitter)
 		out = append(out, shed.ReadVMs{})
 	}
 	return out
 }
 
-// roundLength is shorter while this process is new: else VMs that start at once know
+// roundInterval is shorter while this process is new: else VMs that start at once know
 // each other only after many rounds.
-func (g *Group) roundLength(now time.Time) time.Duration {
-	if g.joined.IsZero() {
-		g.joined = now
+func (g *Group) roundInterval(now time.Time) time.Duration {
+	if g.joinedAt.IsZero() {
+		g.joinedAt = now
 	}
-	if now.Sub(g.joined) < g.cfg.JoinFor {
+	if now.Sub(g.joinedAt) < g.cfg.JoinFor {
 		return g.cfg.JoinEvery
 	}
 	return g.cfg.ProbeEvery
 }
 
-// afterFreeze forgets what the pause has made void. Acks that came in meanwhile
+// resetAfterFreeze forgets what the pause has made void. Acks that came in meanwhile
 // wait unread, so silence proves nobody's death; without this the process would
 // call the whole zone dead the moment it woke.
-func (g *Group) afterFreeze(now time.Time) {
+func (g *Group) resetAfterFreeze(now time.Time) {
 	g.pending = g.pending[:0]
 	for _, vm := range g.order {
 		r := g.members[vm]
@@ -299,16 +299,16 @@
 	}
 }
 
-// vmsRead takes in the platform's list. It lags, so it only adds VMs to try and
+// updateList takes in the platform's list. It lags, so it only adds VMs to try and
 // takes away those that are dead anyway.
-func (g *Group) vmsRead(now time.Time, ev shed.VMsRead) {
+func (g *Group) updateList(now time.Time, ev shed.VMsRead) {
 	if ev.Failed {
 		return
 	}
 	clear(g.listed)
-	for vm, at := range g.mute {
-		if now.Sub(at) > muteFor {
-			delete(g.mute, vm)
+	for vm, at := range g.unresponsive {
+		if now.Sub(at) > unresponsivePeriod {
+			delete(g.unresponsive, vm)
 		}
 	}
 	for _, e := range ev.VMs {
@@ -327,7 +327,7 @@
 	return g.listed[vm].Zone
 }
 
-func (g *Group) add(vm shed.VM) *record {
+func (g *Group) addMember(vm shed.VM) *record {
 	r := &record{}
 	g.members[vm] = r
 	at, _ := slices.BinarySearch(g.order, vm)
--- a/internal/member/group_test.go
+++ b/internal/member/group_test.go
@@ -17,7 +17,7 @@
 // every view of its zone.
 const deadBound = 10 * time.Second
 
-func converged(t *testing.T, seed uint64, sizes ...int) *network {
+func newConvergedNetwork(t *testing.T, seed uint64, sizes ...int) *network {
 	t.Helper()
 	w := newNetwork(seed, sizes...)
 	took, ok := w.until(20*time.Second, func() bool { return w.agree(zoneA) })
@@ -48,8 +48,8 @@
 func TestLossKillsNobody(t *testing.T) {
 	for _, n := range []int{3, 20} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
-			w := converged(t, 11, n)
-			w.cut = func(_, _ *node) bool { return w.rng.IntN(20) == 0 }
+			w := newConvergedNetwork(t, 11, n)
+			w.isCut = func(_, _ *node) bool { return w.rng.IntN(20) == 0 }
 			w.run(30 * time.Minute)
 			t.Logf("suspected %d times, denied each time", w.notes[member.ReasonPeerSuspect])
 			require.Zero(t, w.notes[member.ReasonPeerDead])
@@ -62,19 +62,19 @@
 func TestDeadLeavesEveryView(t *testing.T) {
 	for _, n := range []int{3, 6, 20, 52} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
-			worst := time.Duration(0)
+			longest := time.Duration(0)
 			for seed := range uint64(8) {
-				w := converged(t, seed, n)
+				w := newConvergedNetwork(t, seed, n)
 				w.run(time.Duration(w.rng.IntN(10)) * shed.TickEvery)
-				gone := w.nodes[w.rng.IntN(n)]
-				gone.up = false
+				dead := w.nodes[w.rng.IntN(n)]
+				dead.up = false
 				took, ok := w.until(deadBound, func() bool { return w.agree(zoneA) })
 				require.True(t, ok, "seed %d", seed)
-				worst = max(worst, took)
-				state, _ := w.nodes[(w.rng.IntN(n-1)+1)%n].Home(gone.self)
+				longest = max(longest, took)
+				state, _ := w.nodes[(w.rng.IntN(n-1)+1)%n].Home(dead.self)
 				require.Contains(t, []member.HomeState{member.HomeDead, member.HomeAlive}, state)
 			}
-			t.Logf("%d processes: out of every view after %s at the latest", n, worst)
+			t.Logf("%d processes: out of every view after %s at the latest", n, longest)
 		})
 	}
 }
@@ -88,7 +88,7 @@
 		suspend bool
 	}{{"paused process", false}, {"suspended VM, monotonic clock stands still", true}} {
 		t.Run(tc.name, func(t *testing.T) {
-			w := converged(t, 2, 8)
+			w := newConvergedNetwork(t, 2, 8)
 			n := w.nodes[3]
 			w.freeze(n, 30*time.Second, tc.suspend)
 			w.run(25 * time.Second)
@@ -113,8 +113,8 @@
 func TestOneWayCutDoesNotFlap(t *testing.T) {
 	for _, n := range []int{4, 8, 20} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
-			w := converged(t, 3, n)
-			w.cut = func(from, to *node) bool { return from == w.nodes[0] && to == w.nodes[1] }
+			w := newConvergedNetwork(t, 3, n)
+			w.isCut = func(from, to *node) bool { return from == w.nodes[0] && to == w.nodes[1] }
 			for range 300 {
 				w.run(time.Second)
 				require.True(t, w.agree(zoneA))
@@ -129,22 +129,22 @@
 // hears looks well.
 func TestUnheardProcessLosesConfirmation(t *testing.T) {
 	for seed := range uint64(8) {
-		w := converged(t, seed, 7)
-		mute := w.nodes[2]
-		w.cut = func(from, _ *node) bool { return from == mute }
-		took, ok := w.until(deadBound, func() bool { return !mute.Confirmed(w.now) })
+		w := newConvergedNetwork(t, seed, 7)
+		unheard := w.nodes[2]
+		w.isCut = func(from, _ *node) bool { return from == unheard }
+		took, ok := w.until(deadBound, func() bool { return !unheard.Confirmed(w.now) })
 		require.True(t, ok)
 		require.Len(t, w.nodes[0].View().Zone(zoneA), 7, "out of view %s after the cut, before it noticed", took)
 		for range 600 {
 			w.run(shed.TickEvery)
 			// Once it holds all others dead it goes on alone, as one that is cut
 			// off must; then it is a minority, which slots go by.
-			alone := len(mute.View().Zone(zoneA)) == 1
-			require.True(t, alone || !mute.Confirmed(w.now))
+			alone := len(unheard.View().Zone(zoneA)) == 1
+			require.True(t, alone || !unheard.Confirmed(w.now))
 		}
 		require.Len(t, w.nodes[0].View().Zone(zoneA), 6)
-		w.cut = func(_, _ *node) bool { return false }
-		_, ok = w.until(15*time.Second, func() bool { return w.agree(zoneA) && mute.Confirmed(w.now) })
+		w.isCut = func(_, _ *node) bool { return false }
+		_, ok = w.until(15*time.Second, func() bool { return w.agree(zoneA) && unheard.Confirmed(w.now) })
 		require.True(t, ok, "seed %d", seed)
 	}
 }
@@ -154,16 +154,16 @@
 func TestSplitHeals(t *testing.T) {
 	for _, n := range []int{2, 6, 20} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
-			w := converged(t, 4, n)
+			w := newConvergedNetwork(t, 4, n)
 			half := map[*node]bool{}
 			for i, x := range w.nodes {
 				half[x] = i < n/2
 			}
-			w.cut = func(from, to *node) bool { return half[from] != half[to] }
+			w.isCut = func(from, to *node) bool { return half[from] != half[to] }
 			w.run(5 * time.Minute)
 			require.Len(t, w.nodes[0].View().Zone(zoneA), n/2)
 			require.Len(t, w.nodes[0].Known(), n-1)
-			w.cut = func(_, _ *node) bool { return false }
+			w.isCut = func(_, _ *node) bool { return false }
 			took, ok := w.until(time.Minute, func() bool { return w.agree(zoneA) })
 			require.True(t, ok)
 			t.Logf("%d processes agree %s after the split ended", n, took)
@@ -172,20 +172,20 @@
 }
 
 func TestZoneCutOffComesBack(t *testing.T) {
-	w := converged(t, 5, 5, 5, 3)
+	w := newConvergedNetwork(t, 5, 5, 5, 3)
 	require.Len(t, w.nodes[0].View().Zone(zoneB), 3, "contacts")
-	w.cut = func(from, to *node) bool { return (from.zone == zoneB) != (to.zone == zoneB) }
+	w.isCut = func(from, to *node) bool { return (from.zone == zoneB) != (to.zone == zoneB) }
 	w.run(3 * time.Minute)
 	require.Empty(t, w.nodes[0].View().Zone(zoneB))
 	require.Len(t, w.nodes[5].View().Zone(zoneB), 5, "a zone that is cut off goes on by itself")
-	w.cut = func(_, _ *node) bool { return false }
+	w.isCut = func(_, _ *node) bool { return false }
 	took, ok := w.until(time.Minute, func() bool { return len(w.nodes[0].View().Zone(zoneB)) == 3 })
 	require.True(t, ok)
 	t.Logf("contacts back %s after the cut ended", took)
 }
 
 func TestRestartedProcessReplacesItself(t *testing.T) {
-	w := converged(t, 6, 6)
+	w := newConvergedNetwork(t, 6, 6)
 	n := w.nodes[1]
 	old := n.self
 	w.start(n)
@@ -202,15 +202,15 @@
 // daemon with the ticket: it must learn the heir, also after the VM has a new
 // process, and in another zone.
 func TestHeirIsKnownEverywhere(t *testing.T) {
-	w := converged(t, 7, 6, 3)
-	n, heir := w.nodes[1], w.nodes[2].self
+	w := newConvergedNetwork(t, 7, 6, 3)
+	n, successor := w.nodes[1], w.nodes[2].self
 	old := n.self
 	w.perform(n, n.Handle(w.now, shed.StopRequested{}))
 	w.run(time.Second)
 	state, _ := w.nodes[4].Home(old)
 	require.Equal(t, member.HomeAlive, state, "it still has its tickets")
 	require.Len(t, w.nodes[4].View().Zone(zoneA), 5)
-	w.perform(n, n.Leave(heir))
+	w.perform(n, n.Leave(successor))
 	w.run(3 * time.Second)
 	n.up = false
 	w.run(5 * time.Second)
@@ -222,7 +222,7 @@
 		}
 		state, to := x.Home(old)
 		require.Equal(t, member.HomeLeft, state, x.self.VM)
-		require.Equal(t, heir, to)
+		require.Equal(t, successor, to)
 	}
 }
 
@@ -259,7 +259,7 @@
 }
 
 func TestForgedAndStaleIncarnations(t *testing.T) {
-	w := converged(t, 8, 4)
+	w := newConvergedNetwork(t, 8, 4)
 	n, other := w.nodes[0], w.nodes[1].self
 	far := shed.Peer{VM: other.VM, Incarnation: shed.Incarnation(w.now.Add(48 * time.Hour).UnixNano())}
 	past := shed.Peer{VM: other.VM, Incarnation: 1}
@@ -309,7 +309,7 @@
 	b.ReportMetric(took.Seconds(), "s_to_agree")
 	// The news of the common start takes a while to be told to the end.
 	w.run(4 * time.Minute)
-	w.count = true
+	w.countBytes = true
 	const length = 60
 	for i := range length {
 		if restarts && i%10 == 0 {
--- a/internal/member/merge.go
+++ b/internal/member/merge.go
@@ -9,24 +9,24 @@
 	shed "jasmineshed"
 )
 
-// message takes in a Probe or ProbeAck.
-func (g *Group) message(now time.Time, ev shed.PeerMessage) []shed.Action {
+// handleMessage takes in a Probe or ProbeAck.
+func (g *Group) handleMessage(now time.Time, ev shed.PeerMessage) []shed.Action {
 	switch m := ev.Message.(type) {
 	case shed.Probe:
-		out, ok := g.heard(now, ev.From, m.Self, m.Gossip)
+		out, ok := g.mergeMessage(now, ev.From, m.Self, m.Gossip)
 		if !ok {
 			return out
 		}
-		return g.answer(now, out, ev.From.VM, m)
+		return g.answerProbe(now, out, ev.From.VM, m)
 	case shed.ProbeAck:
-		return g.ack(now, ev.From, m)
+		return g.handleAck(now, ev.From, m)
 	}
 	return nil
 }
 
-// heard takes in what a peer says of itself and others; false if it isn't who
+// mergeMessage takes in what a peer says of itself and others; false if it isn't who
 // it claims to be.
-func (g *Group) heard(now time.Time, from shed.Peer, self shed.Member, gossip []shed.Member) ([]shed.Action, bool) {
+func (g *Group) mergeMessage(now time.Time, from shed.Peer, self shed.Member, gossip []shed.Member) ([]shed.Action, bool) {
 	if self.Peer != from || self.Peer.VM == g.self.Peer.VM {
 		return []shed.Action{shed.Note{Reason: ReasonForgedIncarnation, Peer: from.VM}}, false
 	}
@@ -39,7 +39,7 @@
 	if r == nil {
 		return out, false
 	}
-	r.heard = now
+	r.receivedAt = now
 	out = g.revive(out, r, self)
 	for _, m := range gossip {
 		out = g.merge(now, out, m)
@@ -60,17 +60,17 @@
 	return append(out, shed.Note{Reason: ReasonPeerBack, Peer: r.Peer.VM, Zone: r.Zone})
 }
 
-func (g *Group) answer(now time.Time, out []shed.Action, to shed.VM, m shed.Probe) []shed.Action {
+func (g *Group) answerProbe(now time.Time, out []shed.Action, to shed.VM, m shed.Probe) []shed.Action {
 	if m.Target != "" {
 		if len(g.pending) > maxPending {
 			return out
 		}
-		return g.probeFor(now, out, pending{to: m.Target, asker: to, askSequence: m.Sequence})
+		return g.sendProbe(now, out, pendingProbe{to: m.Target, requester: to, requesterSequence: m.Sequence})
 	}
 	return append(out, shed.SendPeer{To: to, Message: shed.ProbeAck{
 		Sequence: m.Sequence,
 		Self:     g.self,
-		Gossip:   g.gossip(to, g.room(to, m.ViewHash)),
+		Gossip:   g.selectGossip(to, g.gossipLimit(to, m.ViewHash)),
 		ViewHash: g.currentView().Hash(g.cfg.Zone),
 	}})
 }
@@ -78,24 +78,24 @@
 // maxPending bounds what peers can make this process remember.
 const maxPending = 256
 
-// room is how much gossip a message may carry: more to a peer of the zone that
+// gossipLimit is how much gossip a message may carry: more to a peer of the zone that
 // sees another zone than this one does.
-func (g *Group) room(to shed.VM, view uint64) int {
+func (g *Group) gossipLimit(to shed.VM, view uint64) int {
 	if g.zoneOf(to) == g.cfg.Zone && view != g.currentView().Hash(g.cfg.Zone) {
 		return g.cfg.SyncMost
 	}
-	return gossipMax
+	return maxGossip
 }
 
-func (g *Group) ack(now time.Time, from shed.Peer, m shed.ProbeAck) []shed.Action {
+func (g *Group) handleAck(now time.Time, from shed.Peer, m shed.ProbeAck) []shed.Action {
 	if m.Target != "" {
-		return g.relayedAck(now, from, m)
+		return g.handleRelayedAck(now, from, m)
 	}
-	out, ok := g.heard(now, from, m.Self, m.Gossip)
+	out, ok := g.mergeMessage(now, from, m.Self, m.Gossip)
 	if !ok {
 		return out
 	}
-	at, found := slices.BinarySearchFunc(g.pending, m.Sequence, func(p pending, seq uint64) int {
+	at, found := slices.BinarySearchFunc(g.pending, m.Sequence, func(p pendingProbe, seq uint64) int {
 		return cmp.Compare(p.sequence, seq)
 	})
 	if !found || g.pending[at].to != from.VM {
@@ -104,10 +104,10 @@
 	p := g.pending[at]
 	g.pending = slices.Delete(g.pending, at, at+1)
 	r := g.members[from.VM]
-	r.acked, r.asked = now, p.sent
-	if p.asker != "" {
-		return append(out, shed.SendPeer{To: p.asker, Message: shed.ProbeAck{
-			Sequence: p.askSequence,
+	r.ackedAt, r.ackedProbeSentAt = now, p.sentAt
+	if p.requester != "" {
+		return append(out, shed.SendPeer{To: p.requester, Message: shed.ProbeAck{
+			Sequence: p.requesterSequence,
 			Self:     g.self,
 			Target:   from.VM,
 			Gossip:   []shed.Member{r.Member},
@@ -116,13 +116,13 @@
 	return out
 }
 
-// relayedAck: somebody else reached the VM, so it lives.
-func (g *Group) relayedAck(now time.Time, from shed.Peer, m shed.ProbeAck) []shed.Action {
-	out, ok := g.heard(now, from, m.Self, m.Gossip)
+// handleRelayedAck: somebody else reached the VM, so it lives.
+func (g *Group) handleRelayedAck(now time.Time, from shed.Peer, m shed.ProbeAck) []shed.Action {
+	out, ok := g.mergeMessage(now, from, m.Self, m.Gossip)
 	if !ok {
 		return out
 	}
-	at, found := slices.BinarySearchFunc(g.pending, m.Sequence, func(p pending, seq uint64) int {
+	at, found := slices.BinarySearchFunc(g.pending, m.Sequence, func(p pendingProbe, seq uint64) int {
 		return cmp.Compare(p.sequence, seq)
 	})
 	if !found || g.pending[at].to != m.Target || !g.pending[at].relayed {
@@ -130,7 +130,7 @@
 	}
 	g.pending = slices.Delete(g.pending, at, at+1)
 	if r := g.members[m.Target]; r != nil {
-		r.heard = now
+		r.receivedAt = now
 	}
 	return out
 }
@@ -138,26 +138,26 @@
 // merge takes in what somebody tells of a member.
 func (g *Group) merge(now time.Time, out []shed.Action, m shed.Member) []shed.Action {
 	if m.Peer.VM == g.self.Peer.VM {
-		return g.aboutSelf(now, out, m)
+		return g.handleReportOnSelf(now, out, m)
 	}
-	if !g.plausible(now, m) {
+	if !g.isPlausible(now, m) {
 		return append(out, shed.Note{Reason: ReasonForgedIncarnation, Peer: m.Peer.VM})
 	}
-	g.learnHeir(now, m)
+	g.recordSuccessor(now, m)
 	r := g.members[m.Peer.VM]
 	if r == nil {
 		if m.Zone != g.cfg.Zone && m.Status == shed.StatusDead {
 			return out
 		}
-		r = g.add(m.Peer.VM)
-	} else if !newer(m, r.Member) {
+		r = g.addMember(m.Peer.VM)
+	} else if !isNewer(m, r.Member) {
 		return out
 	}
-	return g.take(now, out, r, m)
+	return g.replaceRecord(now, out, r, m)
 }
 
-// take replaces what is known of a VM by newer word.
-func (g *Group) take(now time.Time, out []shed.Action, r *record, m shed.Member) []shed.Action {
+// replaceRecord replaces what is known of a VM by newer word.
+func (g *Group) replaceRecord(now time.Time, out []shed.Action, r *record, m shed.Member) []shed.Action {
 	if m.Peer == r.Peer && m.Successor == (shed.Peer{}) {
 		m.Successor = r.Successor
 	}
@@ -167,8 +167,8 @@
 	if r.Status == shed.StatusDead && m.Status != shed.StatusDead {
 		out = append(out, shed.Note{Reason: ReasonPeerBack, Peer: m.Peer.VM, Zone: m.Zone})
 	}
-	if r.since.IsZero() || r.Status == shed.StatusDead {
-		r.since = now
+	if r.upSince.IsZero() || r.Status == shed.StatusDead {
+		r.upSince = now
 	}
 	r.Member = m
 	r.suspectAt = time.Time{}
@@ -180,23 +180,23 @@
 	}
 	g.dirty = true
 	if m.Zone == g.cfg.Zone {
-		g.spread(m)
+		g.queueUpdate(m)
 	}
 	return out
 }
 
-// plausible refuses what no process can rightly say. An incarnation far in the
+// isPlausible refuses what no process can rightly say. An incarnation far in the
 // future would lock the VM's true process out for good.
-func (g *Group) plausible(now time.Time, m shed.Member) bool {
+func (g *Group) isPlausible(now time.Time, m shed.Member) bool {
 	ahead := shed.Incarnation(now.Add(g.cfg.MaxAhead).UnixNano())
 	return m.Peer.VM != "" && m.Zone != "" &&
 		m.Peer.Incarnation != 0 && m.Peer.Incarnation <= ahead &&
 		m.Status >= shed.StatusAlive && m.Status <= shed.StatusDead
 }
 
-// newer orders word of one VM: by incarnation, then by refutation, then by
+// isNewer orders word of one VM: by incarnation, then by refutation, then by
 // status.
-func newer(a, b shed.Member) bool {
+func isNewer(a, b shed.Member) bool {
 	if a.Peer.Incarnation != b.Peer.Incarnation {
 		return a.Peer.Incarnation > b.Peer.Incarnation
 	}
@@ -209,88 +209,88 @@
 	return a.Successor != b.Successor && b.Successor == (shed.Peer{})
 }
 
-// aboutSelf denies the own death with a higher Refute. Until peers have heard
+// handleReportOnSelf denies the own death with a higher Refute. Until peers have heard
 // that, they may act as if this process were gone, so the view is in doubt.
-func (g *Group) aboutSelf(now time.Time, out []shed.Action, m shed.Member) []shed.Action {
+func (g *Group) handleReportOnSelf(now time.Time, out []shed.Action, m shed.Member) []shed.Action {
 	switch {
 	case m.Peer.Incarnation > g.self.Peer.Incarnation:
 		g.overruled = true
 		return append(out, shed.Note{Reason: ReasonOverruled, Peer: m.Peer.VM})
 	case m.Peer.Incarnation < g.self.Peer.Incarnation:
-		g.learnHeir(now, m)
+		g.recordSuccessor(now, m)
 		return out
 	case m.Status != shed.StatusSuspect && m.Status != shed.StatusDead:
 		return out
 	}
 	g.self.Refute = max(g.self.Refute, m.Refute+1)
-	g.toldDead(now)
+	g.noteReportedDead(now)
 	return out
 }
 
-// learnHeir remembers where the tickets of a process went, also after a later
+// recordSuccessor remembers where the tickets of a process went, also after a later
 // process has taken its VM.
-func (g *Group) learnHeir(now time.Time, m shed.Member) {
+func (g *Group) recordSuccessor(now time.Time, m shed.Member) {
 	if m.Successor == (shed.Peer{}) {
 		return
 	}
-	if _, known := g.heirs[m.Peer]; known {
+	if _, known := g.departures[m.Peer]; known {
 		return
 	}
-	g.heirs[m.Peer] = left{heir: m.Successor, at: now}
-	g.heirOrder = append(g.heirOrder, m.Peer)
-	for len(g.heirOrder) > 0 && (len(g.heirOrder) > heirsMax || now.Sub(g.heirs[g.heirOrder[0]].at) > g.cfg.KeepDead) {
-		delete(g.heirs, g.heirOrder[0])
-		g.heirOrder = g.heirOrder[1:]
+	g.departures[m.Peer] = departure{successor: m.Successor, at: now}
+	g.departureOrder = append(g.departureOrder, m.Peer)
+	for len(g.departureOrder) > 0 && (len(g.departureOrder) > maxDepartures || now.Sub(g.departures[g.departureOrder[0]].at) > g.cfg.KeepDead) {
+		delete(g.departures, g.departureOrder[0])
+		g.departureOrder = g.departureOrder[1:]
 	}
-	g.spread(m)
+	g.queueUpdate(m)
 }
 
-// spread puts m on top of what is to be told; older word of the same process
+// queueUpdate puts m on top of what is to be told; older word of the same process
 // falls out.
-func (g *Group) spread(m shed.Member) {
-	g.news = slices.DeleteFunc(g.news, func(n news) bool { return n.Peer == m.Peer })
+func (g *Group) queueUpdate(m shed.Member) {
+	g.updates = slices.DeleteFunc(g.updates, func(n update) bool { return n.Peer == m.Peer })
 	times := spreadFactor * (1 + bits.Len(uint(len(g.order))))
-	g.news = append(g.news, news{Member: m, left: times})
+	g.updates = append(g.updates, update{Member: m, sendsLeft: times})
 }
 
-// gossip picks up to n members to tell: what the receiver is held for, if that
+// selectGossip picks up to n members to tell: what the receiver is held for, if that
 // is worse than alive, then the news told least often, then others in turn.
-func (g *Group) gossip(to shed.VM, n int) []shed.Member {
+func (g *Group) selectGossip(to shed.VM, n int) []shed.Member {
 	var out []shed.Member
 	if r := g.members[to]; r != nil && r.Zone == g.cfg.Zone && r.Status != shed.StatusAlive {
 		out = append(out, r.Member)
 	}
-	near := g.zoneOf(to) == g.cfg.Zone || g.zoneOf(to) == ""
-	for i := len(g.news) - 1; i >= 0 && len(out) < n; i-- {
-		m := &g.news[i]
-		if !near && m.Successor == (shed.Peer{}) {
+	sameZone := g.zoneOf(to) == g.cfg.Zone || g.zoneOf(to) == ""
+	for i := len(g.updates) - 1; i >= 0 && len(out) < n; i-- {
+		m := &g.updates[i]
+		if !sameZone && m.Successor == (shed.Peer{}) {
 			continue
 		}
-		m.left--
+		m.sendsLeft--
 		out = append(out, m.Member)
 	}
-	g.news = slices.DeleteFunc(g.news, func(n news) bool { return n.left <= 0 })
-	slices.SortStableFunc(g.news, func(a, b news) int { return cmp.Compare(a.left, b.left) })
-	if near {
-		out = g.syncSome(out, n)
+	g.updates = slices.DeleteFunc(g.updates, func(n update) bool { return n.sendsLeft <= 0 })
+	slices.SortStableFunc(g.updates, func(a, b update) int { return cmp.Compare(a.sendsLeft, b.sendsLeft) })
+	if sameZone {
+		out = g.addSyncMembers(out, n)
 	}
 	return out
 }
 
-// syncSome fills a message up with members of the zone in turn, so that what
+// addSyncMembers fills a message up with members of the zone in turn, so that what
 // news missed is mended: one in the normal case, all that fits to a peer whose
 // view differs.
-func (g *Group) syncSome(out []shed.Member, n int) []shed.Member {
+func (g *Group) addSyncMembers(out []shed.Member, n int) []shed.Member {
 	fill := 1
-	if n > gossipMax {
+	if n > maxGossip {
 		fill = n
 	}
 	for range min(fill, len(g.order)) {
 		if len(out) >= n {
 			break
 		}
-		g.syncAt = (g.syncAt + 1) % len(g.order)
-		if r := g.members[g.order[g.syncAt]]; r.Zone == g.cfg.Zone {
+		g.syncIndex = (g.syncIndex + 1) % len(g.order)
+		if r := g.members[g.order[g.syncIndex]]; r.Zone == g.cfg.Zone {
 			out = append(out, r.Member)
 		}
 	}
--- a/internal/member/net_test.go
+++ b/internal/member/net_test.go
@@ -19,17 +19,17 @@
 	nodes []*node
 	byVM  map[shed.VM]*node
 	queue queue
-	// cut tells whether messages from one node to another are lost.
-	cut   func(from, to *node) bool
-	list  []shed.VMEntry
-	bytes int
-	count bool // whether to count the bytes that the first zone sends
-	notes map[shed.Reason]int
+	// isCut tells whether messages from one node to another are lost.
+	isCut      func(from, to *node) bool
+	list       []shed.VMEntry
+	bytes      int
+	countBytes bool // whether to count the bytes that the first zone sends
+	notes      map[shed.Reason]int
 	// cfg is what each group is set up with beside its own identity; with it, only
 	// the seeds are known at first, as where the platform has no list.
 	cfg *member.Config
-	// other takes messages that are not the membership's; nil: nobody does.
-	other func(n *node, ev shed.PeerMessage) []shed.Action
+	// handleOther takes messages that are not the membership's; nil: nobody does.
+	handleOther func(n *node, ev shed.PeerMessage) []shed.Action
 }
 
 type node struct {
@@ -38,12 +38,12 @@
 	zone shed.ZoneID
 	up   bool
 	// until when it is frozen; stopped: its monotonic clock stands still then.
-	frozen  time.Time
-	stopped time.Duration
-	offset  time.Duration
+	frozenUntil  time.Time
+	clockStopped time.Duration
+	clockOffset  time.Duration
 }
 
-type letter struct {
+type delivery struct {
 	at   time.Time
 	n    int
 	from shed.Peer
@@ -51,14 +51,14 @@
 	msg  shed.Message
 }
 
-type queue []letter
+type queue []delivery
 
 func (q queue) Len() int { return len(q) }
 func (q queue) Less(i, j int) bool {
 	return q[i].at.Before(q[j].at) || q[i].at.Equal(q[j].at) && q[i].n < q[j].n
 }
 func (q queue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
-func (q *queue) Push(x any)   { *q = append(*q, x.(letter)) }
+func (q *queue) Push(x any)   { *q = append(*q, x.(delivery)) }
 func (q *queue) Pop() any {
 	last := (*q)[len(*q)-1]
 	*q = (*q)[:len(*q)-1]
@@ -71,7 +71,7 @@
 		now:   time.Unix(1_800_000_000, 0),
 		rng:   rand.New(rand.NewPCG(seed, 3)),
 		byVM:  map[shed.VM]*node{},
-		cut:   func(_, _ *node) bool { return false },
+		isCut: func(_, _ *node) bool { return false },
 		notes: map[shed.Reason]int{},
 	}
 	for z, size := range sizes {
@@ -89,7 +89,7 @@
 }
 
 func (w *network) start(n *node) {
-	n.up, n.frozen = true, time.Time{}
+	n.up, n.frozenUntil = true, time.Time{}
 	n.self.Incarnation = shed.Incarnation(w.now.UnixNano() + int64(w.rng.IntN(1e6)))
 	cfg := member.Config{Seeds: []shed.VM{w.list[0].VM}}
 	if w.cfg != nil {
@@ -103,11 +103,11 @@
 	for end := w.now.Add(d); w.now.Before(end); {
 		next := w.now.Add(shed.TickEvery)
 		for len(w.queue) > 0 && w.queue[0].at.Before(next) {
-			l := heap.Pop(&w.queue).(letter)
+			l := heap.Pop(&w.queue).(delivery)
 			w.now = l.at
 			to := w.byVM[l.to]
 			from := w.byVM[l.from.VM]
-			if to != nil && to.up && !w.cut(from, to) {
+			if to != nil && to.up && !w.isCut(from, to) {
 				w.handle(to, shed.PeerMessage{From: l.from, Message: l.msg})
 			}
 		}
@@ -116,18 +116,18 @@
 			if !n.up {
 				continue
 			}
-			w.handle(n, shed.Tick{Wall: w.now, Mono: time.Duration(w.now.UnixNano()) - n.offset})
+			w.handle(n, shed.Tick{Wall: w.now, Mono: time.Duration(w.now.UnixNano()) - n.clockOffset})
 		}
 	}
 }
 
 func (w *network) handle(n *node, ev shed.Event) {
-	if w.now.Before(n.frozen) {
+	if w.now.Before(n.frozenUntil) {
 		return // what arrives meanwhile is lost; the hardest case
 	}
-	n.offset, n.stopped = n.offset+n.stopped, 0
-	if m, ok := ev.(shed.PeerMessage); ok && w.other != nil {
-		w.perform(n, w.other(n, m))
+	n.clockOffset, n.clockStopped = n.clockOffset+n.clockStopped, 0
+	if m, ok := ev.(shed.PeerMessage); ok && w.handleOther != nil {
+		w.perform(n, w.handleOther(n, m))
 	}
 	w.perform(n, n.Handle(w.now, ev))
 }
@@ -136,7 +136,7 @@
 	for _, a := range actions {
 		switch a := a.(type) {
 		case shed.SendPeer:
-			w.post(n, a)
+			w.send(n, a)
 		case shed.ReadVMs:
 			if w.cfg != nil {
 				continue
@@ -148,16 +148,16 @@
 	}
 }
 
-func (w *network) post(n *node, a shed.SendPeer) {
-	if w.count && n.zone == zoneA {
+func (w *network) send(n *node, a shed.SendPeer) {
+	if w.countBytes && n.zone == zoneA {
 		b, err := cbor.Marshal(a.Message)
 		if err != nil {
 			panic(err)
 		}
 		w.bytes += len(b)
 	}
-	late := time.Millisecond + time.Duration(w.rng.Int64N(int64(9*time.Millisecond)))
-	heap.Push(&w.queue, letter{at: w.now.Add(late), n: w.rng.Int(), from: n.self, to: a.To, msg: a.Message})
+	delay := time.Millisecond + time.Duration(w.rng.Int64N(int64(9*time.Millisecond)))
+	heap.Push(&w.queue, delivery{at: w.now.Add(delay), n: w.rng.Int(), from: n.self, to: a.To, msg: a.Message})
 }
 
 // agree tells whether all nodes of z that run see exactly those.
@@ -196,8 +196,8 @@
 
 // freeze stops the node; with suspend its monotonic clock stands still, too.
 func (w *network) freeze(n *node, d time.Duration, suspend bool) {
-	n.frozen = w.now.Add(d)
+	n.frozenUntil = w.now.Add(d)
 	if suspend {
-		n.stopped = d
+		n.clockStopped = d
 	}
 }
--- a/internal/member/probe.go
+++ b/internal/member/probe.go
@@ -10,37 +10,37 @@
 	shed "jasmineshed"
 )
 
-// pending is a probe whose ack is out.
-type pending struct {
+// pendingProbe is a probe whose ack is out.
+type pendingProbe struct {
 	sequence uint64
 	to       shed.VM
-	sent     time.Time
+	sentAt   time.Time
 	// relayed: others were asked to probe, too.
 	relayed bool
-	// asker wants the ack, under its own sequence; "" for one's own probe.
-	asker       shed.VM
-	askSequence uint64
+	// requester wants the ack, under its own sequence; "" for one's own probe.
+	requester         shed.VM
+	requesterSequence uint64
 }
 
-// round probes the successors on the ring, some others of the zone in random
+// probeRound probes the successors on the ring, some others of the zone in random
 // order, some contacts in other zones, and now and then a VM that is dead or
 // was never heard. The ring gives a fixed bound for noticing a death; the random
 // ones spread news and join parts that hold each other dead.
-func (g *Group) round(now time.Time, out []shed.Action) []shed.Action {
+func (g *Group) probeRound(now time.Time, out []shed.Action) []shed.Action {
 	peers := g.zonePeers()
-	ring := g.successors(peers)
+	ring := g.ringNeighbors(peers)
 	for _, vm := range ring {
 		out = g.probe(now, out, vm)
 	}
-	for _, vm := range g.nextRandom(peers, ring) {
+	for _, vm := range g.nextRandomPeers(peers, ring) {
 		out = g.probe(now, out, vm)
 	}
-	far := g.farContacts()
-	for range min(roundFar, len(far)) {
-		g.farAt = (g.farAt + 1) % len(far)
-		out = g.probe(now, out, far[g.farAt])
+	far := g.remoteContacts()
+	for range min(remoteProbes, len(far)) {
+		g.remoteIndex = (g.remoteIndex + 1) % len(far)
+		out = g.probe(now, out, far[g.remoteIndex])
 	}
-	return g.tryLost(now, out)
+	return g.probeLost(now, out)
 }
 
 // zonePeers are the other processes of the zone that aren't dead, sorted.
@@ -55,133 +55,133 @@
 	return out
 }
 
-// successors are the next VMs on the ring of the zone. The ring is ordered by
+// ringNeighbors are the next VMs on the ring of the zone. The ring is ordered by
 // hash: by address, the VMs of one rack would watch each other and die together.
-func (g *Group) successors(peers []shed.VM) []shed.VM {
-	me := ringPlace(g.self.Peer.VM)
+func (g *Group) ringNeighbors(peers []shed.VM) []shed.VM {
+	me := ringPosition(g.self.Peer.VM)
 	ring := slices.Clone(peers)
 	slices.SortFunc(ring, func(a, b shed.VM) int {
 		// The distance wraps round, so the next one comes first.
-		return cmp.Compare(ringPlace(a)-me, ringPlace(b)-me)
+		return cmp.Compare(ringPosition(a)-me, ringPosition(b)-me)
 	})
-	return ring[:min(ringWatch, len(ring))]
+	return ring[:min(ringProbes, len(ring))]
 }
 
-func ringPlace(vm shed.VM) uint64 { return xxhash.Sum64String(string(vm)) }
+func ringPosition(vm shed.VM) uint64 { return xxhash.Sum64String(string(vm)) }
 
-// nextRandom goes through all peers in a random order before it repeats one.
-func (g *Group) nextRandom(peers, not []shed.VM) []shed.VM {
+// nextRandomPeers goes through all peers in a random order before it repeats one.
+func (g *Group) nextRandomPeers(peers, exclude []shed.VM) []shed.VM {
 	var out []shed.VM
 	for range 2 {
-		for len(g.shuffled) > 0 && len(out) < roundRandom {
-			vm := g.shuffled[0]
-			g.shuffled = g.shuffled[1:]
+		for len(g.randomOrder) > 0 && len(out) < randomProbes {
+			vm := g.randomOrder[0]
+			g.randomOrder = g.randomOrder[1:]
 			_, known := slices.BinarySearch(peers, vm)
-			if known && !slices.Contains(not, vm) {
+			if known && !slices.Contains(exclude, vm) {
 				out = append(out, vm)
 			}
 		}
-		if len(out) == roundRandom {
+		if len(out) == randomProbes {
 			break
 		}
-		g.shuffled = slices.Clone(peers)
+		g.randomOrder = slices.Clone(peers)
 		g.rng.Shuffle(len(peers), func(i, j int) {
-			g.shuffled[i], g.shuffled[j] = g.shuffled[j], g.shuffled[i]
+			g.randomOrder[i], g.randomOrder[j] = g.randomOrder[j], g.randomOrder[i]
 		})
 	}
 	return out
 }
 
-// tryLost probes VMs that don't answer or never did, so that a zone or a part
+// probeLost probes VMs that don't answer or never did, so that a zone or a part
 // that was cut off is found again without anybody's help.
-func (g *Group) tryLost(now time.Time, out []shed.Action) []shed.Action {
-	never, lost := g.lostVMs()
-	for i := range min(roundUnknown, len(never)) {
-		out = g.probe(now, out, never[(g.lostAt+i)%len(never)])
+func (g *Group) probeLost(now time.Time, out []shed.Action) []shed.Action {
+	unknown, dead := g.unknownAndDead()
+	for i := range min(unknownProbes, len(unknown)) {
+		out = g.probe(now, out, unknown[(g.unknownIndex+i)%len(unknown)])
 	}
-	g.lostAt += roundUnknown
-	if len(lost) > 0 && !now.Before(g.nextDead) {
-		g.nextDead = now.Add(g.cfg.DeadEvery)
-		out = g.probe(now, out, lost[g.rng.IntN(len(lost))])
+	g.unknownIndex += unknownProbes
+	if len(dead) > 0 && !now.Before(g.nextDeadProbe) {
+		g.nextDeadProbe = now.Add(g.cfg.DeadEvery)
+		out = g.probe(now, out, dead[g.rng.IntN(len(dead))])
 	}
 	return out
 }
 
-// lostVMs returns the VMs of this zone and the seeds that were never heard, and
+// unknownAndDead returns the VMs of this zone and the seeds that were never heard, and
 // the others to try now and then.
-func (g *Group) lostVMs() (never, lost []shed.VM) {
+func (g *Group) unknownAndDead() (unknown, dead []shed.VM) {
 	for _, vm := range g.cfg.Seeds {
 		if g.members[vm] == nil && vm != g.self.Peer.VM {
-			never = append(never, vm)
+			unknown = append(unknown, vm)
 		}
 	}
 	for vm, e := range g.listed {
 		if g.members[vm] == nil && e.Zone == g.cfg.Zone {
-			never = append(never, vm)
+			unknown = append(unknown, vm)
 		}
 	}
-	slices.Sort(never)
-	never = slices.Compact(never)
+	slices.Sort(unknown)
+	unknown = slices.Compact(unknown)
 	for _, vm := range g.order {
 		if g.members[vm].Status == shed.StatusDead {
-			lost = append(lost, vm)
+			dead = append(dead, vm)
 		}
 	}
-	return never, lost
+	return unknown, dead
 }
 
 func (g *Group) probe(now time.Time, out []shed.Action, to shed.VM) []shed.Action {
-	return g.probeFor(now, out, pending{to: to})
+	return g.sendProbe(now, out, pendingProbe{to: to})
 }
 
-func (g *Group) probeFor(now time.Time, out []shed.Action, p pending) []shed.Action {
+func (g *Group) sendProbe(now time.Time, out []shed.Action, p pendingProbe) []shed.Action {
 	g.sequence++
-	p.sequence, p.sent = g.sequence, now
+	p.sequence, p.sentAt = g.sequence, now
 	g.pending = append(g.pending, p)
 	return append(out, shed.SendPeer{To: p.to, Message: shed.Probe{
 		Sequence: p.sequence,
 		Self:     g.self,
-		Gossip:   g.gossip(p.to, gossipMax),
+		Gossip:   g.selectGossip(p.to, maxGossip),
 		ViewHash: g.currentView().Hash(g.cfg.Zone),
 	}})
 }
 
-// expire asks others to probe those that didn't answer, suspects those that
+// expireProbes asks others to probe those that didn't answer, suspects those that
 // didn't answer them either, and gives up suspects that didn't deny it.
-func (g *Group) expire(now time.Time) []shed.Action {
+func (g *Group) expireProbes(now time.Time) []shed.Action {
 	var out []shed.Action
-	waiting := g.pending
+	probes := g.pending
 	g.pending = nil
-	for _, p := range waiting {
-		age := now.Sub(p.sent)
+	for _, p := range probes {
+		age := now.Sub(p.sentAt)
 		switch {
 		case age < g.cfg.AckAfter:
-		case !p.relayed && p.asker == "":
+		case !p.relayed && p.requester == "":
 			p.relayed = true
-			out = g.askRelays(out, p)
+			out = g.requestRelayProbes(out, p)
 		case age < 2*g.cfg.AckAfter:
 		default:
-			out = g.unanswered(now, out, p)
+			out = g.handleTimeout(now, out, p)
 			continue
 		}
 		g.pending = append(g.pending, p)
 	}
-	return g.bury(now, out)
+	return g.expireMembers(now, out)
 }
 
-func (g *Group) askRelays(out []shed.Action, p pending) []shed.Action {
+func (g *Group) requestRelayProbes(out []shed.Action, p pendingProbe) []shed.Action {
 	r := g.members[p.to]
 	if r == nil || r.Zone != g.cfg.Zone || r.Status == shed.StatusDead {
 		return out
 	}
 	peers := g.zonePeers()
 	g.rng.Shuffle(len(peers), func(i, j int) { peers[i], peers[j] = peers[j], peers[i] })
-	asked := 0
+	sent := 0
 	for _, vm := range peers {
-		if vm == p.to || asked == relays {
+		if vm == p.to || sent == relayProbes {
 			continue
 		}
-		asked++
+		sent++
 		out = append(out, shed.SendPeer{To: vm, Message: shed.Probe{
 			Sequence: p.sequence,
 			Self:     g.self,
@@ -192,35 +192,35 @@
 	return out
 }
 
-// unanswered suspects the VM, unless it was heard since the probe left: then it
+// handleTimeout suspects the VM, unless it was heard since the probe left: then it
 // lives, and only the way there is cut.
-func (g *Group) unanswered(now time.Time, out []shed.Action, p pending) []shed.Action {
+func (g *Group) handleTimeout(now time.Time, out []shed.Action, p pendingProbe) []shed.Action {
 	r := g.members[p.to]
 	if r == nil {
-		g.mute[p.to] = now
+		g.unresponsive[p.to] = now
 		g.dirty = true
 		return out
 	}
-	if p.asker != "" || !r.heard.Before(p.sent) {
+	if p.requester != "" || !r.receivedAt.Before(p.sentAt) {
 		return out
 	}
-	return g.suspect(now, out, r)
+	return g.markSuspect(now, out, r)
 }
 
-func (g *Group) suspect(now time.Time, out []shed.Action, r *record) []shed.Action {
+func (g *Group) markSuspect(now time.Time, out []shed.Action, r *record) []shed.Action {
 	if r.Status == shed.StatusDead || !r.suspectAt.IsZero() {
 		return out
 	}
 	r.suspectAt = now
 	if r.Status == shed.StatusAlive {
 		r.Status = shed.StatusSuspect
-		g.spread(r.Member)
+		g.queueUpdate(r.Member)
 	}
 	return append(out, shed.Note{Reason: ReasonPeerSuspect, Peer: r.Peer.VM, Zone: r.Zone})
 }
 
-func (g *Group) bury(now time.Time, out []shed.Action) []shed.Action {
-	forget := []shed.VM{}
+func (g *Group) expireMembers(now time.Time, out []shed.Action) []shed.Action {
+	expired := []shed.VM{}
 	for _, vm := range g.order {
 		r := g.members[vm]
 		switch {
@@ -228,28 +228,28 @@
 			// One that the platform still lists may live behind a one-way cut:
 			// as long as it is told that it is dead, it keeps still.
 			if _, listed := g.listed[vm]; !listed && now.Sub(r.deadAt) > g.cfg.KeepDead {
-				forget = append(forget, vm)
+				expired = append(expired, vm)
 			}
 		case !r.suspectAt.IsZero() && now.Sub(r.suspectAt) >= g.cfg.SuspectFor:
-			g.setDead(now, r)
-			g.spread(r.Member)
+			g.markDead(now, r)
+			g.queueUpdate(r.Member)
 			out = append(out, shed.Note{Reason: ReasonPeerDead, Peer: vm, Zone: r.Zone})
 		}
 	}
-	for _, vm := range forget {
-		g.forget(vm)
+	for _, vm := range expired {
+		g.removeMember(vm)
 	}
 	return out
 }
 
-func (g *Group) setDead(now time.Time, r *record) {
+func (g *Group) markDead(now time.Time, r *record) {
 	r.Status = shed.StatusDead
 	r.deadAt = now
 	r.suspectAt = time.Time{}
 	g.dirty = true
 }
 
-func (g *Group) forget(vm shed.VM) {
+func (g *Group) removeMember(vm shed.VM) {
 	delete(g.members, vm)
 	at, ok := slices.BinarySearch(g.order, vm)
 	if ok {
@@ -258,15 +258,15 @@
 	g.dirty = true
 }
 
-// peerLost: the link gave no answer. That is a hint only, since just this one
+// handlePeerLost: the link gave no answer. That is a hint only, since just this one
 // link may be silent; a probe by others decides.
-func (g *Group) peerLost(now time.Time, vm shed.VM) []shed.Action {
+func (g *Group) handlePeerLost(now time.Time, vm shed.VM) []shed.Action {
 	r := g.members[vm]
 	if r == nil || r.Status == shed.StatusDead {
 		return nil
 	}
 	for i := range g.pending {
-		if g.pending[i].to == vm && g.pending[i].asker == "" {
+		if g.pending[i].to == vm && g.pending[i].requester == "" {
 			return nil
 		}
 	}
--- a/internal/member/view.go
+++ b/internal/member/view.go
@@ -45,24 +45,24 @@
 
 func (g *Group) currentView() View {
 	if g.dirty {
-		g.view = g.build()
+		g.view = g.buildView()
 		g.dirty = false
 	}
 	return g.view
 }
 
-func (g *Group) build() View {
+func (g *Group) buildView() View {
 	v := View{zones: map[shed.ZoneID][]shed.Peer{}, hash: map[shed.ZoneID]uint64{}}
 	if g.self.Status == shed.StatusAlive {
 		v.zones[g.cfg.Zone] = append(v.zones[g.cfg.Zone], g.self.Peer)
 	}
 	for _, vm := range g.zonePeers() {
-		g.show(v, vm)
+		g.addToView(v, vm)
 	}
 	v.ids = g.zoneIDs()
-	g.far = g.contacts(v.ids)
-	for _, vm := range g.far {
-		g.show(v, vm)
+	g.remote = g.selectContacts(v.ids)
+	for _, vm := range g.remote {
+		g.addToView(v, vm)
 	}
 	for _, z := range v.ids {
 		slices.SortFunc(v.zones[z], func(a, b shed.Peer) int { return compareVM(a.VM, b.VM) })
@@ -81,7 +81,7 @@
 	return 0
 }
 
-func (g *Group) show(v View, vm shed.VM) {
+func (g *Group) addToView(v View, vm shed.VM) {
 	r := g.members[vm]
 	if r == nil || r.Status != shed.StatusAlive && r.Status != shed.StatusSuspect {
 		return
@@ -114,18 +114,18 @@
 	return d.Sum64()
 }
 
-// farContacts are the VMs that this process talks to in other zones.
-func (g *Group) farContacts() []shed.VM {
+// remoteContacts are the VMs that this process talks to in other zones.
+func (g *Group) remoteContacts() []shed.VM {
 	g.currentView()
-	return g.far
+	return g.remote
 }
 
-// contacts chooses them. Each process has others, by hash, so that no one is
+// selectContacts chooses them. Each process has others, by hash, so that no one is
 // asked by all.
-func (g *Group) contacts(zones []shed.ZoneID) []shed.VM {
+func (g *Group) selectContacts(zones []shed.ZoneID) []shed.VM {
 	byZone := map[shed.ZoneID][]shed.VM{}
 	for vm, e := range g.listed {
-		if e.Zone != g.cfg.Zone && !e.Leaving && g.members[vm] == nil && !g.isMute(vm) {
+		if e.Zone != g.cfg.Zone && !e.Leaving && g.members[vm] == nil && !g.isUnresponsive(vm) {
 			byZone[e.Zone] = append(byZone[e.Zone], vm)
 		}
 	}
@@ -137,25 +137,25 @@
 	}
 	var out []shed.VM
 	for _, z := range zones {
-		out = append(out, rank.Owners(string(g.self.Peer.VM), byZone[z], contactsMax)...)
+		out = append(out, rank.Owners(string(g.self.Peer.VM), byZone[z], maxContacts)...)
 	}
 	return out
 }
 
 // muteFor is how long a listed VM that didn't answer is no contact. The list
 // lags: else three VMs that are long gone could stand for a whole zone.
-const muteFor = time.Minute
+const unresponsivePeriod = time.Minute
 
-func (g *Group) isMute(vm shed.VM) bool {
-	at, ok := g.mute[vm]
-	return ok && g.clock.now.Sub(at) <= muteFor
+func (g *Group) isUnresponsive(vm shed.VM) bool {
+	at, ok := g.unresponsive[vm]
+	return ok && g.clock.now.Sub(at) <= unresponsivePeriod
 }
 
 // Since tells when the present process on a VM was first known to be there, or to
 // be back; zero if it isn't known.
 func (g *Group) Since(vm shed.VM) time.Time {
 	if r := g.members[vm]; r != nil {
-		return r.since
+		return r.upSince
 	}
 	return time.Time{}
 }
@@ -189,7 +189,7 @@
 	out := []shed.VM{}
 	for _, vm := range g.order {
 		r := g.members[vm]
-		if r.Zone == g.cfg.Zone && g.mayLive(vm, r) {
+		if r.Zone == g.cfg.Zone && g.mayBeAlive(vm, r) {
 			out = append(out, vm)
 		}
 	}
@@ -212,7 +212,7 @@
 // listLag is how long the platform's list may take to drop a VM.
 const listLag = time.Minute
 
-func (g *Group) mayLive(vm shed.VM, r *record) bool {
+func (g *Group) mayBeAlive(vm shed.VM, r *record) bool {
 	switch r.Status {
 	case shed.StatusAlive, shed.StatusSuspect:
 		return true
@@ -243,7 +243,7 @@
 )
 
 // maxHeirs bounds the chain of heirs that left in turn.
-const maxHeirs = 16
+const maxSuccessorChain = 16
 
 // Home tells what became of p. With HomeLeft comes the last heir of the chain
 // that hasn't left itself.
@@ -251,8 +251,8 @@
 	if p == g.self.Peer {
 		return HomeAlive, shed.Peer{}
 	}
-	if heir, ok := g.lastHeir(p); ok {
-		return HomeLeft, heir
+	if successor, ok := g.lastSuccessor(p); ok {
+		return HomeLeft, successor
 	}
 	r := g.members[p.VM]
 	switch {
@@ -264,17 +264,17 @@
 	return HomeAlive, shed.Peer{}
 }
 
-func (g *Group) lastHeir(p shed.Peer) (shed.Peer, bool) {
-	l, ok := g.heirs[p]
+func (g *Group) lastSuccessor(p shed.Peer) (shed.Peer, bool) {
+	d, ok := g.departures[p]
 	if !ok {
 		return shed.Peer{}, false
 	}
-	for range maxHeirs {
-		next, more := g.heirs[l.heir]
-		if !more || l.heir == g.self.Peer {
+	for range maxSuccessorChain {
+		next, more := g.departures[d.successor]
+		if !more || d.successor == g.self.Peer {
 			break
 		}
-		l = next
+		d = next
 	}
-	return l.heir, true
+	return d.successor, true
 }
