--- a/internal/member/clock.go
+++ b/internal/member/clock.go
@@ -6,16 +6,16 @@
 	shed "jasmineshed"
 )
 
-// clock notices that the process slept, by the gap between ticks. It compares
-// both clocks: the monotonic one may stand still while a VM is suspended, and
-// then only the wall clock shows the gap.
+// clock detects that the process was paused, by the gap between ticks. It compares both clocks: the
+// monotonic one may stand still while a VM is suspended, and then only the wall clock shows the
+// gap.
 type clock struct {
 	now  time.Time
 	wall time.Time
 	mono time.Duration
 }
 
-// tick returns true if the gap since the last tick was longer than limit.
+// tick records a Tick and reports whether the gap since the last one exceeded limit.
 func (c *clock) tick(now time.Time, tick shed.Tick, limit time.Duration) bool {
 	first := c.wall.IsZero()
 	gap := max(tick.Wall.Round(0).Sub(c.wall.Round(0)), tick.Mono-c.mono)
@@ -23,31 +23,30 @@
 	return !first && gap > limit
 }
 
-// Woke tells whether the last Tick showed that the process had been paused.
+// Woke reports whether the last Tick showed that the process had been paused.
 func (g *Group) Woke() bool { return g.woke }
 
-// Overruled tells that a process with a later incarnation claims this VM's
-// address. This one should stop: peers drop all that it says.
+// Overruled reports whether a process with a later incarnation claims this VM's address. This
+// process should stop then: peers ignore all its messages.
 func (g *Group) Overruled() bool { return g.overruled }
 
-// requireConfirmation opens a new confirmation of the view.
+// requireConfirmation makes the view unconfirmed until peers have answered new probes.
 func (g *Group) requireConfirmation(now time.Time) { g.unconfirmedSince = now }
 
-// noteReportedDead opens a new confirmation that can't end before the next such word
-// would have come: a process that hears its peers, but that they don't hear, is
-// told again and again, and must not pass as confirmed in between by the word
-// of the few that share its fate.
+// noteReportedDead makes the view unconfirmed at least until the next report that this process is
+// dead would have arrived. A process that receives its peers' messages, but whose own messages are
+// lost, gets such reports repeatedly; between two of them it must not be confirmed by the few peers
+// that are affected in the same way.
 func (g *Group) noteReportedDead(now time.Time) {
 	g.requireConfirmation(now)
 	g.unconfirmedUntil = now.Add(g.cfg.DeadEvery + g.cfg.ProbeEvery)
 }
 
-// Confirmed tells whether what this process believes can be relied on now. It
-// is false from the start, after a pause, and after word that others hold this
-// process dead, until peers have answered probes that were sent since. It is
-// false, too, while no Tick has come for so long that the process may just have
-// woken up, and once no peer has answered for LeaseFor: then this process may
-// be cut off without having noticed it.
+// Confirmed reports whether the view can be trusted now. It is false from the start, after a pause,
+// and after a report that others consider this process dead, until peers have answered probes sent
+// since then. It is also false while there has been no Tick for so long that the process may just
+// have resumed, and once no peer has answered for LeaseFor: then this process may be partitioned
+// off without having detected it.
 func (g *Group) Confirmed(now time.Time) bool {
 	if g.clock.wall.IsZero() || now.Sub(g.clock.now) > g.cfg.FreezeAfter {
 		return false
@@ -68,7 +67,7 @@
 		lease = lease || now.Sub(r.ackedAt) <= g.cfg.LeaseFor
 	}
 	if peers == 0 {
-		// Nobody to ask. All that could be alive had the time to show it.
+		// No peer can confirm the view. Any live process has had the time to show itself.
 		return now.Sub(g.unconfirmedSince) > g.cfg.DetectBound()
 	}
 	return lease && answered >= min(peers, minConfirmations)
--- a/internal/member/cold_test.go
+++ b/internal/member/cold_test.go
@@ -13,8 +13,8 @@
 	"jasmineshed/internal/slots"
 )
 
-// coldZone is a zone of real groups and real slot tables before cold servers
-// that count what they run.
+// coldZone is a zone of real groups and real slot tables with simulated cold servers that count the
+// calls they run.
 type coldZone struct {
 	*network
 	tables    map[*node]*slots.Table
@@ -26,7 +26,7 @@
 	disabled  safeguards
 }
 
-// safeguards names what is left out, to see the oracle go red.
+// safeguards lists what is switched off to prove that the oracle detects overload.
 type safeguards struct{ noConfirm, noMajority, shortWait bool }
 
 type coldCall struct {
@@ -62,12 +62,12 @@
 
 func (z *coldZone) isAwake(n *node) bool { return n.up && !z.now.Before(n.frozenUntil) }
 
-// runSecond lets a second pass, under all the load that the tables allow.
+// runSecond simulates one second, with as many calls as the tables allow.
 func (z *coldZone) runSecond() {
 	for range 10 {
 		for _, n := range z.nodes {
 			if z.isAwake(n) {
-				z.sendCalls(n) // a process that wakes may act before its first tick
+				z.sendCalls(n) // a resumed process may act before its first tick
 			}
 		}
 		z.run(shed.TickEvery)
@@ -128,7 +128,7 @@
 			}
 		}
 		if running > s.ColdCapacity && z.err == nil {
-			z.err = fmt.Errorf("%s after: %s ran %d calls at once:%s", z.now.Sub(start), s.ID, running, who)
+			z.err = fmt.Errorf("%s after the start: %s ran %d concurrent calls:%s", z.now.Sub(start), s.ID, running, who)
 		}
 		if z.now.Sub(start)%(2*time.Second) != 0 {
 			continue
@@ -143,7 +143,7 @@
 
 var start = time.Unix(1_800_000_000, 0)
 
-// applyFault brings about one fault, or mends all cuts.
+// applyFault starts one fault, or ends all network faults.
 func (z *coldZone) applyFault(rng *rand.Rand) {
 	n := z.nodes[rng.IntN(len(z.nodes))]
 	kind := rng.IntN(9)
@@ -151,13 +151,13 @@
 	switch kind {
 	case 0, 1:
 		z.isCut = func(_, _ *node) bool { return false }
-	case 2: // a split in two
+	case 2: // a partition into two sides
 		side := rng.Uint64()
 		z.isCut = func(from, to *node) bool { return side>>z.indexOf(from)&1 != side>>z.indexOf(to)&1 }
-	case 3: // one process is not heard, or hears nothing
+	case 3: // one process can't send, or can't receive
 		mute := rng.IntN(2) == 0
 		z.isCut = func(from, to *node) bool { return mute && from == n || !mute && to == n }
-	case 4: // one part is not heard by the other
+	case 4: // a one-way partition
 		side := rng.Uint64()
 		z.isCut = func(from, to *node) bool { return side>>z.indexOf(from)&1 < side>>z.indexOf(to)&1 }
 	case 5:
@@ -183,12 +183,12 @@
 	return -1
 }
 
-// seeds is how many random worlds are run; more by hand than in CI.
-var seeds = flag.Uint64("seeds", 40, "random worlds of cold servers under real membership")
+// seeds is the number of random simulations; larger by hand than in CI.
+var seeds = flag.Uint64("seeds", 40, "number of random simulations of cold servers under real membership")
 
-// A cold server falls over when it runs more than it bears. Here the views come
-// from the real membership, under splits, one-way cuts, freezes, deaths,
-// restarts and stops, several at a time.
+// A cold server fails when it runs more calls than its capacity. Here the views come from the real
+// membership, under partitions, one-way partitions, freezes, deaths, restarts and stops, several at
+// a time.
 func TestColdServersUnderRealMembership(t *testing.T) {
 	sent, longest := 0, time.Duration(0)
 	for seed := range *seeds {
@@ -197,11 +197,11 @@
 		sent += z.sent
 		longest = max(longest, z.heal(t, seed))
 	}
-	t.Logf("%d calls; all agree again after %s at the latest", sent, longest)
+	t.Logf("%d calls; all views agree again after %s at the latest", sent, longest)
 }
 
-// heal ends all faults and gives the time until everybody sees everybody
-// and relies on it: no process may stay dead for others for good.
+// heal ends all faults and returns the time until every process has all others in its confirmed
+// view: no process may stay dead for others permanently.
 func (z *coldZone) heal(t *testing.T, seed uint64) time.Duration {
 	z.isCut = func(_, _ *node) bool { return false }
 	for _, n := range z.nodes {
@@ -220,7 +220,7 @@
 		}
 		return z.agree(zoneA)
 	})
-	require.True(t, ok, "seed %d does not heal: %v", seed, z.faults)
+	require.True(t, ok, "seed %d: views do not agree after all faults have ended: %v", seed, z.faults)
 	return took
 }
 
@@ -229,9 +229,9 @@
 		name     string
 		disabled safeguards
 	}{
-		{"the view counts though it is not confirmed", safeguards{noConfirm: true}},
-		{"a minority goes on", safeguards{noMajority: true}},
-		{"gained slots wait too short", safeguards{shortWait: true}},
+		{"an unconfirmed view is used", safeguards{noConfirm: true}},
+		{"a minority continues", safeguards{noMajority: true}},
+		{"the wait for gained slots is too short", safeguards{shortWait: true}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			for seed := range uint64(400) {
@@ -240,7 +240,7 @@
 					return
 				}
 			}
-			require.Fail(t, "not caught")
+			require.Fail(t, "the oracle did not detect the missing safeguard")
 		})
 	}
 }
--- a/internal/member/group.go
+++ b/internal/member/group.go
@@ -1,11 +1,9 @@
-// Package member keeps one daemon's view of the other processes: who is alive,
-// who left and to whom its tickets went, and whether this process may trust
-// what it last knew.
+// Package member maintains one daemon's view of the other processes: which are alive, which left
+// and which successor got their tickets, and whether this process may trust its view.
 //
-// Within a zone every process is known and watched. Of each other zone a few
-// contacts are. A round of probes costs the same whatever the size of the zone;
-// what changed travels along with the probes. docs/design/membership.md weighs
-// this against a full mesh.
+// A process knows and monitors all other processes of its zone, and a few contacts in each other
+// zone. The cost of a round of probes does not depend on the size of the zone; changes are gossiped
+// with the probes. docs/design/membership.md compares this with a full mesh.
 package member
 
 import (
@@ -16,46 +14,44 @@
 	shed "jasmineshed"
 )
 
-// Config sets up a Group. Fields left at 0 get the Default of their name.
+// Config configures a Group. Fields that are 0 get the Default of their name.
 type Config struct {
 	Self shed.Peer
 	Zone shed.ZoneID
-	// Seeds are VMs to try first, before the platform's list is known.
+	// Seeds are the VMs to try first, before the platform's list is known.
 	Seeds []shed.VM
-	// Seed of the random source.
+	// Seed is the seed of the random source.
 	Seed uint64
 
-	// ProbeEvery is the length of a round.
+	// ProbeEvery is the interval between rounds of probes.
 	ProbeEvery time.Duration
-	// AckAfter is how long an ack may take before others are asked to probe,
-	// and then how long theirs may take.
+	// AckAfter is the time-out of a direct probe, after which other peers are asked to probe, and
+	// then the time-out of their probes.
 	AckAfter time.Duration
-	// SuspectFor is how long a suspect may deny its death.
+	// SuspectFor is how long a suspect has to refute its death.
 	SuspectFor time.Duration
-	// DeadEvery is how often one VM that is dead or unknown is tried.
+	// DeadEvery is the interval between probes of dead VMs, one at a time.
 	DeadEvery time.Duration
-	// VMsEvery is how often the platform's list is read.
+	// VMsEvery is the interval at which the platform's list of VMs is read.
 	VMsEvery time.Duration
-	// FreezeAfter is the longest gap between two ticks that is no freeze.
+	// FreezeAfter is the longest gap between two ticks that is not taken for a pause.
 	FreezeAfter time.Duration
 	// LeaseFor is how long an answer of a peer confirms the view.
 	LeaseFor time.Duration
-	// KeepDead is how long the dead and the heirs of those that left are
-	// remembered.
+	// KeepDead is how long dead processes, and the successors of those that left, are remembered.
 	KeepDead time.Duration
-	// MaxAhead is how far an incarnation, which is a wall clock, may lie in
-	// the future.
+	// MaxAhead is how far in the future an incarnation, which is a wall-clock time, may lie.
 	MaxAhead time.Duration
-	// JoinFor is how long a new process has rounds of JoinEvery, so that it knows
-	// all others soon; 0 if it has none.
+	// JoinFor is how long a new process probes at intervals of JoinEvery, so that it soon knows all
+	// others; 0 for no such phase.
 	JoinFor, JoinEvery time.Duration
-	// SyncMost bounds the members in an answer to a peer whose view differs.
+	// SyncMost limits the number of members in an answer to a peer whose view differs.
 	SyncMost int
-	// Power is how strong this VM is beside others, as it tells them.
+	// Power is this VM's capacity relative to others, as announced to them.
 	Power float64
 }
 
-// Defaults for what a Config leaves at 0.
+// Defaults of the Config fields that are 0.
 const (
 	DefaultProbeEvery  = time.Second
 	DefaultAckAfter    = 500 * time.Millisecond
@@ -69,33 +65,34 @@
 	DefaultSyncMost    = 12
 )
 
-// How many are probed and told.
+// Numbers of probes per round, and limits of gossip and memory.
 const (
-	// ringProbes is how many successors on the zone's ring a process watches in
-	// each round, so each is watched by as many.
+	// ringProbes is the number of next VMs on the zone's ring that a process probes in each round;
+	// each process is probed by as many.
 	ringProbes = 2
-	// randomProbes is how many others of the zone it probes, in random order.
+	// randomProbes is the number of other VMs of the zone that it probes, in random order.
 	randomProbes = 1
-	// remoteProbes is how many contacts in other zones it probes.
+	// remoteProbes is the number of contacts in other zones that it probes.
 	remoteProbes = 2
-	// unknownProbes is how many VMs of its zone that it never heard it tries.
+	// unknownProbes is the number of VMs of its zone that it probes among those that never
+	// answered.
 	unknownProbes = 2
-	// relayProbes is how many peers are asked to probe for it.
+	// relayProbes is the number of peers that are asked to probe on its behalf.
 	relayProbes = 3
-	// maxContacts is how many processes of each other zone it knows.
+	// maxContacts is the number of processes it knows in each other zone.
 	maxContacts = 3
-	// maxGossip bounds the members in a message, in the normal case.
+	// maxGossip limits the members in a message while the views agree.
 	maxGossip = 5
-	// spreadFactor times the binary logarithm of the zone's size is how often
-	// one piece of news is sent on.
+	// spreadFactor times the binary logarithm of the zone's size is the number of times that an
+	// update is sent.
 	spreadFactor = 3
-	// maxDepartures bounds the memory of those that left.
+	// maxDepartures limits the number of departed processes that are remembered.
 	maxDepartures = 4096
-	// minConfirmations is how many peers must answer for a view to be confirmed.
+	// minConfirmations is the number of peers that must answer to confirm the view.
 	minConfirmations = 2
 )
 
-// The reasons of the notes that this package takes.
+// Reasons of the notes that this package emits.
 const (
 	ReasonStaleIncarnation  shed.Reason = "stale_incarnation"
 	ReasonForgedIncarnation shed.Reason = "forged_incarnation"
@@ -105,30 +102,30 @@
 	ReasonPeerBack          shed.Reason = "peer_back"
 )
 
-// Group is the view of the processes.
+// Group is the view of the processes. It is not safe for concurrent use.
 type Group struct {
 	cfg Config
 	rng *rand.Rand
 
-	// self is what this process tells of itself.
+	// self is what this process announces about itself.
 	self    shed.Member
 	members map[shed.VM]*record
 	order   []shed.VM // sorted keys of members
 	listed  map[shed.VM]shed.VMEntry
-	// listedAt is when the platform last gave its list.
+	// listedAt is when the platform's list was last read.
 	listedAt time.Time
 
-	// unresponsive is when a VM that was never heard last failed to answer.
+	// unresponsive is when a VM of which no process is known last failed to answer.
 	unresponsive map[shed.VM]time.Time
 
 	updates    []update
 	departures map[shed.Peer]departure
-	// departureOrder holds the keys of heirs, oldest first.
+	// departureOrder holds the keys of departures, oldest first.
 	departureOrder []shed.Peer
 
 	pending      []pendingProbe // by sequence
 	sequence     uint64
-	randomOrder  []shed.VM // what is left of this turn's random order
+	randomOrder  []shed.VM // peers not yet probed in the current random order
 	remoteIndex  int
 	unknownIndex int
 	syncIndex    int
@@ -140,46 +137,47 @@
 	clock clock
 	// joinedAt is when the first round began.
 	joinedAt         time.Time
-	unconfirmedSince time.Time // since when the view is to be confirmed; zero: it is
-	// unconfirmedUntil is the soonest end of the confirmation.
+	unconfirmedSince time.Time // acks of probes sent after it confirm the view
+	// unconfirmedUntil is the earliest time at which the view can be confirmed.
 	unconfirmedUntil time.Time
 	woke             bool
 	// overruled: another process with a later incarnation runs on this VM.
 	overruled bool
 
-	// view and the contacts far are worked out anew if dirty.
+	// view and the contacts in remote are recomputed if dirty.
 	view   View
 	remote []shed.VM
 	dirty  bool
 }
 
-// record is what is known of a VM's present process.
+// record is what is known of a VM's current process.
 type record struct {
 	shed.Member
-	// receivedAt is its last message to this process; acked its last answer.
+	// receivedAt is when its last message was received, or when a relayed probe reached it; ackedAt
+	// when it last answered directly.
 	receivedAt, ackedAt time.Time
 	// ackedProbeSentAt is when the probe that it last answered was sent.
 	ackedProbeSentAt time.Time
-	// suspectAt is when its death was first held possible; zero: it isn't.
+	// suspectAt is when it was first suspected dead; zero if it isn't.
 	suspectAt time.Time
 	deadAt    time.Time
-	// upSince is when this process was first known to be there, or back.
+	// upSince is when this process was first known to be up, or up again.
 	upSince time.Time
 }
 
-// update is a member still to be told to others.
+// update is a change of a member that is still to be gossiped.
 type update struct {
 	shed.Member
 	sendsLeft int
 }
 
-// departure tells where the tickets of a process went.
+// departure records which process got the tickets of one that left.
 type departure struct {
 	successor shed.Peer
 	at        time.Time
 }
 
-// New returns a group that knows only itself.
+// New returns a group that knows only its own process.
 func New(cfg Config) *Group {
 	orDefault(&cfg.ProbeEvery, DefaultProbeEvery)
 	orDefault(&cfg.AckAfter, DefaultAckAfter)
@@ -211,13 +209,13 @@
 	}
 }
 
-// DetectBound is the longest time from the death of a process to the moment
-// when its watchers call it dead.
+// DetectBound is the longest time from the death of a process until the processes that probe it
+// declare it dead.
 func (c Config) DetectBound() time.Duration {
 	return c.ProbeEvery + 2*c.AckAfter + c.SuspectFor + shed.TickEvery
 }
 
-// Handle takes Tick, VMsRead, PeerMessage, PeerLost and StopRequested.
+// Handle processes Tick, VMsRead, PeerMessage, PeerLost and StopRequested.
 func (g *Group) Handle(now time.Time, ev shed.Event) []shed.Action {
 	switch ev := ev.(type) {
 	case shed.Tick:
@@ -234,8 +232,8 @@
 	return nil
 }
 
-// Leave tells the zone that this process leaves, and who has its tickets; heir
-// may be zero as long as that is open.
+// Leave announces that this process leaves, and which successor has its tickets; successor may be
+// zero while that is open.
 func (g *Group) Leave(successor shed.Peer) []shed.Action {
 	g.self.Status = shed.StatusLeaving
 	if successor != (shed.Peer{}) {
@@ -266,7 +264,7 @@
 		out = g.probeRound(now, out)
 	}
 	if !now.Before(g.nextVMList) {
-		// Jitter, so that a fleet that starts at once doesn't read at once.
+		// Jitter, so that VMs that start at once don't read at once.
 		jitter := time.Duration(g.rng.Int64N(int64(g.cfg.VMsEvery/2) + 1))
 		g.nextVMList = now.Add(g.cfg.VMsEvery*3/4 + jitter)
 		out = append(out, shed.ReadVMs{})
@@ -274,8 +272,8 @@
 	return out
 }
 
-// roundInterval is shorter while this process is new: else VMs that start at once know
-// each other only after many rounds.
+// roundInterval is shorter while this process is new; otherwise VMs that start at once would need
+// many rounds to know each other.
 func (g *Group) roundInterval(now time.Time) time.Duration {
 	if g.joinedAt.IsZero() {
 		g.joinedAt = now
@@ -286,9 +284,9 @@
 	return g.cfg.ProbeEvery
 }
 
-// resetAfterFreeze forgets what the pause has made void. Acks that came in meanwhile
-// wait unread, so silence proves nobody's death; without this the process would
-// call the whole zone dead the moment it woke.
+// resetAfterFreeze discards the probes sent before the pause. Acks that arrived meanwhile are still
+// unread, so a missing ack doesn't prove a death; otherwise the process would declare the whole
+// zone dead the moment it resumed.
 func (g *Group) resetAfterFreeze(now time.Time) {
 	g.pending = g.pending[:0]
 	for _, vm := range g.order {
@@ -299,8 +297,8 @@
 	}
 }
 
-// updateList takes in the platform's list. It lags, so it only adds VMs to try and
-// takes away those that are dead anyway.
+// updateList applies the platform's list. The list lags, so it only adds VMs to probe, and removes
+// VMs that are dead anyway.
 func (g *Group) updateList(now time.Time, ev shed.VMsRead) {
 	if ev.Failed {
 		return
--- a/internal/member/group_test.go
+++ b/internal/member/group_test.go
@@ -13,8 +13,7 @@
 
 const zoneA, zoneB = shed.ZoneID("nl-west-a"), shed.ZoneID("nl-west-b")
 
-// deadBound is the stated bound within which a process that died has left
-// every view of its zone.
+// deadBound is the stated bound within which a dead process has left every view of its zone.
 const deadBound = 10 * time.Second
 
 func newConvergedNetwork(t *testing.T, seed uint64, sizes ...int) *network {
@@ -43,22 +42,22 @@
 	}
 }
 
-// The network loses one message in twenty. That may raise a suspicion, but the
-// suspect denies it: nobody is called dead.
+// The network loses one message in twenty. Processes may be suspected, but refute that: none may be
+// declared dead.
 func TestLossKillsNobody(t *testing.T) {
 	for _, n := range []int{3, 20} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			w := newConvergedNetwork(t, 11, n)
 			w.isCut = func(_, _ *node) bool { return w.rng.IntN(20) == 0 }
 			w.run(30 * time.Minute)
-			t.Logf("suspected %d times, denied each time", w.notes[member.ReasonPeerSuspect])
+			t.Logf("suspected %d times, refuted each time", w.notes[member.ReasonPeerSuspect])
 			require.Zero(t, w.notes[member.ReasonPeerDead])
 		})
 	}
 }
 
-// A caller whose ticket's home died must hear so, and cold servers must get
-// their slots back: the dead process leaves every view, and nobody else does.
+// A caller must learn that the home of its ticket died, and the slots of cold servers must be
+// reassigned: the dead process leaves every view, and no other process does.
 func TestDeadLeavesEveryView(t *testing.T) {
 	for _, n := range []int{3, 6, 20, 52} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
@@ -79,9 +78,8 @@
 	}
 }
 
-// A process is paused for half a minute and wakes up late. Its peers have held
-// it dead meanwhile. It must notice before it acts, call nobody dead, and be
-// back in every view soon after.
+// A process is paused for half a minute, and its peers declare it dead. When it resumes, it must
+// detect the pause before it acts, declare no peer dead, and soon be in every view again.
 func TestFrozenProcessComesBack(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
@@ -103,13 +101,13 @@
 			t.Logf("back and confirmed after %s", took)
 			w.run(30 * time.Second)
 			require.True(t, w.agree(zoneA))
-			require.Equal(t, dead, w.notes[member.ReasonPeerDead], "nobody was called dead after the wake")
+			require.Equal(t, dead, w.notes[member.ReasonPeerDead], "no process was declared dead after the pause")
 		})
 	}
 }
 
-// One process no longer reaches another, but hears it. Others reach both, so
-// neither may be called dead, however long it lasts.
+// One process can't send to another, but receives from it. Other peers reach both, so neither may
+// be declared dead, however long it lasts.
 func TestOneWayCutDoesNotFlap(t *testing.T) {
 	for _, n := range []int{4, 8, 20} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
@@ -124,9 +122,9 @@
 	}
 }
 
-// A process hears everybody, but nobody hears it. Its zone calls it dead and
-// takes its slots; it must stop relying on its view before that, though all it
-// hears looks well.
+// A process receives all messages, but all that it sends are lost. Its zone declares it dead and
+// reassigns its slots; it must stop trusting its view before that, though all that it receives
+// looks normal.
 func TestUnheardProcessLosesConfirmation(t *testing.T) {
 	for seed := range uint64(8) {
 		w := newConvergedNetwork(t, seed, 7)
@@ -134,11 +132,11 @@
 		w.isCut = func(from, _ *node) bool { return from == unheard }
 		took, ok := w.until(deadBound, func() bool { return !unheard.Confirmed(w.now) })
 		require.True(t, ok)
-		require.Len(t, w.nodes[0].View().Zone(zoneA), 7, "out of view %s after the cut, before it noticed", took)
+		require.Len(t, w.nodes[0].View().Zone(zoneA), 7, "after %s it was out of view before it lost confirmation", took)
 		for range 600 {
 			w.run(shed.TickEvery)
-			// Once it holds all others dead it goes on alone, as one that is cut
-			// off must; then it is a minority, which slots go by.
+			// Once it considers all others dead, it continues alone, as a partitioned
+			// process must; it is a minority then, and slots need a majority.
 			alone := len(unheard.View().Zone(zoneA)) == 1
 			require.True(t, alone || !unheard.Confirmed(w.now))
 		}
@@ -149,8 +147,8 @@
 	}
 }
 
-// The zone splits in two; each part goes on with itself. When the split ends
-// the parts find one another again with nobody's help.
+// The zone is partitioned, and each side continues by itself. After the partition both sides must
+// rejoin without help from outside.
 func TestSplitHeals(t *testing.T) {
 	for _, n := range []int{2, 6, 20} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
@@ -166,7 +164,7 @@
 			w.isCut = func(_, _ *node) bool { return false }
 			took, ok := w.until(time.Minute, func() bool { return w.agree(zoneA) })
 			require.True(t, ok)
-			t.Logf("%d processes agree %s after the split ended", n, took)
+			t.Logf("%d processes agree %s after the partition ended", n, took)
 		})
 	}
 }
@@ -177,11 +175,11 @@
 	w.isCut = func(from, to *node) bool { return (from.zone == zoneB) != (to.zone == zoneB) }
 	w.run(3 * time.Minute)
 	require.Empty(t, w.nodes[0].View().Zone(zoneB))
-	require.Len(t, w.nodes[5].View().Zone(zoneB), 5, "a zone that is cut off goes on by itself")
+	require.Len(t, w.nodes[5].View().Zone(zoneB), 5, "a partitioned zone continues by itself")
 	w.isCut = func(_, _ *node) bool { return false }
 	took, ok := w.until(time.Minute, func() bool { return len(w.nodes[0].View().Zone(zoneB)) == 3 })
 	require.True(t, ok)
-	t.Logf("contacts back %s after the cut ended", took)
+	t.Logf("contacts are back %s after the partition ended", took)
 }
 
 func TestRestartedProcessReplacesItself(t *testing.T) {
@@ -198,9 +196,9 @@
 	require.Equal(t, member.HomeAlive, state)
 }
 
-// A ticket's home stops and hands its tickets over. A caller comes to another
-// daemon with the ticket: it must learn the heir, also after the VM has a new
-// process, and in another zone.
+// The home of a ticket stops and hands its tickets over. A caller that presents the ticket to
+// another daemon must get the successor, also after a new process has started on the VM, and in
+// another zone.
 func TestHeirIsKnownEverywhere(t *testing.T) {
 	w := newConvergedNetwork(t, 7, 6, 3)
 	n, successor := w.nodes[1], w.nodes[2].self
@@ -208,7 +206,7 @@
 	w.perform(n, n.Handle(w.now, shed.StopRequested{}))
 	w.run(time.Second)
 	state, _ := w.nodes[4].Home(old)
-	require.Equal(t, member.HomeAlive, state, "it still has its tickets")
+	require.Equal(t, member.HomeAlive, state, "the leaving process still has its tickets")
 	require.Len(t, w.nodes[4].View().Zone(zoneA), 5)
 	w.perform(n, n.Leave(successor))
 	w.run(3 * time.Second)
@@ -226,18 +224,18 @@
 	}
 }
 
-// All 78 VMs of a fleet lose power and start at once; each knows three seeds and
-// no list. Until they know each other they choose different VMs for the same work,
-// and callers' pieces find servers full. With long answers and short rounds at the
-// start they agree within a second and a half; without, it takes over two.
+// All 78 VMs of a fleet lose power and start at once; each has three seeds and no list. Until they
+// know each other they choose different VMs for the same work, and callers' pieces find servers
+// full. With large answers and short rounds at the start they agree within 1.5 s; without, it takes
+// over 2 s.
 func TestFleetThatStartsAtOnceAgrees(t *testing.T) {
 	for _, tc := range []struct {
 		name         string
 		cfg          member.Config
 		after, until time.Duration
 	}{
-		{"as zones", member.Config{}, 2 * time.Second, 20 * time.Second},
-		{"long answers, short rounds", member.Config{
+		{"defaults", member.Config{}, 2 * time.Second, 20 * time.Second},
+		{"large answers, short rounds", member.Config{
 			SyncMost: 100, JoinFor: 1500 * time.Millisecond, JoinEvery: 200 * time.Millisecond,
 		}, 0, 1500 * time.Millisecond},
 	} {
@@ -270,8 +268,8 @@
 		reason shed.Reason
 	}{
 		{"from the future", far, far, member.ReasonForgedIncarnation},
-		{"of a process long gone", past, past, member.ReasonStaleIncarnation},
-		{"says it is another", w.nodes[2].self, other, member.ReasonForgedIncarnation},
+		{"of an earlier process", past, past, member.ReasonStaleIncarnation},
+		{"claims to be another process", w.nodes[2].self, other, member.ReasonForgedIncarnation},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			m := shed.Member{Peer: tc.self, Zone: zoneA, Status: shed.StatusAlive}
@@ -283,8 +281,8 @@
 	}
 }
 
-// BenchmarkBytes gives what one daemon sends for membership in a second, at
-// rest and while one process in the zone restarts every ten seconds.
+// BenchmarkBytes reports the bytes that one daemon sends for membership per second, at rest and
+// while one process in the zone restarts every ten seconds.
 func BenchmarkBytes(b *testing.B) {
 	for _, far := range []int{0, 12} {
 		for _, n := range []int{8, 52, 200} {
@@ -307,7 +305,7 @@
 	w := newNetwork(9, sizes...)
 	took, _ := w.until(3*time.Minute, func() bool { return w.agree(zoneA) })
 	b.ReportMetric(took.Seconds(), "s_to_agree")
-	// The news of the common start takes a while to be told to the end.
+	// The updates of the common start are gossiped for a while.
 	w.run(4 * time.Minute)
 	w.countBytes = true
 	const length = 60
@@ -320,8 +318,8 @@
 	b.ReportMetric(float64(w.bytes)/length/float64(n), "B/s/daemon")
 }
 
-// BenchmarkSecond gives the time that one daemon of a zone of 52 in a fleet of
-// 670 takes for a second of membership, the in-memory network included.
+// BenchmarkSecond reports the time that one daemon of a zone of 52 in a fleet of 670 needs for one
+// second of membership, including the in-memory network.
 func BenchmarkSecond(b *testing.B) {
 	w := newNetwork(10, 52)
 	for z := range 12 {
--- a/internal/member/merge.go
+++ b/internal/member/merge.go
@@ -9,7 +9,7 @@
 	shed "jasmineshed"
 )
 
-// handleMessage takes in a Probe or ProbeAck.
+// handleMessage processes a Probe or ProbeAck.
 func (g *Group) handleMessage(now time.Time, ev shed.PeerMessage) []shed.Action {
 	switch m := ev.Message.(type) {
 	case shed.Probe:
@@ -24,14 +24,14 @@
 	return nil
 }
 
-// mergeMessage takes in what a peer says of itself and others; false if it isn't who
-// it claims to be.
+// mergeMessage merges what a peer reports of itself and others. It returns false if the sender
+// isn't who it claims to be.
 func (g *Group) mergeMessage(now time.Time, from shed.Peer, self shed.Member, gossip []shed.Member) ([]shed.Action, bool) {
 	if self.Peer != from || self.Peer.VM == g.self.Peer.VM {
 		return []shed.Action{shed.Note{Reason: ReasonForgedIncarnation, Peer: from.VM}}, false
 	}
 	if r := g.members[from.VM]; r != nil && from.Incarnation < r.Peer.Incarnation {
-		// A process that was replaced still sends, or its message is late.
+		// A process that was replaced still sends, or its message was delayed.
 		return []shed.Action{shed.Note{Reason: ReasonStaleIncarnation, Peer: from.VM}}, false
 	}
 	out := g.merge(now, nil, self)
@@ -47,9 +47,9 @@
 	return out, true
 }
 
-// revive takes a process of another zone, or a suspect, back by its own word.
-// In this zone the dead deny it by Refute, which their peers have to hear too;
-// those of other zones were called dead by this process only.
+// revive restores the reported status of a dead or suspect process of another zone when it sends a
+// message. Processes of this zone refute their death by Refute, which their peers must receive too;
+// those of other zones were declared dead by this process only.
 func (g *Group) revive(out []shed.Action, r *record, self shed.Member) []shed.Action {
 	if r.Zone == g.cfg.Zone || r.Status != shed.StatusDead && r.Status != shed.StatusSuspect {
 		return out
@@ -75,11 +75,11 @@
 	}})
 }
 
-// maxPending bounds what peers can make this process remember.
+// maxPending limits the probes that this process keeps pending on behalf of peers.
 const maxPending = 256
 
-// gossipLimit is how much gossip a message may carry: more to a peer of the zone that
-// sees another zone than this one does.
+// gossipLimit returns how many members a message may carry: more to a peer of this zone whose view
+// of the zone differs.
 func (g *Group) gossipLimit(to shed.VM, view uint64) int {
 	if g.zoneOf(to) == g.cfg.Zone && view != g.currentView().Hash(g.cfg.Zone) {
 		return g.cfg.SyncMost
@@ -116,7 +116,8 @@
 	return out
 }
 
-// handleRelayedAck: somebody else reached the VM, so it lives.
+// handleRelayedAck processes an ack of a probe sent by a peer on this process's behalf: the VM is
+// alive.
 func (g *Group) handleRelayedAck(now time.Time, from shed.Peer, m shed.ProbeAck) []shed.Action {
 	out, ok := g.mergeMessage(now, from, m.Self, m.Gossip)
 	if !ok {
@@ -135,7 +136,7 @@
 	return out
 }
 
-// merge takes in what somebody tells of a member.
+// merge applies a report about a member.
 func (g *Group) merge(now time.Time, out []shed.Action, m shed.Member) []shed.Action {
 	if m.Peer.VM == g.self.Peer.VM {
 		return g.handleReportOnSelf(now, out, m)
@@ -156,7 +157,7 @@
 	return g.replaceRecord(now, out, r, m)
 }
 
-// replaceRecord replaces what is known of a VM by newer word.
+// replaceRecord replaces the record of a VM with a newer report.
 func (g *Group) replaceRecord(now time.Time, out []shed.Action, r *record, m shed.Member) []shed.Action {
 	if m.Peer == r.Peer && m.Successor == (shed.Peer{}) {
 		m.Successor = r.Successor
@@ -185,8 +186,8 @@
 	return out
 }
 
-// isPlausible refuses what no process can rightly say. An incarnation far in the
-// future would lock the VM's true process out for good.
+// isPlausible rejects reports that no correct process can send. An incarnation far in the future
+// would lock out the VM's true process for good.
 func (g *Group) isPlausible(now time.Time, m shed.Member) bool {
 	ahead := shed.Incarnation(now.Add(g.cfg.MaxAhead).UnixNano())
 	return m.Peer.VM != "" && m.Zone != "" &&
@@ -194,8 +195,7 @@
 		m.Status >= shed.StatusAlive && m.Status <= shed.StatusDead
 }
 
-// isNewer orders word of one VM: by incarnation, then by refutation, then by
-// status.
+// isNewer orders reports about one VM: by incarnation, then by refutation count, then by status.
 func isNewer(a, b shed.Member) bool {
 	if a.Peer.Incarnation != b.Peer.Incarnation {
 		return a.Peer.Incarnation > b.Peer.Incarnation
@@ -209,8 +209,8 @@
 	return a.Successor != b.Successor && b.Successor == (shed.Peer{})
 }
 
-// handleReportOnSelf denies the own death with a higher Refute. Until peers have heard
-// that, they may act as if this process were gone, so the view is in doubt.
+// handleReportOnSelf refutes this process's own death with a higher Refute. Until peers have
+// received that, they may act as if this process were gone, so the view is unconfirmed.
 func (g *Group) handleReportOnSelf(now time.Time, out []shed.Action, m shed.Member) []shed.Action {
 	switch {
 	case m.Peer.Incarnation > g.self.Peer.Incarnation:
@@ -227,8 +227,8 @@
 	return out
 }
 
-// recordSuccessor remembers where the tickets of a process went, also after a later
-// process has taken its VM.
+// recordSuccessor remembers which process got the tickets of one that left, also after a later
+// process has started on its VM.
 func (g *Group) recordSuccessor(now time.Time, m shed.Member) {
 	if m.Successor == (shed.Peer{}) {
 		return
@@ -245,16 +245,15 @@
 	g.queueUpdate(m)
 }
 
-// queueUpdate puts m on top of what is to be told; older word of the same process
-// falls out.
+// queueUpdate queues m to be gossiped first, in place of older updates of the same process.
 func (g *Group) queueUpdate(m shed.Member) {
 	g.updates = slices.DeleteFunc(g.updates, func(n update) bool { return n.Peer == m.Peer })
 	times := spreadFactor * (1 + bits.Len(uint(len(g.order))))
 	g.updates = append(g.updates, update{Member: m, sendsLeft: times})
 }
 
-// selectGossip picks up to n members to tell: what the receiver is held for, if that
-// is worse than alive, then the news told least often, then others in turn.
+// selectGossip picks up to n members to send: first the receiver's own record if its status is
+// worse than alive, then the least sent updates, then other members in rotation.
 func (g *Group) selectGossip(to shed.VM, n int) []shed.Member {
 	var out []shed.Member
 	if r := g.members[to]; r != nil && r.Zone == g.cfg.Zone && r.Status != shed.StatusAlive {
@@ -277,9 +276,8 @@
 	return out
 }
 
-// addSyncMembers fills a message up with members of the zone in turn, so that what
-// news missed is mended: one in the normal case, all that fits to a peer whose
-// view differs.
+// addSyncMembers adds members of the zone in rotation, to repair views that missed an update: one
+// while the views agree, as many as fit for a peer whose view differs.
 func (g *Group) addSyncMembers(out []shed.Member, n int) []shed.Member {
 	fill := 1
 	if n > maxGossip {
--- a/internal/member/net_test.go
+++ b/internal/member/net_test.go
@@ -12,23 +12,24 @@
 	"jasmineshed/internal/member"
 )
 
-// network joins groups in memory under virtual time.
+// network connects groups in memory under virtual time.
 type network struct {
 	now   time.Time
 	rng   *rand.Rand
 	nodes []*node
 	byVM  map[shed.VM]*node
 	queue queue
-	// isCut tells whether messages from one node to another are lost.
+	// isCut reports whether messages from one node to another are lost.
 	isCut      func(from, to *node) bool
 	list       []shed.VMEntry
 	bytes      int
 	countBytes bool // whether to count the bytes that the first zone sends
 	notes      map[shed.Reason]int
-	// cfg is what each group is set up with beside its own identity; with it, only
-	// the seeds are known at first, as where the platform has no list.
+	// cfg is the configuration of each group except its identity. If it is set, only the seeds are
+	// known at first, as on a platform without a list.
 	cfg *member.Config
-	// handleOther takes messages that are not the membership's; nil: nobody does.
+	// handleOther receives all messages too, for components other than membership; nil if there are
+	// none.
 	handleOther func(n *node, ev shed.PeerMessage) []shed.Action
 }
 
@@ -37,7 +38,8 @@
 	self shed.Peer
 	zone shed.ZoneID
 	up   bool
-	// until when it is frozen; stopped: its monotonic clock stands still then.
+	// The node is frozen until frozenUntil. clockStopped is how long its monotonic clock stands
+	// still meanwhile, clockOffset how far it lags behind after earlier freezes.
 	frozenUntil  time.Time
 	clockStopped time.Duration
 	clockOffset  time.Duration
@@ -65,7 +67,7 @@
 	return last
 }
 
-// newNetwork starts zones of these sizes. The platform's list has them all.
+// newNetwork starts zones of the given sizes. The platform's list has all VMs.
 func newNetwork(seed uint64, sizes ...int) *network {
 	w := &network{
 		now:   time.Unix(1_800_000_000, 0),
@@ -123,7 +125,7 @@
 
 func (w *network) handle(n *node, ev shed.Event) {
 	if w.now.Before(n.frozenUntil) {
-		return // what arrives meanwhile is lost; the hardest case
+		return // messages are lost meanwhile, the hardest case
 	}
 	n.clockOffset, n.clockStopped = n.clockOffset+n.clockStopped, 0
 	if m, ok := ev.(shed.PeerMessage); ok && w.handleOther != nil {
@@ -160,7 +162,7 @@
 	heap.Push(&w.queue, delivery{at: w.now.Add(delay), n: w.rng.Int(), from: n.self, to: a.To, msg: a.Message})
 }
 
-// agree tells whether all nodes of z that run see exactly those.
+// agree reports whether all running nodes of z see exactly these nodes.
 func (w *network) agree(z shed.ZoneID) bool {
 	var hash uint64
 	running := 0
@@ -182,7 +184,7 @@
 	return true
 }
 
-// until runs till ok, and returns how long that took, or false after limit.
+// until runs until ok returns true and returns the time that took, or false after limit.
 func (w *network) until(limit time.Duration, ok func() bool) (time.Duration, bool) {
 	from := w.now
 	for !ok() {
@@ -194,7 +196,7 @@
 	return w.now.Sub(from), true
 }
 
-// freeze stops the node; with suspend its monotonic clock stands still, too.
+// freeze pauses the node; with suspend its monotonic clock stands still too.
 func (w *network) freeze(n *node, d time.Duration, suspend bool) {
 	n.frozenUntil = w.now.Add(d)
 	if suspend {
--- a/internal/member/probe.go
+++ b/internal/member/probe.go
@@ -10,22 +10,23 @@
 	shed "jasmineshed"
 )
 
-// pendingProbe is a probe whose ack is out.
+// pendingProbe is a probe that is not yet acknowledged.
 type pendingProbe struct {
 	sequence uint64
 	to       shed.VM
 	sentAt   time.Time
-	// relayed: others were asked to probe, too.
+	// relayed: other peers were asked to probe the VM too.
 	relayed bool
-	// requester wants the ack, under its own sequence; "" for one's own probe.
+	// requester is the peer that gets the ack, under its own sequence number; "" for this
+	// process's own probes.
 	requester         shed.VM
 	requesterSequence uint64
 }
 
-// probeRound probes the successors on the ring, some others of the zone in random
-// order, some contacts in other zones, and now and then a VM that is dead or
-// was never heard. The ring gives a fixed bound for noticing a death; the random
-// ones spread news and join parts that hold each other dead.
+// probeRound probes the next VMs on the ring, some others of the zone in random order, some
+// contacts in other zones, and now and then a VM that is dead or never answered. The ring bounds
+// the time to detect a death; the random probes spread updates and rejoin groups that consider each
+// other dead.
 func (g *Group) probeRound(now time.Time, out []shed.Action) []shed.Action {
 	peers := g.zonePeers()
 	ring := g.ringNeighbors(peers)
@@ -43,7 +44,7 @@
 	return g.probeLost(now, out)
 }
 
-// zonePeers are the other processes of the zone that aren't dead, sorted.
+// zonePeers returns the other processes of the zone that aren't dead, sorted.
 func (g *Group) zonePeers() []shed.VM {
 	var out []shed.VM
 	for _, vm := range g.order {
@@ -55,13 +56,13 @@
 	return out
 }
 
-// ringNeighbors are the next VMs on the ring of the zone. The ring is ordered by
-// hash: by address, the VMs of one rack would watch each other and die together.
+// ringNeighbors returns the next VMs on the ring of the zone. The ring is ordered by hash: in order
+// of addresses, the VMs of one rack would monitor each other and die together.
 func (g *Group) ringNeighbors(peers []shed.VM) []shed.VM {
 	me := ringPosition(g.self.Peer.VM)
 	ring := slices.Clone(peers)
 	slices.SortFunc(ring, func(a, b shed.VM) int {
-		// The distance wraps round, so the next one comes first.
+		// The distance wraps around, so the next VM comes first.
 		return cmp.Compare(ringPosition(a)-me, ringPosition(b)-me)
 	})
 	return ring[:min(ringProbes, len(ring))]
@@ -69,7 +70,7 @@
 
 func ringPosition(vm shed.VM) uint64 { return xxhash.Sum64String(string(vm)) }
 
-// nextRandomPeers goes through all peers in a random order before it repeats one.
+// nextRandomPeers goes through all peers in random order before it repeats one.
 func (g *Group) nextRandomPeers(peers, exclude []shed.VM) []shed.VM {
 	var out []shed.VM
 	for range 2 {
@@ -92,8 +93,8 @@
 	return out
 }
 
-// probeLost probes VMs that don't answer or never did, so that a zone or a part
-// that was cut off is found again without anybody's help.
+// probeLost probes VMs that are dead or never answered, so that processes rejoin by themselves
+// after a network partition within the zone or of the whole zone.
 func (g *Group) probeLost(now time.Time, out []shed.Action) []shed.Action {
 	unknown, dead := g.unknownAndDead()
 	for i := range min(unknownProbes, len(unknown)) {
@@ -107,8 +108,8 @@
 	return out
 }
 
-// unknownAndDead returns the VMs of this zone and the seeds that were never heard, and
-// the others to try now and then.
+// unknownAndDead returns the VMs of this zone and the seeds of which no process is known, and the
+// VMs whose process is dead.
 func (g *Group) unknownAndDead() (unknown, dead []shed.VM) {
 	for _, vm := range g.cfg.Seeds {
 		if g.members[vm] == nil && vm != g.self.Peer.VM {
@@ -146,8 +147,8 @@
 	}})
 }
 
-// expireProbes asks others to probe those that didn't answer, suspects those that
-// didn't answer them either, and gives up suspects that didn't deny it.
+// expireProbes asks other peers to probe VMs that didn't answer, suspects those that didn't answer
+// these probes either, and declares suspects dead that didn't refute it.
 func (g *Group) expireProbes(now time.Time) []shed.Action {
 	var out []shed.Action
 	probes := g.pending
@@ -192,8 +193,8 @@
 	return out
 }
 
-// handleTimeout suspects the VM, unless it was heard since the probe left: then it
-// lives, and only the way there is cut.
+// handleTimeout suspects the VM unless a message from it has arrived since the probe was sent: then
+// it is alive, and only the path to it is broken.
 func (g *Group) handleTimeout(now time.Time, out []shed.Action, p pendingProbe) []shed.Action {
 	r := g.members[p.to]
 	if r == nil {
@@ -225,8 +226,8 @@
 		r := g.members[vm]
 		switch {
 		case r.Status == shed.StatusDead:
-			// One that the platform still lists may live behind a one-way cut:
-			// as long as it is told that it is dead, it keeps still.
+			// A VM that is still listed may be alive, with only its outgoing messages lost. It
+			// stops using its slots as long as it gets reports that it is dead.
 			if _, listed := g.listed[vm]; !listed && now.Sub(r.deadAt) > g.cfg.KeepDead {
 				expired = append(expired, vm)
 			}
@@ -258,8 +259,8 @@
 	g.dirty = true
 }
 
-// handlePeerLost: the link gave no answer. That is a hint only, since just this one
-// link may be silent; a probe by others decides.
+// handlePeerLost probes the peer after a link to it failed. The failure is only a hint, since just
+// this one link may be affected; probes by other peers decide.
 func (g *Group) handlePeerLost(now time.Time, vm shed.VM) []shed.Action {
 	r := g.members[vm]
 	if r == nil || r.Status == shed.StatusDead {
--- a/internal/member/view.go
+++ b/internal/member/view.go
@@ -11,21 +11,21 @@
 	"jasmineshed/internal/rank"
 )
 
-// View is one state of a Group. It doesn't change.
+// View is an immutable snapshot of a Group.
 type View struct {
 	zones map[shed.ZoneID][]shed.Peer
 	ids   []shed.ZoneID
 	hash  map[shed.ZoneID]uint64
 }
 
-// Zone returns the processes of z that are alive and not leaving, sorted by VM:
-// all of them in this daemon's own zone, itself among them, else its contacts.
+// Zone returns the processes of z that are alive and not leaving, sorted by VM: all of them in this
+// daemon's own zone, including itself; in another zone its contacts.
 func (v View) Zone(z shed.ZoneID) []shed.Peer { return v.zones[z] }
 
 // Zones returns all zones that are known to have a VM, sorted.
 func (v View) Zones() []shed.ZoneID { return v.ids }
 
-// Hash returns a hash of Zone(z), the same on all daemons that see the same.
+// Hash returns a hash of Zone(z); daemons with equal views have equal hashes.
 func (v View) Hash(z shed.ZoneID) uint64 { return v.hash[z] }
 
 // VMs returns the VMs of Zone(z).
@@ -40,7 +40,7 @@
 // SetSeeds replaces the VMs to try first.
 func (g *Group) SetSeeds(seeds []shed.VM) { g.cfg.Seeds = seeds }
 
-// View returns the present view.
+// View returns the current view.
 func (g *Group) View() View { return g.currentView() }
 
 func (g *Group) currentView() View {
@@ -114,14 +114,14 @@
 	return d.Sum64()
 }
 
-// remoteContacts are the VMs that this process talks to in other zones.
+// remoteContacts returns the VMs in other zones that this process communicates with.
 func (g *Group) remoteContacts() []shed.VM {
 	g.currentView()
 	return g.remote
 }
 
-// selectContacts chooses them. Each process has others, by hash, so that no one is
-// asked by all.
+// selectContacts selects the contacts. Each process hashes to different ones, so that no VM is
+// probed by all.
 func (g *Group) selectContacts(zones []shed.ZoneID) []shed.VM {
 	byZone := map[shed.ZoneID][]shed.VM{}
 	for vm, e := range g.listed {
@@ -142,8 +142,8 @@
 	return out
 }
 
-// muteFor is how long a listed VM that didn't answer is no contact. The list
-// lags: else three VMs that are long gone could stand for a whole zone.
+// unresponsivePeriod is how long a listed VM that didn't answer is not used as a contact. The list
+// lags: otherwise three VMs that are long gone could stand for a whole zone.
 const unresponsivePeriod = time.Minute
 
 func (g *Group) isUnresponsive(vm shed.VM) bool {
@@ -151,8 +151,8 @@
 	return ok && g.clock.now.Sub(at) <= unresponsivePeriod
 }
 
-// Since tells when the present process on a VM was first known to be there, or to
-// be back; zero if it isn't known.
+// Since returns when the current process on a VM was first known to be up, or up again; zero if it
+// is unknown.
 func (g *Group) Since(vm shed.VM) time.Time {
 	if r := g.members[vm]; r != nil {
 		return r.upSince
@@ -160,7 +160,8 @@
 	return time.Time{}
 }
 
-// SetPower changes what this process tells of its VM. Peers take it for newer word.
+// SetPower changes the capacity that this process announces for its VM. It raises Refute so that
+// peers accept it as newer.
 func (g *Group) SetPower(power float64) {
 	if power != g.self.Power {
 		g.self.Power = power
@@ -168,7 +169,7 @@
 	}
 }
 
-// Lookup returns what is known of the present process on a VM.
+// Lookup returns what is known of the current process on a VM.
 func (g *Group) Lookup(vm shed.VM) (shed.Member, bool) {
 	if vm == g.self.Peer.VM {
 		return g.self, true
@@ -180,11 +181,11 @@
 	return r.Member, true
 }
 
-// Known returns the VMs of this zone that may be alive, whether seen or not:
-// those on the platform's list, or the seeds until there is one, and those that
-// were alive. One that is leaving is not among them, nor one that is dead and
-// that a later list doesn't have. A VM from which a process left is, once that
-// is dead: a new process may start there and be cut off at once.
+// Known returns the VMs of this zone that may be alive, whether in view or not: those on the
+// platform's list, or the seeds until it has been read, and those that were alive. It excludes VMs
+// that are leaving, and dead ones that a later list doesn't contain. It includes a listed VM whose
+// process left, once that process is dead: a new process may start there and be partitioned off at
+// once.
 func (g *Group) Known() []shed.VM {
 	out := []shed.VM{}
 	for _, vm := range g.order {
@@ -226,27 +227,26 @@
 	return r.Successor == (shed.Peer{}) && g.listedAt.Before(r.deadAt.Add(listLag))
 }
 
-// HomeState is what became of the process that issued a ticket. The set is
-// closed.
+// HomeState is the state of the process that issued a ticket. The set is closed.
 type HomeState uint8
 
-// The states of a home.
+// States of a ticket's home.
 const (
-	// HomeUnknown: nothing is known of that process.
+	// HomeUnknown: no information about that process.
 	HomeUnknown HomeState = iota + 1
-	// HomeAlive: it runs.
+	// HomeAlive: it is running.
 	HomeAlive
-	// HomeLeft: it left and gave its tickets to an heir.
+	// HomeLeft: it left and handed its tickets to a successor.
 	HomeLeft
-	// HomeDead: it is gone, and its tickets with it.
+	// HomeDead: it is dead, and its tickets are lost.
 	HomeDead
 )
 
-// maxHeirs bounds the chain of heirs that left in turn.
+// maxSuccessorChain limits the chain of successors that left in turn.
 const maxSuccessorChain = 16
 
-// Home tells what became of p. With HomeLeft comes the last heir of the chain
-// that hasn't left itself.
+// Home returns the state of p. With HomeLeft it returns the last successor in the chain, one that
+// hasn't left itself.
 func (g *Group) Home(p shed.Peer) (HomeState, shed.Peer) {
 	if p == g.self.Peer {
 		return HomeAlive, shed.Peer{}
