--- a/internal/member/group.go
+++ b/internal/member/group.go
@@ -250,8 +250,8 @@
 	return out
 }
 
-func (g *Group) handleTick(now time.Time, handleTick shed.Tick) []shed.Action {
-	g.woke = g.clock.tick(now, handleTick, g.cfg.FreezeAfter)
+func (g *Group) handleTick(now time.Time, tick shed.Tick) []shed.Action {
+	g.woke = g.clock.tick(now, tick, g.cfg.FreezeAfter)
 	if g.woke || g.unconfirmedSince.IsZero() && g.nextRound.IsZero() {
 		g.requireConfirmation(now)
 	}
