--- a/internal/member/clock.go
+++ b/internal/member/clock.go
@@ -23,8 +23,8 @@
 	return !first && gap > limit
 }
 
-// Woke reports whether the last Tick showed that the process had been paused.
-func (g *Group) Woke() bool { return g.woke }
+// WasPaused reports whether the last Tick showed that the process had been paused.
+func (g *Group) WasPaused() bool { return g.woke }
 
 // Overruled reports whether a process with a later incarnation claims this VM's address. This
 // process should stop then: peers ignore all its messages.
@@ -39,7 +39,7 @@
 // that are affected in the same way.
 func (g *Group) noteReportedDead(now time.Time) {
 	g.requireConfirmation(now)
-	g.unconfirmedUntil = now.Add(g.cfg.DeadEvery + g.cfg.ProbeEvery)
+	g.unconfirmedUntil = now.Add(g.cfg.DeadProbeInterval + g.cfg.ProbeInterval)
 }
 
 // Confirmed reports whether the view can be trusted now. It is false from the start, after a pause,
@@ -48,7 +48,7 @@
 // have resumed, and once no peer has answered for LeaseFor: then this process may be partitioned
 // off without having detected it.
 func (g *Group) Confirmed(now time.Time) bool {
-	if g.clock.wall.IsZero() || now.Sub(g.clock.now) > g.cfg.FreezeAfter {
+	if g.clock.wall.IsZero() || now.Sub(g.clock.now) > g.cfg.MaxTickGap {
 		return false
 	}
 	if now.Before(g.unconfirmedUntil) {
@@ -64,7 +64,7 @@
 		if r.ackedProbeSentAt.After(g.unconfirmedSince) {
 			answered++
 		}
-		lease = lease || now.Sub(r.ackedAt) <= g.cfg.LeaseFor
+		lease = lease || now.Sub(r.ackedAt) <= g.cfg.LeaseDuration
 	}
 	if peers == 0 {
 		// No peer can confirm the view. Any live process has had the time to show itself.
--- a/internal/member/group.go
+++ b/internal/member/group.go
@@ -23,46 +23,46 @@
 	// Seed is the seed of the random source.
 	Seed uint64
 
-	// ProbeEvery is the interval between rounds of probes.
-	ProbeEvery time.Duration
-	// AckAfter is the time-out of a direct probe, after which other peers are asked to probe, and
+	// ProbeInterval is the interval between rounds of probes.
+	ProbeInterval time.Duration
+	// AckTimeout is the time-out of a direct probe, after which other peers are asked to probe, and
 	// then the time-out of their probes.
-	AckAfter time.Duration
-	// SuspectFor is how long a suspect has to refute its death.
-	SuspectFor time.Duration
-	// DeadEvery is the interval between probes of dead VMs, one at a time.
-	DeadEvery time.Duration
-	// VMsEvery is the interval at which the platform's list of VMs is read.
-	VMsEvery time.Duration
-	// FreezeAfter is the longest gap between two ticks that is not taken for a pause.
-	FreezeAfter time.Duration
-	// LeaseFor is how long an answer of a peer confirms the view.
-	LeaseFor time.Duration
-	// KeepDead is how long dead processes, and the successors of those that left, are remembered.
-	KeepDead time.Duration
-	// MaxAhead is how far in the future an incarnation, which is a wall-clock time, may lie.
-	MaxAhead time.Duration
-	// JoinFor is how long a new process probes at intervals of JoinEvery, so that it soon knows all
+	AckTimeout time.Duration
+	// SuspectTimeout is how long a suspect has to refute its death.
+	SuspectTimeout time.Duration
+	// DeadProbeInterval is the interval between probes of dead VMs, one at a time.
+	DeadProbeInterval time.Duration
+	// VMListInterval is the interval at which the platform's list of VMs is read.
+	VMListInterval time.Duration
+	// MaxTickGap is the longest gap between two ticks that is not taken for a pause.
+	MaxTickGap time.Duration
+	// LeaseDuration is how long an answer of a peer confirms the view.
+	LeaseDuration time.Duration
+	// DeadRetention is how long dead processes, and the successors of those that left, are remembered.
+	DeadRetention time.Duration
+	// MaxClockAhead is how far in the future an incarnation, which is a wall-clock time, may lie.
+	MaxClockAhead time.Duration
+	// JoinDuration is how long a new process probes at intervals of JoinInterval, so that it soon knows all
 	// others; 0 for no such phase.
-	JoinFor, JoinEvery time.Duration
-	// SyncMost limits the number of members in an answer to a peer whose view differs.
-	SyncMost int
+	JoinDuration, JoinInterval time.Duration
+	// MaxSyncMembers limits the number of members in an answer to a peer whose view differs.
+	MaxSyncMembers int
 	// Power is this VM's capacity relative to others, as announced to them.
 	Power float64
 }
 
 // Defaults of the Config fields that are 0.
 const (
-	DefaultProbeEvery  = time.Second
-	DefaultAckAfter    = 500 * time.Millisecond
-	DefaultSuspectFor  = 3 * time.Second
-	DefaultDeadEvery   = 2 * time.Second
-	DefaultVMsEvery    = 30 * time.Second
-	DefaultFreezeAfter = time.Second
-	DefaultLeaseFor    = 5 * time.Second
-	DefaultKeepDead    = time.Hour
-	DefaultMaxAhead    = time.Hour
-	DefaultSyncMost    = 12
+	DefaultProbeInterval     = time.Second
+	DefaultAckTimeout        = 500 * time.Millisecond
+	DefaultSuspectTimeout    = 3 * time.Second
+	DefaultDeadProbeInterval = 2 * time.Second
+	DefaultVMListInterval    = 30 * time.Second
+	DefaultMaxTickGap        = time.Second
+	DefaultLeaseDuration     = 5 * time.Second
+	DefaultDeadRetention     = time.Hour
+	DefaultMaxClockAhead     = time.Hour
+	DefaultMaxSyncMembers    = 12
 )
 
 // Numbers of probes per round, and limits of gossip and memory.
@@ -179,17 +179,17 @@
 
 // New returns a group that knows only its own process.
 func New(cfg Config) *Group {
-	orDefault(&cfg.ProbeEvery, DefaultProbeEvery)
-	orDefault(&cfg.AckAfter, DefaultAckAfter)
-	orDefault(&cfg.SuspectFor, DefaultSuspectFor)
-	orDefault(&cfg.DeadEvery, DefaultDeadEvery)
-	orDefault(&cfg.VMsEvery, DefaultVMsEvery)
-	orDefault(&cfg.FreezeAfter, DefaultFreezeAfter)
-	orDefault(&cfg.LeaseFor, DefaultLeaseFor)
-	orDefault(&cfg.KeepDead, DefaultKeepDead)
-	orDefault(&cfg.MaxAhead, DefaultMaxAhead)
-	if cfg.SyncMost == 0 {
-		cfg.SyncMost = DefaultSyncMost
+	orDefault(&cfg.ProbeInterval, DefaultProbeInterval)
+	orDefault(&cfg.AckTimeout, DefaultAckTimeout)
+	orDefault(&cfg.SuspectTimeout, DefaultSuspectTimeout)
+	orDefault(&cfg.DeadProbeInterval, DefaultDeadProbeInterval)
+	orDefault(&cfg.VMListInterval, DefaultVMListInterval)
+	orDefault(&cfg.MaxTickGap, DefaultMaxTickGap)
+	orDefault(&cfg.LeaseDuration, DefaultLeaseDuration)
+	orDefault(&cfg.DeadRetention, DefaultDeadRetention)
+	orDefault(&cfg.MaxClockAhead, DefaultMaxClockAhead)
+	if cfg.MaxSyncMembers == 0 {
+		cfg.MaxSyncMembers = DefaultMaxSyncMembers
 	}
 	return &Group{
 		cfg:          cfg,
@@ -212,7 +212,7 @@
 // DetectBound is the longest time from the death of a process until the processes that probe it
 // declare it dead.
 func (c Config) DetectBound() time.Duration {
-	return c.ProbeEvery + 2*c.AckAfter + c.SuspectFor + shed.TickEvery
+	return c.ProbeInterval + 2*c.AckTimeout + c.SuspectTimeout + shed.TickEvery
 }
 
 // Handle processes Tick, VMsRead, PeerMessage, PeerLost and StopRequested.
@@ -251,7 +251,7 @@
 }
 
 func (g *Group) handleTick(now time.Time, tick shed.Tick) []shed.Action {
-	g.woke = g.clock.tick(now, tick, g.cfg.FreezeAfter)
+	g.woke = g.clock.tick(now, tick, g.cfg.MaxTickGap)
 	if g.woke || g.unconfirmedSince.IsZero() && g.nextRound.IsZero() {
 		g.requireConfirmation(now)
 	}
@@ -265,8 +265,8 @@
 	}
 	if !now.Before(g.nextVMList) {
 		// Jitter, so that VMs that start at once don't read at once.
-		jitter := time.Duration(g.rng.Int64N(int64(g.cfg.VMsEvery/2) + 1))
-		g.nextVMList = now.Add(g.cfg.VMsEvery*3/4 + jitter)
+		jitter := time.Duration(g.rng.Int64N(int64(g.cfg.VMListInterval/2) + 1))
+		g.nextVMList = now.Add(g.cfg.VMListInterval*3/4 + jitter)
 		out = append(out, shed.ReadVMs{})
 	}
 	return out
@@ -278,10 +278,10 @@
 	if g.joinedAt.IsZero() {
 		g.joinedAt = now
 	}
-	if now.Sub(g.joinedAt) < g.cfg.JoinFor {
-		return g.cfg.JoinEvery
+	if now.Sub(g.joinedAt) < g.cfg.JoinDuration {
+		return g.cfg.JoinInterval
 	}
-	return g.cfg.ProbeEvery
+	return g.cfg.ProbeInterval
 }
 
 // resetAfterFreeze discards the probes sent before the pause. Acks that arrived meanwhile are still
--- a/internal/member/merge.go
+++ b/internal/member/merge.go
@@ -82,7 +82,7 @@
 // of the zone differs.
 func (g *Group) gossipLimit(to shed.VM, view uint64) int {
 	if g.zoneOf(to) == g.cfg.Zone && view != g.currentView().Hash(g.cfg.Zone) {
-		return g.cfg.SyncMost
+		return g.cfg.MaxSyncMembers
 	}
 	return maxGossip
 }
@@ -189,7 +189,7 @@
 // isPlausible rejects reports that no correct process can send. An incarnation far in the future
 // would lock out the VM's true process for good.
 func (g *Group) isPlausible(now time.Time, m shed.Member) bool {
-	ahead := shed.Incarnation(now.Add(g.cfg.MaxAhead).UnixNano())
+	ahead := shed.Incarnation(now.Add(g.cfg.MaxClockAhead).UnixNano())
 	return m.Peer.VM != "" && m.Zone != "" &&
 		m.Peer.Incarnation != 0 && m.Peer.Incarnation <= ahead &&
 		m.Status >= shed.StatusAlive && m.Status <= shed.StatusDead
@@ -238,7 +238,7 @@
 	}
 	g.departures[m.Peer] = departure{successor: m.Successor, at: now}
 	g.departureOrder = append(g.departureOrder, m.Peer)
-	for len(g.departureOrder) > 0 && (len(g.departureOrder) > maxDepartures || now.Sub(g.departures[g.departureOrder[0]].at) > g.cfg.KeepDead) {
+	for len(g.departureOrder) > 0 && (len(g.departureOrder) > maxDepartures || now.Sub(g.departures[g.departureOrder[0]].at) > g.cfg.DeadRetention) {
 		delete(g.departures, g.departureOrder[0])
 		g.departureOrder = g.departureOrder[1:]
 	}
--- a/internal/member/probe.go
+++ b/internal/member/probe.go
@@ -102,7 +102,7 @@
 	}
 	g.unknownIndex += unknownProbes
 	if len(dead) > 0 && !now.Before(g.nextDeadProbe) {
-		g.nextDeadProbe = now.Add(g.cfg.DeadEvery)
+		g.nextDeadProbe = now.Add(g.cfg.DeadProbeInterval)
 		out = g.probe(now, out, dead[g.rng.IntN(len(dead))])
 	}
 	return out
@@ -156,11 +156,11 @@
 	for _, p := range probes {
 		age := now.Sub(p.sentAt)
 		switch {
-		case age < g.cfg.AckAfter:
+		case age < g.cfg.AckTimeout:
 		case !p.relayed && p.requester == "":
 			p.relayed = true
 			out = g.requestRelayProbes(out, p)
-		case age < 2*g.cfg.AckAfter:
+		case age < 2*g.cfg.AckTimeout:
 		default:
 			out = g.handleTimeout(now, out, p)
 			continue
@@ -228,10 +228,10 @@
 		case r.Status == shed.StatusDead:
 			// A VM that is still listed may be alive, with only its outgoing messages lost. It
 			// stops using its slots as long as it gets reports that it is dead.
-			if _, listed := g.listed[vm]; !listed && now.Sub(r.deadAt) > g.cfg.KeepDead {
+			if _, listed := g.listed[vm]; !listed && now.Sub(r.deadAt) > g.cfg.DeadRetention {
 				expired = append(expired, vm)
 			}
-		case !r.suspectAt.IsZero() && now.Sub(r.suspectAt) >= g.cfg.SuspectFor:
+		case !r.suspectAt.IsZero() && now.Sub(r.suspectAt) >= g.cfg.SuspectTimeout:
 			g.markDead(now, r)
 			g.queueUpdate(r.Member)
 			out = append(out, shed.Note{Reason: ReasonPeerDead, Peer: vm, Zone: r.Zone})
--- a/internal/member/view.go
+++ b/internal/member/view.go
@@ -151,9 +151,9 @@
 	return ok && g.clock.now.Sub(at) <= unresponsivePeriod
 }
 
-// Since returns when the current process on a VM was first known to be up, or up again; zero if it
+// UpSince returns when the current process on a VM was first known to be up, or up again; zero if it
 // is unknown.
-func (g *Group) Since(vm shed.VM) time.Time {
+func (g *Group) UpSince(vm shed.VM) time.Time {
 	if r := g.members[vm]; r != nil {
 		return r.upSince
 	}
--- a/internal/slots/compare_test.go
+++ b/internal/slots/compare_test.go
@@ -58,7 +58,7 @@
 	}
 	for i := range n {
 		c.vms = append(c.vms, shed.VM(fmt.Sprintf("10.0.0.%d:1", i)))
-		t := New(Config{Self: c.vms[i], LongestCall: 2 * callTime, ReleaseUpTo: -1})
+		t := New(Config{Self: c.vms[i], MaxCallDuration: 2 * callTime, MaxReleaseZone: -1})
 		t.SetServers(c.now, []*shed.Server{{ID: "s1", ColdCapacity: capacity, Capacity: 9}})
 		c.tables = append(c.tables, t)
 	}
@@ -112,7 +112,7 @@
 		}
 	case safeLeader:
 		for j, t := range c.tables {
-			if c.canReach(i, j) && t.Holds(c.now, "s1", 0) && c.activeCalls(j) < coldCapacity {
+			if c.canReach(i, j) && t.MayUseSlot(c.now, "s1", 0) && c.activeCalls(j) < coldCapacity {
 				return j
 			}
 		}
--- a/internal/slots/release.go
+++ b/internal/slots/release.go
@@ -24,7 +24,7 @@
 	if t.disabled.noReport {
 		return owned
 	}
-	if e.reportedAt.Before(since.Add(t.cfg.Flight)) {
+	if e.reportedAt.Before(since.Add(t.cfg.MaxSendDelay)) {
 		return 0
 	}
 	return max(0, owned-e.running)
@@ -85,7 +85,7 @@
 // lost. It isn't sent in a large zone, where a change of view moves few slots and the messages
 // would cost more than the wait.
 func (t *Table) broadcastRelease(now time.Time) []shed.Action {
-	if now.Sub(t.lastBroadcast) < t.cfg.ReleaseEvery || !t.canRelease(now) {
+	if now.Sub(t.lastBroadcast) < t.cfg.ReleaseInterval || !t.canRelease(now) {
 		return nil
 	}
 	t.lastBroadcast = now
@@ -108,7 +108,7 @@
 
 // canRelease reports whether a SlotRelease would be true and still useful.
 func (t *Table) canRelease(now time.Time) bool {
-	if !t.isTrusted(now) || len(t.view) > t.cfg.ReleaseUpTo {
+	if !t.isTrusted(now) || len(t.view) > t.cfg.MaxReleaseZone {
 		return false
 	}
 	return now.Sub(t.changedAt) <= t.gainWait() && t.callsFitOwned()
--- a/internal/slots/table.go
+++ b/internal/slots/table.go
@@ -25,27 +25,27 @@
 	// Twice, because a partition may end before one side has detected it; the other side then
 	// detects its end just as late.
 	Settle time.Duration
-	// LongestCall is the longest time that a call can run on a server after it arrived there, under
+	// MaxCallDuration is the longest time that a call can run on a server after it arrived there, under
 	// any rules; see SetLongest. It is enforced by the deadlines sent with the calls.
-	LongestCall time.Duration
-	// Flight is the longest time from the decision to send a call to its arrival.
-	Flight time.Duration
-	// TickGap is the longest time without a Tick for which slots may still be used.
-	TickGap time.Duration
-	// ReleaseEvery is the interval at which releases are repeated, since they may be lost;
+	MaxCallDuration time.Duration
+	// MaxSendDelay is the longest time from the decision to send a call to its arrival.
+	MaxSendDelay time.Duration
+	// MaxTickGap is the longest time without a Tick for which slots may still be used.
+	MaxTickGap time.Duration
+	// ReleaseInterval is the interval at which releases are repeated, since they may be lost;
 	// ReleaseUpTo is the size of the largest zone in which they are sent at all.
-	ReleaseEvery time.Duration
-	ReleaseUpTo  int
+	ReleaseInterval time.Duration
+	MaxReleaseZone  int
 }
 
 // Defaults of the Config fields that are 0.
 const (
-	DefaultSettle       = 18 * time.Second
-	DefaultLongestCall  = 8 * time.Second
-	DefaultFlight       = 2 * time.Second
-	DefaultTickGap      = time.Second
-	DefaultReleaseEvery = 2 * time.Second
-	DefaultReleaseUpTo  = 12
+	DefaultSettle          = 18 * time.Second
+	DefaultMaxCallDuration = 8 * time.Second
+	DefaultMaxSendDelay    = 2 * time.Second
+	DefaultMaxTickGap      = time.Second
+	DefaultReleaseInterval = 2 * time.Second
+	DefaultMaxReleaseZone  = 12
 )
 
 // Table holds one daemon's share of the slots of its zone's servers. It is not safe for concurrent
@@ -78,9 +78,9 @@
 	trusted   bool
 	trustedAt time.Time
 	changedAt time.Time
-	// longestCall is Config.LongestCall, or more if the rules allow longer calls.
-	longestCall   time.Duration
-	lastBroadcast time.Time
+	// maxCallDuration is Config.LongestCall, or more if the rules allow longer calls.
+	maxCallDuration time.Duration
+	lastBroadcast   time.Time
 }
 
 // safeguards lists the checks that tests switch off to prove that their oracle detects the
@@ -124,49 +124,49 @@
 	abandonedAt time.Time
 }
 
-// Answer is the kind of a Grant. The set is closed.
-type Answer uint8
+// GrantKind is the kind of a Grant. The set is closed.
+type GrantKind uint8
 
 // The kinds of Grant that Take returns.
 const (
 	// GrantNone: no VM is known that may send the call now.
-	GrantNone Answer = iota + 1
+	GrantNone GrantKind = iota + 1
 	// GrantOK: the call occupies a slot until Release.
 	GrantOK
-	// GrantAsk: this daemon has no free slot, but by its view Peer owns one.
-	GrantAsk
+	// GrantAskPeer: this daemon has no free slot, but by its view Peer owns one.
+	GrantAskPeer
 )
 
 // Grant is the result of Take.
 type Grant struct {
-	Answer Answer
-	Peer   shed.VM
-	// Ripe is when the first of this daemon's slots can be used; zero if it owns none or doesn't
+	Kind GrantKind
+	Peer shed.VM
+	// UsableAt is when the first of this daemon's slots can be used; zero if it owns none or doesn't
 	// trust its view.
-	Ripe time.Time
+	UsableAt time.Time
 }
 
 // OK reports whether the call may be sent from here.
-func (g Grant) OK() bool { return g.Answer == GrantOK }
+func (g Grant) OK() bool { return g.Kind == GrantOK }
 
 // New returns a table with an empty view, so it waits before it uses any slot.
 func New(cfg Config) *Table {
 	orDefault(&cfg.Settle, DefaultSettle)
-	orDefault(&cfg.LongestCall, DefaultLongestCall)
-	orDefault(&cfg.Flight, DefaultFlight)
-	orDefault(&cfg.TickGap, DefaultTickGap)
-	orDefault(&cfg.ReleaseEvery, DefaultReleaseEvery)
-	if cfg.ReleaseUpTo == 0 {
-		cfg.ReleaseUpTo = DefaultReleaseUpTo
+	orDefault(&cfg.MaxCallDuration, DefaultMaxCallDuration)
+	orDefault(&cfg.MaxSendDelay, DefaultMaxSendDelay)
+	orDefault(&cfg.MaxTickGap, DefaultMaxTickGap)
+	orDefault(&cfg.ReleaseInterval, DefaultReleaseInterval)
+	if cfg.MaxReleaseZone == 0 {
+		cfg.MaxReleaseZone = DefaultMaxReleaseZone
 	}
 	return &Table{
-		cfg:          cfg,
-		longestCall:  cfg.LongestCall,
-		missingSince: map[shed.VM]time.Time{},
-		releasedAt:   map[shed.VM]time.Time{},
-		peerEpochs:   map[shed.VM]uint64{},
-		servers:      map[shed.ServerID]*entry{},
-		calls:        map[shed.Call]*heldCall{},
+		cfg:             cfg,
+		maxCallDuration: cfg.MaxCallDuration,
+		missingSince:    map[shed.VM]time.Time{},
+		releasedAt:      map[shed.VM]time.Time{},
+		peerEpochs:      map[shed.VM]uint64{},
+		servers:         map[shed.ServerID]*entry{},
+		calls:           map[shed.Call]*heldCall{},
 	}
 }
 
@@ -177,13 +177,13 @@
 }
 
 // gainWait is how long a gained slot stays unused.
-func (t *Table) gainWait() time.Duration { return t.cfg.Settle + t.longestCall }
+func (t *Table) gainWait() time.Duration { return t.cfg.Settle + t.maxCallDuration }
 
-// SetLongest raises the longest call time to the longest deadline in the current rules, if that is
+// RaiseMaxCallDuration raises the longest call time to the longest deadline in the current rules, if that is
 // more than LongestCall. It is never lowered again, since calls under older rules may still run.
 // Rules reach all daemons well within Settle, and the wait of a slot is computed when the slot is
 // to be used, so no daemon uses too short a wait.
-func (t *Table) SetLongest(d time.Duration) { t.longestCall = max(t.longestCall, d) }
+func (t *Table) RaiseMaxCallDuration(d time.Duration) { t.maxCallDuration = max(t.maxCallDuration, d) }
 
 // SetServers replaces the servers of this zone that the rules list.
 func (t *Table) SetServers(now time.Time, servers []*shed.Server) []shed.Action {
@@ -242,18 +242,18 @@
 func (t *Table) Take(now time.Time, server shed.ServerID, call shed.Call) Grant {
 	e := t.servers[server]
 	if e == nil || !t.isTrusted(now) {
-		return Grant{Answer: GrantNone}
+		return Grant{Kind: GrantNone}
 	}
 	if _, exists := t.calls[call]; exists {
-		return Grant{Answer: GrantNone}
+		return Grant{Kind: GrantNone}
 	}
-	if t.Free(now, server) > 0 {
+	if t.FreeSlots(now, server) > 0 {
 		t.addCall(now, server, call, true)
-		return Grant{Answer: GrantOK}
+		return Grant{Kind: GrantOK}
 	}
-	grant := Grant{Answer: GrantNone, Ripe: t.firstUsableAt(e)}
+	grant := Grant{Kind: GrantNone, UsableAt: t.firstUsableAt(e)}
 	if peer, ok := t.nextOwner(e); ok {
-		grant.Answer = GrantAsk
+		grant.Kind = GrantAskPeer
 		grant.Peer = peer
 	}
 	return grant
@@ -273,8 +273,8 @@
 	t.calls[call] = &heldCall{server: server, granted: cold, started: now}
 }
 
-// Free returns how many more calls this daemon may send to the cold server.
-func (t *Table) Free(now time.Time, server shed.ServerID) int {
+// FreeSlots returns how many more calls this daemon may send to the cold server.
+func (t *Table) FreeSlots(now time.Time, server shed.ServerID) int {
 	e := t.servers[server]
 	if e == nil || !t.isTrusted(now) {
 		return 0
@@ -282,9 +282,9 @@
 	return max(0, t.usableSlots(now, e)-e.inFlight)
 }
 
-// Holds reports whether this daemon may use slot i of the server. At most one daemon may at any
+// MayUseSlot reports whether this daemon may use slot i of the server. At most one daemon may at any
 // time, so it also serves to elect the daemon for a task that only one may do.
-func (t *Table) Holds(now time.Time, server shed.ServerID, i int) bool {
+func (t *Table) MayUseSlot(now time.Time, server shed.ServerID, i int) bool {
 	e := t.servers[server]
 	if e == nil || i >= len(e.slots) || !t.isTrusted(now) {
 		return false
@@ -355,7 +355,7 @@
 	}
 	if mayStillRun(end) && !t.disabled.freeBroken {
 		h.abandonedAt = now
-		h.occupiedUntil = h.started.Add(t.cfg.Flight + t.longestCall)
+		h.occupiedUntil = h.started.Add(t.cfg.MaxSendDelay + t.maxCallDuration)
 		return nil
 	}
 	t.removeCall(call, h)
@@ -375,8 +375,8 @@
 	}
 }
 
-// Ask returns a peer that may send a call to the cold server, if this daemon trusts its view.
-func (t *Table) Ask(now time.Time, server shed.ServerID) (shed.VM, bool) {
+// PeerWithSlot returns a peer that may send a call to the cold server, if this daemon trusts its view.
+func (t *Table) PeerWithSlot(now time.Time, server shed.ServerID) (shed.VM, bool) {
 	e := t.servers[server]
 	if e == nil || !t.isTrusted(now) {
 		return "", false
--- a/internal/slots/view.go
+++ b/internal/slots/view.go
@@ -81,7 +81,7 @@
 // up to LongestCall; after a longer one they count as just gained.
 func (t *Table) setTrusted(now time.Time, trusted bool) {
 	last := t.trustedAt
-	if t.trusted && now.Sub(last) > t.cfg.TickGap && !t.disabled.noPauseCheck {
+	if t.trusted && now.Sub(last) > t.cfg.MaxTickGap && !t.disabled.noPauseCheck {
 		t.trusted = false
 	}
 	regained := trusted && !t.trusted
@@ -93,7 +93,7 @@
 	if !regained || t.disabled.noPauseCheck || t.disabled.noReset {
 		return
 	}
-	if now.Sub(last) > t.cfg.LongestCall {
+	if now.Sub(last) > t.cfg.MaxCallDuration {
 		last = time.Time{}
 	}
 	t.resetAfterRegain(now, last)
@@ -131,7 +131,7 @@
 	if t.disabled.noPauseCheck {
 		return t.trusted
 	}
-	return t.trusted && now.Sub(t.trustedAt) <= t.cfg.TickGap
+	return t.trusted && now.Sub(t.trustedAt) <= t.cfg.MaxTickGap
 }
 
 // Handle processes Tick, SlotRelease, LoadReported and LoadDigest.
@@ -166,7 +166,7 @@
 func (t *Table) applyReport(now time.Time, id shed.ServerID, r shed.LoadReport) {
 	e := t.servers[id]
 	// The report may have been in transit for as long as a call can be.
-	at := now.Add(-r.Age - t.cfg.Flight)
+	at := now.Add(-r.Age - t.cfg.MaxSendDelay)
 	if e == nil || at.Before(e.reportedAt) {
 		return
 	}
--- a/internal/slots/zone_test.go
+++ b/internal/slots/zone_test.go
@@ -91,11 +91,11 @@
 	p.unsureUntil = w.now.Add(w.randomUpTo(time.Second))
 	p.inView, p.leavingBoot, p.viewChangeAt = map[shed.VM]bool{p.vm: true}, map[shed.VM]uint64{}, map[shed.VM]time.Time{}
 	p.table = New(Config{
-		Self:        p.vm,
-		Settle:      2*detectBound + maxFlight,
-		LongestCall: longestCall,
-		Flight:      maxFlight,
-		TickGap:     3 * step,
+		Self:            p.vm,
+		Settle:          2*detectBound + maxFlight,
+		MaxCallDuration: longestCall,
+		MaxSendDelay:    maxFlight,
+		MaxTickGap:      3 * step,
 	})
 	p.table.disabled = w.off
 	known := []*shed.Server{}
