--- a/internal/member/clock.go
+++ b/internal/member/clock.go
@@ -45,8 +45,8 @@
 // Confirmed reports whether the view can be trusted now. It is false from the start, after a pause,
 // and after a report that others consider this process dead, until peers have answered probes sent
 // since then. It is also false while there has been no Tick for so long that the process may just
-// have resumed, and once no peer has answered for LeaseFor: then this process may be partitioned
-// off without having detected it.
+// have resumed, and once no peer has answered for LeaseDuration: then this process may be
+// partitioned off without having detected it.
 func (g *Group) Confirmed(now time.Time) bool {
 	if g.clock.wall.IsZero() || now.Sub(g.clock.now) > g.cfg.MaxTickGap {
 		return false
--- a/internal/member/group.go
+++ b/internal/member/group.go
@@ -42,8 +42,8 @@
 	DeadRetention time.Duration
 	// MaxClockAhead is how far in the future an incarnation, which is a wall-clock time, may lie.
 	MaxClockAhead time.Duration
-	// JoinDuration is how long a new process probes at intervals of JoinInterval, so that it soon knows all
-	// others; 0 for no such phase.
+	// JoinDuration is how long a new process probes at intervals of JoinInterval, so that it soon
+	// knows all others; 0 for no such phase.
 	JoinDuration, JoinInterval time.Duration
 	// MaxSyncMembers limits the number of members in an answer to a peer whose view differs.
 	MaxSyncMembers int
--- a/internal/slots/table.go
+++ b/internal/slots/table.go
@@ -21,19 +21,20 @@
 type Config struct {
 	Self shed.VM
 	// Settle is the longest time for which a daemon may still start calls on a view that this one
-	// has replaced: twice the time to detect a death, a network partition or its end, plus Flight.
-	// Twice, because a partition may end before one side has detected it; the other side then
-	// detects its end just as late.
+	// has replaced: twice the time to detect a death, a network partition or its end, plus
+	// MaxSendDelay. Twice, because a partition may end before one side has detected it; the other
+	// side then detects its end just as late.
 	Settle time.Duration
-	// MaxCallDuration is the longest time that a call can run on a server after it arrived there, under
-	// any rules; see SetLongest. It is enforced by the deadlines sent with the calls.
+	// MaxCallDuration is the longest time that a call can run on a server after it arrived there,
+	// under any rules; see RaiseMaxCallDuration. It is enforced by the deadlines sent with the
+	// calls.
 	MaxCallDuration time.Duration
 	// MaxSendDelay is the longest time from the decision to send a call to its arrival.
 	MaxSendDelay time.Duration
 	// MaxTickGap is the longest time without a Tick for which slots may still be used.
 	MaxTickGap time.Duration
 	// ReleaseInterval is the interval at which releases are repeated, since they may be lost;
-	// ReleaseUpTo is the size of the largest zone in which they are sent at all.
+	// MaxReleaseZone is the size of the largest zone in which they are sent at all.
 	ReleaseInterval time.Duration
 	MaxReleaseZone  int
 }
@@ -78,7 +79,7 @@
 	trusted   bool
 	trustedAt time.Time
 	changedAt time.Time
-	// maxCallDuration is Config.LongestCall, or more if the rules allow longer calls.
+	// maxCallDuration is Config.MaxCallDuration, or more if the rules allow longer calls.
 	maxCallDuration time.Duration
 	lastBroadcast   time.Time
 }
@@ -179,10 +180,10 @@
 // gainWait is how long a gained slot stays unused.
 func (t *Table) gainWait() time.Duration { return t.cfg.Settle + t.maxCallDuration }
 
-// RaiseMaxCallDuration raises the longest call time to the longest deadline in the current rules, if that is
-// more than LongestCall. It is never lowered again, since calls under older rules may still run.
-// Rules reach all daemons well within Settle, and the wait of a slot is computed when the slot is
-// to be used, so no daemon uses too short a wait.
+// RaiseMaxCallDuration raises the longest call time to the longest deadline in the current rules,
+// if that is more than MaxCallDuration. It is never lowered again, since calls under older rules
+// may still run. Rules reach all daemons well within Settle, and the wait of a slot is computed
+// when the slot is to be used, so no daemon uses too short a wait.
 func (t *Table) RaiseMaxCallDuration(d time.Duration) { t.maxCallDuration = max(t.maxCallDuration, d) }
 
 // SetServers replaces the servers of this zone that the rules list.
--- a/internal/slots/view.go
+++ b/internal/slots/view.go
@@ -76,9 +76,9 @@
 }
 
 // setTrusted records whether the view can be trusted. While it couldn't, peers may have declared
-// this daemon dead and taken its slots. They start to use them after Settle + LongestCall at the
-// earliest, and learn within Settle that it is back. So the slots remain its own after an outage of
-// up to LongestCall; after a longer one they count as just gained.
+// this daemon dead and taken its slots. They start to use them after Settle + MaxCallDuration at
+// the earliest, and learn within Settle that it is back. So the slots remain its own after an
+// outage of up to MaxCallDuration; after a longer one they count as just gained.
 func (t *Table) setTrusted(now time.Time, trusted bool) {
 	last := t.trustedAt
 	if t.trusted && now.Sub(last) > t.cfg.MaxTickGap && !t.disabled.noPauseCheck {
@@ -177,7 +177,7 @@
 
 // freeAbandoned frees the slots of abandoned calls, except for as many as the server reports
 // running: that number includes those of them that still run. None can still be in transit, since
-// the report was made Flight after they were abandoned.
+// the report was made MaxSendDelay after they were abandoned.
 func (t *Table) freeAbandoned(id shed.ServerID, at time.Time, running int) {
 	var abandoned []shed.Call
 	for call, h := range t.calls {
--- a/internal/slots/zone_test.go
+++ b/internal/slots/zone_test.go
@@ -8,7 +8,7 @@
 	shed "jasmineshed"
 )
 
-// Bounds of the simulation; the tables get Settle and LongestCall from them.
+// Bounds of the simulation; the tables get Settle and MaxCallDuration from them.
 const (
 	detectBound = 2 * time.Second
 	maxFlight   = 300 * time.Millisecond
