--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -132,8 +132,8 @@
 	if cfg.Config.FreshFor == 0 {
 		cfg.Config.FreshFor = defaultFreshFor
 	}
-	if cfg.Member.LeaseFor == 0 {
-		cfg.Member.LeaseFor = defaultFreshFor
+	if cfg.Member.LeaseDuration == 0 {
+		cfg.Member.LeaseDuration = defaultFreshFor
 	}
 	policy, err := route.Named(cfg.Policy, cfg.Seed)
 	if err != nil {
--- a/internal/core/rules.go
+++ b/internal/core/rules.go
@@ -28,7 +28,7 @@
 		localServers = append(localServers, p.localServers...)
 	}
 	slices.SortFunc(localServers, func(a, b *shed.Server) int { return cmp.Compare(a.ID, b.ID) })
-	c.slots.SetLongest(maxCallTime(rules))
+	c.slots.RaiseMaxCallDuration(maxCallTime(rules))
 	c.load.SetServers(now, localServers)
 	c.emit(c.slots.SetServers(now, localServers))
 	c.emit(c.orders.SetRules(now, rules))
--- a/internal/member/view.go
+++ b/internal/member/view.go
@@ -11,21 +11,21 @@
 	"jasmineshed/internal/rank"
 )
 
-// View is one state of a Group. It doesn't change.
+// View is an immutable snapshot of a Group.
 type View struct {
 	zones map[shed.ZoneID][]shed.Peer
 	ids   []shed.ZoneID
 	hash  map[shed.ZoneID]uint64
 }
 
-// Zone returns the processes of z that are alive and not leaving, sorted by VM:
-// all of them in this daemon's own zone, itself among them, else its contacts.
+// Zone returns the processes of z that are alive and not leaving, sorted by VM: all of them in this
+// daemon's own zone, including itself; in another zone its contacts.
 func (v View) Zone(z shed.ZoneID) []shed.Peer { return v.zones[z] }
 
 // Zones returns all zones that are known to have a VM, sorted.
 func (v View) Zones() []shed.ZoneID { return v.ids }
 
-// Hash returns a hash of Zone(z), the same on all daemons that see the same.
+// Hash returns a hash of Zone(z); daemons with equal views have equal hashes.
 func (v View) Hash(z shed.ZoneID) uint64 { return v.hash[z] }
 
 // VMs returns the VMs of Zone(z).
@@ -40,29 +40,29 @@
 // SetSeeds replaces the VMs to try first.
 func (g *Group) SetSeeds(seeds []shed.VM) { g.cfg.Seeds = seeds }
 
-// View returns the present view.
+// View returns the current view.
 func (g *Group) View() View { return g.currentView() }
 
 func (g *Group) currentView() View {
 	if g.dirty {
-		g.view = g.build()
+		g.view = g.buildView()
 		g.dirty = false
 	}
 	return g.view
 }
 
-func (g *Group) build() View {
+func (g *Group) buildView() View {
 	v := View{zones: map[shed.ZoneID][]shed.Peer{}, hash: map[shed.ZoneID]uint64{}}
 	if g.self.Status == shed.StatusAlive {
 		v.zones[g.cfg.Zone] = append(v.zones[g.cfg.Zone], g.self.Peer)
 	}
 	for _, vm := range g.zonePeers() {
-		g.show(v, vm)
+		g.addToView(v, vm)
 	}
 	v.ids = g.zoneIDs()
-	g.far = g.contacts(v.ids)
-	for _, vm := range g.far {
-		g.show(v, vm)
+	g.remote = g.selectContacts(v.ids)
+	for _, vm := range g.remote {
+		g.addToView(v, vm)
 	}
 	for _, z := range v.ids {
 		slices.SortFunc(v.zones[z], func(a, b shed.Peer) int { return compareVM(a.VM, b.VM) })
@@ -81,7 +81,7 @@
 	return 0
 }
 
-func (g *Group) show(v View, vm shed.VM) {
+func (g *Group) addToView(v View, vm shed.VM) {
 	r := g.members[vm]
 	if r == nil || r.Status != shed.StatusAlive && r.Status != shed.StatusSuspect {
 		return
@@ -114,18 +114,18 @@
 	return d.Sum64()
 }
 
-// farContacts are the VMs that this process talks to in other zones.
-func (g *Group) farContacts() []shed.VM {
+// remoteContacts returns the VMs in other zones that this process communicates with.
+func (g *Group) remoteContacts() []shed.VM {
 	g.currentView()
-	return g.far
+	return g.remote
 }
 
-// contacts chooses them. Each process has others, by hash, so that no one is
-// asked by all.
-func (g *Group) contacts(zones []shed.ZoneID) []shed.VM {
+// selectContacts selects the contacts. Each process hashes to different ones, so that no VM is
+// probed by all.
+func (g *Group) selectContacts(zones []shed.ZoneID) []shed.VM {
 	byZone := map[shed.ZoneID][]shed.VM{}
 	for vm, e := range g.listed {
-		if e.Zone != g.cfg.Zone && !e.Leaving && g.members[vm] == nil && !g.isMute(vm) {
+		if e.Zone != g.cfg.Zone && !e.Leaving && g.members[vm] == nil && !g.isUnresponsive(vm) {
 			byZone[e.Zone] = append(byZone[e.Zone], vm)
 		}
 	}
@@ -137,30 +137,31 @@
 	}
 	var out []shed.VM
 	for _, z := range zones {
-		out = append(out, rank.Owners(string(g.self.Peer.VM), byZone[z], contactsMax)...)
+		out = append(out, rank.Owners(string(g.self.Peer.VM), byZone[z], maxContacts)...)
 	}
 	return out
 }
 
-// muteFor is how long a listed VM that didn't answer is no contact. The list
-// lags: else three VMs that are long gone could stand for a whole zone.
-const muteFor = time.Minute
+// unresponsivePeriod is how long a listed VM that didn't answer is not used as a contact. The list
+// lags: otherwise three VMs that are long gone could stand for a whole zone.
+const unresponsivePeriod = time.Minute
 
-func (g *Group) isMute(vm shed.VM) bool {
-	at, ok := g.mute[vm]
-	return ok && g.clock.now.Sub(at) <= muteFor
+func (g *Group) isUnresponsive(vm shed.VM) bool {
+	at, ok := g.unresponsive[vm]
+	return ok && g.clock.now.Sub(at) <= unresponsivePeriod
 }
 
-// Since tells when the present process on a VM was first known to be there, or to
-// be back; zero if it isn't known.
-func (g *Group) Since(vm shed.VM) time.Time {
+// UpSince returns when the current process on a VM was first known to be up, or up again; zero if it
+// is unknown.
+func (g *Group) UpSince(vm shed.VM) time.Time {
 	if r := g.members[vm]; r != nil {
-		return r.since
+		return r.upSince
 	}
 	return time.Time{}
 }
 
-// SetPower changes what this process tells of its VM. Peers take it for newer word.
+// SetPower changes the capacity that this process announces for its VM. It raises Refute so that
+// peers accept it as newer.
 func (g *Group) SetPower(power float64) {
 	if power != g.self.Power {
 		g.self.Power = power
@@ -168,7 +169,7 @@
 	}
 }
 
-// Lookup returns what is known of the present process on a VM.
+// Lookup returns what is known of the current process on a VM.
 func (g *Group) Lookup(vm shed.VM) (shed.Member, bool) {
 	if vm == g.self.Peer.VM {
 		return g.self, true
@@ -180,16 +181,16 @@
 	return r.Member, true
 }
 
-// Known returns the VMs of this zone that may be alive, whether seen or not:
-// those on the platform's list, or the seeds until there is one, and those that
-// were alive. One that is leaving is not among them, nor one that is dead and
-// that a later list doesn't have. A VM from which a process left is, once that
-// is dead: a new process may start there and be cut off at once.
+// Known returns the VMs of this zone that may be alive, whether in view or not: those on the
+// platform's list, or the seeds until it has been read, and those that were alive. It excludes VMs
+// that are leaving, and dead ones that a later list doesn't contain. It includes a listed VM whose
+// process left, once that process is dead: a new process may start there and be partitioned off at
+// once.
 func (g *Group) Known() []shed.VM {
 	out := []shed.VM{}
 	for _, vm := range g.order {
 		r := g.members[vm]
-		if r.Zone == g.cfg.Zone && g.mayLive(vm, r) {
+		if r.Zone == g.cfg.Zone && g.mayBeAlive(vm, r) {
 			out = append(out, vm)
 		}
 	}
@@ -212,7 +213,7 @@
 // listLag is how long the platform's list may take to drop a VM.
 const listLag = time.Minute
 
-func (g *Group) mayLive(vm shed.VM, r *record) bool {
+func (g *Group) mayBeAlive(vm shed.VM, r *record) bool {
 	switch r.Status {
 	case shed.StatusAlive, shed.StatusSuspect:
 		return true
@@ -226,33 +227,32 @@
 	return r.Successor == (shed.Peer{}) && g.listedAt.Before(r.deadAt.Add(listLag))
 }
 
-// HomeState is what became of the process that issued a ticket. The set is
-// closed.
+// HomeState is the state of the process that issued a ticket. The set is closed.
 type HomeState uint8
 
-// The states of a home.
+// States of a ticket's home.
 const (
-	// HomeUnknown: nothing is known of that process.
+	// HomeUnknown: no information about that process.
 	HomeUnknown HomeState = iota + 1
-	// HomeAlive: it runs.
+	// HomeAlive: it is running.
 	HomeAlive
-	// HomeLeft: it left and gave its tickets to an heir.
+	// HomeLeft: it left and handed its tickets to a successor.
 	HomeLeft
-	// HomeDead: it is gone, and its tickets with it.
+	// HomeDead: it is dead, and its tickets are lost.
 	HomeDead
 )
 
-// maxHeirs bounds the chain of heirs that left in turn.
-const maxHeirs = 16
+// maxSuccessorChain limits the chain of successors that left in turn.
+const maxSuccessorChain = 16
 
-// Home tells what became of p. With HomeLeft comes the last heir of the chain
-// that hasn't left itself.
+// Home returns the state of p. With HomeLeft it returns the last successor in the chain, one that
+// hasn't left itself.
 func (g *Group) Home(p shed.Peer) (HomeState, shed.Peer) {
 	if p == g.self.Peer {
 		return HomeAlive, shed.Peer{}
 	}
-	if heir, ok := g.lastHeir(p); ok {
-		return HomeLeft, heir
+	if successor, ok := g.lastSuccessor(p); ok {
+		return HomeLeft, successor
 	}
 	r := g.members[p.VM]
 	switch {
@@ -264,17 +264,17 @@
 	return HomeAlive, shed.Peer{}
 }
 
-func (g *Group) lastHeir(p shed.Peer) (shed.Peer, bool) {
-	l, ok := g.heirs[p]
+func (g *Group) lastSuccessor(p shed.Peer) (shed.Peer, bool) {
+	d, ok := g.departures[p]
 	if !ok {
 		return shed.Peer{}, false
 	}
-	for range maxHeirs {
-		next, more := g.heirs[l.heir]
-		if !more || l.heir == g.self.Peer {
+	for range maxSuccessorChain {
+		next, more := g.departures[d.successor]
+		if !more || d.successor == g.self.Peer {
 			break
 		}
-		l = next
+		d = next
 	}
-	return l.heir, true
+	return d.successor, true
 }
