--- a/internal/load/book.go
+++ b/internal/load/book.go
@@ -63,75 +63,75 @@
 
 // Book is what is known of the servers.
 type Book struct {
-	cfg     Config
-	servers map[shed.ServerID]*entry
-	order   []shed.ServerID // sorted keys of servers
-	calls   map[shed.Call]*call
-	vms     []shed.VM
+	cfg       Config
+	servers   map[shed.ServerID]*serverState
+	serverIDs []shed.ServerID // sorted keys of servers
+	calls     map[shed.Call]*call
+	vms       []shed.VM
 
 	nextDigest time.Time
-	// newcomers have not been told anything yet.
-	newcomers []shed.VM
+	// newVMs have not been told anything yet.
+	newVMs []shed.VM
 }
 
-// entry is what is known of one server.
-type entry struct {
+// serverState is what is known of one server.
+type serverState struct {
 	server *shed.Server
 	// readers of the server, the first one first; rank is the place of this
 	// daemon among them, or -1.
-	rank     int
-	nextPoll time.Time
+	readerRank int
+	nextPoll   time.Time
 
 	// report is the last one that was taken, made at about at; Boot is "" if
 	// there is none.
-	report shed.LoadReport
-	at     time.Time
-	// former are boots that ended; a late report of one is dropped.
-	former []string
+	report     shed.LoadReport
+	reportTime time.Time
+	// formerBoots are boots that ended; a late report of one is dropped.
+	formerBoots []string
 
-	cold cold
-	// full is when the server last refused a call for want of room; zero once a
+	cold coldState
+	// refusedAt is when the server last refused a call for want of room; zero once a
 	// report was made after that, or fullFor has passed.
-	full time.Time
-	// told is what the zone was last told of the server, by any reader, and
+	refusedAt time.Time
+	// announced is what the zone was last told of the server, by any reader, and
 	// when; unlike is since when the present report differs enough from it.
-	told   shed.LoadReport
-	toldAt time.Time
-	unlike time.Time
+	announced   shed.LoadReport
+	announcedAt time.Time
+	divergedAt  time.Time
 
-	// flight are this daemon's calls in flight on the server.
-	flight []*call
-	// unseen are those of flight of which the server has shown no sign yet.
-	unseen int
-	// provenAt is when an answer of the server last showed its boot.
-	provenAt time.Time
-	// tellsLate: the server gives no sign of a call before its end.
-	tellsLate bool
-	// ended are calls that ended after the last report.
-	ended []span
-	first ring // times to the first token
-	whole ring // times of whole calls
+	// inFlight are this daemon's calls in flight on the server.
+	inFlight []*call
+	// unanswered are those of flight of which the server has shown no sign yet.
+	unanswered int
+	// confirmedAt is when an answer of the server last showed its boot.
+	confirmedAt time.Time
+	// acceptsLate: the server gives no sign of a call before its end.
+	acceptsLate bool
+	// endedCalls are calls that ended after the last report.
+	endedCalls      []endedCall
+	firstTokenTimes ring // times to the first token
+	callTimes       ring // times of whole calls
 }
 
 // New returns a book that knows nothing; every server counts as cold.
 func New(cfg Config) *Book {
-	orDefault(&cfg.Readers, DefaultReaders)
-	orDefault(&cfg.PollEvery, DefaultPollEvery)
-	orDefault(&cfg.DigestEvery, DefaultDigestEvery)
-	orDefault(&cfg.RefreshEvery, DefaultRefreshEvery)
-	orDefault(&cfg.Threshold, DefaultThreshold)
-	orDefault(&cfg.SilentAfter, DefaultSilentAfter)
-	orDefault(&cfg.LeapFactor, DefaultLeapFactor)
-	orDefault(&cfg.LeapLeast, DefaultLeapLeast)
-	orDefault(&cfg.WarmCalls, DefaultWarmCalls)
+	setDefault(&cfg.Readers, DefaultReaders)
+	setDefault(&cfg.PollEvery, DefaultPollEvery)
+	setDefault(&cfg.DigestEvery, DefaultDigestEvery)
+	setDefault(&cfg.RefreshEvery, DefaultRefreshEvery)
+	setDefault(&cfg.Threshold, DefaultThreshold)
+	setDefault(&cfg.SilentAfter, DefaultSilentAfter)
+	setDefault(&cfg.LeapFactor, DefaultLeapFactor)
+	setDefault(&cfg.LeapLeast, DefaultLeapLeast)
+	setDefault(&cfg.WarmCalls, DefaultWarmCalls)
 	return &Book{
 		cfg:     cfg,
-		servers: map[shed.ServerID]*entry{},
+		servers: map[shed.ServerID]*serverState{},
 		calls:   map[shed.Call]*call{},
 	}
 }
 
-func orDefault[T comparable](v *T, d T) {
+func setDefault[T comparable](v *T, d T) {
 	var zero T
 	if *v == zero {
 		*v = d
@@ -146,21 +146,21 @@
 		keep[s.ID] = true
 		e := b.servers[s.ID]
 		if e == nil {
-			e = &entry{rank: -1, cold: cold{on: true}}
+			e = &serverState{readerRank: -1, cold: coldState{active: true}}
 			b.servers[s.ID] = e
 		}
 		e.server = s
 	}
-	b.order = b.order[:0]
+	b.serverIDs = b.serverIDs[:0]
 	for id := range b.servers {
 		if !keep[id] {
 			delete(b.servers, id)
 			continue
 		}
-		b.order = append(b.order, id)
+		b.serverIDs = append(b.serverIDs, id)
 	}
-	slices.Sort(b.order)
-	b.assign(now)
+	slices.Sort(b.serverIDs)
+	b.assignReaders(now)
 }
 
 // SetView tells which VMs of the zone are alive, this one among them.
@@ -170,22 +170,22 @@
 	}
 	for _, vm := range vms {
 		if vm != b.cfg.Self && !slices.Contains(b.vms, vm) {
-			b.newcomers = append(b.newcomers, vm)
+			b.newVMs = append(b.newVMs, vm)
 		}
 	}
 	b.vms = slices.Clone(vms)
-	b.assign(now)
+	b.assignReaders(now)
 }
 
-// assign works out which servers this daemon reads. The first polls are spread
+// assignReaders works out which servers this daemon reads. The first polls are spread
 // over the period by the place in the list.
-func (b *Book) assign(now time.Time) {
-	for i, id := range b.order {
+func (b *Book) assignReaders(now time.Time) {
+	for i, id := range b.serverIDs {
 		e := b.servers[id]
-		was := e.rank
+		oldRank := e.readerRank
 		readers := rank.Owners("load/"+string(id), b.vms, b.cfg.Readers)
-		e.rank = slices.Index(readers, b.cfg.Self)
-		if e.rank >= 0 && (was < 0 || e.nextPoll.IsZero()) {
+		e.readerRank = slices.Index(readers, b.cfg.Self)
+		if e.readerRank >= 0 && (oldRank < 0 || e.nextPoll.IsZero()) {
 			phase := b.cfg.PollEvery * time.Duration(i%8) / 8
 			e.nextPoll = now.Add(phase)
 		}
@@ -200,15 +200,15 @@
 		return b.tick(now)
 	case shed.LoadReported:
 		if e := b.servers[ev.Server]; e != nil {
-			return b.reported(now, e, ev.Report)
+			return b.onReport(now, e, ev.Report)
 		}
 	case shed.ServerSilent:
 		if e := b.servers[ev.Server]; e != nil {
-			return b.silent(now, e)
+			return b.onSilent(now, e)
 		}
 	case shed.PeerMessage:
 		if digest, ok := ev.Message.(shed.LoadDigest); ok {
-			return b.digest(now, digest)
+			return b.onDigest(now, digest)
 		}
 	}
 	return nil
@@ -216,65 +216,65 @@
 
 func (b *Book) tick(now time.Time) []shed.Action {
 	var out []shed.Action
-	for _, id := range b.order {
+	for _, id := range b.serverIDs {
 		e := b.servers[id]
-		e.reopen(now)
-		if e.rank >= 0 && !now.Before(e.nextPoll) {
+		e.expireRefusal(now)
+		if e.readerRank >= 0 && !now.Before(e.nextPoll) {
 			e.nextPoll = now.Add(b.cfg.PollEvery)
 			out = append(out, shed.PollServer{Server: id, URL: e.server.URL})
 		}
 	}
-	out = b.overdue(now, out)
+	out = b.countOverdue(now, out)
 	if !now.Before(b.nextDigest) {
 		b.nextDigest = now.Add(b.cfg.DigestEvery)
-		out = b.tell(now, out)
+		out = b.announceChanges(now, out)
 	}
 	return out
 }
 
-// reported takes in a report that this daemon read itself. If it shows that the
+// onReport takes in a report that this daemon read itself. If it shows that the
 // server turned cold, the zone is told at once, whichever reader this is: this
 // daemon will use its slots soon, while others still send to a warm server.
-func (b *Book) reported(now time.Time, e *entry, r shed.LoadReport) []shed.Action {
-	warm, boot := !e.cold.on, e.report.Boot
-	out := b.take(now, nil, e, r)
-	reborn := boot != "" && boot != e.report.Boot
-	if !e.cold.on || !warm && !reborn {
+func (b *Book) onReport(now time.Time, e *serverState, r shed.LoadReport) []shed.Action {
+	wasWarm, oldBoot := !e.cold.active, e.report.Boot
+	out := b.applyReport(now, nil, e, r)
+	restarted := oldBoot != "" && oldBoot != e.report.Boot
+	if !e.cold.active || !wasWarm && !restarted {
 		return out
 	}
-	word := e.report
-	word.Age = now.Sub(e.at)
-	e.told, e.toldAt = word, now
-	return b.send(out, map[shed.ServerID]shed.LoadReport{e.server.ID: word})
+	announced := e.report
+	announced.Age = now.Sub(e.reportTime)
+	e.announced, e.announcedAt = announced, now
+	return b.broadcast(out, map[shed.ServerID]shed.LoadReport{e.server.ID: announced})
 }
 
-// take takes in a report, unless it is older than what is known.
-func (b *Book) take(now time.Time, out []shed.Action, e *entry, r shed.LoadReport) []shed.Action {
+// applyReport takes in a report, unless it is older than what is known.
+func (b *Book) applyReport(now time.Time, out []shed.Action, e *serverState, r shed.LoadReport) []shed.Action {
 	at := now.Add(-r.Age)
-	if stale(e, r, at) {
+	if isStale(e, r, at) {
 		return append(out, shed.Note{Reason: ReasonStaleReport, Server: e.server.ID})
 	}
 	if r.Boot == e.report.Boot && r.Sequence == e.report.Sequence && r.Warm == e.report.Warm {
 		return out // the same report by way of another reader
 	}
 	if r.Boot != e.report.Boot && e.report.Boot != "" {
-		e.forgetBoot()
+		e.retireBoot()
 	}
-	out = b.judge(now, out, e, r)
-	e.report, e.at = r, at
-	if at.After(e.full) {
-		e.full = time.Time{}
+	out = b.updateCold(now, out, e, r)
+	e.report, e.reportTime = r, at
+	if at.After(e.refusedAt) {
+		e.refusedAt = time.Time{}
 	}
-	e.ended = slices.DeleteFunc(e.ended, func(s span) bool { return !s.ended.After(at) })
+	e.endedCalls = slices.DeleteFunc(e.endedCalls, func(s endedCall) bool { return !s.endedAt.After(at) })
 	return out
 }
 
 // formerMax is how many former boots of a server are remembered.
-const formerMax = 4
+const maxFormerBoots = 4
 
-func stale(e *entry, r shed.LoadReport, at time.Time) bool {
+func isStale(e *serverState, r shed.LoadReport, at time.Time) bool {
 	if r.Boot != e.report.Boot {
-		return slices.Contains(e.former, r.Boot) || at.Before(e.at)
+		return slices.Contains(e.formerBoots, r.Boot) || at.Before(e.reportTime)
 	}
 	if r.Sequence == e.report.Sequence {
 		// Word that the server is cold after all overrules the report.
@@ -292,29 +292,29 @@
 	}
 	return shed.Candidate{
 		Server:         e.server,
-		Running:        e.running(),
-		OwnCalls:       len(e.flight),
-		Cold:           e.cold.on,
-		Age:            now.Sub(e.at),
-		MedianCallTime: e.whole.median(),
+		Running:        e.estimateRunning(),
+		OwnCalls:       len(e.inFlight),
+		Cold:           e.cold.active,
+		Age:            now.Sub(e.reportTime),
+		MedianCallTime: e.callTimes.median(),
 	}, true
 }
 
-// running corrects the last report by this daemon's own calls: those that it
+// estimateRunning corrects the last report by this daemon's own calls: those that it
 // sent since, and those that the report counts and that have ended since.
-func (e *entry) running() int {
+func (e *serverState) estimateRunning() int {
 	n := e.report.Running + e.report.Waiting
-	for _, c := range e.flight {
-		if c.sent.After(e.at) {
+	for _, c := range e.inFlight {
+		if c.sentAt.After(e.reportTime) {
 			n++
 		}
 	}
-	for _, s := range e.ended {
-		if !s.sent.After(e.at) && s.ended.After(e.at) {
+	for _, s := range e.endedCalls {
+		if !s.sentAt.After(e.reportTime) && s.endedAt.After(e.reportTime) {
 			n--
 		}
 	}
-	return max(n, len(e.flight))
+	return max(n, len(e.inFlight))
 }
 
 // Report returns the last report of the server and its age; false if there is
@@ -324,7 +324,7 @@
 	if e == nil || e.report.Boot == "" {
 		return shed.LoadReport{}, 0, false
 	}
-	return e.report, now.Sub(e.at), true
+	return e.report, now.Sub(e.reportTime), true
 }
 
 // Room returns how many more calls the server can take: while it is cold up to
@@ -333,25 +333,25 @@
 // shows that it can carry it.
 func (b *Book) Room(server shed.ServerID) int {
 	e := b.servers[server]
-	if e == nil || !e.full.IsZero() {
+	if e == nil || !e.refusedAt.IsZero() {
 		return 0
 	}
-	free := e.level() - e.running()
-	since := e.sentSince()
+	free := e.usableCapacity() - e.estimateRunning()
+	since := e.sentSinceReport()
 	if since == 0 {
 		return max(0, free)
 	}
 	return max(0, free-since*(len(b.vms)-1))
 }
 
-// sentSince counts this daemon's live calls that the last report can't show. The
+// sentSinceReport counts this daemon's live calls that the last report can't show. The
 // zone's other daemons go by the same report, and will likely send as many:
 // each fills only its share of what was free, since all of them together would
 // else send the same places several times over, and most would be refused.
-func (e *entry) sentSince() int {
+func (e *serverState) sentSinceReport() int {
 	n := 0
-	for _, c := range e.flight {
-		if c.sent.After(e.at) {
+	for _, c := range e.inFlight {
+		if c.sentAt.After(e.reportTime) {
 			n++
 		}
 	}
--- a/internal/load/book_test.go
+++ b/internal/load/book_test.go
@@ -17,8 +17,8 @@
 
 var start = time.Unix(1_800_000_000, 0)
 
-// bench is one book and its clock.
-type bench struct {
+// fixture is one book and its clock.
+type fixture struct {
 	*load.Book
 	now   time.Time
 	calls int
@@ -26,14 +26,14 @@
 	sent  []shed.SendPeer
 }
 
-func newBench(self shed.VM, vms ...shed.VM) *bench {
-	b := &bench{Book: load.New(load.Config{Self: self}), now: start, notes: map[shed.Reason]int{}}
+func newFixture(self shed.VM, vms ...shed.VM) *fixture {
+	b := &fixture{Book: load.New(load.Config{Self: self}), now: start, notes: map[shed.Reason]int{}}
 	b.SetServers(b.now, []*shed.Server{{ID: engine, Capacity: 16, ColdCapacity: 2}})
 	b.SetView(b.now, append(vms, self))
 	return b
 }
 
-func (b *bench) do(actions []shed.Action) {
+func (b *fixture) apply(actions []shed.Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
 		case shed.Note:
@@ -44,40 +44,40 @@
 	}
 }
 
-func (b *bench) pass(d time.Duration) {
+func (b *fixture) advance(d time.Duration) {
 	b.now = b.now.Add(d)
-	b.do(b.Handle(b.now, shed.Tick{Wall: b.now}))
+	b.apply(b.Handle(b.now, shed.Tick{Wall: b.now}))
 }
 
-func (b *bench) report(r shed.LoadReport) {
-	b.do(b.Handle(b.now, shed.LoadReported{Server: engine, Report: r}))
+func (b *fixture) receiveReport(r shed.LoadReport) {
+	b.apply(b.Handle(b.now, shed.LoadReported{Server: engine, Report: r}))
 }
 
-func (b *bench) cold() bool {
+func (b *fixture) isCold() bool {
 	c, _ := b.Candidate(b.now, engine)
 	return c.Cold
 }
 
-// call runs one call whose first token takes first.
-func (b *bench) call(first time.Duration, end shed.CallEnd) {
+// runCall runs one call whose first token takes first.
+func (b *fixture) runCall(first time.Duration, end shed.CallEnd) {
 	b.calls++
 	id := shed.Call{Request: shed.RequestID(fmt.Sprint(b.calls)), Attempt: 1}
 	b.Sent(b.now, engine, id)
 	b.now = b.now.Add(first)
-	b.do(b.FirstToken(b.now, id))
-	b.do(b.Ended(b.now, id, end))
+	b.apply(b.FirstToken(b.now, id))
+	b.apply(b.Ended(b.now, id, end))
 }
 
-func report(boot string, seq, done uint64, warm bool) shed.LoadReport {
+func newReport(boot string, seq, done uint64, warm bool) shed.LoadReport {
 	return shed.LoadReport{Boot: boot, Sequence: seq, Done: done, Warm: warm}
 }
 
-// warm returns a book that knows its server to be warm and its usual times.
-func warm() *bench {
-	b := newBench("a")
-	b.report(report("x", 1, 500, true))
+// newWarmFixture returns a book that knows its server to be warm and its usual times.
+func newWarmFixture() *fixture {
+	b := newFixture("a")
+	b.receiveReport(newReport("x", 1, 500, true))
 	for range 8 {
-		b.call(100*time.Millisecond, shed.EndComplete)
+		b.runCall(100*time.Millisecond, shed.EndComplete)
 	}
 	return b
 }
@@ -87,56 +87,56 @@
 func TestColdUntilShownWarm(t *testing.T) {
 	for _, tc := range []struct {
 		name string
-		run  func(b *bench)
+		run  func(b *fixture)
 		cold bool
 	}{
-		{"nothing is known", func(_ *bench) {}, true},
-		{"this daemon restarted, the server was long warm", func(b *bench) {
-			b.report(report("x", 9, 500, true))
+		{"nothing is known", func(_ *fixture) {}, true},
+		{"this daemon restarted, the server was long warm", func(b *fixture) {
+			b.receiveReport(newReport("x", 9, 500, true))
 		}, false},
-		{"an old report doesn't show it warm", func(b *bench) {
-			r := report("x", 9, 500, true)
+		{"an old report doesn't show it warm", func(b *fixture) {
+			r := newReport("x", 9, 500, true)
 			r.Age = time.Minute
-			b.report(r)
+			b.receiveReport(r)
 		}, true},
-		{"it calls itself warm right after its start", func(b *bench) {
-			b.report(report("x", 1, 0, true))
-			b.pass(time.Hour)
-			b.report(report("x", 2, 3, true))
+		{"it calls itself warm right after its start", func(b *fixture) {
+			b.receiveReport(newReport("x", 1, 0, true))
+			b.advance(time.Hour)
+			b.receiveReport(newReport("x", 2, 3, true))
 		}, true},
-		{"it completed enough", func(b *bench) {
-			b.report(report("x", 1, 0, true))
-			b.report(report("x", 2, 4, true))
+		{"it completed enough", func(b *fixture) {
+			b.receiveReport(newReport("x", 1, 0, true))
+			b.receiveReport(newReport("x", 2, 4, true))
 		}, false},
-		{"it completed enough, but says it is cold", func(b *bench) {
-			b.report(report("x", 2, 400, false))
+		{"it completed enough, but says it is cold", func(b *fixture) {
+			b.receiveReport(newReport("x", 2, 400, false))
 		}, true},
-		{"it restarts", func(b *bench) {
-			b.report(report("x", 9, 500, true))
-			b.report(report("y", 1, 0, true))
+		{"it restarts", func(b *fixture) {
+			b.receiveReport(newReport("x", 9, 500, true))
+			b.receiveReport(newReport("y", 1, 0, true))
 		}, true},
-		{"a late report of the boot before", func(b *bench) {
-			b.report(report("x", 9, 500, true))
-			b.report(report("y", 1, 0, false))
-			b.report(report("x", 10, 510, true))
+		{"a late report of the boot before", func(b *fixture) {
+			b.receiveReport(newReport("x", 9, 500, true))
+			b.receiveReport(newReport("y", 1, 0, false))
+			b.receiveReport(newReport("x", 10, 510, true))
 		}, true},
-		{"it was silent", func(b *bench) {
-			b.report(report("x", 9, 500, true))
-			b.pass(10 * time.Second)
+		{"it was silent", func(b *fixture) {
+			b.receiveReport(newReport("x", 9, 500, true))
+			b.advance(10 * time.Second)
 			b.Handle(b.now, shed.ServerSilent{Server: engine})
-			b.pass(time.Second)
-			b.report(report("x", 10, 500, true))
+			b.advance(time.Second)
+			b.receiveReport(newReport("x", 10, 500, true))
 		}, true},
-		{"one reader misses a report that another had", func(b *bench) {
-			b.report(report("x", 9, 500, true))
-			b.pass(time.Second)
+		{"one reader misses a report that another had", func(b *fixture) {
+			b.receiveReport(newReport("x", 9, 500, true))
+			b.advance(time.Second)
 			b.Handle(b.now, shed.ServerSilent{Server: engine})
 		}, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			b := newBench("a")
+			b := newFixture("a")
 			tc.run(b)
-			require.Equal(t, tc.cold, b.cold())
+			require.Equal(t, tc.cold, b.isCold())
 		})
 	}
 }
@@ -147,101 +147,101 @@
 func TestSymptomTurnsCold(t *testing.T) {
 	for _, tc := range []struct {
 		name string
-		run  func(b *bench)
+		run  func(b *fixture)
 		cold bool
 	}{
-		{"one slow first token may be a long prompt", func(b *bench) {
-			b.call(900*time.Millisecond, shed.EndComplete)
+		{"one slow first token may be a long prompt", func(b *fixture) {
+			b.runCall(900*time.Millisecond, shed.EndComplete)
 		}, false},
-		{"two in a row", func(b *bench) {
-			b.call(900*time.Millisecond, shed.EndComplete)
-			b.call(900*time.Millisecond, shed.EndComplete)
+		{"two in a row", func(b *fixture) {
+			b.runCall(900*time.Millisecond, shed.EndComplete)
+			b.runCall(900*time.Millisecond, shed.EndComplete)
 		}, true},
-		{"two that give no token at all", func(b *bench) {
+		{"two that give no token at all", func(b *fixture) {
 			b.Sent(b.now, engine, shed.Call{Request: "p"})
 			b.Sent(b.now, engine, shed.Call{Request: "q"})
-			b.pass(time.Second)
+			b.advance(time.Second)
 		}, true},
-		{"it refuses for overload", func(b *bench) {
-			b.call(time.Millisecond, shed.EndOverloaded)
+		{"it refuses for overload", func(b *fixture) {
+			b.runCall(time.Millisecond, shed.EndOverloaded)
 		}, true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			b := warm()
+			b := newWarmFixture()
 			b.SetView(b.now, []shed.VM{"a", "b"})
 			tc.run(b)
-			require.Equal(t, tc.cold, b.cold())
+			require.Equal(t, tc.cold, b.isCold())
 			if !tc.cold {
 				return
 			}
-			word := b.sent[0].Message.(shed.LoadDigest).Reports[engine]
-			require.False(t, word.Warm)
-			other := newBench("b", "a")
-			other.report(report("x", 1, 500, true))
-			other.do(other.Handle(other.now, shed.PeerMessage{Message: b.sent[0].Message}))
-			require.True(t, other.cold(), "the other daemon heard")
-			b.pass(time.Second)
-			b.report(report("x", 2, 502, true))
-			require.True(t, b.cold())
-			b.report(report("x", 3, 504, true))
-			require.False(t, b.cold())
+			announced := b.sent[0].Message.(shed.LoadDigest).Reports[engine]
+			require.False(t, announced.Warm)
+			peer := newFixture("b", "a")
+			peer.receiveReport(newReport("x", 1, 500, true))
+			peer.apply(peer.Handle(peer.now, shed.PeerMessage{Message: b.sent[0].Message}))
+			require.True(t, peer.isCold(), "the other daemon heard")
+			b.advance(time.Second)
+			b.receiveReport(newReport("x", 2, 502, true))
+			require.True(t, b.isCold())
+			b.receiveReport(newReport("x", 3, 504, true))
+			require.False(t, b.isCold())
 		})
 	}
 }
 
 func TestReportsThatGoBackwardsAreCounted(t *testing.T) {
-	b := warm()
-	b.report(report("x", 5, 520, true))
-	b.report(report("x", 5, 520, true)) // by way of another reader
+	b := newWarmFixture()
+	b.receiveReport(newReport("x", 5, 520, true))
+	b.receiveReport(newReport("x", 5, 520, true)) // by way of another reader
 	require.Zero(t, b.notes[load.ReasonStaleReport])
-	b.report(report("x", 4, 519, true))
-	old := report("w", 99, 1, true)
+	b.receiveReport(newReport("x", 4, 519, true))
+	old := newReport("w", 99, 1, true)
 	old.Age = time.Hour
-	b.report(old)
+	b.receiveReport(old)
 	require.Equal(t, 2, b.notes[load.ReasonStaleReport])
 }
 
 func TestEstimateCorrectsLaggingReport(t *testing.T) {
-	b := newBench("a")
+	b := newFixture("a")
 	before, after := shed.Call{Request: "before"}, shed.Call{Request: "after"}
 	b.Sent(b.now, engine, before)
-	b.pass(time.Second)
-	b.report(shed.LoadReport{Boot: "x", Sequence: 1, Running: 5, Age: 100 * time.Millisecond})
+	b.advance(time.Second)
+	b.receiveReport(shed.LoadReport{Boot: "x", Sequence: 1, Running: 5, Age: 100 * time.Millisecond})
 	b.Sent(b.now, engine, after)
 	c, _ := b.Candidate(b.now, engine)
 	require.Equal(t, 6, c.Running, "sent since")
 	require.Equal(t, 2, c.OwnCalls)
-	b.pass(time.Second)
-	b.do(b.Ended(b.now, before, shed.EndComplete))
+	b.advance(time.Second)
+	b.apply(b.Ended(b.now, before, shed.EndComplete))
 	c, _ = b.Candidate(b.now, engine)
 	require.Equal(t, 5, c.Running, "ended since")
 }
 
 func TestRoomGrowsWithCompletions(t *testing.T) {
-	b := newBench("a")
-	b.report(report("x", 1, 0, false))
+	b := newFixture("a")
+	b.receiveReport(newReport("x", 1, 0, false))
 	require.Equal(t, 2, b.Room(engine))
-	b.pass(time.Hour)
+	b.advance(time.Hour)
 	require.Equal(t, 2, b.Room(engine), "time alone shows nothing")
-	b.report(report("x", 2, 4, true))
+	b.receiveReport(newReport("x", 2, 4, true))
 	require.Equal(t, 6, b.Room(engine))
-	b.report(report("x", 3, 400, true))
+	b.receiveReport(newReport("x", 3, 400, true))
 	require.Equal(t, 16, b.Room(engine))
 }
 
 // The first reader of a server dies, or loses its way to it. The others poll
 // as well, and one of them tells the zone in its place.
 func TestSecondReaderStepsIn(t *testing.T) {
-	for _, firstTells := range []bool{true, false} {
-		t.Run(fmt.Sprintf("first reader tells: %t", firstTells), func(t *testing.T) {
-			readers := map[shed.VM]*bench{"a": newBench("a", "b"), "b": newBench("b", "a")}
+	for _, firstAnnounces := range []bool{true, false} {
+		t.Run(fmt.Sprintf("first reader tells: %t", firstAnnounces), func(t *testing.T) {
+			readers := map[shed.VM]*fixture{"a": newFixture("a", "b"), "b": newFixture("b", "a")}
 			for i := range 100 {
 				for _, vm := range []shed.VM{"a", "b"} {
 					b := readers[vm]
-					b.pass(100 * time.Millisecond)
-					b.report(shed.LoadReport{Boot: "x", Sequence: uint64(i), Running: i / 10})
+					b.advance(100 * time.Millisecond)
+					b.receiveReport(shed.LoadReport{Boot: "x", Sequence: uint64(i), Running: i / 10})
 				}
-				if first := firstReader(readers); firstTells {
+				if first := firstReader(readers); firstAnnounces {
 					for _, s := range first.sent {
 						readers[s.To].Handle(start, shed.PeerMessage{Message: s.Message})
 					}
@@ -251,12 +251,12 @@
 			if firstReader(readers) == second {
 				second = readers["b"]
 			}
-			require.Equal(t, firstTells, len(second.sent) == 0)
+			require.Equal(t, firstAnnounces, len(second.sent) == 0)
 		})
 	}
 }
 
-func firstReader(readers map[shed.VM]*bench) *bench {
+func firstReader(readers map[shed.VM]*fixture) *fixture {
 	if len(readers["a"].sent) >= len(readers["b"].sent) {
 		return readers["a"]
 	}
@@ -286,11 +286,11 @@
 		vms = append(vms, shed.VM(fmt.Sprintf("10.0.0.%d:7400", i)))
 	}
 	var servers []*shed.Server
-	truth := map[shed.ServerID]*shed.LoadReport{}
+	actual := map[shed.ServerID]*shed.LoadReport{}
 	for i := range n {
 		s := &shed.Server{ID: shed.ServerID(fmt.Sprintf("drafting-%03d", i)), Capacity: capacity, ColdCapacity: 2}
 		servers = append(servers, s)
-		truth[s.ID] = &shed.LoadReport{Boot: fmt.Sprintf("%08x", i), Warm: true, Done: 1000, Model: "draft-13b@4", Running: 8}
+		actual[s.ID] = &shed.LoadReport{Boot: fmt.Sprintf("%08x", i), Warm: true, Done: 1000, Model: "draft-13b@4", Running: 8}
 	}
 	books := map[shed.VM]*load.Book{}
 	for _, vm := range vms {
@@ -302,7 +302,7 @@
 	for tick := range seconds * 10 {
 		now := start.Add(time.Duration(tick) * shed.TickEvery)
 		for _, s := range servers {
-			r := truth[s.ID]
+			r := actual[s.ID]
 			r.Sequence++
 			if tick%10 == 0 {
 				r.Running = min(capacity, max(0, r.Running+rng.IntN(7)-3))
@@ -314,7 +314,7 @@
 				switch a := a.(type) {
 				case shed.PollServer:
 					polls++
-					books[vm].Handle(now, shed.LoadReported{Server: a.Server, Report: *truth[a.Server]})
+					books[vm].Handle(now, shed.LoadReported{Server: a.Server, Report: *actual[a.Server]})
 				case shed.SendPeer:
 					out, _ := cbor.Marshal(a.Message)
 					bytes += len(out)
--- a/internal/load/calls.go
+++ b/internal/load/calls.go
@@ -9,16 +9,16 @@
 
 // call is one of this daemon's calls in flight.
 type call struct {
-	server shed.ServerID
-	sent   time.Time
-	seen   bool      // the server has answered in any way
-	told   time.Time // when it accepted the call
-	first  bool      // the first token has come
-	leapt  bool      // already counted as a symptom
+	server        shed.ServerID
+	sentAt        time.Time
+	answered      bool      // the server has answered in any way
+	acceptedAt    time.Time // when it accepted the call
+	gotFirstToken bool      // the first token has come
+	countedSlow   bool      // already counted as a symptom
 }
 
-// span is a call that has ended.
-type span struct{ sent, ended time.Time }
+// endedCall is a call that has ended.
+type endedCall struct{ sentAt, endedAt time.Time }
 
 // Sent tells that this daemon sent the call to the server.
 func (b *Book) Sent(now time.Time, server shed.ServerID, id shed.Call) {
@@ -26,15 +26,15 @@
 	if e == nil || b.calls[id] != nil {
 		return
 	}
-	c := &call{server: server, sent: now}
+	c := &call{server: server, sentAt: now}
 	b.calls[id] = c
-	e.flight = append(e.flight, c)
-	e.unseen++
+	e.inFlight = append(e.inFlight, c)
+	e.unanswered++
 }
 
 // provenFor is how long a server's answer proves that it has not restarted
 // since: none is down and up again in less.
-const provenFor = 250 * time.Millisecond
+const minRestartTime = 250 * time.Millisecond
 
 // MaySend tells whether one more call may go to a server that is held warm.
 //
@@ -48,7 +48,7 @@
 	if e == nil {
 		return false
 	}
-	return e.unseen < share || e.tellsLate && now.Sub(e.provenAt) < provenFor
+	return e.unanswered < share || e.acceptsLate && now.Sub(e.confirmedAt) < minRestartTime
 }
 
 // Seen tells that the server has accepted the call, and its boot identity if
@@ -63,65 +63,65 @@
 	if e == nil {
 		return nil
 	}
-	e.sight(c)
-	c.told = now
+	e.markAnswered(c)
+	c.acceptedAt = now
 	if boot == "" || boot == e.report.Boot {
 		// A server that names no boot can show no more than that it answers.
-		e.provenAt = now
+		e.confirmedAt = now
 	}
-	if boot == "" || e.report.Boot == "" || boot == e.report.Boot || slices.Contains(e.former, boot) {
+	if boot == "" || e.report.Boot == "" || boot == e.report.Boot || slices.Contains(e.formerBoots, boot) {
 		return nil
 	}
-	return b.reborn(now, e, boot)
+	return b.onRestart(now, e, boot)
 }
 
 // lateTelling is within what time of its end a call's acceptance tells nothing.
-const lateTelling = time.Millisecond
+const lateAcceptance = time.Millisecond
 
-// noteTelling learns from a call of some length whether the server tells early
+// updateAcceptsLate learns from a call of some length whether the server tells early
 // that it has accepted one.
-func (e *entry) noteTelling(now time.Time, c *call) {
-	if !c.told.IsZero() && now.Sub(c.sent) > 3*lateTelling {
-		e.tellsLate = now.Sub(c.told) < lateTelling
+func (e *serverState) updateAcceptsLate(now time.Time, c *call) {
+	if !c.acceptedAt.IsZero() && now.Sub(c.sentAt) > 3*lateAcceptance {
+		e.acceptsLate = now.Sub(c.acceptedAt) < lateAcceptance
 	}
 }
 
-func (e *entry) sight(c *call) {
-	if !c.seen {
-		c.seen = true
-		e.unseen--
+func (e *serverState) markAnswered(c *call) {
+	if !c.answered {
+		c.answered = true
+		e.unanswered--
 	}
 }
 
-// reborn takes in a boot that no report has told of yet.
-func (b *Book) reborn(now time.Time, e *entry, boot string) []shed.Action {
-	e.forgetBoot()
-	e.report = shed.LoadReport{Boot: boot, Running: len(e.flight)}
-	e.at = now
-	out := b.turnCold(now, nil, e, 0)
-	e.told, e.toldAt = e.report, now
-	return b.send(out, map[shed.ServerID]shed.LoadReport{e.server.ID: e.report})
+// onRestart takes in a boot that no report has told of yet.
+func (b *Book) onRestart(now time.Time, e *serverState, boot string) []shed.Action {
+	e.retireBoot()
+	e.report = shed.LoadReport{Boot: boot, Running: len(e.inFlight)}
+	e.reportTime = now
+	out := b.markCold(now, nil, e, 0)
+	e.announced, e.announcedAt = e.report, now
+	return b.broadcast(out, map[shed.ServerID]shed.LoadReport{e.server.ID: e.report})
 }
 
-// forgetBoot remembers the present boot as a former one.
-func (e *entry) forgetBoot() {
-	e.former = append(e.former, e.report.Boot)
-	e.former = e.former[max(0, len(e.former)-formerMax):]
+// retireBoot remembers the present boot as a former one.
+func (e *serverState) retireBoot() {
+	e.formerBoots = append(e.formerBoots, e.report.Boot)
+	e.formerBoots = e.formerBoots[max(0, len(e.formerBoots)-maxFormerBoots):]
 }
 
 // FirstToken tells that the call's first token has come.
 func (b *Book) FirstToken(now time.Time, id shed.Call) []shed.Action {
 	c := b.calls[id]
-	if c == nil || c.first {
+	if c == nil || c.gotFirstToken {
 		return nil
 	}
-	c.first = true
+	c.gotFirstToken = true
 	e := b.servers[c.server]
 	if e == nil {
 		return nil
 	}
-	e.sight(c)
-	return b.firstToken(now, e, c)
+	e.markAnswered(c)
+	return b.checkFirstToken(now, e, c)
 }
 
 // Ended tells how the call ended.
@@ -135,19 +135,19 @@
 	if e == nil {
 		return nil
 	}
-	e.sight(c)
-	e.flight = slices.DeleteFunc(e.flight, func(o *call) bool { return o == c })
-	e.ended = append(e.ended, span{sent: c.sent, ended: now})
-	if len(e.ended) > endedMax {
-		e.ended = e.ended[1:]
+	e.markAnswered(c)
+	e.inFlight = slices.DeleteFunc(e.inFlight, func(o *call) bool { return o == c })
+	e.endedCalls = append(e.endedCalls, endedCall{sentAt: c.sentAt, endedAt: now})
+	if len(e.endedCalls) > maxEndedCalls {
+		e.endedCalls = e.endedCalls[1:]
 	}
 	switch end {
 	case shed.EndComplete:
-		e.whole.add(now.Sub(c.sent))
-		e.cold.completed++
-		e.noteTelling(now, c)
+		e.callTimes.add(now.Sub(c.sentAt))
+		e.cold.ownCompleted++
+		e.updateAcceptsLate(now, c)
 	case shed.EndOverloaded:
-		return b.overloaded(now, e)
+		return b.onOverload(now, e)
 	case shed.EndBroken:
 		return b.suspect(now, e)
 	}
@@ -155,4 +155,4 @@
 }
 
 // endedMax bounds what is remembered between two reports.
-const endedMax = 512
+const maxEndedCalls = 512
--- a/internal/load/cold.go
+++ b/internal/load/cold.go
@@ -7,48 +7,48 @@
 	shed "jasmineshed"
 )
 
-// cold says whether a server is held cold, and what it has shown since.
-type cold struct {
-	on    bool
-	since time.Time
-	// done is the server's count of completed calls when it turned cold; 0 for
+// coldState says whether a server is held cold, and what it has shown since.
+type coldState struct {
+	active bool
+	since  time.Time
+	// doneBefore is the server's count of completed calls when it turned cold; 0 for
 	// a new boot.
-	done uint64
-	// completed counts this daemon's own calls that the server completed since.
-	completed uint64
-	// leaps counts the latest symptoms in a row; two make it cold.
-	leaps int
+	doneBefore uint64
+	// ownCompleted counts this daemon's own calls that the server completed since.
+	ownCompleted uint64
+	// spikes counts the latest symptoms in a row; two make it cold.
+	spikes int
 }
 
 // leapsMax is how many slow first tokens in a row turn a server cold. One may
 // be a long prompt.
-const leapsMax = 2
+const maxSpikes = 2
 
 // warmAge is the greatest age of a report that can show a server warm.
-const warmAge = 10 * time.Second
+const maxWarmReportAge = 10 * time.Second
 
-// judge works out from a new report whether the server is cold.
+// updateCold works out from a new report whether the server is cold.
 //
 // A new boot, and any server that this daemon knows nothing of, is cold until a
 // report says warm and the server has completed some calls: a server may call
 // itself warm too soon. Completions are counted by the server since its boot,
 // so a daemon that has just started takes a server that was long warm as warm
 // with the first report, and a restart of the whole fleet leaves none cold.
-func (b *Book) judge(now time.Time, out []shed.Action, e *entry, r shed.LoadReport) []shed.Action {
+func (b *Book) updateCold(now time.Time, out []shed.Action, e *serverState, r shed.LoadReport) []shed.Action {
 	switch {
 	case r.Boot != e.report.Boot && e.report.Boot != "":
-		out = b.turnCold(now, out, e, 0)
-	case !r.Warm && !e.cold.on:
-		out = b.turnCold(now, out, e, r.Done)
+		out = b.markCold(now, out, e, 0)
+	case !r.Warm && !e.cold.active:
+		out = b.markCold(now, out, e, r.Done)
 	}
-	if !e.cold.on || !r.Warm || r.Age > warmAge || now.Add(-r.Age).Before(e.cold.since) {
+	if !e.cold.active || !r.Warm || r.Age > maxWarmReportAge || now.Add(-r.Age).Before(e.cold.since) {
 		return out
 	}
-	if r.Done < e.cold.done+b.need(e) {
+	if r.Done < e.cold.doneBefore+b.completionsToWarm(e) {
 		return out
 	}
-	e.cold.on = false
-	e.cold.leaps = 0
+	e.cold.active = false
+	e.cold.spikes = 0
 	return append(out, shed.Note{Reason: ReasonTurnedWarm, Server: e.server.ID})
 }
 
@@ -62,23 +62,23 @@
 // slot, and the first few may already be all it bears.
 func (b *Book) Settled(server shed.ServerID) bool {
 	e := b.servers[server]
-	return e != nil && e.settled(e.at)
+	return e != nil && e.isSettledAt(e.reportTime)
 }
 
-func (e *entry) settled(at time.Time) bool {
+func (e *serverState) isSettledAt(at time.Time) bool {
 	return e.report.Boot != "" && !at.Before(e.cold.since.Add(coldGrace))
 }
 
-// need is how many calls a cold server has to complete.
-func (b *Book) need(e *entry) uint64 {
+// completionsToWarm is how many calls a cold server has to complete.
+func (b *Book) completionsToWarm(e *serverState) uint64 {
 	return uint64(b.cfg.WarmCalls * e.server.ColdCapacity)
 }
 
-func (b *Book) turnCold(now time.Time, out []shed.Action, e *entry, done uint64) []shed.Action {
-	was := e.cold.on
-	e.cold = cold{on: true, since: now, done: done}
-	e.pollSoon(now)
-	if was {
+func (b *Book) markCold(now time.Time, out []shed.Action, e *serverState, done uint64) []shed.Action {
+	wasCold := e.cold.active
+	e.cold = coldState{active: true, since: now, doneBefore: done}
+	e.pollAfterGrace(now)
+	if wasCold {
 		return out
 	}
 	return append(out, shed.Note{Reason: ReasonTurnedCold, Server: e.server.ID})
@@ -90,108 +90,108 @@
 // the slots.
 func (b *Book) Doubt(now time.Time) []shed.Action {
 	var out []shed.Action
-	for _, id := range b.order {
+	for _, id := range b.serverIDs {
 		out = append(out, b.suspect(now, b.servers[id])...)
 	}
 	return out
 }
 
-// pollSoon has the server's readers poll it as soon as that settles it.
-func (e *entry) pollSoon(now time.Time) {
+// pollAfterGrace has the server's readers poll it as soon as that settles it.
+func (e *serverState) pollAfterGrace(now time.Time) {
 	if soon := now.Add(coldGrace); soon.Before(e.nextPoll) {
 		e.nextPoll = soon
 	}
 }
 
-// level is how many calls the server can carry by now.
-func (e *entry) level() int {
-	if e.cold.on {
+// usableCapacity is how many calls the server can carry by now.
+func (e *serverState) usableCapacity() int {
+	if e.cold.active {
 		return e.server.ColdCapacity
 	}
-	shown := e.cold.completed
-	if e.report.Done > e.cold.done {
-		shown = max(shown, e.report.Done-e.cold.done)
+	completed := e.cold.ownCompleted
+	if e.report.Done > e.cold.doneBefore {
+		completed = max(completed, e.report.Done-e.cold.doneBefore)
 	}
-	return e.server.ColdCapacity + int(min(shown, uint64(e.server.Capacity-e.server.ColdCapacity)))
+	return e.server.ColdCapacity + int(min(completed, uint64(e.server.Capacity-e.server.ColdCapacity)))
 }
 
-// symptom turns the server cold by what this daemon itself saw of it, and lets
+// onSymptom turns the server cold by what this daemon itself saw of it, and lets
 // the zone know: the server may not have noticed.
-func (b *Book) symptom(now time.Time, out []shed.Action, e *entry) []shed.Action {
-	if e.cold.on {
+func (b *Book) onSymptom(now time.Time, out []shed.Action, e *serverState) []shed.Action {
+	if e.cold.active {
 		return out
 	}
-	out = b.turnCold(now, out, e, e.report.Done)
+	out = b.markCold(now, out, e, e.report.Done)
 	if e.report.Boot == "" {
 		return out
 	}
 	e.report.Warm = false
-	word := e.report
-	word.Age = now.Sub(e.at)
-	e.told, e.toldAt = word, now
-	return b.send(out, map[shed.ServerID]shed.LoadReport{e.server.ID: word})
+	announced := e.report
+	announced.Age = now.Sub(e.reportTime)
+	e.announced, e.announcedAt = announced, now
+	return b.broadcast(out, map[shed.ServerID]shed.LoadReport{e.server.ID: announced})
 }
 
 // suspect holds the server cold after a broken connection, since a restart
 // breaks them all, until a report made after that shows the same boot. It asks
 // for one at once: waiting for the next would leave a good server unused.
-func (b *Book) suspect(now time.Time, e *entry) []shed.Action {
-	if e.cold.on {
+func (b *Book) suspect(now time.Time, e *serverState) []shed.Action {
+	if e.cold.active {
 		return nil
 	}
-	e.cold.on, e.cold.since = true, now
-	e.pollSoon(now)
+	e.cold.active, e.cold.since = true, now
+	e.pollAfterGrace(now)
 	return []shed.Action{
 		shed.Note{Reason: ReasonTurnedCold, Server: e.server.ID},
 		shed.PollServer{Server: e.server.ID, URL: e.server.URL},
 	}
 }
 
-// silent: the server gave this reader no report. If no other reader had one
+// onSilent: the server gave this reader no report. If no other reader had one
 // lately either, the server may have restarted, so it counts as cold.
-func (b *Book) silent(now time.Time, e *entry) []shed.Action {
-	if e.cold.on || now.Sub(e.at) < b.cfg.SilentAfter {
+func (b *Book) onSilent(now time.Time, e *serverState) []shed.Action {
+	if e.cold.active || now.Sub(e.reportTime) < b.cfg.SilentAfter {
 		return nil
 	}
-	return b.symptom(now, nil, e)
+	return b.onSymptom(now, nil, e)
 }
 
-// firstToken looks for a leap of the time to the first token against the
+// checkFirstToken looks for a leap of the time to the first token against the
 // server's own median: a server that turned cold is slow before it fails.
-func (b *Book) firstToken(now time.Time, e *entry, c *call) []shed.Action {
-	took := now.Sub(c.sent)
-	if c.leapt {
+func (b *Book) checkFirstToken(now time.Time, e *serverState, c *call) []shed.Action {
+	took := now.Sub(c.sentAt)
+	if c.countedSlow {
 		return nil
 	}
-	if !b.leap(e, took) {
-		e.first.add(took)
-		e.cold.leaps = 0
+	if !b.isSpike(e, took) {
+		e.firstTokenTimes.add(took)
+		e.cold.spikes = 0
 		return nil
 	}
-	c.leapt = true
-	return b.countLeap(now, nil, e)
+	c.countedSlow = true
+	return b.countSpike(now, nil, e)
 }
 
-func (b *Book) leap(e *entry, took time.Duration) bool {
-	usual := e.first.median()
-	return usual > 0 && took >= b.cfg.LeapLeast && took >= time.Duration(b.cfg.LeapFactor)*usual
+func (b *Book) isSpike(e *serverState, took time.Duration) bool {
+	median := e.firstTokenTimes.median()
+	return median > 0 && took >= b.cfg.LeapLeast && took >= time.Duration(b.cfg.LeapFactor)*median
 }
 
-func (b *Book) countLeap(now time.Time, out []shed.Action, e *entry) []shed.Action {
-	e.cold.leaps++
-	if e.cold.leaps < leapsMax {
+func (b *Book) countSpike(now time.Time, out []shed.Action, e *serverState) []shed.Action {
+	e.cold.spikes++
+	if e.cold.spikes < maxSpikes {
 		return out
 	}
-	return b.symptom(now, out, e)
+	return b.onSymptom(now, out, e)
 }
 
-// overdue counts calls that already wait longer than a leap: a server that
+// countOverdue counts calls that already wait longer than a leap: a server that
 // hangs would show no slow first token, since it gives none.
-func (b *Book) overdue(now time.Time, out []shed.Action) []shed.Action {
+func (b *Book) countOverdue(now time.Time, out []shed.Action) []shed.Action {
 	var late []shed.Call
 	for id, c := range b.calls {
 		e := b.servers[c.server]
-		if e == nil || c.first || c.leapt || !b.leap(e, now.Sub(c.sent)) {
+		if e == nil || c.gotFirstToken || c.countedSlow || !b.isSpike(e, now.Sub(c.sentAt)) {
 			continue
 		}
 		late = append(late, id)
@@ -199,8 +199,8 @@
 	slices.SortFunc(late, compareCalls)
 	for _, id := range late {
 		c := b.calls[id]
-		c.leapt = true
-		out = b.countLeap(now, out, b.servers[c.server])
+		c.countedSlow = true
+		out = b.countSpike(now, out, b.servers[c.server])
 	}
 	return out
 }
--- a/internal/load/digest.go
+++ b/internal/load/digest.go
@@ -8,87 +8,87 @@
 	shed "jasmineshed"
 )
 
-// tell sends the zone what changed enough since it was last told.
+// announceChanges sends the zone what changed enough since it was last told.
 //
 // The first reader tells at once. The others poll, too, but tell only when the
 // zone has stayed in the wrong for longer: the first one may be dead or cut off
 // from the server. So each change crosses the zone once, not once per reader.
-func (b *Book) tell(now time.Time, out []shed.Action) []shed.Action {
+func (b *Book) announceChanges(now time.Time, out []shed.Action) []shed.Action {
 	reports := map[shed.ServerID]shed.LoadReport{}
-	for _, id := range b.order {
+	for _, id := range b.serverIDs {
 		e := b.servers[id]
-		if e.rank < 0 || e.report.Boot == "" {
+		if e.readerRank < 0 || e.report.Boot == "" {
 			continue
 		}
-		if !b.alters(now, e) {
-			e.unlike = time.Time{}
+		if !b.isSignificant(now, e) {
+			e.divergedAt = time.Time{}
 			continue
 		}
-		if e.unlike.IsZero() {
-			e.unlike = now
+		if e.divergedAt.IsZero() {
+			e.divergedAt = now
 		}
-		if now.Sub(e.unlike) < time.Duration(2*e.rank)*b.cfg.PollEvery {
+		if now.Sub(e.divergedAt) < time.Duration(2*e.readerRank)*b.cfg.PollEvery {
 			continue
 		}
 		r := e.report
-		r.Age = now.Sub(e.at)
+		r.Age = now.Sub(e.reportTime)
 		reports[id] = r
-		e.told, e.toldAt, e.unlike = r, now, time.Time{}
+		e.announced, e.announcedAt, e.divergedAt = r, now, time.Time{}
 	}
-	out = b.send(out, reports)
-	return b.welcome(now, out)
+	out = b.broadcast(out, reports)
+	return b.announceToNewVMs(now, out)
 }
 
-// welcome tells newcomers all that this daemon is the first to read; else they
+// announceToNewVMs tells newcomers all that this daemon is the first to read; else they
 // would hold every server cold until it changes or is told again.
-func (b *Book) welcome(now time.Time, out []shed.Action) []shed.Action {
-	if len(b.newcomers) == 0 {
+func (b *Book) announceToNewVMs(now time.Time, out []shed.Action) []shed.Action {
+	if len(b.newVMs) == 0 {
 		return out
 	}
 	reports := map[shed.ServerID]shed.LoadReport{}
-	for _, id := range b.order {
+	for _, id := range b.serverIDs {
 		e := b.servers[id]
-		if e.rank != 0 || e.report.Boot == "" {
+		if e.readerRank != 0 || e.report.Boot == "" {
 			continue
 		}
 		r := e.report
-		r.Age = now.Sub(e.at)
+		r.Age = now.Sub(e.reportTime)
 		reports[id] = r
 	}
 	if len(reports) == 0 {
 		return out
 	}
-	for _, vm := range b.newcomers {
+	for _, vm := range b.newVMs {
 		if slices.Contains(b.vms, vm) {
 			out = append(out, shed.SendPeer{To: vm, Message: shed.LoadDigest{Reports: reports}})
 		}
 	}
-	b.newcomers = nil
+	b.newVMs = nil
 	return out
 }
 
-// alters tells whether the present report would alter a choice elsewhere.
-func (b *Book) alters(now time.Time, e *entry) bool {
-	r, t := e.report, e.told
-	if r.Boot != t.Boot || r.Warm != t.Warm || r.Model != t.Model || r.Role != t.Role || r.Fence != t.Fence {
+// isSignificant tells whether the present report would alter a choice elsewhere.
+func (b *Book) isSignificant(now time.Time, e *serverState) bool {
+	r, announced := e.report, e.announced
+	if r.Boot != announced.Boot || r.Warm != announced.Warm || r.Model != announced.Model || r.Role != announced.Role || r.Fence != announced.Fence {
 		return true
 	}
-	if now.Sub(e.toldAt) >= b.cfg.RefreshEvery {
+	if now.Sub(e.announcedAt) >= b.cfg.RefreshEvery {
 		return true
 	}
-	if e.cold.on && r.Done != t.Done {
+	if e.cold.active && r.Done != announced.Done {
 		// Completions end the cold start; they can't wait.
 		return true
 	}
-	if e.cold.on && e.settled(e.at) && !e.settled(e.toldAt.Add(-t.Age)) {
+	if e.cold.active && e.isSettledAt(e.reportTime) && !e.isSettledAt(e.announcedAt.Add(-announced.Age)) {
 		// Until it is told, no other daemon may use what the server bears.
 		return true
 	}
-	change := r.Running + r.Waiting - t.Running - t.Waiting
-	return max(change, -change) >= max(1, int(b.cfg.Threshold*float64(e.server.Capacity)))
+	delta := r.Running + r.Waiting - announced.Running - announced.Waiting
+	return max(delta, -delta) >= max(1, int(b.cfg.Threshold*float64(e.server.Capacity)))
 }
 
-func (b *Book) send(out []shed.Action, reports map[shed.ServerID]shed.LoadReport) []shed.Action {
+func (b *Book) broadcast(out []shed.Action, reports map[shed.ServerID]shed.LoadReport) []shed.Action {
 	if len(reports) == 0 {
 		return out
 	}
@@ -100,8 +100,8 @@
 	return out
 }
 
-// digest takes in what a reader tells.
-func (b *Book) digest(now time.Time, d shed.LoadDigest) []shed.Action {
+// onDigest takes in what a reader tells.
+func (b *Book) onDigest(now time.Time, d shed.LoadDigest) []shed.Action {
 	var out []shed.Action
 	for _, id := range slices.Sorted(maps.Keys(d.Reports)) {
 		e := b.servers[id]
@@ -109,10 +109,10 @@
 			continue
 		}
 		r := d.Reports[id]
-		if r.Boot != e.told.Boot || r.Sequence >= e.told.Sequence {
-			e.told, e.toldAt = r, now
+		if r.Boot != e.announced.Boot || r.Sequence >= e.announced.Sequence {
+			e.announced, e.announcedAt = r, now
 		}
-		out = b.take(now, out, e, r)
+		out = b.applyReport(now, out, e, r)
 	}
 	return out
 }
--- a/internal/load/full.go
+++ b/internal/load/full.go
@@ -8,9 +8,9 @@
 
 // fullFor is how long a server that refused a call gets nothing, unless a newer
 // report comes before.
-const fullFor = time.Second
+const refusalBackoff = time.Second
 
-// overloaded takes in that the server refused a call for overload.
+// onOverload takes in that the server refused a call for overload.
 //
 // One that was thought to run half of what it carries, or more, is most likely
 // full with calls of other daemons that the last report could not count. Were
@@ -20,20 +20,20 @@
 // report, which its readers ask for at once. If it has turned cold, the report
 // says so; if it says nothing and refuses again with little to do, that is the
 // symptom.
-func (b *Book) overloaded(now time.Time, e *entry) []shed.Action {
-	if e.cold.on || !e.report.Warm || 2*e.running() < e.server.Capacity {
-		return b.symptom(now, nil, e)
+func (b *Book) onOverload(now time.Time, e *serverState) []shed.Action {
+	if e.cold.active || !e.report.Warm || 2*e.estimateRunning() < e.server.Capacity {
+		return b.onSymptom(now, nil, e)
 	}
-	e.full = now
-	if e.rank >= 0 {
+	e.refusedAt = now
+	if e.readerRank >= 0 {
 		e.nextPoll = now
 	}
 	return nil
 }
 
-// reopen ends a fullness that no report ended.
-func (e *entry) reopen(now time.Time) {
-	if !now.Before(e.full.Add(fullFor)) {
-		e.full = time.Time{}
+// expireRefusal ends a fullness that no report ended.
+func (e *serverState) expireRefusal(now time.Time) {
+	if !now.Before(e.refusedAt.Add(refusalBackoff)) {
+		e.refusedAt = time.Time{}
 	}
 }
--- a/internal/load/full_test.go
+++ b/internal/load/full_test.go
@@ -13,50 +13,50 @@
 // calls, and it refuses one. It must not be held cold for that, or the fleet
 // loses most of its places under load; it gets nothing until a newer report.
 func TestAFullServerIsNotCold(t *testing.T) {
-	b := warm()
-	busy := report("x", 3, 520, true)
+	b := newWarmFixture()
+	busy := newReport("x", 3, 520, true)
 	busy.Running = 12
-	b.report(busy)
+	b.receiveReport(busy)
 	require.Equal(t, 4, b.Room(engine))
-	b.pass(100 * time.Millisecond)
-	b.call(time.Millisecond, shed.EndOverloaded)
-	require.False(t, b.cold())
+	b.advance(100 * time.Millisecond)
+	b.runCall(time.Millisecond, shed.EndOverloaded)
+	require.False(t, b.isCold())
 	require.Zero(t, b.Room(engine))
 	require.Contains(t, b.Handle(b.now, shed.Tick{Wall: b.now}), shed.PollServer{Server: engine})
 
-	late := report("x", 4, 520, true)
+	late := newReport("x", 4, 520, true)
 	late.Running, late.Age = 12, 50*time.Millisecond
-	b.report(late)
+	b.receiveReport(late)
 	require.Zero(t, b.Room(engine), "the report was made before the refusal")
 
-	b.pass(10 * time.Millisecond)
-	fresh := report("x", 5, 530, true)
+	b.advance(10 * time.Millisecond)
+	fresh := newReport("x", 5, 530, true)
 	fresh.Running = 10
-	b.report(fresh)
+	b.receiveReport(fresh)
 	require.Equal(t, 6, b.Room(engine))
 }
 
 func TestFullnessEndsWithoutAReport(t *testing.T) {
-	b := warm()
-	busy := report("x", 3, 520, true)
+	b := newWarmFixture()
+	busy := newReport("x", 3, 520, true)
 	busy.Running = 12
-	b.report(busy)
-	b.call(time.Millisecond, shed.EndOverloaded)
-	b.pass(900 * time.Millisecond)
+	b.receiveReport(busy)
+	b.runCall(time.Millisecond, shed.EndOverloaded)
+	b.advance(900 * time.Millisecond)
 	require.Zero(t, b.Room(engine))
-	b.pass(100 * time.Millisecond)
+	b.advance(100 * time.Millisecond)
 	require.NotZero(t, b.Room(engine))
 }
 
 // The server turned cold without a word while it was thought to be busy. The
 // report that the refusal asks for tells, and it is held cold from then on.
 func TestAFullServerThatIsColdAfterAll(t *testing.T) {
-	b := warm()
-	busy := report("x", 3, 520, true)
+	b := newWarmFixture()
+	busy := newReport("x", 3, 520, true)
 	busy.Running = 12
-	b.report(busy)
-	b.call(time.Millisecond, shed.EndOverloaded)
-	b.pass(10 * time.Millisecond)
-	b.report(report("x", 4, 521, false))
-	require.True(t, b.cold())
+	b.receiveReport(busy)
+	b.runCall(time.Millisecond, shed.EndOverloaded)
+	b.advance(10 * time.Millisecond)
+	b.receiveReport(newReport("x", 4, 521, false))
+	require.True(t, b.isCold())
 }
--- a/internal/load/ring.go
+++ b/internal/load/ring.go
@@ -13,27 +13,27 @@
 
 // ring holds recent times.
 type ring struct {
-	times [ringSize]time.Duration
-	n     int
-	next  int
-	mid   time.Duration
+	times        [ringSize]time.Duration
+	count        int
+	next         int
+	cachedMedian time.Duration
 }
 
 func (r *ring) add(d time.Duration) {
 	r.times[r.next] = d
 	r.next = (r.next + 1) % ringSize
-	r.n = min(r.n+1, ringSize)
+	r.count = min(r.count+1, ringSize)
 	sorted := r.times
-	slices.Sort(sorted[:r.n])
-	r.mid = sorted[r.n/2]
+	slices.Sort(sorted[:r.count])
+	r.cachedMedian = sorted[r.count/2]
 }
 
 // median returns 0 if there are too few times to tell.
 func (r *ring) median() time.Duration {
-	if r.n < ringSize/8 {
+	if r.count < ringSize/8 {
 		return 0
 	}
-	return r.mid
+	return r.cachedMedian
 }
 
 func compareCalls(a, b shed.Call) int {
