--- a/internal/load/book.go
+++ b/internal/load/book.go
@@ -1,9 +1,9 @@
-// Package load keeps what one daemon knows of the backend servers of its zone:
-// how busy each is, and whether it is cold.
+// Package load tracks the backend servers of one daemon's zone: how busy each is, and whether
+// it is cold.
 //
-// Each server is polled by a few daemons only, its readers, which tell the zone
-// what changed enough to alter a choice. Between two reports the estimate is
-// corrected by the work that this daemon itself sent and saw end.
+// Each server is polled by a few daemons only, its readers, which broadcast to the zone changes
+// that are large enough to affect placement. Between two reports, the estimate is corrected by
+// the calls that this daemon itself sent and saw end.
 package load
 
 import (
@@ -14,34 +14,33 @@
 	"jasmineshed/internal/rank"
 )
 
-// Config sets up a Book. Fields left at 0 get the Default of their name.
+// Config configures a Book. Fields left at 0 get the Default constant of the same name.
 type Config struct {
 	Self shed.VM
 	// Readers is how many daemons poll a server.
 	Readers int
 	// PollEvery is how often a reader polls a server.
 	PollEvery time.Duration
-	// DigestEvery is the shortest time between two digests.
+	// DigestEvery is the minimum time between two digests.
 	DigestEvery time.Duration
-	// RefreshEvery is how often an unchanged report is told again.
+	// RefreshEvery is how often an unchanged report is broadcast again.
 	RefreshEvery time.Duration
-	// Threshold is the share of a server's Capacity by which its load must
-	// have changed to be told.
+	// Threshold is the share of a server's Capacity by which its load must have changed to be
+	// broadcast.
 	Threshold float64
-	// SilentAfter is the age of the last report, from any reader, after which
-	// a server that doesn't answer this one counts as silent.
+	// SilentAfter is the age of the last report, from any reader, after which a server that
+	// doesn't answer this reader's poll counts as silent.
 	SilentAfter time.Duration
-	// LeapFactor and LeapLeast: a first token that takes LeapFactor times the
-	// server's own median, and LeapLeast at the least, is a symptom of a cold
-	// server.
+	// LeapFactor and LeapLeast: a first token that takes at least LeapFactor times the server's
+	// own median, and at least LeapLeast, is a symptom of a cold server.
 	LeapFactor int
 	LeapLeast  time.Duration
-	// WarmCalls is how many calls per ColdCapacity a server has to complete before
-	// it is held warm.
+	// WarmCalls is how many calls per ColdCapacity a server has to complete before it counts as
+	// warm.
 	WarmCalls int
 }
 
-// Defaults for what a Config leaves at 0.
+// Defaults for fields that a Config leaves at 0.
 const (
 	DefaultReaders      = 2
 	DefaultPollEvery    = 2 * time.Second
@@ -54,14 +53,14 @@
 	DefaultWarmCalls    = 2
 )
 
-// The reasons of the notes that this package takes.
+// Reasons of the notes that this package emits.
 const (
 	ReasonStaleReport shed.Reason = "stale_load_report"
 	ReasonTurnedCold  shed.Reason = "server_turned_cold"
 	ReasonTurnedWarm  shed.Reason = "server_turned_warm"
 )
 
-// Book is what is known of the servers.
+// Book tracks load and warmth of the servers of a zone.
 type Book struct {
 	cfg       Config
 	servers   map[shed.ServerID]*serverState
@@ -70,50 +69,49 @@
 	vms       []shed.VM
 
 	nextDigest time.Time
-	// newVMs have not been told anything yet.
+	// newVMs have not been sent a digest yet.
 	newVMs []shed.VM
 }
 
-// serverState is what is known of one server.
+// serverState is what this daemon knows about one server.
 type serverState struct {
 	server *shed.Server
-	// readers of the server, the first one first; rank is the place of this
-	// daemon among them, or -1.
+	// readerRank is this daemon's index among the server's readers, or -1 if it isn't one.
 	readerRank int
 	nextPoll   time.Time
 
-	// report is the last one that was taken, made at about at; Boot is "" if
-	// there is none.
+	// report is the last one that was applied, made at about reportTime; Boot is "" if there is
+	// none.
 	report     shed.LoadReport
 	reportTime time.Time
-	// formerBoots are boots that ended; a late report of one is dropped.
+	// formerBoots are earlier boots; a late report of one is dropped.
 	formerBoots []string
 
 	cold coldState
-	// refusedAt is when the server last refused a call for want of room; zero once a
-	// report was made after that, or fullFor has passed.
+	// refusedAt is when the server last refused a call because it was full; zero once a report
+	// was made after that, or refusalBackoff has passed.
 	refusedAt time.Time
-	// announced is what the zone was last told of the server, by any reader, and
-	// when; unlike is since when the present report differs enough from it.
+	// announced is the report that any reader last broadcast to the zone, at announcedAt;
+	// divergedAt is since when the current report differs significantly from it.
 	announced   shed.LoadReport
 	announcedAt time.Time
 	divergedAt  time.Time
 
 	// inFlight are this daemon's calls in flight on the server.
 	inFlight []*call
-	// unanswered are those of flight of which the server has shown no sign yet.
+	// unanswered counts the calls in flight to which the server has not responded in any way.
 	unanswered int
-	// confirmedAt is when an answer of the server last showed its boot.
+	// confirmedAt is when an answer of the server last showed that its boot is unchanged.
 	confirmedAt time.Time
-	// acceptsLate: the server gives no sign of a call before its end.
+	// acceptsLate: the server doesn't respond to a call before the call's end.
 	acceptsLate bool
 	// endedCalls are calls that ended after the last report.
 	endedCalls      []endedCall
-	firstTokenTimes ring // times to the first token
-	callTimes       ring // times of whole calls
+	firstTokenTimes ring
+	callTimes       ring
 }
 
-// New returns a book that knows nothing; every server counts as cold.
+// New returns a tracker without data: every server counts as cold.
 func New(cfg Config) *Book {
 	setDefault(&cfg.Readers, DefaultReaders)
 	setDefault(&cfg.PollEvery, DefaultPollEvery)
@@ -138,8 +136,8 @@
 	}
 }
 
-// SetServers tells which servers of this zone the rules name. What is known of
-// a server outlives a change of its rules.
+// SetServers sets the servers of this zone that the rules name. The state of a server is kept
+// when its rules change.
 func (b *Book) SetServers(now time.Time, servers []*shed.Server) {
 	keep := make(map[shed.ServerID]bool, len(servers))
 	for _, s := range servers {
@@ -163,7 +161,7 @@
 	b.assignReaders(now)
 }
 
-// SetView tells which VMs of the zone are alive, this one among them.
+// SetView sets the live VMs of the zone, including this one.
 func (b *Book) SetView(now time.Time, vms []shed.VM) {
 	if slices.Equal(vms, b.vms) {
 		return
@@ -177,8 +175,8 @@
 	b.assignReaders(now)
 }
 
-// assignReaders works out which servers this daemon reads. The first polls are spread
-// over the period by the place in the list.
+// assignReaders determines by rendezvous hashing which servers this daemon polls. The first
+// polls are spread over the period by the server's index.
 func (b *Book) assignReaders(now time.Time) {
 	for i, id := range b.serverIDs {
 		e := b.servers[id]
@@ -192,8 +190,7 @@
 	}
 }
 
-// Handle takes Tick, LoadReported, ServerSilent and PeerMessage with a
-// LoadDigest.
+// Handle processes Tick, LoadReported, ServerSilent, and PeerMessage with a LoadDigest.
 func (b *Book) Handle(now time.Time, ev shed.Event) []shed.Action {
 	switch ev := ev.(type) {
 	case shed.Tick:
@@ -232,9 +229,9 @@
 	return out
 }
 
-// onReport takes in a report that this daemon read itself. If it shows that the
-// server turned cold, the zone is told at once, whichever reader this is: this
-// daemon will use its slots soon, while others still send to a warm server.
+// onReport applies a report that this daemon polled itself. If it shows that the server turned
+// cold, it is broadcast at once, whatever this reader's rank: this daemon will use its slots
+// soon, while others still send as to a warm server.
 func (b *Book) onReport(now time.Time, e *serverState, r shed.LoadReport) []shed.Action {
 	wasWarm, oldBoot := !e.cold.active, e.report.Boot
 	out := b.applyReport(now, nil, e, r)
@@ -248,14 +245,14 @@
 	return b.broadcast(out, map[shed.ServerID]shed.LoadReport{e.server.ID: announced})
 }
 
-// applyReport takes in a report, unless it is older than what is known.
+// applyReport applies a report unless it is older than the last one.
 func (b *Book) applyReport(now time.Time, out []shed.Action, e *serverState, r shed.LoadReport) []shed.Action {
 	at := now.Add(-r.Age)
 	if isStale(e, r, at) {
 		return append(out, shed.Note{Reason: ReasonStaleReport, Server: e.server.ID})
 	}
 	if r.Boot == e.report.Boot && r.Sequence == e.report.Sequence && r.Warm == e.report.Warm {
-		return out // the same report by way of another reader
+		return out // the same report, forwarded by another reader
 	}
 	if r.Boot != e.report.Boot && e.report.Boot != "" {
 		e.retireBoot()
@@ -269,7 +266,7 @@
 	return out
 }
 
-// formerMax is how many former boots of a server are remembered.
+// maxFormerBoots is how many former boots are kept per server.
 const maxFormerBoots = 4
 
 func isStale(e *serverState, r shed.LoadReport, at time.Time) bool {
@@ -277,14 +274,13 @@
 		return slices.Contains(e.formerBoots, r.Boot) || at.Before(e.reportTime)
 	}
 	if r.Sequence == e.report.Sequence {
-		// Word that the server is cold after all overrules the report.
+		// A later update that the server is cold after all overrides the report.
 		return r.Warm && !e.report.Warm
 	}
 	return r.Sequence < e.report.Sequence
 }
 
-// Candidate returns what is known of the server, for a Policy; false if it is
-// none of this zone.
+// Candidate returns the state of the server for a Policy; false if it is not in this zone.
 func (b *Book) Candidate(now time.Time, server shed.ServerID) (shed.Candidate, bool) {
 	e := b.servers[server]
 	if e == nil {
@@ -300,8 +296,8 @@
 	}, true
 }
 
-// estimateRunning corrects the last report by this daemon's own calls: those that it
-// sent since, and those that the report counts and that have ended since.
+// estimateRunning corrects the last report by this daemon's own calls: it adds those sent since
+// and subtracts those that the report counts and that have ended since.
 func (e *serverState) estimateRunning() int {
 	n := e.report.Running + e.report.Waiting
 	for _, c := range e.inFlight {
@@ -317,8 +313,7 @@
 	return max(n, len(e.inFlight))
 }
 
-// Report returns the last report of the server and its age; false if there is
-// none.
+// Report returns the last report of the server and its age; false if there is none.
 func (b *Book) Report(now time.Time, server shed.ServerID) (shed.LoadReport, time.Duration, bool) {
 	e := b.servers[server]
 	if e == nil || e.report.Boot == "" {
@@ -327,10 +322,10 @@
 	return e.report, now.Sub(e.reportTime), true
 }
 
-// Room returns how many more calls the server can take: while it is cold up to
-// ColdCapacity in all, then one more for each call that it completed since, up to
-// its Capacity. So a server or zone that returns gets its full load only as it
-// shows that it can carry it.
+// Room returns how many more calls the server can take: while it is cold up to ColdCapacity in
+// total, then one more for each call that it completed since, up to its Capacity (slow start).
+// So a server or zone that returns is given its full load only as it proves that it can handle
+// it.
 func (b *Book) Room(server shed.ServerID) int {
 	e := b.servers[server]
 	if e == nil || !e.refusedAt.IsZero() {
@@ -344,10 +339,10 @@
 	return max(0, free-since*(len(b.vms)-1))
 }
 
-// sentSinceReport counts this daemon's live calls that the last report can't show. The
-// zone's other daemons go by the same report, and will likely send as many:
-// each fills only its share of what was free, since all of them together would
-// else send the same places several times over, and most would be refused.
+// sentSinceReport counts this daemon's calls in flight that the last report can't include. The
+// zone's other daemons use the same report and will likely send as many, so each fills only its
+// share of the free capacity. Otherwise all of them together would fill the same capacity
+// several times over, and most of the calls would be refused.
 func (e *serverState) sentSinceReport() int {
 	n := 0
 	for _, c := range e.inFlight {
--- a/internal/load/book_test.go
+++ b/internal/load/book_test.go
@@ -17,7 +17,7 @@
 
 var start = time.Unix(1_800_000_000, 0)
 
-// fixture is one book and its clock.
+// fixture is a Book with a simulated clock that records notes and messages.
 type fixture struct {
 	*load.Book
 	now   time.Time
@@ -58,7 +58,7 @@
 	return c.Cold
 }
 
-// runCall runs one call whose first token takes first.
+// runCall simulates a call whose time to the first token is first.
 func (b *fixture) runCall(first time.Duration, end shed.CallEnd) {
 	b.calls++
 	id := shed.Call{Request: shed.RequestID(fmt.Sprint(b.calls)), Attempt: 1}
@@ -72,7 +72,7 @@
 	return shed.LoadReport{Boot: boot, Sequence: seq, Done: done, Warm: warm}
 }
 
-// newWarmFixture returns a book that knows its server to be warm and its usual times.
+// newWarmFixture returns a fixture whose server is warm, with a median time to the first token.
 func newWarmFixture() *fixture {
 	b := newFixture("a")
 	b.receiveReport(newReport("x", 1, 500, true))
@@ -82,8 +82,8 @@
 	return b
 }
 
-// A cold server that gets full load falls over. Each case says what this daemon
-// hears in which order, and whether it may hold the server warm then.
+// A cold server that gets full load fails. Each case gives the reports that this daemon receives
+// in order, and whether the server counts as cold afterwards.
 func TestColdUntilShownWarm(t *testing.T) {
 	for _, tc := range []struct {
 		name string
@@ -141,9 +141,9 @@
 	}
 }
 
-// A server turns cold without a word and goes on calling itself warm. This
-// daemon sees it by what its own calls meet, tells the zone, and believes the
-// server again only after completions.
+// A server turns cold unnoticed and still reports itself warm. This daemon detects it by the
+// symptoms of its own calls, notifies the zone, and counts the server as warm again only after
+// completions.
 func TestSymptomTurnsCold(t *testing.T) {
 	for _, tc := range []struct {
 		name string
@@ -179,7 +179,7 @@
 			peer := newFixture("b", "a")
 			peer.receiveReport(newReport("x", 1, 500, true))
 			peer.apply(peer.Handle(peer.now, shed.PeerMessage{Message: b.sent[0].Message}))
-			require.True(t, peer.isCold(), "the other daemon heard")
+			require.True(t, peer.isCold(), "the other daemon received the digest")
 			b.advance(time.Second)
 			b.receiveReport(newReport("x", 2, 502, true))
 			require.True(t, b.isCold())
@@ -192,7 +192,7 @@
 func TestReportsThatGoBackwardsAreCounted(t *testing.T) {
 	b := newWarmFixture()
 	b.receiveReport(newReport("x", 5, 520, true))
-	b.receiveReport(newReport("x", 5, 520, true)) // by way of another reader
+	b.receiveReport(newReport("x", 5, 520, true)) // forwarded by another reader
 	require.Zero(t, b.notes[load.ReasonStaleReport])
 	b.receiveReport(newReport("x", 4, 519, true))
 	old := newReport("w", 99, 1, true)
@@ -222,18 +222,18 @@
 	b.receiveReport(newReport("x", 1, 0, false))
 	require.Equal(t, 2, b.Room(engine))
 	b.advance(time.Hour)
-	require.Equal(t, 2, b.Room(engine), "time alone shows nothing")
+	require.Equal(t, 2, b.Room(engine), "time alone adds no capacity")
 	b.receiveReport(newReport("x", 2, 4, true))
 	require.Equal(t, 6, b.Room(engine))
 	b.receiveReport(newReport("x", 3, 400, true))
 	require.Equal(t, 16, b.Room(engine))
 }
 
-// The first reader of a server dies, or loses its way to it. The others poll
-// as well, and one of them tells the zone in its place.
+// The first reader of a server dies or can't reach it any more. The others poll as well, and one
+// of them broadcasts to the zone in its place.
 func TestSecondReaderStepsIn(t *testing.T) {
 	for _, firstAnnounces := range []bool{true, false} {
-		t.Run(fmt.Sprintf("first reader tells: %t", firstAnnounces), func(t *testing.T) {
+		t.Run(fmt.Sprintf("first reader broadcasts: %t", firstAnnounces), func(t *testing.T) {
 			readers := map[shed.VM]*fixture{"a": newFixture("a", "b"), "b": newFixture("b", "a")}
 			for i := range 100 {
 				for _, vm := range []shed.VM{"a", "b"} {
@@ -263,9 +263,9 @@
 	return readers["b"]
 }
 
-// BenchmarkDigestBytes gives what one daemon of a zone with 52 sends in digests
-// in a second. Each server's load wanders by up to a fifth of its capacity a
-// second, which is a lot.
+// BenchmarkDigestBytes measures the bytes of digests that one daemon of a zone with 52 daemons
+// sends per second. Each server's load changes by up to a fifth of its capacity per second,
+// which is a lot.
 func BenchmarkDigestBytes(b *testing.B) {
 	for _, servers := range []int{48, 192, 400} {
 		for _, threshold := range []float64{0.1, 0.25, 0.5} {
@@ -327,8 +327,8 @@
 	b.ReportMetric(float64(polls)/seconds/daemons, "polls/s/daemon")
 }
 
-// BenchmarkBook is one daemon of the design size: 192 servers, 52 daemons, a
-// hundred calls in flight.
+// BenchmarkBook measures one daemon at the design size: 192 servers, 52 daemons, a hundred calls
+// in flight.
 func BenchmarkBook(b *testing.B) {
 	book := load.New(load.Config{Self: "vm-0"})
 	var vms []shed.VM
--- a/internal/load/calls.go
+++ b/internal/load/calls.go
@@ -11,16 +11,16 @@
 type call struct {
 	server        shed.ServerID
 	sentAt        time.Time
-	answered      bool      // the server has answered in any way
-	acceptedAt    time.Time // when it accepted the call
-	gotFirstToken bool      // the first token has come
-	countedSlow   bool      // already counted as a symptom
+	answered      bool // the server has responded in any way
+	acceptedAt    time.Time
+	gotFirstToken bool
+	countedSlow   bool // already counted as a symptom
 }
 
 // endedCall is a call that has ended.
 type endedCall struct{ sentAt, endedAt time.Time }
 
-// Sent tells that this daemon sent the call to the server.
+// Sent records that this daemon sent the call to the server.
 func (b *Book) Sent(now time.Time, server shed.ServerID, id shed.Call) {
 	e := b.servers[server]
 	if e == nil || b.calls[id] != nil {
@@ -32,17 +32,16 @@
 	e.unanswered++
 }
 
-// provenFor is how long a server's answer proves that it has not restarted
-// since: none is down and up again in less.
+// minRestartTime is the shortest time in which a server can go down and be up again. For this
+// long, an answer proves that the server has not restarted since.
 const minRestartTime = 250 * time.Millisecond
 
-// MaySend tells whether one more call may go to a server that is held warm.
+// MaySend reports whether one more call may be sent to a server that counts as warm.
 //
-// It may have turned cold without anybody knowing. Of the calls of which it has
-// given no sign yet, this daemon has no more under way than its share of what
-// the server bears cold. A server that shows its boot only with the end of a
-// call would then get one call after the other; to such a one, calls may go for
-// as long as its last answer is fresh.
+// The server may have turned cold without any daemon knowing. So the calls in flight to which it
+// has not responded yet are limited to share, this daemon's share of the server's cold capacity.
+// A server that shows its boot only at the end of a call would then get its calls one after the
+// other; such a server may get more while its last answer is at most minRestartTime old.
 func (b *Book) MaySend(now time.Time, server shed.ServerID, share int) bool {
 	e := b.servers[server]
 	if e == nil {
@@ -51,9 +50,8 @@
 	return e.unanswered < share || e.acceptsLate && now.Sub(e.confirmedAt) < minRestartTime
 }
 
-// Seen tells that the server has accepted the call, and its boot identity if
-// it gave one. A new boot means that the server restarted, long before the next
-// report would tell.
+// Seen records that the server has accepted the call, and its boot identity if it gave one. A
+// new boot shows a restart of the server long before the next report does.
 func (b *Book) Seen(now time.Time, id shed.Call, boot string) []shed.Action {
 	c := b.calls[id]
 	if c == nil {
@@ -66,7 +64,7 @@
 	e.markAnswered(c)
 	c.acceptedAt = now
 	if boot == "" || boot == e.report.Boot {
-		// A server that names no boot can show no more than that it answers.
+		// Without a boot identity, an answer can only show that the server responds.
 		e.confirmedAt = now
 	}
 	if boot == "" || e.report.Boot == "" || boot == e.report.Boot || slices.Contains(e.formerBoots, boot) {
@@ -75,11 +73,11 @@
 	return b.onRestart(now, e, boot)
 }
 
-// lateTelling is within what time of its end a call's acceptance tells nothing.
+// lateAcceptance: a call that was accepted less than this before its end counts as accepted late.
 const lateAcceptance = time.Millisecond
 
-// updateAcceptsLate learns from a call of some length whether the server tells early
-// that it has accepted one.
+// updateAcceptsLate learns from a call that was not very short whether the server reports early
+// that it has accepted a call.
 func (e *serverState) updateAcceptsLate(now time.Time, c *call) {
 	if !c.acceptedAt.IsZero() && now.Sub(c.sentAt) > 3*lateAcceptance {
 		e.acceptsLate = now.Sub(c.acceptedAt) < lateAcceptance
@@ -93,7 +91,7 @@
 	}
 }
 
-// onRestart takes in a boot that no report has told of yet.
+// onRestart handles a new boot that was seen before any report of it.
 func (b *Book) onRestart(now time.Time, e *serverState, boot string) []shed.Action {
 	e.retireBoot()
 	e.report = shed.LoadReport{Boot: boot, Running: len(e.inFlight)}
@@ -103,13 +101,13 @@
 	return b.broadcast(out, map[shed.ServerID]shed.LoadReport{e.server.ID: e.report})
 }
 
-// retireBoot remembers the present boot as a former one.
+// retireBoot adds the current boot to the former ones.
 func (e *serverState) retireBoot() {
 	e.formerBoots = append(e.formerBoots, e.report.Boot)
 	e.formerBoots = e.formerBoots[max(0, len(e.formerBoots)-maxFormerBoots):]
 }
 
-// FirstToken tells that the call's first token has come.
+// FirstToken records that the call's first token was received.
 func (b *Book) FirstToken(now time.Time, id shed.Call) []shed.Action {
 	c := b.calls[id]
 	if c == nil || c.gotFirstToken {
@@ -124,7 +122,7 @@
 	return b.checkFirstToken(now, e, c)
 }
 
-// Ended tells how the call ended.
+// Ended records how the call ended.
 func (b *Book) Ended(now time.Time, id shed.Call, end shed.CallEnd) []shed.Action {
 	c := b.calls[id]
 	if c == nil {
@@ -154,5 +152,5 @@
 	return nil
 }
 
-// endedMax bounds what is remembered between two reports.
+// maxEndedCalls bounds the ended calls that are kept per server between two reports.
 const maxEndedCalls = 512
--- a/internal/load/cold.go
+++ b/internal/load/cold.go
@@ -7,33 +7,32 @@
 	shed "jasmineshed"
 )
 
-// coldState says whether a server is held cold, and what it has shown since.
+// coldState says whether a server counts as cold, and what was observed since it turned cold.
 type coldState struct {
 	active bool
 	since  time.Time
-	// doneBefore is the server's count of completed calls when it turned cold; 0 for
-	// a new boot.
+	// doneBefore is the server's count of completed calls when it turned cold; 0 for a new boot.
 	doneBefore uint64
-	// ownCompleted counts this daemon's own calls that the server completed since.
+	// ownCompleted counts this daemon's own calls that the server has completed since.
 	ownCompleted uint64
-	// spikes counts the latest symptoms in a row; two make it cold.
+	// spikes counts consecutive slow first tokens; maxSpikes of them turn the server cold.
 	spikes int
 }
 
-// leapsMax is how many slow first tokens in a row turn a server cold. One may
-// be a long prompt.
+// maxSpikes is how many consecutive slow first tokens turn a server cold. A single one may be
+// due to a long prompt.
 const maxSpikes = 2
 
-// warmAge is the greatest age of a report that can show a server warm.
+// maxWarmReportAge is the maximum age of a report that can show a server warm.
 const maxWarmReportAge = 10 * time.Second
 
-// updateCold works out from a new report whether the server is cold.
+// updateCold determines from a new report whether the server is cold.
 //
-// A new boot, and any server that this daemon knows nothing of, is cold until a
-// report says warm and the server has completed some calls: a server may call
-// itself warm too soon. Completions are counted by the server since its boot,
-// so a daemon that has just started takes a server that was long warm as warm
-// with the first report, and a restart of the whole fleet leaves none cold.
+// A server that this daemon has no data of, or that has a new boot, is cold until a report says
+// that it is warm and it has completed some calls, since a server may report itself warm too
+// soon. The server counts completions since its boot, so a daemon that has just started accepts
+// a server that was warm for long as warm with the first report, and a restart of the whole
+// fleet leaves no server cold.
 func (b *Book) updateCold(now time.Time, out []shed.Action, e *serverState, r shed.LoadReport) []shed.Action {
 	switch {
 	case r.Boot != e.report.Boot && e.report.Boot != "":
@@ -52,14 +51,14 @@
 	return append(out, shed.Note{Reason: ReasonTurnedWarm, Server: e.server.ID})
 }
 
-// coldGrace is how long calls that were sent before a server was known to be
-// cold may take to show in its report.
+// coldGrace is how long calls that were sent before a server was known to be cold may take to
+// appear in its report.
 const coldGrace = 300 * time.Millisecond
 
-// Settled tells whether a report of the server was made since it turned cold
-// and all calls sent to it as a warm one had arrived. Before that nobody knows
-// how much of what it bears is taken: other daemons' calls were sent without a
-// slot, and the first few may already be all it bears.
+// Settled reports whether the last report was made after the server turned cold and the calls
+// that were sent to it as a warm one had arrived. Before that, the used part of its cold
+// capacity is unknown: calls of other daemons were sent without a slot, and the first few may
+// already use all of it.
 func (b *Book) Settled(server shed.ServerID) bool {
 	e := b.servers[server]
 	return e != nil && e.isSettledAt(e.reportTime)
@@ -69,7 +68,7 @@
 	return e.report.Boot != "" && !at.Before(e.cold.since.Add(coldGrace))
 }
 
-// completionsToWarm is how many calls a cold server has to complete.
+// completionsToWarm returns how many calls a cold server has to complete to count as warm.
 func (b *Book) completionsToWarm(e *serverState) uint64 {
 	return uint64(b.cfg.WarmCalls * e.server.ColdCapacity)
 }
@@ -84,10 +83,9 @@
 	return append(out, shed.Note{Reason: ReasonTurnedCold, Server: e.server.ID})
 }
 
-// Doubt holds every server cold until a report made from now on, and asks for
-// one. A daemon that slept knows its servers as they were: one that turned cold
-// meanwhile would get this daemon's calls on top of those that others send by
-// the slots.
+// Doubt marks every server cold until a report made from now on, and polls each. The state of a
+// daemon that was suspended is outdated: a server that turned cold meanwhile would get this
+// daemon's calls in addition to those that others send within the slots.
 func (b *Book) Doubt(now time.Time) []shed.Action {
 	var out []shed.Action
 	for _, id := range b.serverIDs {
@@ -96,14 +94,15 @@
 	return out
 }
 
-// pollAfterGrace has the server's readers poll it as soon as that settles it.
+// pollAfterGrace moves the next poll forward to the end of coldGrace, when a report settles the
+// cold server's load.
 func (e *serverState) pollAfterGrace(now time.Time) {
 	if soon := now.Add(coldGrace); soon.Before(e.nextPoll) {
 		e.nextPoll = soon
 	}
 }
 
-// usableCapacity is how many calls the server can carry by now.
+// usableCapacity returns how many concurrent calls the server may get at present.
 func (e *serverState) usableCapacity() int {
 	if e.cold.active {
 		return e.server.ColdCapacity
@@ -115,8 +114,8 @@
 	return e.server.ColdCapacity + int(min(completed, uint64(e.server.Capacity-e.server.ColdCapacity)))
 }
 
-// onSymptom turns the server cold by what this daemon itself saw of it, and lets
-// the zone know: the server may not have noticed.
+// onSymptom marks the server cold because of what this daemon itself observed, and notifies the
+// zone: the server may not have noticed that it is cold.
 func (b *Book) onSymptom(now time.Time, out []shed.Action, e *serverState) []shed.Action {
 	if e.cold.active {
 		return out
@@ -132,9 +131,9 @@
 	return b.broadcast(out, map[shed.ServerID]shed.LoadReport{e.server.ID: announced})
 }
 
-// suspect holds the server cold after a broken connection, since a restart
-// breaks them all, until a report made after that shows the same boot. It asks
-// for one at once: waiting for the next would leave a good server unused.
+// suspect marks the server cold after a broken connection, since a restart breaks all
+// connections, until a later report shows the same boot. It polls the server at once: waiting
+// for the next regular report would leave a healthy server unused.
 func (b *Book) suspect(now time.Time, e *serverState) []shed.Action {
 	if e.cold.active {
 		return nil
@@ -147,8 +146,8 @@
 	}
 }
 
-// onSilent: the server gave this reader no report. If no other reader had one
-// lately either, the server may have restarted, so it counts as cold.
+// onSilent handles a poll that the server did not answer. If no other reader had a report lately
+// either, the server may have restarted, so it is marked cold.
 func (b *Book) onSilent(now time.Time, e *serverState) []shed.Action {
 	if e.cold.active || now.Sub(e.reportTime) < b.cfg.SilentAfter {
 		return nil
@@ -156,8 +155,8 @@
 	return b.onSymptom(now, nil, e)
 }
 
-// checkFirstToken looks for a leap of the time to the first token against the
-// server's own median: a server that turned cold is slow before it fails.
+// checkFirstToken compares the time to the first token with the server's own median: a server
+// that turned cold is slow before it fails.
 func (b *Book) checkFirstToken(now time.Time, e *serverState, c *call) []shed.Action {
 	took := now.Sub(c.sentAt)
 	if c.countedSlow {
@@ -185,8 +184,8 @@
 	return b.onSymptom(now, out, e)
 }
 
-// countOverdue counts calls that already wait longer than a leap: a server that
-// hangs would show no slow first token, since it gives none.
+// countOverdue counts calls whose first token is already overdue: a server that hangs would
+// show no slow first token, since it gives none.
 func (b *Book) countOverdue(now time.Time, out []shed.Action) []shed.Action {
 	var late []shed.Call
 	for id, c := range b.calls {
--- a/internal/load/digest.go
+++ b/internal/load/digest.go
@@ -8,11 +8,11 @@
 	shed "jasmineshed"
 )
 
-// announceChanges sends the zone what changed enough since it was last told.
+// announceChanges broadcasts the reports that differ significantly from the last broadcast.
 //
-// The first reader tells at once. The others poll, too, but tell only when the
-// zone has stayed in the wrong for longer: the first one may be dead or cut off
-// from the server. So each change crosses the zone once, not once per reader.
+// The first reader broadcasts at once. The others poll as well, but broadcast only if the zone's
+// information stays wrong for longer: the first one may be dead or partitioned off from the
+// server. So each change is sent through the zone once, not once per reader.
 func (b *Book) announceChanges(now time.Time, out []shed.Action) []shed.Action {
 	reports := map[shed.ServerID]shed.LoadReport{}
 	for _, id := range b.serverIDs {
@@ -39,8 +39,8 @@
 	return b.announceToNewVMs(now, out)
 }
 
-// announceToNewVMs tells newcomers all that this daemon is the first to read; else they
-// would hold every server cold until it changes or is told again.
+// announceToNewVMs sends new VMs the reports of all servers whose first reader this daemon is.
+// Otherwise they would count every server as cold until it changes or is broadcast again.
 func (b *Book) announceToNewVMs(now time.Time, out []shed.Action) []shed.Action {
 	if len(b.newVMs) == 0 {
 		return out
@@ -67,7 +67,7 @@
 	return out
 }
 
-// isSignificant tells whether the present report would alter a choice elsewhere.
+// isSignificant reports whether the current report could change a placement on another VM.
 func (b *Book) isSignificant(now time.Time, e *serverState) bool {
 	r, announced := e.report, e.announced
 	if r.Boot != announced.Boot || r.Warm != announced.Warm || r.Model != announced.Model || r.Role != announced.Role || r.Fence != announced.Fence {
@@ -77,11 +77,11 @@
 		return true
 	}
 	if e.cold.active && r.Done != announced.Done {
-		// Completions end the cold start; they can't wait.
+		// Completions end the cold start, so they are not delayed.
 		return true
 	}
 	if e.cold.active && e.isSettledAt(e.reportTime) && !e.isSettledAt(e.announcedAt.Add(-announced.Age)) {
-		// Until it is told, no other daemon may use what the server bears.
+		// Until this is broadcast, no other daemon may use the server's cold capacity.
 		return true
 	}
 	delta := r.Running + r.Waiting - announced.Running - announced.Waiting
@@ -100,7 +100,7 @@
 	return out
 }
 
-// onDigest takes in what a reader tells.
+// onDigest applies the reports that another reader broadcast.
 func (b *Book) onDigest(now time.Time, d shed.LoadDigest) []shed.Action {
 	var out []shed.Action
 	for _, id := range slices.Sorted(maps.Keys(d.Reports)) {
--- a/internal/load/full.go
+++ b/internal/load/full.go
@@ -6,20 +6,19 @@
 	shed "jasmineshed"
 )
 
-// fullFor is how long a server that refused a call gets nothing, unless a newer
-// report comes before.
+// refusalBackoff is how long a server that refused a call gets no calls, unless a newer report
+// arrives before.
 const refusalBackoff = time.Second
 
-// onOverload takes in that the server refused a call for overload.
+// onOverload handles a call that the server refused because of overload.
 //
-// One that was thought to run half of what it carries, or more, is most likely
-// full with calls of other daemons that the last report could not count. Were
-// it held cold for that, it would lose most of its places just when they are
-// needed, the other servers would refuse in turn, and a fleet at half of its
-// load would hold itself down for minutes. So it gets nothing until a newer
-// report, which its readers ask for at once. If it has turned cold, the report
-// says so; if it says nothing and refuses again with little to do, that is the
-// symptom.
+// If the estimate is half of the server's capacity or more, the server is most likely full with
+// calls of other daemons that the last report could not include. Marking it cold for that would
+// take away most of its capacity just when it is needed, the other servers would refuse calls
+// in turn, and a fleet at half of its load would stay throttled for minutes. So it gets no calls
+// until a newer report, which its readers poll for at once. If it has turned cold, the report
+// says so; if the report doesn't, and the server refuses again at a low load, that is a symptom
+// of a cold server.
 func (b *Book) onOverload(now time.Time, e *serverState) []shed.Action {
 	if e.cold.active || !e.report.Warm || 2*e.estimateRunning() < e.server.Capacity {
 		return b.onSymptom(now, nil, e)
@@ -31,7 +30,7 @@
 	return nil
 }
 
-// expireRefusal ends a fullness that no report ended.
+// expireRefusal clears a refusal that no report has cleared within refusalBackoff.
 func (e *serverState) expireRefusal(now time.Time) {
 	if !now.Before(e.refusedAt.Add(refusalBackoff)) {
 		e.refusedAt = time.Time{}
--- a/internal/load/full_test.go
+++ b/internal/load/full_test.go
@@ -9,9 +9,9 @@
 	shed "jasmineshed"
 )
 
-// Several daemons fill one warm server up, each knowing little of the others'
-// calls, and it refuses one. It must not be held cold for that, or the fleet
-// loses most of its places under load; it gets nothing until a newer report.
+// Several daemons fill one warm server, each with little knowledge of the others' calls, and it
+// refuses one. It must not count as cold for that, or the fleet loses most of its capacity under
+// load; it gets no calls until a newer report.
 func TestAFullServerIsNotCold(t *testing.T) {
 	b := newWarmFixture()
 	busy := newReport("x", 3, 520, true)
@@ -48,8 +48,8 @@
 	require.NotZero(t, b.Room(engine))
 }
 
-// The server turned cold without a word while it was thought to be busy. The
-// report that the refusal asks for tells, and it is held cold from then on.
+// The server turned cold unnoticed while it was believed to be busy. The report that is polled
+// after the refusal shows it, and the server counts as cold from then on.
 func TestAFullServerThatIsColdAfterAll(t *testing.T) {
 	b := newWarmFixture()
 	busy := newReport("x", 3, 520, true)
--- a/internal/load/ring.go
+++ b/internal/load/ring.go
@@ -8,10 +8,10 @@
 	shed "jasmineshed"
 )
 
-// ringSize is how many recent times make a median.
+// ringSize is how many recent durations the median is taken over.
 const ringSize = 32
 
-// ring holds recent times.
+// ring holds recent durations.
 type ring struct {
 	times        [ringSize]time.Duration
 	count        int
@@ -28,7 +28,7 @@
 	r.cachedMedian = sorted[r.count/2]
 }
 
-// median returns 0 if there are too few times to tell.
+// median returns 0 if there are fewer than ringSize/8 durations.
 func (r *ring) median() time.Duration {
 	if r.count < ringSize/8 {
 		return 0
