--- a/internal/peers/calls.go
+++ b/internal/peers/calls.go
@@ -16,10 +16,10 @@
 
 // beatEvery is how often the far side of a stream says that it still lives
 // when it has nothing else to say.
-const beatEvery = 200 * time.Millisecond
+const heartbeatInterval = 200 * time.Millisecond
 
-// received acknowledges a control message.
-type received struct{}
+// ack acknowledges a control message.
+type ack struct{}
 
 // StageCall hands one stage call over.
 type StageCall struct {
@@ -63,11 +63,11 @@
 	// Request runs or fetches a ticketed request; false if To is not this
 	// process.
 	Request(ctx context.Context, call RequestCall, update func(shed.Update)) (shed.Answer, bool)
-	controller
+	controlHandler
 }
 
-// controller takes control messages.
-type controller interface {
+// controlHandler takes control messages.
+type controlHandler interface {
 	// Control takes a control message. It does not block.
 	Control(from shed.Peer, msg shed.Message)
 }
--- a/internal/peers/client.go
+++ b/internal/peers/client.go
@@ -23,17 +23,17 @@
 	dialTimeout = 500 * time.Millisecond
 	// controlTimeout bounds one control message.
 	controlTimeout = time.Second
-	// linkSilence is the longest time without any message on a stream before
+	// heartbeatTimeout is the longest time without any message on a stream before
 	// its connection is taken for dead: five heartbeats.
-	linkSilence = 5 * beatEvery
-	// idleFor is how long an unused connection is kept.
-	idleFor = 10 * time.Second
-	// idlePerPeer and idleInAll bound the unused connections.
-	idlePerPeer = 64
-	idleInAll   = 4096
-	// controlsAtOnce bounds control messages under way; further ones are lost,
+	heartbeatTimeout = 5 * heartbeatInterval
+	// maxIdleTime is how long an unused connection is kept.
+	maxIdleTime = 10 * time.Second
+	// maxIdlePerPeer and idleInAll bound the unused connections.
+	maxIdlePerPeer = 64
+	maxIdleTotal   = 4096
+	// maxConcurrentControls bounds control messages under way; further ones are lost,
 	// which every receiver bears.
-	controlsAtOnce = 256
+	maxConcurrentControls = 256
 )
 
 // ErrSilent is the cause when a connection gave no heartbeat in time.
@@ -53,40 +53,40 @@
 	Lost func(to shed.VM)
 }
 
-// line is what idle connections are kept by. A silent connection raises the
+// connKey is what idle connections are kept by. A silent connection raises the
 // age, so that no other connection of that time is used again: whatever lost
 // track of one has likely lost track of them all.
-type line struct {
-	to  shed.VM
-	age uint64
+type connKey struct {
+	to         shed.VM
+	generation uint64
 }
 
 // Client calls peers.
 type Client struct {
 	cfg      ClientConfig
-	pool     *drpcpool.Pool[line, drpcpool.Conn]
+	pool     *drpcpool.Pool[connKey, drpcpool.Conn]
 	controls errgroup.Group
 
-	// received counts the bytes that came on connections made here.
-	received atomic.Int64
+	// bytesReceived counts the bytes that came on connections made here.
+	bytesReceived atomic.Int64
 
-	mu   sync.Mutex
-	ages map[shed.VM]uint64
+	mu          sync.Mutex
+	generations map[shed.VM]uint64
 }
 
 // Received is how many bytes have come on the connections that this client made.
-func (c *Client) Received() int64 { return c.received.Load() }
+func (c *Client) Received() int64 { return c.bytesReceived.Load() }
 
-// counted is a connection whose incoming bytes are counted.
-type counted struct {
+// countingConn is a connection whose incoming bytes are counted.
+type countingConn struct {
 	net.Conn
-	received *atomic.Int64
+	bytes *atomic.Int64
 }
 
 // Read implements net.Conn.
-func (c counted) Read(p []byte) (int, error) {
+func (c countingConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
-	c.received.Add(int64(n))
+	c.bytes.Add(int64(n))
 	return n, err
 }
 
@@ -96,13 +96,13 @@
 		cfg.Dial = dialTCP
 	}
 	c := &Client{
-		cfg:  cfg,
-		ages: make(map[shed.VM]uint64),
-		pool: drpcpool.New[line, drpcpool.Conn](drpcpool.Options{
-			Expiration: idleFor, Capacity: idleInAll, KeyCapacity: idlePerPeer,
+		cfg:         cfg,
+		generations: make(map[shed.VM]uint64),
+		pool: drpcpool.New[connKey, drpcpool.Conn](drpcpool.Options{
+			Expiration: maxIdleTime, Capacity: maxIdleTotal, KeyCapacity: maxIdlePerPeer,
 		}),
 	}
-	c.controls.SetLimit(controlsAtOnce)
+	c.controls.SetLimit(maxConcurrentControls)
 	return c
 }
 
@@ -117,43 +117,43 @@
 	return d.DialContext(ctx, "tcp", string(to))
 }
 
-func (c *Client) line(to shed.VM) line {
+func (c *Client) connKey(to shed.VM) connKey {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return line{to: to, age: c.ages[to]}
+	return connKey{to: to, generation: c.generations[to]}
 }
 
-// silent gives up all idle connections to the peer.
-func (c *Client) silent(l line) {
+// dropIdleConns gives up all idle connections to the peer.
+func (c *Client) dropIdleConns(l connKey) {
 	c.mu.Lock()
-	if c.ages[l.to] == l.age {
-		c.ages[l.to]++
+	if c.generations[l.to] == l.generation {
+		c.generations[l.to]++
 	}
 	c.mu.Unlock()
-	c.lost(l.to)
+	c.notifyLost(l.to)
 }
 
-func (c *Client) lost(to shed.VM) {
+func (c *Client) notifyLost(to shed.VM) {
 	if c.cfg.Lost != nil {
 		c.cfg.Lost(to)
 	}
 }
 
-func (c *Client) dial(ctx context.Context, l line) (drpcpool.Conn, error) {
+func (c *Client) dial(ctx context.Context, l connKey) (drpcpool.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
 	raw, err := c.cfg.Dial(ctx, l.to)
 	if err != nil {
 		return nil, fmt.Errorf("dial peer %s: %w", l.to, err)
 	}
-	raw = counted{Conn: raw, received: &c.received}
+	raw = countingConn{Conn: raw, bytes: &c.bytesReceived}
 	if c.cfg.TLS != nil {
-		secure := tls.Client(raw, c.cfg.TLS())
-		if err := secure.HandshakeContext(ctx); err != nil {
+		tlsConn := tls.Client(raw, c.cfg.TLS())
+		if err := tlsConn.HandshakeContext(ctx); err != nil {
 			_ = raw.Close()
 			return nil, fmt.Errorf("dial peer %s: %w", l.to, err)
 		}
-		raw = secure
+		raw = tlsConn
 	}
 	return drpcconn.NewWithOptions(raw, drpcconn.Options{Manager: managerOptions()}), nil
 }
@@ -161,7 +161,7 @@
 // conn gives a connection to the peer. A fresh one is made for this call only:
 // an idle one may have died unseen, and then a call that must not be repeated
 // would end as unknown for nothing.
-func (c *Client) conn(ctx context.Context, l line, fresh bool) (drpc.Conn, func(), error) {
+func (c *Client) conn(ctx context.Context, l connKey, fresh bool) (drpc.Conn, func(), error) {
 	if !fresh {
 		return c.pool.Get(ctx, l, c.dial), func() {}, nil
 	}
@@ -179,7 +179,7 @@
 // and later: the caller doesn't change what it refers to.
 func (c *Client) SendAll(to []shed.VM, msg shed.Message) {
 	encode := sync.OnceValues(func() (encoded, error) {
-		e, err := seal(c.cfg.Self, msg)
+		e, err := newEnvelope(c.cfg.Self, msg)
 		if err != nil {
 			return nil, err
 		}
@@ -188,21 +188,21 @@
 	for _, vm := range to {
 		c.controls.TryGo(func() error {
 			if e, err := encode(); err == nil {
-				c.control(vm, e)
+				c.sendControl(vm, e)
 			}
 			return nil
 		})
 	}
 }
 
-// control makes the call of one control message.
-func (c *Client) control(to shed.VM, e encoded) {
-	l := c.line(to)
+// sendControl makes the call of one control message.
+func (c *Client) sendControl(to shed.VM, e encoded) {
+	l := c.connKey(to)
 	ctx, cancel := context.WithTimeout(context.Background(), controlTimeout)
 	defer cancel()
-	err := c.pool.Get(ctx, l, c.dial).Invoke(ctx, rpcControl, wire, &e, &received{})
+	err := c.pool.Get(ctx, l, c.dial).Invoke(ctx, rpcControl, wire, &e, &ack{})
 	if errors.Is(err, context.DeadlineExceeded) {
-		c.silent(l)
+		c.dropIdleConns(l)
 	}
 }
 
@@ -211,19 +211,19 @@
 func (c *Client) Stage(ctx context.Context, to shed.VM, call StageCall, fresh bool, sink func(shed.Frame) error) shed.CallEnded {
 	call.From = c.cfg.Self
 	end := shed.CallEnded{Call: call.Ask.Call}
-	s, err := c.open(ctx, to, rpcStage, fresh)
+	s, err := c.openStream(ctx, to, rpcStage, fresh)
 	if err != nil {
 		end.End, end.Reason = shed.EndNotStarted, shed.ReasonBroken
 		return end
 	}
 	defer s.close()
 	if err := s.sendInParts(&call); err != nil {
-		return s.broken(end, err)
+		return s.brokenEnd(end, err)
 	}
 	for {
 		var reply stageReply
 		if err := s.recv(&reply); err != nil {
-			return s.broken(end, err)
+			return s.brokenEnd(end, err)
 		}
 		if reply.End != nil {
 			// The call's identity is ours, whatever the far side says.
@@ -234,16 +234,16 @@
 			continue
 		}
 		if err := sink(*reply.Frame); err != nil {
-			return s.broken(end, err)
+			return s.brokenEnd(end, err)
 		}
 	}
 }
 
-// broken ends a call whose bytes may have arrived.
-func (s *stream) broken(end shed.CallEnded, err error) shed.CallEnded {
+// brokenEnd ends a call whose bytes may have arrived.
+func (s *stream) brokenEnd(end shed.CallEnded, err error) shed.CallEnded {
 	end.End, end.Reason = shed.EndBroken, shed.ReasonBroken
 	switch {
-	case s.wasSilent():
+	case s.hasTimedOut():
 		end.Reason = shed.ReasonSilent
 	case s.parent.Err() != nil:
 		end.End, end.Reason = shed.EndCancelled, shed.ReasonCallerGone
@@ -258,7 +258,7 @@
 // incarnation answered.
 func (c *Client) Request(ctx context.Context, call RequestCall, update func(shed.Update)) (answer shed.Answer, home, sent bool, err error) {
 	call.From = c.cfg.Self
-	s, err := c.open(ctx, call.To.VM, rpcRequest, true)
+	s, err := c.openStream(ctx, call.To.VM, rpcRequest, true)
 	if err != nil {
 		return shed.Answer{}, false, false, err
 	}
--- a/internal/peers/codec.go
+++ b/internal/peers/codec.go
@@ -87,13 +87,13 @@
 	ResultsFreed *shed.ResultsFreed `cbor:"11,keyasint,omitempty"`
 	// StoreUpdate has a new number since its items come packed: a daemon of an older
 	// version, as while a fleet is upgraded, would take packed bytes for a value.
-	StoreNews *shed.StoreUpdate `cbor:"13,keyasint,omitempty"`
-	CrashNews *shed.CrashUpdate `cbor:"14,keyasint,omitempty"`
-	LimitNews *shed.LimitUpdate `cbor:"15,keyasint,omitempty"`
+	StoreUpdate *shed.StoreUpdate `cbor:"13,keyasint,omitempty"`
+	CrashUpdate *shed.CrashUpdate `cbor:"14,keyasint,omitempty"`
+	LimitUpdate *shed.LimitUpdate `cbor:"15,keyasint,omitempty"`
 }
 
-// seal puts a control message into an envelope.
-func seal(from shed.Peer, msg shed.Message) (envelope, error) {
+// newEnvelope puts a control message into an envelope.
+func newEnvelope(from shed.Peer, msg shed.Message) (envelope, error) {
 	e := envelope{From: from}
 	switch m := msg.(type) {
 	case shed.Probe:
@@ -117,19 +117,19 @@
 	case shed.ResultsFreed:
 		e.ResultsFreed = &m
 	case shed.StoreUpdate:
-		e.StoreNews = &m
+		e.StoreUpdate = &m
 	case shed.CrashUpdate:
-		e.CrashNews = &m
+		e.CrashUpdate = &m
 	case shed.LimitUpdate:
-		e.LimitNews = &m
+		e.LimitUpdate = &m
 	default:
 		return envelope{}, fmt.Errorf("%w: no envelope for %T", ErrBadMessage, msg)
 	}
 	return e, nil
 }
 
-// open takes the control message out of an envelope.
-func (e envelope) open() (shed.Message, error) {
+// unwrap takes the control message out of an envelope.
+func (e envelope) unwrap() (shed.Message, error) {
 	switch {
 	case e.Probe != nil:
 		return *e.Probe, nil
@@ -151,19 +151,19 @@
 		return *e.RelayLoad, nil
 	case e.ResultsFreed != nil:
 		return *e.ResultsFreed, nil
-	case e.StoreNews != nil:
-		return *e.StoreNews, nil
-	case e.CrashNews != nil:
-		return *e.CrashNews, nil
-	case e.LimitNews != nil:
-		return *e.LimitNews, nil
+	case e.StoreUpdate != nil:
+		return *e.StoreUpdate, nil
+	case e.CrashUpdate != nil:
+		return *e.CrashUpdate, nil
+	case e.LimitUpdate != nil:
+		return *e.LimitUpdate, nil
 	}
 	return nil, fmt.Errorf("%w: empty envelope", ErrBadMessage)
 }
 
 // Size is how many bytes a control message takes on the wire, before TCP.
 func Size(from shed.Peer, msg shed.Message) (int, error) {
-	e, err := seal(from, msg)
+	e, err := newEnvelope(from, msg)
 	if err != nil {
 		return 0, err
 	}
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -127,7 +127,7 @@
 	require.Equal(t, shed.ReasonSilent, end.Reason)
 	require.True(t, end.End.MayHaveRun())
 	require.Equal(t, to, <-lost)
-	require.Equal(t, uint64(1), c.line(to).age, "idle connections of that time are given up")
+	require.Equal(t, uint64(1), c.connKey(to).generation, "idle connections of that time are given up")
 }
 
 func TestControlMessagesKeepTheirType(t *testing.T) {
@@ -142,13 +142,13 @@
 		shed.LoadDigest{Reports: map[shed.ServerID]shed.LoadReport{"s": {Running: 1}}},
 		shed.TicketMove{Tickets: []shed.MovedTicket{{ID: "t"}}},
 	} {
-		e, err := seal(shed.Peer{VM: "a", Incarnation: 1}, msg)
+		e, err := newEnvelope(shed.Peer{VM: "a", Incarnation: 1}, msg)
 		require.NoError(t, err)
 		b, err := wire.Marshal(&e)
 		require.NoError(t, err)
-		var back envelope
-		require.NoError(t, wire.Unmarshal(b, &back))
-		got, err := back.open()
+		var received envelope
+		require.NoError(t, wire.Unmarshal(b, &received))
+		got, err := received.unwrap()
 		require.NoError(t, err)
 		require.Equal(t, msg, got)
 	}
@@ -156,7 +156,7 @@
 
 // A peer that is broken or hostile sends bytes of its own: an error, no panic.
 func FuzzEnvelope(f *testing.F) {
-	e, _ := seal(shed.Peer{}, shed.Probe{Sequence: 1})
+	e, _ := newEnvelope(shed.Peer{}, shed.Probe{Sequence: 1})
 	b, _ := wire.Marshal(&e)
 	f.Add(b)
 	f.Add(b[:len(b)/2])
@@ -166,6 +166,6 @@
 		if wire.Unmarshal(b, &e) != nil {
 			return
 		}
-		_, _ = e.open()
+		_, _ = e.unwrap()
 	})
 }
--- a/internal/peers/relay.go
+++ b/internal/peers/relay.go
@@ -108,12 +108,12 @@
 	Moved bool `cbor:"3,keyasint,omitempty"`
 }
 
-// valid tells whether the call makes sense.
-func (c TurnCall) valid() bool { return c.Rate > 0 && c.Burst >= 1 && c.Patience >= 0 }
+// isValid tells whether the call makes sense.
+func (c TurnCall) isValid() bool { return c.Rate > 0 && c.Burst >= 1 && c.Patience >= 0 }
 
 // RelayHandler is what a relaying daemon does for its peers.
 type RelayHandler interface {
-	controller
+	controlHandler
 	// Pieces has the pieces made.
 	Pieces(ctx context.Context, call PieceCall) PieceAnswer
 	// Unwanted gives up results that did not reach the daemon that asked.
@@ -149,7 +149,7 @@
 func receivePieces(srv any, _ context.Context, in1, in2 any) (drpc.Message, error) { //nolint:revive // drpc.Receiver fixes the order
 	call, stream := in1.(*PieceCall), in2.(drpc.Stream)
 	out := &sender{stream: stream}
-	stop := out.beat(&pieceReply{})
+	stop := out.startHeartbeats(&pieceReply{})
 	defer stop()
 	answer := srv.(RelayHandler).Pieces(stream.Context(), call.unpack())
 	err := out.send(&pieceReply{Results: answer.Results, Wait: answer.Wait})
@@ -162,7 +162,7 @@
 func receiveItems(srv any, _ context.Context, in1, in2 any) (drpc.Message, error) { //nolint:revive // drpc.Receiver fixes the order
 	call, stream := in1.(*ItemsCall), in2.(drpc.Stream)
 	out := &sender{stream: stream}
-	stop := out.beat(&part{})
+	stop := out.startHeartbeats(&part{})
 	defer stop()
 	reply := srv.(RelayHandler).Items(*call)
 	return nil, sendParts(&reply, func(p *part) error { return out.send(p) })
@@ -170,7 +170,7 @@
 
 func receiveTurn(srv any, _ context.Context, in1, in2 any) (drpc.Message, error) { //nolint:revive // drpc.Receiver fixes the order
 	call, stream := in1.(*TurnCall), in2.(drpc.Stream)
-	if !call.valid() {
+	if !call.isValid() {
 		return nil, ErrBadMessage
 	}
 	out := &sender{stream: stream}
@@ -180,7 +180,7 @@
 
 // Turn asks a peer for a turn at a server.
 func (c *Client) Turn(ctx context.Context, to shed.VM, call TurnCall) (TurnReply, error) {
-	s, err := c.open(ctx, to, rpcTurn, false)
+	s, err := c.openStream(ctx, to, rpcTurn, false)
 	if err != nil {
 		return TurnReply{}, err
 	}
@@ -194,13 +194,13 @@
 }
 
 // errNoResults: the far side ended its answer without results.
-var errNoResults = errors.New("peer gave no results")
+var errResultCount = errors.New("peer gave no results")
 
 // Pieces asks a peer for pieces. After an error none of them is known to be
 // made; making them again does no harm.
 func (c *Client) Pieces(ctx context.Context, to shed.VM, call PieceCall) (PieceAnswer, error) {
 	call.From = c.cfg.Self
-	s, err := c.open(ctx, to, rpcPieces, false)
+	s, err := c.openStream(ctx, to, rpcPieces, false)
 	if err != nil {
 		return PieceAnswer{}, err
 	}
@@ -218,7 +218,7 @@
 			return PieceAnswer(reply), nil
 		}
 		if len(reply.Results) > 0 {
-			return PieceAnswer{}, errNoResults
+			return PieceAnswer{}, errResultCount
 		}
 	}
 }
@@ -227,7 +227,7 @@
 // while, not when it takes long: a large configuration over a small link would be
 // broken off and begun anew each time, and never be there whole.
 func (c *Client) Items(ctx context.Context, to shed.VM, call ItemsCall) (ItemsReply, error) {
-	s, err := c.open(ctx, to, rpcItems, false)
+	s, err := c.openStream(ctx, to, rpcItems, false)
 	if err != nil {
 		return ItemsReply{}, err
 	}
--- a/internal/peers/relay_test.go
+++ b/internal/peers/relay_test.go
@@ -45,8 +45,8 @@
 
 // relayStub makes pieces at once, and counts the results that nobody got.
 type relayStub struct {
-	results  chan struct{}
-	unwanted chan int
+	release   chan struct{}
+	discarded chan int
 }
 
 func (s *relayStub) Control(shed.Peer, shed.Message) {}
@@ -54,7 +54,7 @@
 func (s *relayStub) Items(peers.ItemsCall) peers.ItemsReply { return peers.ItemsReply{} }
 
 func (s *relayStub) Pieces(_ context.Context, call peers.PieceCall) peers.PieceAnswer {
-	<-s.results
+	<-s.release
 	return peers.PieceAnswer{Results: make([]shed.PieceResult, len(call.Pieces))}
 }
 
@@ -62,31 +62,31 @@
 	return peers.TurnReply{Granted: c.Rate < 10, Wait: c.Patience}
 }
 
-func (s *relayStub) Unwanted(results []shed.PieceResult) { s.unwanted <- len(results) }
+func (s *relayStub) Unwanted(results []shed.PieceResult) { s.discarded <- len(results) }
 
 // The daemon that asked for pieces dies while they are made. Its answer can't be
 // sent, so the results are given up at once: they would take up room for seconds.
 func TestAskerGone(t *testing.T) {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	stub := &relayStub{results: make(chan struct{}), unwanted: make(chan int, 1)}
+	stub := &relayStub{release: make(chan struct{}), discarded: make(chan int, 1)}
 	srv := peers.NewServer(peers.ServerConfig{Listener: lis, Relay: stub})
 	ctx, stop := context.WithCancel(t.Context())
 	var g errgroup.Group
 	g.Go(func() error { return srv.Serve(ctx) })
 	client := peers.NewClient(peers.ClientConfig{})
-	asking, gone := context.WithCancel(t.Context())
+	callCtx, cancelCall := context.WithCancel(t.Context())
 	g.Go(func() error {
-		_, err := client.Pieces(asking, shed.VM(lis.Addr().String()), peers.PieceCall{Pieces: make([]shed.Piece, 3)})
+		_, err := client.Pieces(callCtx, shed.VM(lis.Addr().String()), peers.PieceCall{Pieces: make([]shed.Piece, 3)})
 		require.Error(t, err)
 		return nil
 	})
 	time.Sleep(100 * time.Millisecond)
-	gone()
+	cancelCall()
 	time.Sleep(100 * time.Millisecond)
-	close(stub.results)
+	close(stub.release)
 	select {
-	case n := <-stub.unwanted:
+	case n := <-stub.discarded:
 		require.Equal(t, 3, n)
 	case <-time.After(2 * time.Second):
 		require.Fail(t, "the results were not given up")
--- a/internal/peers/server.go
+++ b/internal/peers/server.go
@@ -82,7 +82,7 @@
 func (description) Method(n int) (string, drpc.Encoding, drpc.Receiver, any, bool) {
 	switch n {
 	case 0:
-		return rpcControl, wire, receiveControl, (func(controller, context.Context, *envelope) (*received, error))(nil), true
+		return rpcControl, wire, receiveControl, (func(controlHandler, context.Context, *envelope) (*ack, error))(nil), true
 	case 1:
 		return rpcStage, wire, receiveStage, (func(Handler, *part, drpc.Stream) error)(nil), true
 	case 2:
@@ -93,18 +93,18 @@
 
 func receiveControl(srv any, _ context.Context, in1, _ any) (drpc.Message, error) { //nolint:revive // drpc.Receiver fixes the order
 	e := in1.(*envelope)
-	msg, err := e.open()
+	msg, err := e.unwrap()
 	if err != nil {
 		return nil, err
 	}
-	srv.(controller).Control(e.From, msg)
-	return &received{}, nil
+	srv.(controlHandler).Control(e.From, msg)
+	return &ack{}, nil
 }
 
 func receiveStage(srv any, _ context.Context, in1, in2 any) (drpc.Message, error) { //nolint:revive // drpc.Receiver fixes the order
 	stream := in2.(drpc.Stream)
 	out := &sender{stream: stream}
-	stop := out.beat(&stageReply{})
+	stop := out.startHeartbeats(&stageReply{})
 	defer stop()
 	var call StageCall
 	if err := readCall(in1, stream, &call); err != nil {
@@ -119,7 +119,7 @@
 func receiveRequest(srv any, _ context.Context, in1, in2 any) (drpc.Message, error) { //nolint:revive // drpc.Receiver fixes the order
 	stream := in2.(drpc.Stream)
 	out := &sender{stream: stream}
-	stop := out.beat(&requestReply{})
+	stop := out.startHeartbeats(&requestReply{})
 	defer stop()
 	var call RequestCall
 	if err := readCall(in1, stream, &call); err != nil {
@@ -144,42 +144,42 @@
 type sender struct {
 	mu     sync.Mutex
 	stream drpc.Stream
-	// last is when something was last sent.
-	last time.Time
-	done bool
+	// lastSent is when something was last sent.
+	lastSent time.Time
+	stopped  bool
 }
 
 func (s *sender) send(msg drpc.Message) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.last = time.Now()
+	s.lastSent = time.Now()
 	return s.stream.MsgSend(msg, wire)
 }
 
-// beat sends msg at once, so that the caller knows the link works, and then
+// startHeartbeats sends msg at once, so that the caller knows the link works, and then
 // whenever nothing else went out for beatEvery. Without it a connection that
 // something in between has forgotten looks the same as a slow stage. It stops
 // by stop.
-func (s *sender) beat(msg drpc.Message) (stop func()) {
+func (s *sender) startHeartbeats(msg drpc.Message) (stop func()) {
 	_ = s.send(msg)
 	var timer *time.Timer
 	s.mu.Lock()
-	timer = time.AfterFunc(beatEvery, func() {
+	timer = time.AfterFunc(heartbeatInterval, func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		if s.done {
+		if s.stopped {
 			return
 		}
-		if time.Since(s.last) >= beatEvery {
-			s.last = time.Now()
+		if time.Since(s.lastSent) >= heartbeatInterval {
+			s.lastSent = time.Now()
 			_ = s.stream.MsgSend(msg, wire)
 		}
-		timer.Reset(beatEvery)
+		timer.Reset(heartbeatInterval)
 	})
 	s.mu.Unlock()
 	return func() {
 		s.mu.Lock()
-		s.done = true
+		s.stopped = true
 		s.mu.Unlock()
 		timer.Stop()
 	}
--- a/internal/peers/stream.go
+++ b/internal/peers/stream.go
@@ -15,49 +15,49 @@
 type stream struct {
 	drpc.Stream
 	client *Client
-	line   line
+	key    connKey
 	// parent is the caller's context; the stream's own also ends on silence.
-	parent context.Context
-	cancel context.CancelFunc
-	done   func()
-	timer  *time.Timer
-	silent atomic.Bool
+	parent    context.Context
+	cancel    context.CancelFunc
+	release   func()
+	idleTimer *time.Timer
+	timedOut  atomic.Bool
 }
 
-func (c *Client) open(ctx context.Context, to shed.VM, rpc string, fresh bool) (*stream, error) {
-	l := c.line(to)
-	own, cancel := context.WithCancel(ctx)
-	conn, done, err := c.conn(own, l, fresh)
+func (c *Client) openStream(ctx context.Context, to shed.VM, rpc string, fresh bool) (*stream, error) {
+	l := c.connKey(to)
+	streamCtx, cancel := context.WithCancel(ctx)
+	conn, done, err := c.conn(streamCtx, l, fresh)
 	if err != nil {
 		cancel()
-		c.lost(to)
+		c.notifyLost(to)
 		return nil, err
 	}
-	inner, err := conn.NewStream(own, rpc, wire)
+	rpcStream, err := conn.NewStream(streamCtx, rpc, wire)
 	if err != nil {
 		done()
 		cancel()
-		c.lost(to)
+		c.notifyLost(to)
 		return nil, fmt.Errorf("call peer %s: %w", to, err)
 	}
-	s := &stream{Stream: inner, client: c, line: l, parent: ctx, cancel: cancel, done: done}
-	s.timer = time.AfterFunc(linkSilence, s.onSilence)
+	s := &stream{Stream: rpcStream, client: c, key: l, parent: ctx, cancel: cancel, release: done}
+	s.idleTimer = time.AfterFunc(heartbeatTimeout, s.onTimeout)
 	return s, nil
 }
 
-// onSilence ends the stream. Cancelling its context closes the connection, so
+// onTimeout ends the stream. Cancelling its context closes the connection, so
 // nothing uses it again.
-func (s *stream) onSilence() {
-	s.silent.Store(true)
-	s.client.silent(s.line)
+func (s *stream) onTimeout() {
+	s.timedOut.Store(true)
+	s.client.dropIdleConns(s.key)
 	s.cancel()
 }
 
-func (s *stream) wasSilent() bool { return s.silent.Load() }
+func (s *stream) hasTimedOut() bool { return s.timedOut.Load() }
 
 func (s *stream) send(msg drpc.Message) error {
 	if err := s.MsgSend(msg, wire); err != nil {
-		return fmt.Errorf("send to peer %s: %w", s.line.to, err)
+		return fmt.Errorf("send to peer %s: %w", s.key.to, err)
 	}
 	return nil
 }
@@ -69,7 +69,7 @@
 	return sendParts(msg, func(p *part) error {
 		err := s.send(p)
 		if err == nil {
-			s.timer.Reset(linkSilence)
+			s.idleTimer.Reset(heartbeatTimeout)
 		}
 		return err
 	})
@@ -77,18 +77,18 @@
 
 func (s *stream) recv(msg drpc.Message) error {
 	if err := s.MsgRecv(msg, wire); err != nil {
-		if s.wasSilent() {
+		if s.hasTimedOut() {
 			err = ErrSilent
 		}
-		return fmt.Errorf("receive from peer %s: %w", s.line.to, err)
+		return fmt.Errorf("receive from peer %s: %w", s.key.to, err)
 	}
-	s.timer.Reset(linkSilence)
+	s.idleTimer.Reset(heartbeatTimeout)
 	return nil
 }
 
 func (s *stream) close() {
-	s.timer.Stop()
+	s.idleTimer.Stop()
 	_ = s.Close()
 	s.cancel()
-	s.done()
+	s.release()
 }
