--- a/internal/peers/client.go
+++ b/internal/peers/client.go
@@ -19,43 +19,43 @@
 )
 
 const (
-	// dialTimeout bounds connecting to a peer; peers are milliseconds away.
+	// dialTimeout bounds connecting to a peer; the round trip to a peer takes milliseconds.
 	dialTimeout = 500 * time.Millisecond
 	// controlTimeout bounds one control message.
 	controlTimeout = time.Second
-	// heartbeatTimeout is the longest time without any message on a stream before
-	// its connection is taken for dead: five heartbeats.
+	// heartbeatTimeout is the longest time without any message on a stream before its connection
+	// counts as dead: five heartbeats.
 	heartbeatTimeout = 5 * heartbeatInterval
 	// maxIdleTime is how long an unused connection is kept.
 	maxIdleTime = 10 * time.Second
-	// maxIdlePerPeer and idleInAll bound the unused connections.
+	// maxIdlePerPeer and maxIdleTotal bound the number of unused connections.
 	maxIdlePerPeer = 64
 	maxIdleTotal   = 4096
-	// maxConcurrentControls bounds control messages under way; further ones are lost,
-	// which every receiver bears.
+	// maxConcurrentControls bounds the control messages in flight. Further ones are dropped,
+	// which every receiver tolerates.
 	maxConcurrentControls = 256
 )
 
-// ErrSilent is the cause when a connection gave no heartbeat in time.
+// ErrSilent is returned when no heartbeat was received on a connection in time.
 var ErrSilent = errors.New("peer connection is silent")
 
-// ClientConfig is what a Client needs.
+// ClientConfig configures a Client.
 type ClientConfig struct {
-	// Self is sent along with every call.
+	// Self is sent with every call.
 	Self shed.Peer
-	// TLS gives the mutual TLS of a new connection, which may have been
-	// renewed since the last; nil for plain TCP.
+	// TLS returns the mutual TLS configuration for a new connection, whose certificates may have
+	// been renewed since the last one; nil for plain TCP.
 	TLS func() *tls.Config
-	// Dial connects; nil takes a plain TCP dialer. Tests cut links here.
+	// Dial connects; nil uses a plain TCP dialer. Tests inject link failures here.
 	Dial func(ctx context.Context, to shed.VM) (net.Conn, error)
-	// Lost is told of a peer whose connection went silent or can't be made;
-	// may be nil. It does not block.
+	// Lost is called for a peer whose connection timed out or can't be established; may be nil.
+	// It must not block.
 	Lost func(to shed.VM)
 }
 
-// connKey is what idle connections are kept by. A silent connection raises the
-// age, so that no other connection of that time is used again: whatever lost
-// track of one has likely lost track of them all.
+// connKey is the pool key of idle connections. A connection that times out increments the
+// peer's generation, so that no other connection of that generation is reused: a middlebox or
+// host that has lost the state of one has likely lost the state of all.
 type connKey struct {
 	to         shed.VM
 	generation uint64
@@ -67,17 +67,17 @@
 	pool     *drpcpool.Pool[connKey, drpcpool.Conn]
 	controls errgroup.Group
 
-	// bytesReceived counts the bytes that came on connections made here.
+	// bytesReceived counts the bytes received on connections that this client opened.
 	bytesReceived atomic.Int64
 
 	mu          sync.Mutex
 	generations map[shed.VM]uint64
 }
 
-// Received is how many bytes have come on the connections that this client made.
+// Received returns how many bytes were received on the connections that this client opened.
 func (c *Client) Received() int64 { return c.bytesReceived.Load() }
 
-// countingConn is a connection whose incoming bytes are counted.
+// countingConn counts the bytes received on a connection.
 type countingConn struct {
 	net.Conn
 	bytes *atomic.Int64
@@ -90,7 +90,7 @@
 	return n, err
 }
 
-// NewClient makes a Client.
+// NewClient returns a Client.
 func NewClient(cfg ClientConfig) *Client {
 	if cfg.Dial == nil {
 		cfg.Dial = dialTCP
@@ -106,7 +106,7 @@
 	return c
 }
 
-// Close drops the idle connections and waits for control messages under way.
+// Close waits for control messages in flight and closes the idle connections.
 func (c *Client) Close() error {
 	_ = c.controls.Wait()
 	return c.pool.Close()
@@ -123,7 +123,7 @@
 	return connKey{to: to, generation: c.generations[to]}
 }
 
-// dropIdleConns gives up all idle connections to the peer.
+// dropIdleConns stops the reuse of all idle connections to the peer and reports it as lost.
 func (c *Client) dropIdleConns(l connKey) {
 	c.mu.Lock()
 	if c.generations[l.to] == l.generation {
@@ -158,9 +158,9 @@
 	return drpcconn.NewWithOptions(raw, drpcconn.Options{Manager: managerOptions()}), nil
 }
 
-// conn gives a connection to the peer. A fresh one is made for this call only:
-// an idle one may have died unseen, and then a call that must not be repeated
-// would end as unknown for nothing.
+// conn returns a connection to the peer and a function that releases it. A fresh one is opened
+// for this call only: a pooled one may have died unnoticed, and then a call that must not be
+// retried would needlessly end with an unknown outcome.
 func (c *Client) conn(ctx context.Context, l connKey, fresh bool) (drpc.Conn, func(), error) {
 	if !fresh {
 		return c.pool.Get(ctx, l, c.dial), func() {}, nil
@@ -172,11 +172,11 @@
 	return conn, func() { _ = conn.Close() }, nil
 }
 
-// Send sends a control message. It does not block; the message may be lost.
+// Send sends a control message without blocking; the message may be lost.
 func (c *Client) Send(to shed.VM, msg shed.Message) { c.SendAll([]shed.VM{to}, msg) }
 
-// SendAll sends a control message to several peers, as Send does. It is encoded once,
-// and later: the caller doesn't change what it refers to.
+// SendAll sends a control message to several peers, as Send does. It is encoded once and
+// asynchronously, so the caller must not modify what the message refers to.
 func (c *Client) SendAll(to []shed.VM, msg shed.Message) {
 	encode := sync.OnceValues(func() (encoded, error) {
 		e, err := newEnvelope(c.cfg.Self, msg)
@@ -195,7 +195,7 @@
 	}
 }
 
-// sendControl makes the call of one control message.
+// sendControl performs the call of one control message.
 func (c *Client) sendControl(to shed.VM, e encoded) {
 	l := c.connKey(to)
 	ctx, cancel := context.WithTimeout(context.Background(), controlTimeout)
@@ -206,8 +206,8 @@
 	}
 }
 
-// Stage hands a stage call over and passes its frames to sink. A silent link
-// ends it as broken; so does an error of sink.
+// Stage forwards a stage call to a peer and passes its frames to sink. A heartbeat timeout ends
+// it as broken; so does an error of sink.
 func (c *Client) Stage(ctx context.Context, to shed.VM, call StageCall, fresh bool, sink func(shed.Frame) error) shed.CallEnded {
 	call.From = c.cfg.Self
 	end := shed.CallEnded{Call: call.Ask.Call}
@@ -226,7 +226,7 @@
 			return s.brokenEnd(end, err)
 		}
 		if reply.End != nil {
-			// The call's identity is ours, whatever the far side says.
+			// The remote side is not trusted with the call's identity.
 			reply.End.Call = call.Ask.Call
 			return *reply.End
 		}
@@ -239,7 +239,7 @@
 	}
 }
 
-// brokenEnd ends a call whose bytes may have arrived.
+// brokenEnd returns the end of a call that failed after its bytes may have arrived.
 func (s *stream) brokenEnd(end shed.CallEnded, err error) shed.CallEnded {
 	end.End, end.Reason = shed.EndBroken, shed.ReasonBroken
 	switch {
@@ -253,9 +253,8 @@
 	return end
 }
 
-// Request hands a request over to its home. sent tells whether the home may
-// have got it; if it is false, nothing was run. home is false if another
-// incarnation answered.
+// Request forwards a request to its home. sent reports whether the home may have received it; if
+// it is false, nothing was run. home is false if another incarnation answered.
 func (c *Client) Request(ctx context.Context, call RequestCall, update func(shed.Update)) (answer shed.Answer, home, sent bool, err error) {
 	call.From = c.cfg.Self
 	s, err := c.openStream(ctx, call.To.VM, rpcRequest, true)
--- a/internal/peers/codec.go
+++ b/internal/peers/codec.go
@@ -10,15 +10,15 @@
 	"storj.io/drpc"
 )
 
-// Bounds on what a peer may send. A configuration is pushed in one message; at
-// the design size its text is below 8 MB.
+// Limits of a message from a peer. A configuration is pushed in one message; at the design size
+// its text is smaller than 8 MB.
 const (
 	maxMessage  = 16 << 20
 	maxElements = 1 << 17
 	maxDepth    = 12
 )
 
-// ErrBadMessage is returned for a message that is not one of ours.
+// ErrBadMessage is returned for a message that is invalid or can't be encoded or decoded.
 var ErrBadMessage = errors.New("bad peer message")
 
 // codec encodes drpc messages as CBOR.
@@ -29,7 +29,7 @@
 
 var _ drpc.Encoding = codec{}
 
-// wire is the one codec of this package; its modes are constant and valid.
+// wire is the only codec of this package; its options are constant and valid.
 var wire = newCodec()
 
 func newCodec() codec {
@@ -49,7 +49,7 @@
 	return codec{enc: enc, dec: dec}
 }
 
-// encoded is a message that has been encoded already.
+// encoded is a message that is already encoded.
 type encoded []byte
 
 // Marshal implements drpc.Encoding.
@@ -72,7 +72,7 @@
 	return nil
 }
 
-// envelope carries one control message. Exactly one of the pointers is set.
+// envelope holds one control message. Exactly one of the pointers is set.
 type envelope struct {
 	From         shed.Peer          `cbor:"1,keyasint"`
 	Probe        *shed.Probe        `cbor:"2,keyasint,omitempty"`
@@ -85,14 +85,14 @@
 	TicketMove   *shed.TicketMove   `cbor:"9,keyasint,omitempty"`
 	RelayLoad    *shed.RelayLoad    `cbor:"10,keyasint,omitempty"`
 	ResultsFreed *shed.ResultsFreed `cbor:"11,keyasint,omitempty"`
-	// StoreUpdate has a new number since its items come packed: a daemon of an older
-	// version, as while a fleet is upgraded, would take packed bytes for a value.
+	// StoreUpdate got a new number when its items became packed: a daemon of an older version,
+	// as during an upgrade of a fleet, would read packed bytes as a value.
 	StoreUpdate *shed.StoreUpdate `cbor:"13,keyasint,omitempty"`
 	CrashUpdate *shed.CrashUpdate `cbor:"14,keyasint,omitempty"`
 	LimitUpdate *shed.LimitUpdate `cbor:"15,keyasint,omitempty"`
 }
 
-// newEnvelope puts a control message into an envelope.
+// newEnvelope wraps a control message in an envelope.
 func newEnvelope(from shed.Peer, msg shed.Message) (envelope, error) {
 	e := envelope{From: from}
 	switch m := msg.(type) {
@@ -128,7 +128,7 @@
 	return e, nil
 }
 
-// unwrap takes the control message out of an envelope.
+// unwrap returns the control message of an envelope.
 func (e envelope) unwrap() (shed.Message, error) {
 	switch {
 	case e.Probe != nil:
@@ -161,7 +161,7 @@
 	return nil, fmt.Errorf("%w: empty envelope", ErrBadMessage)
 }
 
-// Size is how many bytes a control message takes on the wire, before TCP.
+// Size returns the encoded size of a control message in bytes, without the overhead of TCP.
 func Size(from shed.Peer, msg shed.Message) (int, error) {
 	e, err := newEnvelope(from, msg)
 	if err != nil {
--- a/internal/peers/doc.go
+++ b/internal/peers/doc.go
@@ -1,4 +1,4 @@
-// Package peers carries calls and control messages between daemons: drpc over
-// TCP, encoded as CBOR. It decides nothing. It never repeats a call, and it says
-// truthfully whether a call can have started at the far side.
+// Package peers transports calls and control messages between daemons: drpc over TCP, encoded
+// as CBOR. It makes no decisions. It never retries a call, and it reports accurately whether a
+// call can have started on the remote side.
 package peers
--- a/internal/peers/link_test.go
+++ b/internal/peers/link_test.go
@@ -14,10 +14,10 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Two callers' bodies of 1 MB are handed over to a daemon behind a link of 10 Mbit/s.
-// Together they take 1.7 s, and the far side says nothing before it has a call whole.
-// The links were taken for silent after a second, the calls ended as broken, and the
-// callers were told that nobody knows whether they ran.
+// Two callers' bodies of 1 MB are forwarded to a daemon behind a link of 10 Mbit/s. Together
+// they take 1.7 s, and the remote side can't answer before it has a whole call. If the links
+// timed out after a second without an answer, the calls would end as broken, and the callers
+// would be told that it is unknown whether they ran.
 func TestLargeCallsOverASmallLink(t *testing.T) {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
--- a/internal/peers/parts.go
+++ b/internal/peers/parts.go
@@ -6,13 +6,13 @@
 	"storj.io/drpc"
 )
 
-// partSize is how much of a large message goes in one part, in bytes. Each part that
-// goes or comes shows that the transfer moves, so it must pass well within linkSilence
-// over a link that is small and busy.
+// partSize is the size in bytes of the parts of a large message. Each part that is sent or
+// received shows that the transfer makes progress, so it must take well below heartbeatTimeout
+// on a busy low-bandwidth link.
 const partSize = 16 << 10
 
-// part is one part of an encoded message that may be large. An empty one is a
-// heartbeat. Nothing comes after the Last.
+// part is one part of an encoded message that may be large. An empty one is a heartbeat. Last
+// marks the final part.
 type part struct {
 	Bytes []byte `cbor:"1,keyasint,omitempty"`
 	Last  bool   `cbor:"2,keyasint,omitempty"`
@@ -34,8 +34,7 @@
 	}
 }
 
-// readParts reads a message in parts, of which the first one has come already; that one
-// may be empty.
+// readParts reads a message in parts, the first of which is already received and may be empty.
 func readParts(first part, recv func(*part) error, into drpc.Message) error {
 	var data []byte
 	p := &first
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -12,7 +12,7 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// echo answers every call from what it was asked.
+// echo answers every call with the call's own input.
 type echo struct {
 	controls chan shed.Message
 }
@@ -36,7 +36,7 @@
 
 func (e echo) Control(_ shed.Peer, msg shed.Message) { e.controls <- msg }
 
-// serve runs a server for the test and gives its address.
+// serve runs a server for the test and returns its address.
 func serve(t *testing.T, h Handler) shed.VM {
 	t.Helper()
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
@@ -101,8 +101,8 @@
 	require.True(t, sent)
 }
 
-// A peer that nobody listens at: the call can't have started, and the caller
-// may run it elsewhere.
+// Nothing listens at the peer's address: the call can't have started, and the caller may run it
+// elsewhere.
 func TestUnreachablePeerIsNotStarted(t *testing.T) {
 	var lost []shed.VM
 	c := newClient(t, ClientConfig{Lost: func(vm shed.VM) { lost = append(lost, vm) }})
@@ -111,10 +111,10 @@
 	require.Equal(t, []shed.VM{"127.0.0.1:1"}, lost)
 }
 
-// Something between the two ends loses track of the connection: writes still
-// succeed and nothing ever comes back. The caller must not wait for the stage's
-// whole deadline. Heartbeats are missed for linkSilence, the call ends as broken
-// (its bytes may have arrived), and the peer is reported as lost.
+// A middlebox loses the state of the connection: writes still succeed, but nothing is ever
+// received. The caller must not wait for the stage's whole deadline. After heartbeatTimeout
+// without a heartbeat the call ends as broken (its bytes may have arrived), and the peer is
+// reported as lost.
 func TestSilentConnectionEndsAsBroken(t *testing.T) {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -127,7 +127,7 @@
 	require.Equal(t, shed.ReasonSilent, end.Reason)
 	require.True(t, end.End.MayHaveRun())
 	require.Equal(t, to, <-lost)
-	require.Equal(t, uint64(1), c.connKey(to).generation, "idle connections of that time are given up")
+	require.Equal(t, uint64(1), c.connKey(to).generation, "idle connections of that generation are not reused")
 }
 
 func TestControlMessagesKeepTheirType(t *testing.T) {
@@ -154,7 +154,7 @@
 	}
 }
 
-// A peer that is broken or hostile sends bytes of its own: an error, no panic.
+// Arbitrary bytes from a faulty or hostile peer cause an error and no panic.
 func FuzzEnvelope(f *testing.F) {
 	e, _ := newEnvelope(shed.Peer{}, shed.Probe{Sequence: 1})
 	b, _ := wire.Marshal(&e)
--- a/internal/peers/relay.go
+++ b/internal/peers/relay.go
@@ -11,26 +11,26 @@
 	"storj.io/drpc"
 )
 
-// The names of the calls between relaying daemons.
+// Method names of the calls between relaying daemons.
 const (
 	rpcPieces = "/peers/Pieces"
 	rpcItems  = "/peers/PackedItems"
 	rpcTurn   = "/peers/Turn"
 )
 
-// PieceCall asks the daemon that gathers the pieces for a pool.
+// PieceCall requests pieces from the daemon that coordinates a pool.
 type PieceCall struct {
 	From   shed.Peer    `cbor:"1,keyasint"`
 	Pool   shed.PoolID  `cbor:"2,keyasint"`
 	Pieces []shed.Piece `cbor:"3,keyasint"`
-	// Inputs of all the pieces, in place of one list in each: a step's pieces
-	// need the same, and together the lists are most of the bytes.
+	// Inputs of all the pieces, in place of one list in each: the pieces of a step need the same
+	// inputs, and separate lists would be most of the message.
 	Inputs []shed.ResultRef `cbor:"4,keyasint,omitempty"`
-	// Origin is the request of all the pieces.
+	// Origin is the request that all the pieces belong to.
 	Origin shed.RequestRef `cbor:"5,keyasint"`
 }
 
-// pack moves inputs that all pieces have out of them.
+// pack moves the pieces' inputs into the call if all pieces have the same.
 func (c PieceCall) pack() PieceCall {
 	if len(c.Pieces) == 0 || len(c.Pieces[0].Inputs) == 0 {
 		return c
@@ -47,7 +47,7 @@
 	return c
 }
 
-// unpack undoes pack.
+// unpack reverses pack, and sets the pieces' origin.
 func (c PieceCall) unpack() PieceCall {
 	for i := range c.Pieces {
 		c.Pieces[i].Origin = c.Origin
@@ -58,69 +58,69 @@
 	return c
 }
 
-// pieceReply is one message of the far side of a PieceCall. An empty one is a
-// heartbeat. After Results nothing more comes.
+// pieceReply is one message of the remote side of a PieceCall. An empty one is a heartbeat. The
+// one with Results is the last.
 type pieceReply struct {
 	Results []shed.PieceResult `cbor:"1,keyasint,omitempty"`
 	Wait    *shed.PieceWait    `cbor:"2,keyasint,omitempty"`
 }
 
-// PieceAnswer answers a PieceCall.
+// PieceAnswer is the answer to a PieceCall.
 type PieceAnswer struct {
 	// Results has one for each piece.
 	Results []shed.PieceResult
-	// Wait is what is foreseen for the pool at the daemon that gathers, as of its
-	// answer; nil if it doesn't say.
+	// Wait is the coordinator's predicted wait for the pool at the time of its answer; nil if it
+	// gives none.
 	Wait *shed.PieceWait
 }
 
-// ItemsCall asks for what a peer knows to have changed in the store after a
-// revision; for all items if that is 0.
+// ItemsCall requests the changes of the store after a revision that a peer knows of; all items
+// if that is 0.
 type ItemsCall struct {
 	After shed.Revision `cbor:"1,keyasint"`
-	// Known is the revision up to which the caller knows all; large values come as
-	// the difference to what they were then, or to nothing if it is 0.
+	// Known is the revision up to which the caller's state is complete; large values are sent as
+	// a delta to their value at that revision, or to an empty one if it is 0.
 	Known shed.Revision `cbor:"2,keyasint,omitempty"`
 }
 
-// ItemsReply answers an ItemsCall.
+// ItemsReply is the answer to an ItemsCall.
 type ItemsReply struct {
 	Items []shed.ItemChange `cbor:"1,keyasint,omitempty"`
 	AsOf  shed.Revision     `cbor:"2,keyasint"`
 }
 
-// TurnCall asks the daemon that lends the turns of a server for one.
+// TurnCall requests a turn from the daemon that grants the turns of a server.
 type TurnCall struct {
 	Start shed.ServerStart `cbor:"1,keyasint"`
-	// Rate is what the server takes, Burst how many turns may be saved up.
+	// Rate is the server's rate limit, Burst how many unused turns may accumulate.
 	Rate  shed.Rate `cbor:"2,keyasint"`
 	Burst float64   `cbor:"3,keyasint"`
-	// Patience is how long the caller would wait for its turn.
+	// Patience is the longest time that the caller would wait for its turn.
 	Patience time.Duration `cbor:"4,keyasint,omitempty"`
 }
 
-// TurnReply answers a TurnCall.
+// TurnReply is the answer to a TurnCall.
 type TurnReply struct {
-	// Granted: the caller may send after Wait; else a turn is due then.
+	// Granted: the caller may send after Wait. If it is false, the next turn is due then.
 	Granted bool          `cbor:"1,keyasint,omitempty"`
 	Wait    time.Duration `cbor:"2,keyasint,omitempty"`
-	// Moved: the daemon lends no turns any more; ask another one.
+	// Moved: the daemon no longer grants turns; the caller has to ask another one.
 	Moved bool `cbor:"3,keyasint,omitempty"`
 }
 
-// isValid tells whether the call makes sense.
+// isValid reports whether the values of the call are in range.
 func (c TurnCall) isValid() bool { return c.Rate > 0 && c.Burst >= 1 && c.Patience >= 0 }
 
-// RelayHandler is what a relaying daemon does for its peers.
+// RelayHandler handles the calls of a relaying daemon's peers.
 type RelayHandler interface {
 	controlHandler
-	// Pieces has the pieces made.
+	// Pieces has the pieces run and returns their results.
 	Pieces(ctx context.Context, call PieceCall) PieceAnswer
-	// Unwanted gives up results that did not reach the daemon that asked.
+	// Unwanted frees results that could not be sent to the daemon that requested them.
 	Unwanted(results []shed.PieceResult)
-	// Items returns what this daemon knows of the store.
+	// Items returns the changes of the store that this daemon knows of.
 	Items(call ItemsCall) ItemsReply
-	// Turn lends a turn at a server.
+	// Turn grants or refuses a turn at a server.
 	Turn(call TurnCall) TurnReply
 }
 
@@ -178,7 +178,7 @@
 	return nil, out.send(&reply)
 }
 
-// Turn asks a peer for a turn at a server.
+// Turn requests a turn at a server from a peer.
 func (c *Client) Turn(ctx context.Context, to shed.VM, call TurnCall) (TurnReply, error) {
 	s, err := c.openStream(ctx, to, rpcTurn, false)
 	if err != nil {
@@ -193,11 +193,11 @@
 	return reply, err
 }
 
-// errNoResults: the far side ended its answer without results.
-var errResultCount = errors.New("peer gave no results")
+// errResultCount is returned when the number of results is not that of the pieces.
+var errResultCount = errors.New("peer returned a wrong number of results")
 
-// Pieces asks a peer for pieces. After an error none of them is known to be
-// made; making them again does no harm.
+// Pieces requests pieces from a peer. After an error none of them is known to have been run;
+// running them again is harmless.
 func (c *Client) Pieces(ctx context.Context, to shed.VM, call PieceCall) (PieceAnswer, error) {
 	call.From = c.cfg.Self
 	s, err := c.openStream(ctx, to, rpcPieces, false)
@@ -223,9 +223,9 @@
 	}
 }
 
-// Items asks a peer for what it knows of the store. It ends when nothing has come for a
-// while, not when it takes long: a large configuration over a small link would be
-// broken off and begun anew each time, and never be there whole.
+// Items requests changes of the store from a peer. It times out when nothing was received for
+// heartbeatTimeout, not when the whole transfer takes long: otherwise a large configuration over
+// a low-bandwidth link would be aborted and restarted each time, and never be complete.
 func (c *Client) Items(ctx context.Context, to shed.VM, call ItemsCall) (ItemsReply, error) {
 	s, err := c.openStream(ctx, to, rpcItems, false)
 	if err != nil {
--- a/internal/peers/relay_test.go
+++ b/internal/peers/relay_test.go
@@ -14,8 +14,8 @@
 	"jasmineshed/internal/peers"
 )
 
-// BenchmarkRelayLoad gives the bytes of one load message, by the servers on which
-// its sender has requests and the prompts that it has placed since the last one.
+// BenchmarkRelayLoad measures the bytes of one load message, by the number of servers on which
+// its sender has requests and of prompts that it has placed since the last one.
 //
 //	go test ./internal/peers -run xxx -bench RelayLoad -benchtime 100x
 func BenchmarkRelayLoad(b *testing.B) {
@@ -43,7 +43,8 @@
 	}
 }
 
-// relayStub makes pieces at once, and counts the results that nobody got.
+// relayStub returns the results of pieces once release is closed, and reports the results that
+// were not delivered.
 type relayStub struct {
 	release   chan struct{}
 	discarded chan int
@@ -64,8 +65,8 @@
 
 func (s *relayStub) Unwanted(results []shed.PieceResult) { s.discarded <- len(results) }
 
-// The daemon that asked for pieces dies while they are made. Its answer can't be
-// sent, so the results are given up at once: they would take up room for seconds.
+// The daemon that requested pieces dies while they run. The answer can't be sent, so the results
+// are freed at once: otherwise they would use up result capacity for seconds.
 func TestAskerGone(t *testing.T) {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -89,14 +90,15 @@
 	case n := <-stub.discarded:
 		require.Equal(t, 3, n)
 	case <-time.After(2 * time.Second):
-		require.Fail(t, "the results were not given up")
+		require.Fail(t, "the results were not freed")
 	}
 	stop()
 	_ = g.Wait()
 	require.NoError(t, client.Close())
 }
 
-// Calls for turns that make no sense are refused: a rate of nought would lend none ever.
+// Requests for turns with invalid values are refused: with a rate of 0 no turn would ever be
+// granted.
 func TestTurnCalls(t *testing.T) {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
--- a/internal/peers/server.go
+++ b/internal/peers/server.go
@@ -17,16 +17,16 @@
 	"storj.io/drpc/drpcwire"
 )
 
-// ServerConfig is what a Server needs.
+// ServerConfig configures a Server.
 type ServerConfig struct {
-	// Listener for peers only; callers and operators never come in here.
+	// Listener accepts peers only, never callers or operators.
 	Listener net.Listener
 	Handler  Handler
-	// Relay, if set, takes the calls of relaying daemons instead.
+	// Relay, if set, handles the calls of relaying daemons in place of Handler.
 	Relay RelayHandler
-	// TLS is the mutual TLS of peers; nil for plain TCP.
+	// TLS is the mutual TLS configuration for peers; nil for plain TCP.
 	TLS *tls.Config
-	// Log takes errors of single connections; may be nil.
+	// Log receives errors of single connections; may be nil.
 	Log func(error)
 }
 
@@ -35,13 +35,13 @@
 	cfg ServerConfig
 }
 
-// NewServer makes a Server.
+// NewServer returns a Server.
 func NewServer(cfg ServerConfig) *Server { return &Server{cfg: cfg} }
 
-// String names the service in the supervisor's log.
+// String returns the service's name in the supervisor's log.
 func (s *Server) String() string { return "peers" }
 
-// Serve answers until ctx ends.
+// Serve handles calls until ctx ends.
 func (s *Server) Serve(ctx context.Context) error {
 	mux := drpcmux.New()
 	if err := s.register(mux); err != nil {
@@ -71,14 +71,14 @@
 	}
 }
 
-// description lists the calls for drpc's mux; it stands in for generated code.
+// description lists the calls for drpc's mux, in place of generated code.
 type description struct{}
 
 // NumMethods implements drpc.Description.
 func (description) NumMethods() int { return 3 }
 
-// Method implements drpc.Description. The function values only tell the mux
-// the shape of each call.
+// Method implements drpc.Description. The function values only give the mux the signature of
+// each call.
 func (description) Method(n int) (string, drpc.Encoding, drpc.Receiver, any, bool) {
 	switch n {
 	case 0:
@@ -126,7 +126,7 @@
 		return nil, err
 	}
 	answer, home := srv.(Handler).Request(stream.Context(), call, func(u shed.Update) {
-		// A failed send shows up as the stream's context ending.
+		// A failed send ends the stream's context.
 		_ = out.send(&requestReply{Update: &u})
 	})
 	if !home {
@@ -135,16 +135,15 @@
 	return nil, out.send(&requestReply{Answer: &answer})
 }
 
-// readCall reads a call that comes in parts, of which in1 is the first.
+// readCall reads a call that is sent in parts, of which in1 is the first.
 func readCall(in1 any, stream drpc.Stream, into drpc.Message) error {
 	return readParts(*in1.(*part), func(p *part) error { return stream.MsgRecv(p, wire) }, into)
 }
 
-// sender serialises the messages of one stream with its heartbeats.
+// sender serializes the messages and heartbeats of one stream.
 type sender struct {
-	mu     sync.Mutex
-	stream drpc.Stream
-	// lastSent is when something was last sent.
+	mu       sync.Mutex
+	stream   drpc.Stream
 	lastSent time.Time
 	stopped  bool
 }
@@ -156,10 +155,9 @@
 	return s.stream.MsgSend(msg, wire)
 }
 
-// startHeartbeats sends msg at once, so that the caller knows the link works, and then
-// whenever nothing else went out for beatEvery. Without it a connection that
-// something in between has forgotten looks the same as a slow stage. It stops
-// by stop.
+// startHeartbeats sends msg at once, so that the caller knows that the link works, and then
+// whenever nothing else was sent for heartbeatInterval. Without heartbeats, a connection whose
+// state a middlebox has lost can't be told from a slow stage. stop ends the heartbeats.
 func (s *sender) startHeartbeats(msg drpc.Message) (stop func()) {
 	_ = s.send(msg)
 	var timer *time.Timer
--- a/internal/peers/stream.go
+++ b/internal/peers/stream.go
@@ -11,12 +11,12 @@
 	"storj.io/drpc"
 )
 
-// stream is one streaming call to a peer, watched for silence.
+// stream is one streaming call to a peer with a heartbeat timeout.
 type stream struct {
 	drpc.Stream
 	client *Client
 	key    connKey
-	// parent is the caller's context; the stream's own also ends on silence.
+	// parent is the caller's context; the stream's own also ends on a heartbeat timeout.
 	parent    context.Context
 	cancel    context.CancelFunc
 	release   func()
@@ -45,8 +45,8 @@
 	return s, nil
 }
 
-// onTimeout ends the stream. Cancelling its context closes the connection, so
-// nothing uses it again.
+// onTimeout ends the stream. Cancelling its context closes the connection, so that it is not
+// reused.
 func (s *stream) onTimeout() {
 	s.timedOut.Store(true)
 	s.client.dropIdleConns(s.key)
@@ -62,9 +62,9 @@
 	return nil
 }
 
-// sendInParts sends a call that may be large. It counts as silent when no part leaves
-// for a while, not when it takes long; the far side sends heartbeats from the first
-// part on, while it reads the others.
+// sendInParts sends a call that may be large. It times out when no part is sent for
+// heartbeatTimeout, not when the whole transfer takes long; the remote side sends heartbeats
+// from the first part on, while it reads the others.
 func (s *stream) sendInParts(msg drpc.Message) error {
 	return sendParts(msg, func(p *part) error {
 		err := s.send(p)
