--- a/internal/certs/certs.go
+++ b/internal/certs/certs.go
@@ -36,9 +36,9 @@
 	// pair and pool are the last ones that could be read.
 	pair *tls.Certificate
 	pool *x509.CertPool
-	// looked is when the files were last looked at, stamp what they were then.
-	looked time.Time
-	stamp  string
+	// lastCheck is when the files were last looked at, stamp what they were then.
+	lastCheck time.Time
+	fileState string
 }
 
 // Open reads the files for the first time.
@@ -47,19 +47,19 @@
 		cfg.Now = time.Now
 	}
 	s := &Store{cfg: cfg}
-	stamp, err := s.stampFiles()
+	state, err := s.statFiles()
 	if err != nil {
 		return nil, err
 	}
-	if err := s.read(); err != nil {
+	if err := s.load(); err != nil {
 		return nil, err
 	}
-	s.stamp = stamp
-	s.looked = cfg.Now()
+	s.fileState = state
+	s.lastCheck = cfg.Now()
 	return s, nil
 }
 
-func (s *Store) files() []string {
+func (s *Store) fileNames() []string {
 	files := []string{s.cfg.Cert, s.cfg.Key}
 	if s.cfg.CA != "" {
 		files = append(files, s.cfg.CA)
@@ -67,20 +67,20 @@
 	return files
 }
 
-// stampFiles tells two states of the files apart.
-func (s *Store) stampFiles() (string, error) {
-	stamp := ""
-	for _, name := range s.files() {
+// statFiles tells two states of the files apart.
+func (s *Store) statFiles() (string, error) {
+	state := ""
+	for _, name := range s.fileNames() {
 		info, err := os.Stat(name)
 		if err != nil {
 			return "", fmt.Errorf("certificates: %w", err)
 		}
-		stamp += fmt.Sprintf("%d %d;", info.ModTime().UnixNano(), info.Size())
+		state += fmt.Sprintf("%d %d;", info.ModTime().UnixNano(), info.Size())
 	}
-	return stamp, nil
+	return state, nil
 }
 
-func (s *Store) read() error {
+func (s *Store) load() error {
 	pair, err := tls.LoadX509KeyPair(s.cfg.Cert, s.cfg.Key)
 	if err != nil {
 		return fmt.Errorf("certificates: %w", err)
@@ -107,22 +107,22 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.cfg.Now()
-	if now.Sub(s.looked) < s.cfg.Every {
+	if now.Sub(s.lastCheck) < s.cfg.Every {
 		return s.pair, s.pool
 	}
-	s.looked = now
-	stamp, err := s.stampFiles()
-	if err == nil && stamp == s.stamp {
+	s.lastCheck = now
+	state, err := s.statFiles()
+	if err == nil && state == s.fileState {
 		return s.pair, s.pool
 	}
 	if err == nil {
-		err = s.read()
+		err = s.load()
 	}
 	if err != nil {
 		s.cfg.Log.WithError(err).Error("certificates not renewed")
 		return s.pair, s.pool
 	}
-	s.stamp = stamp
+	s.fileState = state
 	s.cfg.Log.WithField("file", s.cfg.Cert).Info("certificates renewed")
 	return s.pair, s.pool
 }
--- a/internal/certs/certs_test.go
+++ b/internal/certs/certs_test.go
@@ -22,13 +22,13 @@
 
 const peerName = "peer.jasmineshed"
 
-// signer issues certificates for tests.
-type signer struct {
+// testCA issues certificates for tests.
+type testCA struct {
 	cert *x509.Certificate
 	key  *ecdsa.PrivateKey
 }
 
-func newSigner(t *testing.T) *signer {
+func newTestCA(t *testing.T) *testCA {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	require.NoError(t, err)
 	cert := &x509.Certificate{
@@ -38,11 +38,11 @@
 		IsCA:                  true,
 		BasicConstraintsValid: true,
 	}
-	return &signer{cert: cert, key: key}
+	return &testCA{cert: cert, key: key}
 }
 
 // issue writes files with a certificate for name into a new directory.
-func (s *signer) issue(t *testing.T, dir, name string, serial int64) Config {
+func (s *testCA) issue(t *testing.T, dir, name string, serial int64) Config {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	require.NoError(t, err)
 	cert := &x509.Certificate{
@@ -55,86 +55,86 @@
 	require.NoError(t, err)
 	ca, err := x509.CreateCertificate(rand.Reader, s.cert, s.cert, &s.key.PublicKey, s.key)
 	require.NoError(t, err)
-	secret, err := x509.MarshalECPrivateKey(key)
+	keyDER, err := x509.MarshalECPrivateKey(key)
 	require.NoError(t, err)
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	return Config{
-		Cert:  write(t, dir, "cert", "CERTIFICATE", der),
-		Key:   write(t, dir, "key", "EC PRIVATE KEY", secret),
-		CA:    write(t, dir, "ca", "CERTIFICATE", ca),
+		Cert:  writePEM(t, dir, "cert", "CERTIFICATE", der),
+		Key:   writePEM(t, dir, "key", "EC PRIVATE KEY", keyDER),
+		CA:    writePEM(t, dir, "ca", "CERTIFICATE", ca),
 		Name:  peerName,
 		Every: time.Minute,
 		Log:   log,
 	}
 }
 
-func write(t *testing.T, dir, name, kind string, der []byte) string {
+func writePEM(t *testing.T, dir, name, kind string, der []byte) string {
 	path := filepath.Join(dir, name)
 	text := pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der})
 	require.NoError(t, os.WriteFile(path, text, 0o600))
 	return path
 }
 
-func open(t *testing.T, cfg Config) *Store {
+func openStore(t *testing.T, cfg Config) *Store {
 	s, err := Open(cfg)
 	require.NoError(t, err)
 	return s
 }
 
-// shake lets a client and a server greet each other.
-func shake(t *testing.T, client, server *tls.Config) (clientErr, serverErr error) {
+// handshake lets a client and a server greet each other.
+func handshake(t *testing.T, client, server *tls.Config) (clientErr, serverErr error) {
 	l, err := tls.Listen("tcp", "127.0.0.1:0", server)
 	require.NoError(t, err)
 	defer func() { _ = l.Close() }()
 	var g errgroup.Group
 	g.Go(func() error {
-		far, err := l.Accept()
+		serverConn, err := l.Accept()
 		if err != nil {
 			return err
 		}
-		serverErr = far.(*tls.Conn).Handshake()
-		return far.Close()
+		serverErr = serverConn.(*tls.Conn).Handshake()
+		return serverConn.Close()
 	})
-	near, clientErr := tls.Dial("tcp", l.Addr().String(), client)
+	clientConn, clientErr := tls.Dial("tcp", l.Addr().String(), client)
 	if clientErr == nil {
 		// In TLS 1.3 the client learns only by reading that it was turned away.
-		_, _ = near.Read(make([]byte, 1))
-		_ = near.Close()
+		_, _ = clientConn.Read(make([]byte, 1))
+		_ = clientConn.Close()
 	}
 	_ = g.Wait()
 	return clientErr, serverErr
 }
 
 func TestPeersKnowEachOther(t *testing.T) {
-	ours, others := newSigner(t), newSigner(t)
-	server := open(t, ours.issue(t, t.TempDir(), peerName, 2))
+	ca, otherCA := newTestCA(t), newTestCA(t)
+	server := openStore(t, ca.issue(t, t.TempDir(), peerName, 2))
 	cases := []struct {
-		name   string
-		client Config
-		good   bool
+		name     string
+		client   Config
+		accepted bool
 	}{
-		{"a peer", ours.issue(t, t.TempDir(), peerName, 3), true},
-		{"another name from the same signer", ours.issue(t, t.TempDir(), "caller.example", 4), false},
-		{"the name from another signer", others.issue(t, t.TempDir(), peerName, 5), false},
+		{"a peer", ca.issue(t, t.TempDir(), peerName, 3), true},
+		{"another name from the same signer", ca.issue(t, t.TempDir(), "caller.example", 4), false},
+		{"the name from another signer", otherCA.issue(t, t.TempDir(), peerName, 5), false},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			c := open(t, tc.client).PeerClient()
+			c := openStore(t, tc.client).PeerClient()
 			c.RootCAs = server.PeerClient().RootCAs
-			_, err := shake(t, c, server.PeerServer())
-			require.Equal(t, tc.good, err == nil, err)
+			_, err := handshake(t, c, server.PeerServer())
+			require.Equal(t, tc.accepted, err == nil, err)
 		})
 	}
 	t.Run("no certificate", func(t *testing.T) {
 		c := server.PeerClient()
 		c.Certificates = nil
-		_, err := shake(t, c, server.PeerServer())
+		_, err := handshake(t, c, server.PeerServer())
 		require.Error(t, err)
 	})
 	t.Run("a server of another name", func(t *testing.T) {
-		other := open(t, ours.issue(t, t.TempDir(), "caller.example", 6))
-		err, _ := shake(t, server.PeerClient(), other.PeerServer())
+		other := openStore(t, ca.issue(t, t.TempDir(), "caller.example", 6))
+		err, _ := handshake(t, server.PeerClient(), other.PeerServer())
 		require.Error(t, err)
 	})
 }
@@ -151,12 +151,12 @@
 // the key does not belong to the certificate yet. Handshakes go on with the old
 // pair till both files are there, and then use the new one.
 func TestRenewal(t *testing.T) {
-	signer := newSigner(t)
+	signer := newTestCA(t)
 	dir := t.TempDir()
 	now := time.Now()
 	cfg := signer.issue(t, dir, peerName, 2)
 	cfg.Now = func() time.Time { return now }
-	s := open(t, cfg)
+	s := openStore(t, cfg)
 
 	key, err := os.ReadFile(cfg.Key)
 	require.NoError(t, err)
@@ -179,7 +179,7 @@
 }
 
 func TestOpenFaults(t *testing.T) {
-	cfg := newSigner(t).issue(t, t.TempDir(), peerName, 2)
+	cfg := newTestCA(t).issue(t, t.TempDir(), peerName, 2)
 	missing := cfg
 	missing.Key = filepath.Join(t.TempDir(), "none")
 	_, err := Open(missing)
