--- a/internal/certs/certs.go
+++ b/internal/certs/certs.go
@@ -1,5 +1,5 @@
-// Package certs holds keys and certificates that are read again when their
-// files change, so that a renewed certificate needs no restart.
+// Package certs holds TLS keys and certificates and reloads them when their files change, so
+// that a renewed certificate needs no restart.
 package certs
 
 import (
@@ -14,34 +14,35 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Config of a Store.
+// Config configures a Store.
 type Config struct {
 	// Cert and Key are PEM files.
 	Cert, Key string
-	// CA signs the other side's certificates; empty if it needs none.
+	// CA is a PEM file with the CA of the other side's certificates; empty if the other side needs
+	// no certificate.
 	CA string
-	// Name is the DNS name that the other side's certificate carries.
+	// Name is the DNS name that the other side's certificate has to contain.
 	Name string
-	// Every is how often the files are looked at for a change.
+	// Every is how often the files are checked for changes.
 	Every time.Duration
 	Log   logrus.FieldLogger
-	// Now is time.Now unless a test gives a clock of its own.
+	// Now defaults to time.Now; tests set their own clock.
 	Now func() time.Time
 }
 
-// Store holds a key pair and the signers of the other side.
+// Store holds a key pair and the CA pool for the other side's certificates.
 type Store struct {
 	cfg Config
 	mu  sync.Mutex
-	// pair and pool are the last ones that could be read.
+	// pair and pool are the last ones that were loaded without an error.
 	pair *tls.Certificate
 	pool *x509.CertPool
-	// lastCheck is when the files were last looked at, stamp what they were then.
+	// lastCheck is when the files were last checked, fileState their state when they were loaded.
 	lastCheck time.Time
 	fileState string
 }
 
-// Open reads the files for the first time.
+// Open loads the files and returns a Store.
 func Open(cfg Config) (*Store, error) {
 	if cfg.Now == nil {
 		cfg.Now = time.Now
@@ -67,7 +68,7 @@
 	return files
 }
 
-// statFiles tells two states of the files apart.
+// statFiles returns the modification times and sizes of the files, to detect changes.
 func (s *Store) statFiles() (string, error) {
 	state := ""
 	for _, name := range s.fileNames() {
@@ -92,7 +93,7 @@
 			return fmt.Errorf("certificates: %w", err)
 		}
 		if !pool.AppendCertsFromPEM(pem) {
-			return fmt.Errorf("certificates: %s holds none", s.cfg.CA)
+			return fmt.Errorf("certificates: %s contains no CA certificate", s.cfg.CA)
 		}
 	}
 	s.pair = &pair
@@ -100,9 +101,9 @@
 	return nil
 }
 
-// current looks at the files when that is due. Files that can't be read, as in
-// the middle of a renewal, leave the last pair in use: a handshake must not
-// fail while that one is still good.
+// current returns the key pair and CA pool, and checks the files for changes when that is due. If
+// they can't be loaded, as in the middle of a renewal, the last pair stays in use: a handshake
+// must not fail while that one is still valid.
 func (s *Store) current() (*tls.Certificate, *x509.CertPool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -127,7 +128,7 @@
 	return s.pair, s.pool
 }
 
-// Callers is the configuration of a listener that asks for no certificate.
+// Callers returns the configuration of a listener that requests no client certificate.
 func (s *Store) Callers() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS12,
@@ -138,9 +139,9 @@
 	}
 }
 
-// PeerServer is the configuration of the listener for peers: both sides show a
-// certificate of the peers' signer that carries the peers' name. The name keeps
-// out whoever else has a certificate of that signer.
+// PeerServer returns the configuration of the listener for peers: both sides present a
+// certificate from the peers' CA that contains the peers' name. The name excludes other holders
+// of a certificate from that CA.
 func (s *Store) PeerServer() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
@@ -157,8 +158,8 @@
 	}
 }
 
-// PeerClient is the configuration of one new connection to a peer; a renewed
-// certificate is used from the next one on.
+// PeerClient returns the configuration of one new connection to a peer. It is not updated:
+// a renewed certificate is used from the next connection on.
 func (s *Store) PeerClient() *tls.Config {
 	pair, pool := s.current()
 	return &tls.Config{
@@ -171,7 +172,7 @@
 
 func (s *Store) verifyName(state tls.ConnectionState) error {
 	if len(state.PeerCertificates) == 0 {
-		return errors.New("certificates: the peer shows none")
+		return errors.New("certificates: the peer presented no certificate")
 	}
 	if err := state.PeerCertificates[0].VerifyHostname(s.cfg.Name); err != nil {
 		return fmt.Errorf("certificates: %w", err)
--- a/internal/certs/certs_test.go
+++ b/internal/certs/certs_test.go
@@ -41,7 +41,7 @@
 	return &testCA{cert: cert, key: key}
 }
 
-// issue writes files with a certificate for name into a new directory.
+// issue writes a key and a certificate for name, and the CA's certificate, into dir.
 func (s *testCA) issue(t *testing.T, dir, name string, serial int64) Config {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	require.NoError(t, err)
@@ -82,7 +82,7 @@
 	return s
 }
 
-// handshake lets a client and a server greet each other.
+// handshake runs a TLS handshake and returns the errors of both sides.
 func handshake(t *testing.T, client, server *tls.Config) (clientErr, serverErr error) {
 	l, err := tls.Listen("tcp", "127.0.0.1:0", server)
 	require.NoError(t, err)
@@ -98,7 +98,7 @@
 	})
 	clientConn, clientErr := tls.Dial("tcp", l.Addr().String(), client)
 	if clientErr == nil {
-		// In TLS 1.3 the client learns only by reading that it was turned away.
+		// In TLS 1.3 the client learns only by reading that the server rejected it.
 		_, _ = clientConn.Read(make([]byte, 1))
 		_ = clientConn.Close()
 	}
@@ -115,8 +115,8 @@
 		accepted bool
 	}{
 		{"a peer", ca.issue(t, t.TempDir(), peerName, 3), true},
-		{"another name from the same signer", ca.issue(t, t.TempDir(), "caller.example", 4), false},
-		{"the name from another signer", otherCA.issue(t, t.TempDir(), peerName, 5), false},
+		{"another name from the same CA", ca.issue(t, t.TempDir(), "caller.example", 4), false},
+		{"the name from another CA", otherCA.issue(t, t.TempDir(), peerName, 5), false},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -147,9 +147,9 @@
 	return c.Leaf.SerialNumber.Int64()
 }
 
-// The operators renew a certificate while the daemon runs. In the middle of it
-// the key does not belong to the certificate yet. Handshakes go on with the old
-// pair till both files are there, and then use the new one.
+// Operators renew a certificate while the daemon runs. During the renewal, the key and the
+// certificate don't match for a while. Handshakes continue with the old pair until both files are
+// renewed, and then use the new one.
 func TestRenewal(t *testing.T) {
 	signer := newTestCA(t)
 	dir := t.TempDir()
@@ -167,7 +167,7 @@
 	require.Equal(t, int64(2), serial(s), "not due yet")
 
 	now = now.Add(time.Minute)
-	require.Equal(t, int64(2), serial(s), "key and certificate don't belong together")
+	require.Equal(t, int64(2), serial(s), "key and certificate don't match")
 
 	require.NoError(t, os.WriteFile(cfg.Key, renewed, 0o600))
 	now = now.Add(time.Minute)
@@ -175,7 +175,7 @@
 
 	require.NoError(t, os.Remove(cfg.Cert))
 	now = now.Add(time.Minute)
-	require.Equal(t, int64(33333), serial(s), "files are gone")
+	require.Equal(t, int64(33333), serial(s), "the certificate file is missing")
 }
 
 func TestOpenFaults(t *testing.T) {
@@ -188,5 +188,5 @@
 	empty := cfg
 	empty.CA = cfg.Key
 	_, err = Open(empty)
-	require.ErrorContains(t, err, "holds none")
+	require.ErrorContains(t, err, "contains no CA certificate")
 }
