--- a/internal/wire/body.go
+++ b/internal/wire/body.go
@@ -6,7 +6,7 @@
 	shed "jasmineshed"
 )
 
-// Chat asks an engine to generate.
+// Chat is a request to an engine to generate text.
 type Chat struct {
 	Model         string        `json:"model"`
 	Messages      []Message     `json:"messages"`
@@ -48,12 +48,12 @@
 	FinishReason *string `json:"finish_reason"`
 }
 
-// Delta is the next piece of text.
+// Delta is the text that a Choice adds to the stream.
 type Delta struct {
 	Content string `json:"content"`
 }
 
-// Usage counts the tokens of a whole stream, also of its resumed parts.
+// Usage counts the tokens of a whole stream, including its resumed parts.
 type Usage struct {
 	PromptTokens     shed.Tokens `json:"prompt_tokens"`
 	CompletionTokens shed.Tokens `json:"completion_tokens"`
@@ -64,65 +64,65 @@
 	Message string `json:"message"`
 }
 
-// Embed asks for a vector.
+// Embed is a request for an embedding.
 type Embed struct {
 	Model string `json:"model"`
 	Input string `json:"input"`
 }
 
-// Embedded answers Embed.
+// Embedded is the answer to Embed.
 type Embedded struct {
 	Data []Embedding `json:"data"`
 }
 
-// Embedding is one vector.
+// Embedding is one embedding vector.
 type Embedding struct {
 	Embedding []float32 `json:"embedding"`
 }
 
-// Rerank asks to order documents by how well they fit the query.
+// Rerank is a request to order documents by relevance to the query.
 type Rerank struct {
 	Model     string   `json:"model"`
 	Query     string   `json:"query"`
 	Documents []string `json:"documents"`
 }
 
-// Reranked answers Rerank, the best first.
+// Reranked is the answer to Rerank, ordered by descending score.
 type Reranked struct {
 	Results []Ranked `json:"results"`
 }
 
-// Ranked is one document, by its index in the question.
+// Ranked is one document, by its index in the request.
 type Ranked struct {
 	Index int     `json:"index"`
 	Score float64 `json:"relevance_score"`
 }
 
-// Retrieve asks for passages.
+// Retrieve is a request for passages.
 type Retrieve struct {
 	Query  string    `json:"query"`
 	Vector []float32 `json:"vector,omitempty"`
 	Limit  int       `json:"limit"`
 }
 
-// Retrieved answers Retrieve.
+// Retrieved is the answer to Retrieve.
 type Retrieved struct {
 	Passages []shed.Passage `json:"passages"`
 }
 
-// ServiceCall asks a plain service.
+// ServiceCall is a request to a plain service (shed.KindService).
 type ServiceCall struct {
 	Request shed.RequestID `json:"request"`
 	Input   string         `json:"input"`
 	Text    string         `json:"text,omitempty"`
 }
 
-// ServiceDone answers ServiceCall.
+// ServiceDone is the answer to ServiceCall.
 type ServiceDone struct {
 	Receipt string `json:"receipt"`
 }
 
-// Order to an engine.
+// Order tells an engine which model and role to take.
 type Order struct {
 	Fence    uint64   `json:"fence"`
 	Model    string   `json:"model"`
@@ -131,7 +131,7 @@
 	Role     string   `json:"role"`
 }
 
-// Load is shed.LoadReport as an engine writes it.
+// Load is the JSON form of shed.LoadReport that an engine sends.
 type Load struct {
 	Boot     string `json:"boot"`
 	Sequence uint64 `json:"sequence"`
@@ -145,7 +145,7 @@
 	AgeMS    int64  `json:"age_ms"`
 }
 
-// Report turns l into the system's own type.
+// Report converts l to a shed.LoadReport.
 func (l Load) Report() shed.LoadReport {
 	return shed.LoadReport{
 		Boot:     l.Boot,
@@ -161,20 +161,20 @@
 	}
 }
 
-// CacheEvents are prefix-cache events after a sequence number.
+// CacheEvents is the list of prefix-cache events after a sequence number.
 type CacheEvents struct {
 	Events []CacheEvent `json:"events"`
 }
 
-// CacheEvent tells that a prompt prefix was stored or evicted.
+// CacheEvent says that a prompt prefix was stored or evicted.
 type CacheEvent struct {
-	// Sequence shows a gap where events were lost.
+	// Sequence increases by one per event, so that lost events show as a gap.
 	Sequence uint64 `json:"sequence"`
 	Stored   bool   `json:"stored"`
 	Prefix   uint64 `json:"prefix"`
 }
 
-// VM is one line of the platform's list.
+// VM is one entry of the platform's list of VMs.
 type VM struct {
 	VM      shed.VM     `json:"vm"`
 	Zone    shed.ZoneID `json:"zone"`
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,5 +1,5 @@
-// Package wire holds the names and JSON bodies of the HTTP protocols towards
-// backend servers and the platform. The clients and the stand-ins share it.
+// Package wire defines the names and JSON bodies of the HTTP protocols with backend servers and
+// the platform. The clients and the stand-ins share it.
 package wire
 
 import (
@@ -11,27 +11,27 @@
 	shed "jasmineshed"
 )
 
-// Headers of jasmineshed's own.
+// Headers defined by jasmineshed.
 const (
-	// HeaderCall carries the call's id, "request/stage/attempt".
+	// HeaderCall contains the call's id, "request/stage/attempt".
 	HeaderCall = "X-Call-Id"
-	// HeaderPriority carries the priority; smaller is more urgent.
+	// HeaderPriority contains the priority; smaller is more urgent.
 	HeaderPriority = "X-Priority"
-	// HeaderResume asks to go on with a stream, "callid:offset".
+	// HeaderResume requests to resume a stream at an offset, "callid:offset".
 	HeaderResume = "X-Stream-Resume"
-	// HeaderBudget carries the milliseconds left until the deadline. It bounds
-	// what a call that was held up on its way can still cost.
+	// HeaderBudget contains the milliseconds left until the deadline. It bounds what a call that
+	// was delayed on its way can still cost.
 	HeaderBudget = "X-Budget-Ms"
 	// HeaderNotRun, set to NotRunTrue, says that the server has not run the call.
 	HeaderNotRun = "X-Not-Run"
-	// HeaderBoot carries the server's boot identity, on the answer to a call. It
-	// shows a restart before the next load report does.
+	// HeaderBoot contains the server's boot identity, on the answer to a call. It shows a restart
+	// before the next load report does.
 	HeaderBoot = "X-Boot-Id"
-	// HeaderRevision carries the platform's store revision.
+	// HeaderRevision contains the platform's store revision.
 	HeaderRevision = "X-Revision"
 )
 
-// NotRunTrue is the one value of HeaderNotRun that counts.
+// NotRunTrue is the only value of HeaderNotRun that has an effect.
 const NotRunTrue = "true"
 
 // Paths of the protocols.
@@ -52,10 +52,10 @@
 // StreamDone is the data of a stream's last event.
 const StreamDone = "[DONE]"
 
-// ErrCallID means that a text is no call id.
+// ErrCallID is returned for a malformed call id.
 var ErrCallID = errors.New("not a call id")
 
-// CallID renders a call as "request/stage/attempt".
+// CallID formats a call as "request/stage/attempt".
 func CallID(c shed.Call) string {
 	b := make([]byte, 0, len(c.Request)+10)
 	b = append(b, c.Request...)
@@ -66,7 +66,7 @@
 	return string(b)
 }
 
-// ParseCallID reads what CallID wrote, or returns ErrCallID.
+// ParseCallID parses the format of CallID, or returns ErrCallID.
 func ParseCallID(s string) (shed.Call, error) {
 	rest, attempt, ok := cutLast(s, '/')
 	if !ok {
@@ -87,12 +87,12 @@
 	return shed.Call{Request: shed.RequestID(request), Stage: uint8(n), Attempt: uint16(a)}, nil
 }
 
-// Resume renders HeaderResume.
+// Resume formats a value of HeaderResume.
 func Resume(c shed.Call, offset shed.Tokens) string {
 	return CallID(c) + ":" + strconv.FormatUint(uint64(offset), 10)
 }
 
-// ParseResume reads HeaderResume into the stream's id and the offset.
+// ParseResume parses a value of HeaderResume into the stream's id and the offset.
 func ParseResume(s string) (string, int, error) {
 	id, offset, ok := cutLast(s, ':')
 	if !ok {
