--- a/internal/certs/certs.go
+++ b/internal/certs/certs.go
@@ -23,9 +23,9 @@
 	CA string
 	// Name is the DNS name that the other side's certificate has to contain.
 	Name string
-	// Every is how often the files are checked for changes.
-	Every time.Duration
-	Log   logrus.FieldLogger
+	// CheckInterval is how often the files are checked for changes.
+	CheckInterval time.Duration
+	Log           logrus.FieldLogger
 	// Now defaults to time.Now; tests set their own clock.
 	Now func() time.Time
 }
@@ -108,7 +108,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.cfg.Now()
-	if now.Sub(s.lastCheck) < s.cfg.Every {
+	if now.Sub(s.lastCheck) < s.cfg.CheckInterval {
 		return s.pair, s.pool
 	}
 	s.lastCheck = now
@@ -128,8 +128,8 @@
 	return s.pair, s.pool
 }
 
-// Callers returns the configuration of a listener that requests no client certificate.
-func (s *Store) Callers() *tls.Config {
+// CallerServer returns the configuration of a listener that requests no client certificate.
+func (s *Store) CallerServer() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS12,
 		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) {
--- a/internal/load/book.go
+++ b/internal/load/book.go
@@ -19,22 +19,22 @@
 	Self shed.VM
 	// Readers is how many daemons poll a server.
 	Readers int
-	// PollEvery is how often a reader polls a server.
-	PollEvery time.Duration
-	// DigestEvery is the minimum time between two digests.
-	DigestEvery time.Duration
-	// RefreshEvery is how often an unchanged report is broadcast again.
-	RefreshEvery time.Duration
+	// PollInterval is how often a reader polls a server.
+	PollInterval time.Duration
+	// DigestInterval is the minimum time between two digests.
+	DigestInterval time.Duration
+	// RefreshInterval is how often an unchanged report is broadcast again.
+	RefreshInterval time.Duration
 	// Threshold is the share of a server's Capacity by which its load must have changed to be
 	// broadcast.
 	Threshold float64
 	// SilentAfter is the age of the last report, from any reader, after which a server that
 	// doesn't answer this reader's poll counts as silent.
 	SilentAfter time.Duration
-	// LeapFactor and LeapLeast: a first token that takes at least LeapFactor times the server's
+	// SpikeFactor and LeapLeast: a first token that takes at least SpikeFactor times the server's
 	// own median, and at least LeapLeast, is a symptom of a cold server.
-	LeapFactor int
-	LeapLeast  time.Duration
+	SpikeFactor int
+	MinSpike    time.Duration
 	// WarmCalls is how many calls per ColdCapacity a server has to complete before it counts as
 	// warm.
 	WarmCalls int
@@ -42,15 +42,15 @@
 
 // Defaults for fields that a Config leaves at 0.
 const (
-	DefaultReaders      = 2
-	DefaultPollEvery    = 2 * time.Second
-	DefaultDigestEvery  = time.Second
-	DefaultRefreshEvery = 30 * time.Second
-	DefaultThreshold    = 0.25
-	DefaultSilentAfter  = 5 * time.Second
-	DefaultLeapFactor   = 4
-	DefaultLeapLeast    = 300 * time.Millisecond
-	DefaultWarmCalls    = 2
+	DefaultReaders         = 2
+	DefaultPollInterval    = 2 * time.Second
+	DefaultDigestInterval  = time.Second
+	DefaultRefreshInterval = 30 * time.Second
+	DefaultThreshold       = 0.25
+	DefaultSilentAfter     = 5 * time.Second
+	DefaultSpikeFactor     = 4
+	DefaultMinSpike        = 300 * time.Millisecond
+	DefaultWarmCalls       = 2
 )
 
 // Reasons of the notes that this package emits.
@@ -60,8 +60,8 @@
 	ReasonTurnedWarm  shed.Reason = "server_turned_warm"
 )
 
-// Book tracks load and warmth of the servers of a zone.
-type Book struct {
+// Tracker tracks load and warmth of the servers of a zone.
+type Tracker struct {
 	cfg       Config
 	servers   map[shed.ServerID]*serverState
 	serverIDs []shed.ServerID // sorted keys of servers
@@ -112,17 +112,17 @@
 }
 
 // New returns a tracker without data: every server counts as cold.
-func New(cfg Config) *Book {
+func New(cfg Config) *Tracker {
 	setDefault(&cfg.Readers, DefaultReaders)
-	setDefault(&cfg.PollEvery, DefaultPollEvery)
-	setDefault(&cfg.DigestEvery, DefaultDigestEvery)
-	setDefault(&cfg.RefreshEvery, DefaultRefreshEvery)
+	setDefault(&cfg.PollInterval, DefaultPollInterval)
+	setDefault(&cfg.DigestInterval, DefaultDigestInterval)
+	setDefault(&cfg.RefreshInterval, DefaultRefreshInterval)
 	setDefault(&cfg.Threshold, DefaultThreshold)
 	setDefault(&cfg.SilentAfter, DefaultSilentAfter)
-	setDefault(&cfg.LeapFactor, DefaultLeapFactor)
-	setDefault(&cfg.LeapLeast, DefaultLeapLeast)
+	setDefault(&cfg.SpikeFactor, DefaultSpikeFactor)
+	setDefault(&cfg.MinSpike, DefaultMinSpike)
 	setDefault(&cfg.WarmCalls, DefaultWarmCalls)
-	return &Book{
+	return &Tracker{
 		cfg:     cfg,
 		servers: map[shed.ServerID]*serverState{},
 		calls:   map[shed.Call]*call{},
@@ -138,7 +138,7 @@
 
 // SetServers sets the servers of this zone that the rules name. The state of a server is kept
 // when its rules change.
-func (b *Book) SetServers(now time.Time, servers []*shed.Server) {
+func (b *Tracker) SetServers(now time.Time, servers []*shed.Server) {
 	keep := make(map[shed.ServerID]bool, len(servers))
 	for _, s := range servers {
 		keep[s.ID] = true
@@ -162,7 +162,7 @@
 }
 
 // SetView sets the live VMs of the zone, including this one.
-func (b *Book) SetView(now time.Time, vms []shed.VM) {
+func (b *Tracker) SetView(now time.Time, vms []shed.VM) {
 	if slices.Equal(vms, b.vms) {
 		return
 	}
@@ -177,21 +177,21 @@
 
 // assignReaders determines by rendezvous hashing which servers this daemon polls. The first
 // polls are spread over the period by the server's index.
-func (b *Book) assignReaders(now time.Time) {
+func (b *Tracker) assignReaders(now time.Time) {
 	for i, id := range b.serverIDs {
 		e := b.servers[id]
 		oldRank := e.readerRank
 		readers := rank.Owners("load/"+string(id), b.vms, b.cfg.Readers)
 		e.readerRank = slices.Index(readers, b.cfg.Self)
 		if e.readerRank >= 0 && (oldRank < 0 || e.nextPoll.IsZero()) {
-			phase := b.cfg.PollEvery * time.Duration(i%8) / 8
+			phase := b.cfg.PollInterval * time.Duration(i%8) / 8
 			e.nextPoll = now.Add(phase)
 		}
 	}
 }
 
 // Handle processes Tick, LoadReported, ServerSilent, and PeerMessage with a LoadDigest.
-func (b *Book) Handle(now time.Time, ev shed.Event) []shed.Action {
+func (b *Tracker) Handle(now time.Time, ev shed.Event) []shed.Action {
 	switch ev := ev.(type) {
 	case shed.Tick:
 		return b.tick(now)
@@ -211,19 +211,19 @@
 	return nil
 }
 
-func (b *Book) tick(now time.Time) []shed.Action {
+func (b *Tracker) tick(now time.Time) []shed.Action {
 	var out []shed.Action
 	for _, id := range b.serverIDs {
 		e := b.servers[id]
 		e.expireRefusal(now)
 		if e.readerRank >= 0 && !now.Before(e.nextPoll) {
-			e.nextPoll = now.Add(b.cfg.PollEvery)
+			e.nextPoll = now.Add(b.cfg.PollInterval)
 			out = append(out, shed.PollServer{Server: id, URL: e.server.URL})
 		}
 	}
 	out = b.countOverdue(now, out)
 	if !now.Before(b.nextDigest) {
-		b.nextDigest = now.Add(b.cfg.DigestEvery)
+		b.nextDigest = now.Add(b.cfg.DigestInterval)
 		out = b.announceChanges(now, out)
 	}
 	return out
@@ -232,7 +232,7 @@
 // onReport applies a report that this daemon polled itself. If it shows that the server turned
 // cold, it is broadcast at once, whatever this reader's rank: this daemon will use its slots
 // soon, while others still send as to a warm server.
-func (b *Book) onReport(now time.Time, e *serverState, r shed.LoadReport) []shed.Action {
+func (b *Tracker) onReport(now time.Time, e *serverState, r shed.LoadReport) []shed.Action {
 	wasWarm, oldBoot := !e.cold.active, e.report.Boot
 	out := b.applyReport(now, nil, e, r)
 	restarted := oldBoot != "" && oldBoot != e.report.Boot
@@ -246,7 +246,7 @@
 }
 
 // applyReport applies a report unless it is older than the last one.
-func (b *Book) applyReport(now time.Time, out []shed.Action, e *serverState, r shed.LoadReport) []shed.Action {
+func (b *Tracker) applyReport(now time.Time, out []shed.Action, e *serverState, r shed.LoadReport) []shed.Action {
 	at := now.Add(-r.Age)
 	if isStale(e, r, at) {
 		return append(out, shed.Note{Reason: ReasonStaleReport, Server: e.server.ID})
@@ -281,7 +281,7 @@
 }
 
 // Candidate returns the state of the server for a Policy; false if it is not in this zone.
-func (b *Book) Candidate(now time.Time, server shed.ServerID) (shed.Candidate, bool) {
+func (b *Tracker) Candidate(now time.Time, server shed.ServerID) (shed.Candidate, bool) {
 	e := b.servers[server]
 	if e == nil {
 		return shed.Candidate{}, false
@@ -314,7 +314,7 @@
 }
 
 // Report returns the last report of the server and its age; false if there is none.
-func (b *Book) Report(now time.Time, server shed.ServerID) (shed.LoadReport, time.Duration, bool) {
+func (b *Tracker) Report(now time.Time, server shed.ServerID) (shed.LoadReport, time.Duration, bool) {
 	e := b.servers[server]
 	if e == nil || e.report.Boot == "" {
 		return shed.LoadReport{}, 0, false
@@ -322,11 +322,11 @@
 	return e.report, now.Sub(e.reportTime), true
 }
 
-// Room returns how many more calls the server can take: while it is cold up to ColdCapacity in
+// FreeCapacity returns how many more calls the server can take: while it is cold up to ColdCapacity in
 // total, then one more for each call that it completed since, up to its Capacity (slow start).
 // So a server or zone that returns is given its full load only as it proves that it can handle
 // it.
-func (b *Book) Room(server shed.ServerID) int {
+func (b *Tracker) FreeCapacity(server shed.ServerID) int {
 	e := b.servers[server]
 	if e == nil || !e.refusedAt.IsZero() {
 		return 0
--- a/internal/load/book_test.go
+++ b/internal/load/book_test.go
@@ -19,7 +19,7 @@
 
 // fixture is a Book with a simulated clock that records notes and messages.
 type fixture struct {
-	*load.Book
+	*load.Tracker
 	now   time.Time
 	calls int
 	notes map[shed.Reason]int
@@ -27,7 +27,7 @@
 }
 
 func newFixture(self shed.VM, vms ...shed.VM) *fixture {
-	b := &fixture{Book: load.New(load.Config{Self: self}), now: start, notes: map[shed.Reason]int{}}
+	b := &fixture{Tracker: load.New(load.Config{Self: self}), now: start, notes: map[shed.Reason]int{}}
 	b.SetServers(b.now, []*shed.Server{{ID: engine, Capacity: 16, ColdCapacity: 2}})
 	b.SetView(b.now, append(vms, self))
 	return b
@@ -62,10 +62,10 @@
 func (b *fixture) runCall(first time.Duration, end shed.CallEnd) {
 	b.calls++
 	id := shed.Call{Request: shed.RequestID(fmt.Sprint(b.calls)), Attempt: 1}
-	b.Sent(b.now, engine, id)
+	b.RecordSent(b.now, engine, id)
 	b.now = b.now.Add(first)
-	b.apply(b.FirstToken(b.now, id))
-	b.apply(b.Ended(b.now, id, end))
+	b.apply(b.RecordFirstToken(b.now, id))
+	b.apply(b.RecordEnd(b.now, id, end))
 }
 
 func newReport(boot string, seq, done uint64, warm bool) shed.LoadReport {
@@ -158,8 +158,8 @@
 			b.runCall(900*time.Millisecond, shed.EndComplete)
 		}, true},
 		{"two that give no token at all", func(b *fixture) {
-			b.Sent(b.now, engine, shed.Call{Request: "p"})
-			b.Sent(b.now, engine, shed.Call{Request: "q"})
+			b.RecordSent(b.now, engine, shed.Call{Request: "p"})
+			b.RecordSent(b.now, engine, shed.Call{Request: "q"})
 			b.advance(time.Second)
 		}, true},
 		{"it refuses for overload", func(b *fixture) {
@@ -204,15 +204,15 @@
 func TestEstimateCorrectsLaggingReport(t *testing.T) {
 	b := newFixture("a")
 	before, after := shed.Call{Request: "before"}, shed.Call{Request: "after"}
-	b.Sent(b.now, engine, before)
+	b.RecordSent(b.now, engine, before)
 	b.advance(time.Second)
 	b.receiveReport(shed.LoadReport{Boot: "x", Sequence: 1, Running: 5, Age: 100 * time.Millisecond})
-	b.Sent(b.now, engine, after)
+	b.RecordSent(b.now, engine, after)
 	c, _ := b.Candidate(b.now, engine)
 	require.Equal(t, 6, c.Running, "sent since")
 	require.Equal(t, 2, c.OwnCalls)
 	b.advance(time.Second)
-	b.apply(b.Ended(b.now, before, shed.EndComplete))
+	b.apply(b.RecordEnd(b.now, before, shed.EndComplete))
 	c, _ = b.Candidate(b.now, engine)
 	require.Equal(t, 5, c.Running, "ended since")
 }
@@ -220,13 +220,13 @@
 func TestRoomGrowsWithCompletions(t *testing.T) {
 	b := newFixture("a")
 	b.receiveReport(newReport("x", 1, 0, false))
-	require.Equal(t, 2, b.Room(engine))
+	require.Equal(t, 2, b.FreeCapacity(engine))
 	b.advance(time.Hour)
-	require.Equal(t, 2, b.Room(engine), "time alone adds no capacity")
+	require.Equal(t, 2, b.FreeCapacity(engine), "time alone adds no capacity")
 	b.receiveReport(newReport("x", 2, 4, true))
-	require.Equal(t, 6, b.Room(engine))
+	require.Equal(t, 6, b.FreeCapacity(engine))
 	b.receiveReport(newReport("x", 3, 400, true))
-	require.Equal(t, 16, b.Room(engine))
+	require.Equal(t, 16, b.FreeCapacity(engine))
 }
 
 // The first reader of a server dies or can't reach it any more. The others poll as well, and one
@@ -292,7 +292,7 @@
 		servers = append(servers, s)
 		actual[s.ID] = &shed.LoadReport{Boot: fmt.Sprintf("%08x", i), Warm: true, Done: 1000, Model: "draft-13b@4", Running: 8}
 	}
-	books := map[shed.VM]*load.Book{}
+	books := map[shed.VM]*load.Tracker{}
 	for _, vm := range vms {
 		books[vm] = load.New(load.Config{Self: vm, Threshold: threshold})
 		books[vm].SetServers(start, servers)
@@ -342,7 +342,7 @@
 	book.SetServers(start, servers)
 	book.SetView(start, vms)
 	for i := range 100 {
-		book.Sent(start, servers[i].ID, shed.Call{Request: shed.RequestID(fmt.Sprint(i))})
+		book.RecordSent(start, servers[i].ID, shed.Call{Request: shed.RequestID(fmt.Sprint(i))})
 	}
 	b.Run("tick", func(b *testing.B) {
 		b.ReportAllocs()
--- a/internal/load/calls.go
+++ b/internal/load/calls.go
@@ -20,8 +20,8 @@
 // endedCall is a call that has ended.
 type endedCall struct{ sentAt, endedAt time.Time }
 
-// Sent records that this daemon sent the call to the server.
-func (b *Book) Sent(now time.Time, server shed.ServerID, id shed.Call) {
+// RecordSent records that this daemon sent the call to the server.
+func (b *Tracker) RecordSent(now time.Time, server shed.ServerID, id shed.Call) {
 	e := b.servers[server]
 	if e == nil || b.calls[id] != nil {
 		return
@@ -42,7 +42,7 @@
 // has not responded yet are limited to share, this daemon's share of the server's cold capacity.
 // A server that shows its boot only at the end of a call would then get its calls one after the
 // other; such a server may get more while its last answer is at most minRestartTime old.
-func (b *Book) MaySend(now time.Time, server shed.ServerID, share int) bool {
+func (b *Tracker) MaySend(now time.Time, server shed.ServerID, share int) bool {
 	e := b.servers[server]
 	if e == nil {
 		return false
@@ -50,9 +50,9 @@
 	return e.unanswered < share || e.acceptsLate && now.Sub(e.confirmedAt) < minRestartTime
 }
 
-// Seen records that the server has accepted the call, and its boot identity if it gave one. A
+// RecordAccepted records that the server has accepted the call, and its boot identity if it gave one. A
 // new boot shows a restart of the server long before the next report does.
-func (b *Book) Seen(now time.Time, id shed.Call, boot string) []shed.Action {
+func (b *Tracker) RecordAccepted(now time.Time, id shed.Call, boot string) []shed.Action {
 	c := b.calls[id]
 	if c == nil {
 		return nil
@@ -92,7 +92,7 @@
 }
 
 // onRestart handles a new boot that was seen before any report of it.
-func (b *Book) onRestart(now time.Time, e *serverState, boot string) []shed.Action {
+func (b *Tracker) onRestart(now time.Time, e *serverState, boot string) []shed.Action {
 	e.retireBoot()
 	e.report = shed.LoadReport{Boot: boot, Running: len(e.inFlight)}
 	e.reportTime = now
@@ -107,8 +107,8 @@
 	e.formerBoots = e.formerBoots[max(0, len(e.formerBoots)-maxFormerBoots):]
 }
 
-// FirstToken records that the call's first token was received.
-func (b *Book) FirstToken(now time.Time, id shed.Call) []shed.Action {
+// RecordFirstToken records that the call's first token was received.
+func (b *Tracker) RecordFirstToken(now time.Time, id shed.Call) []shed.Action {
 	c := b.calls[id]
 	if c == nil || c.gotFirstToken {
 		return nil
@@ -122,8 +122,8 @@
 	return b.checkFirstToken(now, e, c)
 }
 
-// Ended records how the call ended.
-func (b *Book) Ended(now time.Time, id shed.Call, end shed.CallEnd) []shed.Action {
+// RecordEnd records how the call ended.
+func (b *Tracker) RecordEnd(now time.Time, id shed.Call, end shed.CallEnd) []shed.Action {
 	c := b.calls[id]
 	if c == nil {
 		return nil
--- a/internal/load/cold.go
+++ b/internal/load/cold.go
@@ -33,7 +33,7 @@
 // soon. The server counts completions since its boot, so a daemon that has just started accepts
 // a server that was warm for long as warm with the first report, and a restart of the whole
 // fleet leaves no server cold.
-func (b *Book) updateCold(now time.Time, out []shed.Action, e *serverState, r shed.LoadReport) []shed.Action {
+func (b *Tracker) updateCold(now time.Time, out []shed.Action, e *serverState, r shed.LoadReport) []shed.Action {
 	switch {
 	case r.Boot != e.report.Boot && e.report.Boot != "":
 		out = b.markCold(now, out, e, 0)
@@ -55,11 +55,11 @@
 // appear in its report.
 const coldGrace = 300 * time.Millisecond
 
-// Settled reports whether the last report was made after the server turned cold and the calls
+// IsSettled reports whether the last report was made after the server turned cold and the calls
 // that were sent to it as a warm one had arrived. Before that, the used part of its cold
 // capacity is unknown: calls of other daemons were sent without a slot, and the first few may
 // already use all of it.
-func (b *Book) Settled(server shed.ServerID) bool {
+func (b *Tracker) IsSettled(server shed.ServerID) bool {
 	e := b.servers[server]
 	return e != nil && e.isSettledAt(e.reportTime)
 }
@@ -69,11 +69,11 @@
 }
 
 // completionsToWarm returns how many calls a cold server has to complete to count as warm.
-func (b *Book) completionsToWarm(e *serverState) uint64 {
+func (b *Tracker) completionsToWarm(e *serverState) uint64 {
 	return uint64(b.cfg.WarmCalls * e.server.ColdCapacity)
 }
 
-func (b *Book) markCold(now time.Time, out []shed.Action, e *serverState, done uint64) []shed.Action {
+func (b *Tracker) markCold(now time.Time, out []shed.Action, e *serverState, done uint64) []shed.Action {
 	wasCold := e.cold.active
 	e.cold = coldState{active: true, since: now, doneBefore: done}
 	e.pollAfterGrace(now)
@@ -83,10 +83,10 @@
 	return append(out, shed.Note{Reason: ReasonTurnedCold, Server: e.server.ID})
 }
 
-// Doubt marks every server cold until a report made from now on, and polls each. The state of a
+// SuspectAll marks every server cold until a report made from now on, and polls each. The state of a
 // daemon that was suspended is outdated: a server that turned cold meanwhile would get this
 // daemon's calls in addition to those that others send within the slots.
-func (b *Book) Doubt(now time.Time) []shed.Action {
+func (b *Tracker) SuspectAll(now time.Time) []shed.Action {
 	var out []shed.Action
 	for _, id := range b.serverIDs {
 		out = append(out, b.suspect(now, b.servers[id])...)
@@ -116,7 +116,7 @@
 
 // onSymptom marks the server cold because of what this daemon itself observed, and notifies the
 // zone: the server may not have noticed that it is cold.
-func (b *Book) onSymptom(now time.Time, out []shed.Action, e *serverState) []shed.Action {
+func (b *Tracker) onSymptom(now time.Time, out []shed.Action, e *serverState) []shed.Action {
 	if e.cold.active {
 		return out
 	}
@@ -134,7 +134,7 @@
 // suspect marks the server cold after a broken connection, since a restart breaks all
 // connections, until a later report shows the same boot. It polls the server at once: waiting
 // for the next regular report would leave a healthy server unused.
-func (b *Book) suspect(now time.Time, e *serverState) []shed.Action {
+func (b *Tracker) suspect(now time.Time, e *serverState) []shed.Action {
 	if e.cold.active {
 		return nil
 	}
@@ -148,7 +148,7 @@
 
 // onSilent handles a poll that the server did not answer. If no other reader had a report lately
 // either, the server may have restarted, so it is marked cold.
-func (b *Book) onSilent(now time.Time, e *serverState) []shed.Action {
+func (b *Tracker) onSilent(now time.Time, e *serverState) []shed.Action {
 	if e.cold.active || now.Sub(e.reportTime) < b.cfg.SilentAfter {
 		return nil
 	}
@@ -157,7 +157,7 @@
 
 // checkFirstToken compares the time to the first token with the server's own median: a server
 // that turned cold is slow before it fails.
-func (b *Book) checkFirstToken(now time.Time, e *serverState, c *call) []shed.Action {
+func (b *Tracker) checkFirstToken(now time.Time, e *serverState, c *call) []shed.Action {
 	took := now.Sub(c.sentAt)
 	if c.countedSlow {
 		return nil
@@ -171,12 +171,12 @@
 	return b.countSpike(now, nil, e)
 }
 
-func (b *Book) isSpike(e *serverState, took time.Duration) bool {
+func (b *Tracker) isSpike(e *serverState, took time.Duration) bool {
 	median := e.firstTokenTimes.median()
-	return median > 0 && took >= b.cfg.LeapLeast && took >= time.Duration(b.cfg.LeapFactor)*median
+	return median > 0 && took >= b.cfg.MinSpike && took >= time.Duration(b.cfg.SpikeFactor)*median
 }
 
-func (b *Book) countSpike(now time.Time, out []shed.Action, e *serverState) []shed.Action {
+func (b *Tracker) countSpike(now time.Time, out []shed.Action, e *serverState) []shed.Action {
 	e.cold.spikes++
 	if e.cold.spikes < maxSpikes {
 		return out
@@ -186,7 +186,7 @@
 
 // countOverdue counts calls whose first token is already overdue: a server that hangs would
 // show no slow first token, since it gives none.
-func (b *Book) countOverdue(now time.Time, out []shed.Action) []shed.Action {
+func (b *Tracker) countOverdue(now time.Time, out []shed.Action) []shed.Action {
 	var late []shed.Call
 	for id, c := range b.calls {
 		e := b.servers[c.server]
--- a/internal/load/digest.go
+++ b/internal/load/digest.go
@@ -13,7 +13,7 @@
 // The first reader broadcasts at once. The others poll as well, but broadcast only if the zone's
 // information stays wrong for longer: the first one may be dead or partitioned off from the
 // server. So each change is sent through the zone once, not once per reader.
-func (b *Book) announceChanges(now time.Time, out []shed.Action) []shed.Action {
+func (b *Tracker) announceChanges(now time.Time, out []shed.Action) []shed.Action {
 	reports := map[shed.ServerID]shed.LoadReport{}
 	for _, id := range b.serverIDs {
 		e := b.servers[id]
@@ -27,7 +27,7 @@
 		if e.divergedAt.IsZero() {
 			e.divergedAt = now
 		}
-		if now.Sub(e.divergedAt) < time.Duration(2*e.readerRank)*b.cfg.PollEvery {
+		if now.Sub(e.divergedAt) < time.Duration(2*e.readerRank)*b.cfg.PollInterval {
 			continue
 		}
 		r := e.report
@@ -41,7 +41,7 @@
 
 // announceToNewVMs sends new VMs the reports of all servers whose first reader this daemon is.
 // Otherwise they would count every server as cold until it changes or is broadcast again.
-func (b *Book) announceToNewVMs(now time.Time, out []shed.Action) []shed.Action {
+func (b *Tracker) announceToNewVMs(now time.Time, out []shed.Action) []shed.Action {
 	if len(b.newVMs) == 0 {
 		return out
 	}
@@ -68,12 +68,12 @@
 }
 
 // isSignificant reports whether the current report could change a placement on another VM.
-func (b *Book) isSignificant(now time.Time, e *serverState) bool {
+func (b *Tracker) isSignificant(now time.Time, e *serverState) bool {
 	r, announced := e.report, e.announced
 	if r.Boot != announced.Boot || r.Warm != announced.Warm || r.Model != announced.Model || r.Role != announced.Role || r.Fence != announced.Fence {
 		return true
 	}
-	if now.Sub(e.announcedAt) >= b.cfg.RefreshEvery {
+	if now.Sub(e.announcedAt) >= b.cfg.RefreshInterval {
 		return true
 	}
 	if e.cold.active && r.Done != announced.Done {
@@ -88,7 +88,7 @@
 	return max(delta, -delta) >= max(1, int(b.cfg.Threshold*float64(e.server.Capacity)))
 }
 
-func (b *Book) broadcast(out []shed.Action, reports map[shed.ServerID]shed.LoadReport) []shed.Action {
+func (b *Tracker) broadcast(out []shed.Action, reports map[shed.ServerID]shed.LoadReport) []shed.Action {
 	if len(reports) == 0 {
 		return out
 	}
@@ -101,7 +101,7 @@
 }
 
 // onDigest applies the reports that another reader broadcast.
-func (b *Book) onDigest(now time.Time, d shed.LoadDigest) []shed.Action {
+func (b *Tracker) onDigest(now time.Time, d shed.LoadDigest) []shed.Action {
 	var out []shed.Action
 	for _, id := range slices.Sorted(maps.Keys(d.Reports)) {
 		e := b.servers[id]
--- a/internal/load/full.go
+++ b/internal/load/full.go
@@ -19,7 +19,7 @@
 // until a newer report, which its readers poll for at once. If it has turned cold, the report
 // says so; if the report doesn't, and the server refuses again at a low load, that is a symptom
 // of a cold server.
-func (b *Book) onOverload(now time.Time, e *serverState) []shed.Action {
+func (b *Tracker) onOverload(now time.Time, e *serverState) []shed.Action {
 	if e.cold.active || !e.report.Warm || 2*e.estimateRunning() < e.server.Capacity {
 		return b.onSymptom(now, nil, e)
 	}
--- a/internal/load/full_test.go
+++ b/internal/load/full_test.go
@@ -17,23 +17,23 @@
 	busy := newReport("x", 3, 520, true)
 	busy.Running = 12
 	b.receiveReport(busy)
-	require.Equal(t, 4, b.Room(engine))
+	require.Equal(t, 4, b.FreeCapacity(engine))
 	b.advance(100 * time.Millisecond)
 	b.runCall(time.Millisecond, shed.EndOverloaded)
 	require.False(t, b.isCold())
-	require.Zero(t, b.Room(engine))
+	require.Zero(t, b.FreeCapacity(engine))
 	require.Contains(t, b.Handle(b.now, shed.Tick{Wall: b.now}), shed.PollServer{Server: engine})
 
 	late := newReport("x", 4, 520, true)
 	late.Running, late.Age = 12, 50*time.Millisecond
 	b.receiveReport(late)
-	require.Zero(t, b.Room(engine), "the report was made before the refusal")
+	require.Zero(t, b.FreeCapacity(engine), "the report was made before the refusal")
 
 	b.advance(10 * time.Millisecond)
 	fresh := newReport("x", 5, 530, true)
 	fresh.Running = 10
 	b.receiveReport(fresh)
-	require.Equal(t, 6, b.Room(engine))
+	require.Equal(t, 6, b.FreeCapacity(engine))
 }
 
 func TestFullnessEndsWithoutAReport(t *testing.T) {
@@ -43,9 +43,9 @@
 	b.receiveReport(busy)
 	b.runCall(time.Millisecond, shed.EndOverloaded)
 	b.advance(900 * time.Millisecond)
-	require.Zero(t, b.Room(engine))
+	require.Zero(t, b.FreeCapacity(engine))
 	b.advance(100 * time.Millisecond)
-	require.NotZero(t, b.Room(engine))
+	require.NotZero(t, b.FreeCapacity(engine))
 }
 
 // The server turned cold unnoticed while it was believed to be busy. The report that is polled
--- a/internal/peers/calls.go
+++ b/internal/peers/calls.go
@@ -24,7 +24,7 @@
 // StageCall forwards one stage call.
 type StageCall struct {
 	From    shed.Peer         `cbor:"1,keyasint"`
-	Ask     shed.StageRequest `cbor:"2,keyasint"`
+	Request shed.StageRequest `cbor:"2,keyasint"`
 	Payload shed.Payload      `cbor:"3,keyasint"`
 	// Trace is the trace context, by header name.
 	Trace map[string]string `cbor:"4,keyasint,omitempty"`
--- a/internal/peers/client.go
+++ b/internal/peers/client.go
@@ -37,7 +37,7 @@
 )
 
 // ErrSilent is returned when no heartbeat was received on a connection in time.
-var ErrSilent = errors.New("peer connection is silent")
+var ErrHeartbeatTimeout = errors.New("peer connection is silent")
 
 // ClientConfig configures a Client.
 type ClientConfig struct {
@@ -48,9 +48,9 @@
 	TLS func() *tls.Config
 	// Dial connects; nil uses a plain TCP dialer. Tests inject link failures here.
 	Dial func(ctx context.Context, to shed.VM) (net.Conn, error)
-	// Lost is called for a peer whose connection timed out or can't be established; may be nil.
+	// OnPeerLost is called for a peer whose connection timed out or can't be established; may be nil.
 	// It must not block.
-	Lost func(to shed.VM)
+	OnPeerLost func(to shed.VM)
 }
 
 // connKey is the pool key of idle connections. A connection that times out increments the
@@ -74,8 +74,8 @@
 	generations map[shed.VM]uint64
 }
 
-// Received returns how many bytes were received on the connections that this client opened.
-func (c *Client) Received() int64 { return c.bytesReceived.Load() }
+// BytesReceived returns how many bytes were received on the connections that this client opened.
+func (c *Client) BytesReceived() int64 { return c.bytesReceived.Load() }
 
 // countingConn counts the bytes received on a connection.
 type countingConn struct {
@@ -134,8 +134,8 @@
 }
 
 func (c *Client) notifyLost(to shed.VM) {
-	if c.cfg.Lost != nil {
-		c.cfg.Lost(to)
+	if c.cfg.OnPeerLost != nil {
+		c.cfg.OnPeerLost(to)
 	}
 }
 
@@ -210,7 +210,7 @@
 // it as broken; so does an error of sink.
 func (c *Client) Stage(ctx context.Context, to shed.VM, call StageCall, fresh bool, sink func(shed.Frame) error) shed.CallEnded {
 	call.From = c.cfg.Self
-	end := shed.CallEnded{Call: call.Ask.Call}
+	end := shed.CallEnded{Call: call.Request.Call}
 	s, err := c.openStream(ctx, to, rpcStage, fresh)
 	if err != nil {
 		end.End, end.Reason = shed.EndNotStarted, shed.ReasonBroken
@@ -227,7 +227,7 @@
 		}
 		if reply.End != nil {
 			// The remote side is not trusted with the call's identity.
-			reply.End.Call = call.Ask.Call
+			reply.End.Call = call.Request.Call
 			return *reply.End
 		}
 		if reply.Frame == nil {
--- a/internal/peers/relay.go
+++ b/internal/peers/relay.go
@@ -116,8 +116,8 @@
 	controlHandler
 	// Pieces has the pieces run and returns their results.
 	Pieces(ctx context.Context, call PieceCall) PieceAnswer
-	// Unwanted frees results that could not be sent to the daemon that requested them.
-	Unwanted(results []shed.PieceResult)
+	// DiscardResults frees results that could not be sent to the daemon that requested them.
+	DiscardResults(results []shed.PieceResult)
 	// Items returns the changes of the store that this daemon knows of.
 	Items(call ItemsCall) ItemsReply
 	// Turn grants or refuses a turn at a server.
@@ -154,7 +154,7 @@
 	answer := srv.(RelayHandler).Pieces(stream.Context(), call.unpack())
 	err := out.send(&pieceReply{Results: answer.Results, Wait: answer.Wait})
 	if err != nil {
-		srv.(RelayHandler).Unwanted(answer.Results)
+		srv.(RelayHandler).DiscardResults(answer.Results)
 	}
 	return nil, err
 }
--- a/internal/peers/relay_test.go
+++ b/internal/peers/relay_test.go
@@ -63,7 +63,7 @@
 	return peers.TurnReply{Granted: c.Rate < 10, Wait: c.Patience}
 }
 
-func (s *relayStub) Unwanted(results []shed.PieceResult) { s.discarded <- len(results) }
+func (s *relayStub) DiscardResults(results []shed.PieceResult) { s.discarded <- len(results) }
 
 // The daemon that requested pieces dies while they run. The answer can't be sent, so the results
 // are freed at once: otherwise they would use up result capacity for seconds.
--- a/internal/wire/body.go
+++ b/internal/wire/body.go
@@ -6,8 +6,8 @@
 	shed "jasmineshed"
 )
 
-// Chat is a request to an engine to generate text.
-type Chat struct {
+// ChatRequest is a request to an engine to generate text.
+type ChatRequest struct {
 	Model         string        `json:"model"`
 	Messages      []Message     `json:"messages"`
 	MaxTokens     shed.Tokens   `json:"max_tokens,omitempty"`
@@ -64,14 +64,14 @@
 	Message string `json:"message"`
 }
 
-// Embed is a request for an embedding.
-type Embed struct {
+// EmbeddingRequest is a request for an embedding.
+type EmbeddingRequest struct {
 	Model string `json:"model"`
 	Input string `json:"input"`
 }
 
-// Embedded is the answer to Embed.
-type Embedded struct {
+// EmbeddingResponse is the answer to Embed.
+type EmbeddingResponse struct {
 	Data []Embedding `json:"data"`
 }
 
@@ -80,45 +80,45 @@
 	Embedding []float32 `json:"embedding"`
 }
 
-// Rerank is a request to order documents by relevance to the query.
-type Rerank struct {
+// RerankRequest is a request to order documents by relevance to the query.
+type RerankRequest struct {
 	Model     string   `json:"model"`
 	Query     string   `json:"query"`
 	Documents []string `json:"documents"`
 }
 
-// Reranked is the answer to Rerank, ordered by descending score.
-type Reranked struct {
-	Results []Ranked `json:"results"`
+// RerankResponse is the answer to Rerank, ordered by descending score.
+type RerankResponse struct {
+	Results []RankedDocument `json:"results"`
 }
 
-// Ranked is one document, by its index in the request.
-type Ranked struct {
+// RankedDocument is one document, by its index in the request.
+type RankedDocument struct {
 	Index int     `json:"index"`
 	Score float64 `json:"relevance_score"`
 }
 
-// Retrieve is a request for passages.
-type Retrieve struct {
+// RetrieveRequest is a request for passages.
+type RetrieveRequest struct {
 	Query  string    `json:"query"`
 	Vector []float32 `json:"vector,omitempty"`
 	Limit  int       `json:"limit"`
 }
 
-// Retrieved is the answer to Retrieve.
-type Retrieved struct {
+// RetrieveResponse is the answer to Retrieve.
+type RetrieveResponse struct {
 	Passages []shed.Passage `json:"passages"`
 }
 
-// ServiceCall is a request to a plain service (shed.KindService).
-type ServiceCall struct {
+// ServiceRequest is a request to a plain service (shed.KindService).
+type ServiceRequest struct {
 	Request shed.RequestID `json:"request"`
 	Input   string         `json:"input"`
 	Text    string         `json:"text,omitempty"`
 }
 
-// ServiceDone is the answer to ServiceCall.
-type ServiceDone struct {
+// ServiceResponse is the answer to ServiceCall.
+type ServiceResponse struct {
 	Receipt string `json:"receipt"`
 }
 
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -53,7 +53,7 @@
 const StreamDone = "[DONE]"
 
 // ErrCallID is returned for a malformed call id.
-var ErrCallID = errors.New("not a call id")
+var ErrBadCallID = errors.New("not a call id")
 
 // CallID formats a call as "request/stage/attempt".
 func CallID(c shed.Call) string {
@@ -70,25 +70,25 @@
 func ParseCallID(s string) (shed.Call, error) {
 	rest, attempt, ok := cutLast(s, '/')
 	if !ok {
-		return shed.Call{}, fmt.Errorf("%w: %q", ErrCallID, s)
+		return shed.Call{}, fmt.Errorf("%w: %q", ErrBadCallID, s)
 	}
 	request, stage, ok := cutLast(rest, '/')
 	if !ok || request == "" {
-		return shed.Call{}, fmt.Errorf("%w: %q", ErrCallID, s)
+		return shed.Call{}, fmt.Errorf("%w: %q", ErrBadCallID, s)
 	}
 	n, err := strconv.ParseUint(stage, 10, 8)
 	if err != nil {
-		return shed.Call{}, fmt.Errorf("%w: %q", ErrCallID, s)
+		return shed.Call{}, fmt.Errorf("%w: %q", ErrBadCallID, s)
 	}
 	a, err := strconv.ParseUint(attempt, 10, 16)
 	if err != nil {
-		return shed.Call{}, fmt.Errorf("%w: %q", ErrCallID, s)
+		return shed.Call{}, fmt.Errorf("%w: %q", ErrBadCallID, s)
 	}
 	return shed.Call{Request: shed.RequestID(request), Stage: uint8(n), Attempt: uint16(a)}, nil
 }
 
-// Resume formats a value of HeaderResume.
-func Resume(c shed.Call, offset shed.Tokens) string {
+// FormatResume formats a value of HeaderResume.
+func FormatResume(c shed.Call, offset shed.Tokens) string {
 	return CallID(c) + ":" + strconv.FormatUint(uint64(offset), 10)
 }
 
@@ -96,11 +96,11 @@
 func ParseResume(s string) (string, int, error) {
 	id, offset, ok := cutLast(s, ':')
 	if !ok {
-		return "", 0, fmt.Errorf("%w: %q", ErrCallID, s)
+		return "", 0, fmt.Errorf("%w: %q", ErrBadCallID, s)
 	}
 	n, err := strconv.ParseUint(offset, 10, 31)
 	if err != nil {
-		return "", 0, fmt.Errorf("%w: %q", ErrCallID, s)
+		return "", 0, fmt.Errorf("%w: %q", ErrBadCallID, s)
 	}
 	return id, int(n), nil
 }
