--- a/internal/load/book_test.go
+++ b/internal/load/tracker_test.go
@@ -292,11 +292,11 @@
 		servers = append(servers, s)
 		actual[s.ID] = &shed.LoadReport{Boot: fmt.Sprintf("%08x", i), Warm: true, Done: 1000, Model: "draft-13b@4", Running: 8}
 	}
-	books := map[shed.VM]*load.Tracker{}
+	trackers := map[shed.VM]*load.Tracker{}
 	for _, vm := range vms {
-		books[vm] = load.New(load.Config{Self: vm, Threshold: threshold})
-		books[vm].SetServers(start, servers)
-		books[vm].SetView(start, vms)
+		trackers[vm] = load.New(load.Config{Self: vm, Threshold: threshold})
+		trackers[vm].SetServers(start, servers)
+		trackers[vm].SetView(start, vms)
 	}
 	bytes, polls := 0, 0
 	for tick := range seconds * 10 {
@@ -310,15 +310,15 @@
 			}
 		}
 		for _, vm := range vms {
-			for _, a := range books[vm].Handle(now, shed.Tick{Wall: now}) {
+			for _, a := range trackers[vm].Handle(now, shed.Tick{Wall: now}) {
 				switch a := a.(type) {
 				case shed.PollServer:
 					polls++
-					books[vm].Handle(now, shed.LoadReported{Server: a.Server, Report: *actual[a.Server]})
+					trackers[vm].Handle(now, shed.LoadReported{Server: a.Server, Report: *actual[a.Server]})
 				case shed.SendPeer:
 					out, _ := cbor.Marshal(a.Message)
 					bytes += len(out)
-					books[a.To].Handle(now, shed.PeerMessage{From: shed.Peer{VM: vm}, Message: a.Message})
+					trackers[a.To].Handle(now, shed.PeerMessage{From: shed.Peer{VM: vm}, Message: a.Message})
 				}
 			}
 		}
@@ -327,10 +327,10 @@
 	b.ReportMetric(float64(polls)/seconds/daemons, "polls/s/daemon")
 }
 
-// BenchmarkBook measures one daemon at the design size: 192 servers, 52 daemons, a hundred calls
+// BenchmarkTracker measures one daemon at the design size: 192 servers, 52 daemons, a hundred calls
 // in flight.
-func BenchmarkBook(b *testing.B) {
-	book := load.New(load.Config{Self: "vm-0"})
+func BenchmarkTracker(b *testing.B) {
+	tracker := load.New(load.Config{Self: "vm-0"})
 	var vms []shed.VM
 	for i := range 52 {
 		vms = append(vms, shed.VM(fmt.Sprintf("vm-%d", i)))
@@ -339,30 +339,30 @@
 	for i := range 192 {
 		servers = append(servers, &shed.Server{ID: shed.ServerID(fmt.Sprintf("drafting-%03d", i)), Capacity: 16, ColdCapacity: 2})
 	}
-	book.SetServers(start, servers)
-	book.SetView(start, vms)
+	tracker.SetServers(start, servers)
+	tracker.SetView(start, vms)
 	for i := range 100 {
-		book.RecordSent(start, servers[i].ID, shed.Call{Request: shed.RequestID(fmt.Sprint(i))})
+		tracker.RecordSent(start, servers[i].ID, shed.Call{Request: shed.RequestID(fmt.Sprint(i))})
 	}
 	b.Run("tick", func(b *testing.B) {
 		b.ReportAllocs()
 		for i := 0; b.Loop(); i++ {
 			now := start.Add(time.Duration(i) * shed.TickEvery)
-			book.Handle(now, shed.Tick{Wall: now})
+			tracker.Handle(now, shed.Tick{Wall: now})
 		}
 	})
 	b.Run("candidates_of_a_pool_of_40", func(b *testing.B) {
 		b.ReportAllocs()
 		for b.Loop() {
 			for _, s := range servers[:40] {
-				book.Candidate(start, s.ID)
+				tracker.Candidate(start, s.ID)
 			}
 		}
 	})
 	b.Run("view_changes", func(b *testing.B) {
 		b.ReportAllocs()
 		for i := 0; b.Loop(); i++ {
-			book.SetView(start, vms[i%2:])
+			tracker.SetView(start, vms[i%2:])
 		}
 	})
 }
