--- a/internal/load/calls.go
+++ b/internal/load/calls.go
@@ -41,7 +41,7 @@
 // The server may have turned cold without any daemon knowing. So the calls in flight to which it
 // has not responded yet are limited to share, this daemon's share of the server's cold capacity.
 // A server that shows its boot only at the end of a call would then get its calls one after the
-// other; such a server may get more while its last answer is at most minRestartTime old.
+// other; such a server may get more while its last answer is less than minRestartTime old.
 func (b *Tracker) MaySend(now time.Time, server shed.ServerID, share int) bool {
 	e := b.servers[server]
 	if e == nil {
--- a/internal/load/tracker.go
+++ b/internal/load/tracker.go
@@ -14,7 +14,7 @@
 	"jasmineshed/internal/rank"
 )
 
-// Config configures a Book. Fields left at 0 get the Default constant of the same name.
+// Config configures a Tracker. Fields left at 0 get the Default constant of the same name.
 type Config struct {
 	Self shed.VM
 	// Readers is how many daemons poll a server.
@@ -31,8 +31,8 @@
 	// SilentAfter is the age of the last report, from any reader, after which a server that
 	// doesn't answer this reader's poll counts as silent.
 	SilentAfter time.Duration
-	// SpikeFactor and LeapLeast: a first token that takes at least SpikeFactor times the server's
-	// own median, and at least LeapLeast, is a symptom of a cold server.
+	// SpikeFactor and MinSpike: a first token that takes at least SpikeFactor times the server's
+	// own median, and at least MinSpike, is a symptom of a cold server.
 	SpikeFactor int
 	MinSpike    time.Duration
 	// WarmCalls is how many calls per ColdCapacity a server has to complete before it counts as
--- a/internal/load/tracker_test.go
+++ b/internal/load/tracker_test.go
@@ -17,7 +17,7 @@
 
 var start = time.Unix(1_800_000_000, 0)
 
-// fixture is a Book with a simulated clock that records notes and messages.
+// fixture is a Tracker with a simulated clock that records notes and messages.
 type fixture struct {
 	*load.Tracker
 	now   time.Time
--- a/internal/peers/client.go
+++ b/internal/peers/client.go
@@ -36,7 +36,7 @@
 	maxConcurrentControls = 256
 )
 
-// ErrSilent is returned when no heartbeat was received on a connection in time.
+// ErrHeartbeatTimeout is returned when no heartbeat was received on a connection in time.
 var ErrHeartbeatTimeout = errors.New("peer connection is silent")
 
 // ClientConfig configures a Client.
--- a/internal/wire/body.go
+++ b/internal/wire/body.go
@@ -15,12 +15,12 @@
 	StreamOptions StreamOptions `json:"stream_options"`
 }
 
-// StreamOptions of a Chat.
+// StreamOptions of a ChatRequest.
 type StreamOptions struct {
 	IncludeUsage bool `json:"include_usage"`
 }
 
-// Message is one turn of a Chat.
+// Message is one message of a conversation in a ChatRequest.
 type Message struct {
 	Role    string `json:"role"`
 	Content string `json:"content"`
@@ -70,7 +70,7 @@
 	Input string `json:"input"`
 }
 
-// EmbeddingResponse is the answer to Embed.
+// EmbeddingResponse is the answer to EmbeddingRequest.
 type EmbeddingResponse struct {
 	Data []Embedding `json:"data"`
 }
@@ -87,7 +87,7 @@
 	Documents []string `json:"documents"`
 }
 
-// RerankResponse is the answer to Rerank, ordered by descending score.
+// RerankResponse is the answer to RerankRequest, ordered by descending score.
 type RerankResponse struct {
 	Results []RankedDocument `json:"results"`
 }
@@ -105,7 +105,7 @@
 	Limit  int       `json:"limit"`
 }
 
-// RetrieveResponse is the answer to Retrieve.
+// RetrieveResponse is the answer to RetrieveRequest.
 type RetrieveResponse struct {
 	Passages []shed.Passage `json:"passages"`
 }
@@ -117,7 +117,7 @@
 	Text    string         `json:"text,omitempty"`
 }
 
-// ServiceResponse is the answer to ServiceCall.
+// ServiceResponse is the answer to ServiceRequest.
 type ServiceResponse struct {
 	Receipt string `json:"receipt"`
 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -52,7 +52,7 @@
 // StreamDone is the data of a stream's last event.
 const StreamDone = "[DONE]"
 
-// ErrCallID is returned for a malformed call id.
+// ErrBadCallID is returned for a malformed call id.
 var ErrBadCallID = errors.New("not a call id")
 
 // CallID formats a call as "request/stage/attempt".
@@ -66,7 +66,7 @@
 	return string(b)
 }
 
-// ParseCallID parses the format of CallID, or returns ErrCallID.
+// ParseCallID parses the format of CallID, or returns ErrBadCallID.
 func ParseCallID(s string) (shed.Call, error) {
 	rest, attempt, ok := cutLast(s, '/')
 	if !ok {
