--- a/internal/certs/certs.go
+++ b/internal/certs/certs.go
@@ -1,5 +1,5 @@
-// Package certs holds keys and certificates that are read again when their
-// files change, so that a renewed certificate needs no restart.
+// Package certs holds TLS keys and certificates and reloads them when their files change, so
+// that a renewed certificate needs no restart.
 package certs
 
 import (
@@ -14,52 +14,53 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Config of a Store.
+// Config configures a Store.
 type Config struct {
 	// Cert and Key are PEM files.
 	Cert, Key string
-	// CA signs the other side's certificates; empty if it needs none.
+	// CA is a PEM file with the CA of the other side's certificates; empty if the other side needs
+	// no certificate.
 	CA string
-	// Name is the DNS name that the other side's certificate carries.
+	// Name is the DNS name that the other side's certificate has to contain.
 	Name string
-	// Every is how often the files are looked at for a change.
-	Every time.Duration
-	Log   logrus.FieldLogger
-	// Now is time.Now unless a test gives a clock of its own.
+	// CheckInterval is how often the files are checked for changes.
+	CheckInterval time.Duration
+	Log           logrus.FieldLogger
+	// Now defaults to time.Now; tests set their own clock.
 	Now func() time.Time
 }
 
-// Store holds a key pair and the signers of the other side.
+// Store holds a key pair and the CA pool for the other side's certificates.
 type Store struct {
 	cfg Config
 	mu  sync.Mutex
-	// pair and pool are the last ones that could be read.
+	// pair and pool are the last ones that were loaded without an error.
 	pair *tls.Certificate
 	pool *x509.CertPool
-	// looked is when the files were last looked at, stamp what they were then.
-	looked time.Time
-	stamp  string
+	// lastCheck is when the files were last checked, fileState their state when they were loaded.
+	lastCheck time.Time
+	fileState string
 }
 
-// Open reads the files for the first time.
+// Open loads the files and returns a Store.
 func Open(cfg Config) (*Store, error) {
 	if cfg.Now == nil {
 		cfg.Now = time.Now
 	}
 	s := &Store{cfg: cfg}
-	stamp, err := s.stampFiles()
+	state, err := s.statFiles()
 	if err != nil {
 		return nil, err
 	}
-	if err := s.read(); err != nil {
+	if err := s.load(); err != nil {
 		return nil, err
 	}
-	s.stamp = stamp
-	s.looked = cfg.Now()
+	s.fileState = state
+	s.lastCheck = cfg.Now()
 	return s, nil
 }
 
-func (s *Store) files() []string {
+func (s *Store) fileNames() []string {
 	files := []string{s.cfg.Cert, s.cfg.Key}
 	if s.cfg.CA != "" {
 		files = append(files, s.cfg.CA)
@@ -67,20 +68,20 @@
 	return files
 }
 
-// stampFiles tells two states of the files apart.
-func (s *Store) stampFiles() (string, error) {
-	stamp := ""
-	for _, name := range s.files() {
+// statFiles returns the modification times and sizes of the files, to detect changes.
+func (s *Store) statFiles() (string, error) {
+	state := ""
+	for _, name := range s.fileNames() {
 		info, err := os.Stat(name)
 		if err != nil {
 			return "", fmt.Errorf("certificates: %w", err)
 		}
-		stamp += fmt.Sprintf("%d %d;", info.ModTime().UnixNano(), info.Size())
+		state += fmt.Sprintf("%d %d;", info.ModTime().UnixNano(), info.Size())
 	}
-	return stamp, nil
+	return state, nil
 }
 
-func (s *Store) read() error {
+func (s *Store) load() error {
 	pair, err := tls.LoadX509KeyPair(s.cfg.Cert, s.cfg.Key)
 	if err != nil {
 		return fmt.Errorf("certificates: %w", err)
@@ -92,7 +93,7 @@
 			return fmt.Errorf("certificates: %w", err)
 		}
 		if !pool.AppendCertsFromPEM(pem) {
-			return fmt.Errorf("certificates: %s holds none", s.cfg.CA)
+			return fmt.Errorf("certificates: %s contains no CA certificate", s.cfg.CA)
 		}
 	}
 	s.pair = &pair
@@ -100,35 +101,35 @@
 	return nil
 }
 
-// current looks at the files when that is due. Files that can't be read, as in
-// the middle of a renewal, leave the last pair in use: a handshake must not
-// fail while that one is still good.
+// current returns the key pair and CA pool, and checks the files for changes when that is due. If
+// they can't be loaded, as in the middle of a renewal, the last pair stays in use: a handshake
+// must not fail while that one is still valid.
 func (s *Store) current() (*tls.Certificate, *x509.CertPool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.cfg.Now()
-	if now.Sub(s.looked) < s.cfg.Every {
+	if now.Sub(s.lastCheck) < s.cfg.CheckInterval {
 		return s.pair, s.pool
 	}
-	s.looked = now
-	stamp, err := s.stampFiles()
-	if err == nil && stamp == s.stamp {
+	s.lastCheck = now
+	state, err := s.statFiles()
+	if err == nil && state == s.fileState {
 		return s.pair, s.pool
 	}
 	if err == nil {
-		err = s.read()
+		err = s.load()
 	}
 	if err != nil {
 		s.cfg.Log.WithError(err).Error("certificates not renewed")
 		return s.pair, s.pool
 	}
-	s.stamp = stamp
+	s.fileState = state
 	s.cfg.Log.WithField("file", s.cfg.Cert).Info("certificates renewed")
 	return s.pair, s.pool
 }
 
-// Callers is the configuration of a listener that asks for no certificate.
-func (s *Store) Callers() *tls.Config {
+// CallerServer returns the configuration of a listener that requests no client certificate.
+func (s *Store) CallerServer() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS12,
 		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) {
@@ -138,9 +139,9 @@
 	}
 }
 
-// PeerServer is the configuration of the listener for peers: both sides show a
-// certificate of the peers' signer that carries the peers' name. The name keeps
-// out whoever else has a certificate of that signer.
+// PeerServer returns the configuration of the listener for peers: both sides present a
+// certificate from the peers' CA that contains the peers' name. The name excludes other holders
+// of a certificate from that CA.
 func (s *Store) PeerServer() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
@@ -157,8 +158,8 @@
 	}
 }
 
-// PeerClient is the configuration of one new connection to a peer; a renewed
-// certificate is used from the next one on.
+// PeerClient returns the configuration of one new connection to a peer. It is not updated:
+// a renewed certificate is used from the next connection on.
 func (s *Store) PeerClient() *tls.Config {
 	pair, pool := s.current()
 	return &tls.Config{
@@ -171,7 +172,7 @@
 
 func (s *Store) verifyName(state tls.ConnectionState) error {
 	if len(state.PeerCertificates) == 0 {
-		return errors.New("certificates: the peer shows none")
+		return errors.New("certificates: the peer presented no certificate")
 	}
 	if err := state.PeerCertificates[0].VerifyHostname(s.cfg.Name); err != nil {
 		return fmt.Errorf("certificates: %w", err)
--- a/internal/core/calls.go
+++ b/internal/core/calls.go
@@ -18,9 +18,9 @@
 
 func (c *Core) handleCallProgress(now time.Time, e shed.CallProgress) {
 	if _, local := c.localCalls[e.Call]; local {
-		c.emit(c.load.Seen(now, e.Call, e.Boot))
+		c.emit(c.load.RecordAccepted(now, e.Call, e.Boot))
 		if e.Tokens > 0 {
-			c.emit(c.load.FirstToken(now, e.Call))
+			c.emit(c.load.RecordFirstToken(now, e.Call))
 		}
 	}
 	if to, forwarded := c.forwardedOut[e.Call]; forwarded {
@@ -37,7 +37,7 @@
 	if id, local := c.localCalls[e.Call]; local {
 		delete(c.localCalls, e.Call)
 		e.Server = id
-		c.emit(c.load.Ended(now, e.Call, e.End))
+		c.emit(c.load.RecordEnd(now, e.Call, e.End))
 		c.emit(c.slots.Release(now, e.Call, e.End))
 	}
 	if to, forwarded := c.forwardedOut[e.Call]; forwarded {
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -65,7 +65,7 @@
 	config  *config.State
 	member  *member.Group
 	slots   *slots.Table
-	load    *load.Book
+	load    *load.Tracker
 	orders  *order.Giver
 	flow    *flow.Flow
 	gate    *admit.Gate
@@ -189,7 +189,7 @@
 	wasReady := c.config.Ready()
 	c.emit(c.config.Handle(now, ev))
 	if wasReady && !c.config.Ready() {
-		c.emit(c.load.Doubt(now))
+		c.emit(c.load.SuspectAll(now))
 	}
 	c.adoptRules(now)
 	c.dispatch(now, ev)
@@ -297,7 +297,7 @@
 func (c *Core) recordStart(now time.Time, a shed.StartCall) {
 	c.localCalls[a.Call] = a.Server
 	cand, _ := c.load.Candidate(now, a.Server)
-	c.load.Sent(now, a.Server, a.Call)
+	c.load.RecordSent(now, a.Server, a.Call)
 	if cand.Cold {
 		c.slots.Take(now, a.Server, a.Call)
 		return
--- a/internal/core/place.go
+++ b/internal/core/place.go
@@ -88,7 +88,7 @@
 	}
 	open, _ := c.rules.ServerOpen(s)
 	cand, known := c.load.Candidate(now, id)
-	return open && known && (!cand.Cold || c.load.Settled(id) && c.slots.FreeSlots(now, id) > 0)
+	return open && known && (!cand.Cold || c.load.IsSettled(id) && c.slots.FreeSlots(now, id) > 0)
 }
 
 // placeInZone considers only this zone. The peer exclude must not get the call.
@@ -119,9 +119,9 @@
 		cand, known := c.load.Candidate(now, s.ID)
 		switch {
 		case !known:
-		case !cand.Cold && c.load.Room(s.ID) > 0 && c.load.MaySend(now, s.ID, unconfirmedCallLimit(s, daemons)):
+		case !cand.Cold && c.load.FreeCapacity(s.ID) > 0 && c.load.MaySend(now, s.ID, unconfirmedCallLimit(s, daemons)):
 			candidates = append(candidates, cand)
-		case cand.Cold && c.load.Settled(s.ID) && cand.Running < s.ColdCapacity && c.slots.FreeSlots(now, s.ID) > 0:
+		case cand.Cold && c.load.IsSettled(s.ID) && cand.Running < s.ColdCapacity && c.slots.FreeSlots(now, s.ID) > 0:
 			candidates = append(candidates, cand)
 		case cand.Cold:
 			cold = append(cold, s)
--- a/internal/peers/client.go
+++ b/internal/peers/client.go
@@ -19,94 +19,94 @@
 )
 
 const (
-	// dialTimeout bounds connecting to a peer; peers are milliseconds away.
+	// dialTimeout bounds connecting to a peer; the round trip to a peer takes milliseconds.
 	dialTimeout = 500 * time.Millisecond
 	// controlTimeout bounds one control message.
 	controlTimeout = time.Second
-	// linkSilence is the longest time without any message on a stream before
-	// its connection is taken for dead: five heartbeats.
-	linkSilence = 5 * beatEvery
-	// idleFor is how long an unused connection is kept.
-	idleFor = 10 * time.Second
-	// idlePerPeer and idleInAll bound the unused connections.
-	idlePerPeer = 64
-	idleInAll   = 4096
-	// controlsAtOnce bounds control messages under way; further ones are lost,
-	// which every receiver bears.
-	controlsAtOnce = 256
+	// heartbeatTimeout is the longest time without any message on a stream before its connection
+	// counts as dead: five heartbeats.
+	heartbeatTimeout = 5 * heartbeatInterval
+	// maxIdleTime is how long an unused connection is kept.
+	maxIdleTime = 10 * time.Second
+	// maxIdlePerPeer and maxIdleTotal bound the number of unused connections.
+	maxIdlePerPeer = 64
+	maxIdleTotal   = 4096
+	// maxConcurrentControls bounds the control messages in flight. Further ones are dropped,
+	// which every receiver tolerates.
+	maxConcurrentControls = 256
 )
 
-// ErrSilent is the cause when a connection gave no heartbeat in time.
-var ErrSilent = errors.New("peer connection is silent")
+// ErrHeartbeatTimeout is returned when no heartbeat was received on a connection in time.
+var ErrHeartbeatTimeout = errors.New("peer connection is silent")
 
-// ClientConfig is what a Client needs.
+// ClientConfig configures a Client.
 type ClientConfig struct {
-	// Self is sent along with every call.
+	// Self is sent with every call.
 	Self shed.Peer
-	// TLS gives the mutual TLS of a new connection, which may have been
-	// renewed since the last; nil for plain TCP.
+	// TLS returns the mutual TLS configuration for a new connection, whose certificates may have
+	// been renewed since the last one; nil for plain TCP.
 	TLS func() *tls.Config
-	// Dial connects; nil takes a plain TCP dialer. Tests cut links here.
+	// Dial connects; nil uses a plain TCP dialer. Tests inject link failures here.
 	Dial func(ctx context.Context, to shed.VM) (net.Conn, error)
-	// Lost is told of a peer whose connection went silent or can't be made;
-	// may be nil. It does not block.
-	Lost func(to shed.VM)
+	// OnPeerLost is called for a peer whose connection timed out or can't be established; may be nil.
+	// It must not block.
+	OnPeerLost func(to shed.VM)
 }
 
-// line is what idle connections are kept by. A silent connection raises the
-// age, so that no other connection of that time is used again: whatever lost
-// track of one has likely lost track of them all.
-type line struct {
-	to  shed.VM
-	age uint64
+// connKey is the pool key of idle connections. A connection that times out increments the
+// peer's generation, so that no other connection of that generation is reused: a middlebox or
+// host that has lost the state of one has likely lost the state of all.
+type connKey struct {
+	to         shed.VM
+	generation uint64
 }
 
 // Client calls peers.
 type Client struct {
 	cfg      ClientConfig
-	pool     *drpcpool.Pool[line, drpcpool.Conn]
+	pool     *drpcpool.Pool[connKey, drpcpool.Conn]
 	controls errgroup.Group
 
-	// received counts the bytes that came on connections made here.
-	received atomic.Int64
+	// bytesReceived counts the bytes received on connections that this client opened.
+	bytesReceived atomic.Int64
 
-	mu   sync.Mutex
-	ages map[shed.VM]uint64
+	mu          sync.Mutex
+	generations map[shed.VM]uint64
 }
 
-// Received is how many bytes have come on the connections that this client made.
-func (c *Client) Received() int64 { return c.received.Load() }
+// BytesReceived returns how many bytes were received on the connections that this client opened.
+func (c *Client) BytesReceived() int64 { return c.bytesReceived.Load() }
 
-// counted is a connection whose incoming bytes are counted.
-type counted struct {
+// countingConn counts the bytes received on a connection.
+type countingConn struct {
 	net.Conn
-	received *atomic.Int64
+	bytes *atomic.Int64
 }
 
 // Read implements net.Conn.
-func (c counted) Read(p []byte) (int, error) {
+func (c countingConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
-	c.received.Add(int64(n))
+	c.bytes.Add(int64(n))
 	return n, err
 }
 
-// NewClient makes a Client.
+// NewClient returns a Client.
 func NewClient(cfg ClientConfig) *Client {
 	if cfg.Dial == nil {
 		cfg.Dial = dialTCP
 	}
 	c := &Client{
-		cfg:  cfg,
-		ages: make(map[shed.VM]uint64),
-		pool: drpcpool.New[line, drpcpool.Conn](drpcpool.Options{
-			Expiration: idleFor, Capacity: idleInAll, KeyCapacity: idlePerPeer,
+		cfg:         cfg,
+		generations: make(map[shed.VM]uint64),
+		pool: drpcpool.New[connKey, drpcpool.Conn](drpcpool.Options{
+			Expiration: maxIdleTime, Capacity: maxIdleTotal, KeyCapacity: maxIdlePerPeer,
 		}),
 	}
-	c.controls.SetLimit(controlsAtOnce)
+	c.controls.SetLimit(maxConcurrentControls)
 	return c
 }
 
-// Close drops the idle connections and waits for control messages under way.
+// Close waits for control messages in flight and closes the idle connections.
 func (c *Client) Close() error {
 	_ = c.controls.Wait()
 	return c.pool.Close()
@@ -117,51 +117,51 @@
 	return d.DialContext(ctx, "tcp", string(to))
 }
 
-func (c *Client) line(to shed.VM) line {
+func (c *Client) connKey(to shed.VM) connKey {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return line{to: to, age: c.ages[to]}
+	return connKey{to: to, generation: c.generations[to]}
 }
 
-// silent gives up all idle connections to the peer.
-func (c *Client) silent(l line) {
+// dropIdleConns stops the reuse of all idle connections to the peer and reports it as lost.
+func (c *Client) dropIdleConns(l connKey) {
 	c.mu.Lock()
-	if c.ages[l.to] == l.age {
-		c.ages[l.to]++
+	if c.generations[l.to] == l.generation {
+		c.generations[l.to]++
 	}
 	c.mu.Unlock()
-	c.lost(l.to)
+	c.notifyLost(l.to)
 }
 
-func (c *Client) lost(to shed.VM) {
-	if c.cfg.Lost != nil {
-		c.cfg.Lost(to)
+func (c *Client) notifyLost(to shed.VM) {
+	if c.cfg.OnPeerLost != nil {
+		c.cfg.OnPeerLost(to)
 	}
 }
 
-func (c *Client) dial(ctx context.Context, l line) (drpcpool.Conn, error) {
+func (c *Client) dial(ctx context.Context, l connKey) (drpcpool.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
 	raw, err := c.cfg.Dial(ctx, l.to)
 	if err != nil {
 		return nil, fmt.Errorf("dial peer %s: %w", l.to, err)
 	}
-	raw = counted{Conn: raw, received: &c.received}
+	raw = countingConn{Conn: raw, bytes: &c.bytesReceived}
 	if c.cfg.TLS != nil {
-		secure := tls.Client(raw, c.cfg.TLS())
-		if err := secure.HandshakeContext(ctx); err != nil {
+		tlsConn := tls.Client(raw, c.cfg.TLS())
+		if err := tlsConn.HandshakeContext(ctx); err != nil {
 			_ = raw.Close()
 			return nil, fmt.Errorf("dial peer %s: %w", l.to, err)
 		}
-		raw = secure
+		raw = tlsConn
 	}
 	return drpcconn.NewWithOptions(raw, drpcconn.Options{Manager: managerOptions()}), nil
 }
 
-// conn gives a connection to the peer. A fresh one is made for this call only:
-// an idle one may have died unseen, and then a call that must not be repeated
-// would end as unknown for nothing.
-func (c *Client) conn(ctx context.Context, l line, fresh bool) (drpc.Conn, func(), error) {
+// conn returns a connection to the peer and a function that releases it. A fresh one is opened
+// for this call only: a pooled one may have died unnoticed, and then a call that must not be
+// retried would needlessly end with an unknown outcome.
+func (c *Client) conn(ctx context.Context, l connKey, fresh bool) (drpc.Conn, func(), error) {
 	if !fresh {
 		return c.pool.Get(ctx, l, c.dial), func() {}, nil
 	}
@@ -172,14 +172,14 @@
 	return conn, func() { _ = conn.Close() }, nil
 }
 
-// Send sends a control message. It does not block; the message may be lost.
+// Send sends a control message without blocking; the message may be lost.
 func (c *Client) Send(to shed.VM, msg shed.Message) { c.SendAll([]shed.VM{to}, msg) }
 
-// SendAll sends a control message to several peers, as Send does. It is encoded once,
-// and later: the caller doesn't change what it refers to.
+// SendAll sends a control message to several peers, as Send does. It is encoded once and
+// asynchronously, so the caller must not modify what the message refers to.
 func (c *Client) SendAll(to []shed.VM, msg shed.Message) {
 	encode := sync.OnceValues(func() (encoded, error) {
-		e, err := seal(c.cfg.Self, msg)
+		e, err := newEnvelope(c.cfg.Self, msg)
 		if err != nil {
 			return nil, err
 		}
@@ -188,62 +188,62 @@
 	for _, vm := range to {
 		c.controls.TryGo(func() error {
 			if e, err := encode(); err == nil {
-				c.control(vm, e)
+				c.sendControl(vm, e)
 			}
 			return nil
 		})
 	}
 }
 
-// control makes the call of one control message.
-func (c *Client) control(to shed.VM, e encoded) {
-	l := c.line(to)
+// sendControl performs the call of one control message.
+func (c *Client) sendControl(to shed.VM, e encoded) {
+	l := c.connKey(to)
 	ctx, cancel := context.WithTimeout(context.Background(), controlTimeout)
 	defer cancel()
-	err := c.pool.Get(ctx, l, c.dial).Invoke(ctx, rpcControl, wire, &e, &received{})
+	err := c.pool.Get(ctx, l, c.dial).Invoke(ctx, rpcControl, wire, &e, &ack{})
 	if errors.Is(err, context.DeadlineExceeded) {
-		c.silent(l)
+		c.dropIdleConns(l)
 	}
 }
 
-// Stage hands a stage call over and passes its frames to sink. A silent link
-// ends it as broken; so does an error of sink.
+// Stage forwards a stage call to a peer and passes its frames to sink. A heartbeat timeout ends
+// it as broken; so does an error of sink.
 func (c *Client) Stage(ctx context.Context, to shed.VM, call StageCall, fresh bool, sink func(shed.Frame) error) shed.CallEnded {
 	call.From = c.cfg.Self
-	end := shed.CallEnded{Call: call.Ask.Call}
-	s, err := c.open(ctx, to, rpcStage, fresh)
+	end := shed.CallEnded{Call: call.Request.Call}
+	s, err := c.openStream(ctx, to, rpcStage, fresh)
 	if err != nil {
 		end.End, end.Reason = shed.EndNotStarted, shed.ReasonBroken
 		return end
 	}
 	defer s.close()
 	if err := s.sendInParts(&call); err != nil {
-		return s.broken(end, err)
+		return s.brokenEnd(end, err)
 	}
 	for {
 		var reply stageReply
 		if err := s.recv(&reply); err != nil {
-			return s.broken(end, err)
+			return s.brokenEnd(end, err)
 		}
 		if reply.End != nil {
-			// The call's identity is ours, whatever the far side says.
-			reply.End.Call = call.Ask.Call
+			// The remote side is not trusted with the call's identity.
+			reply.End.Call = call.Request.Call
 			return *reply.End
 		}
 		if reply.Frame == nil {
 			continue
 		}
 		if err := sink(*reply.Frame); err != nil {
-			return s.broken(end, err)
+			return s.brokenEnd(end, err)
 		}
 	}
 }
 
-// broken ends a call whose bytes may have arrived.
-func (s *stream) broken(end shed.CallEnded, err error) shed.CallEnded {
+// brokenEnd returns the end of a call that failed after its bytes may have arrived.
+func (s *stream) brokenEnd(end shed.CallEnded, err error) shed.CallEnded {
 	end.End, end.Reason = shed.EndBroken, shed.ReasonBroken
 	switch {
-	case s.wasSilent():
+	case s.hasTimedOut():
 		end.Reason = shed.ReasonSilent
 	case s.parent.Err() != nil:
 		end.End, end.Reason = shed.EndCancelled, shed.ReasonCallerGone
@@ -253,12 +253,11 @@
 	return end
 }
 
-// Request hands a request over to its home. sent tells whether the home may
-// have got it; if it is false, nothing was run. home is false if another
-// incarnation answered.
+// Request forwards a request to its home. sent reports whether the home may have received it; if
+// it is false, nothing was run. home is false if another incarnation answered.
 func (c *Client) Request(ctx context.Context, call RequestCall, update func(shed.Update)) (answer shed.Answer, home, sent bool, err error) {
 	call.From = c.cfg.Self
-	s, err := c.open(ctx, call.To.VM, rpcRequest, true)
+	s, err := c.openStream(ctx, call.To.VM, rpcRequest, true)
 	if err != nil {
 		return shed.Answer{}, false, false, err
 	}
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -12,18 +12,18 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// echo answers every call from what it was asked.
+// echo answers every call with the call's own input.
 type echo struct {
 	controls chan shed.Message
 }
 
 func (e echo) Stage(_ context.Context, call StageCall, send func(shed.Frame) error) shed.CallEnded {
 	for i := range 3 {
-		if err := send(shed.Frame{Call: call.Ask.Call, Sequence: uint32(i), Text: call.Payload.Input}); err != nil {
-			return shed.CallEnded{Call: call.Ask.Call, End: shed.EndBroken}
+		if err := send(shed.Frame{Call: call.Request.Call, Sequence: uint32(i), Text: call.Payload.Input}); err != nil {
+			return shed.CallEnded{Call: call.Request.Call, End: shed.EndBroken}
 		}
 	}
-	return shed.CallEnded{Call: call.Ask.Call, End: shed.EndComplete, Tokens: 3}
+	return shed.CallEnded{Call: call.Request.Call, End: shed.EndComplete, Tokens: 3}
 }
 
 func (e echo) Request(_ context.Context, call RequestCall, update func(shed.Update)) (shed.Answer, bool) {
@@ -36,7 +36,7 @@
 
 func (e echo) Control(_ shed.Peer, msg shed.Message) { e.controls <- msg }
 
-// serve runs a server for the test and gives its address.
+// serve runs a server for the test and returns its address.
 func serve(t *testing.T, h Handler) shed.VM {
 	t.Helper()
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
@@ -72,7 +72,7 @@
 	c := newClient(t, ClientConfig{})
 	for _, fresh := range []bool{false, true} {
 		var got []uint32
-		call := StageCall{Ask: shed.StageRequest{Call: shed.Call{Request: "r", Attempt: 1}}, Payload: shed.Payload{Input: "x"}}
+		call := StageCall{Request: shed.StageRequest{Call: shed.Call{Request: "r", Attempt: 1}}, Payload: shed.Payload{Input: "x"}}
 		end := c.Stage(context.Background(), to, call, fresh, func(f shed.Frame) error {
 			got = append(got, f.Sequence)
 			return nil
@@ -101,33 +101,33 @@
 	require.True(t, sent)
 }
 
-// A peer that nobody listens at: the call can't have started, and the caller
-// may run it elsewhere.
+// Nothing listens at the peer's address: the call can't have started, and the caller may run it
+// elsewhere.
 func TestUnreachablePeerIsNotStarted(t *testing.T) {
 	var lost []shed.VM
-	c := newClient(t, ClientConfig{Lost: func(vm shed.VM) { lost = append(lost, vm) }})
+	c := newClient(t, ClientConfig{OnPeerLost: func(vm shed.VM) { lost = append(lost, vm) }})
 	end := c.Stage(context.Background(), "127.0.0.1:1", StageCall{}, true, nil)
 	require.Equal(t, shed.EndNotStarted, end.End)
 	require.Equal(t, []shed.VM{"127.0.0.1:1"}, lost)
 }
 
-// Something between the two ends loses track of the connection: writes still
-// succeed and nothing ever comes back. The caller must not wait for the stage's
-// whole deadline. Heartbeats are missed for linkSilence, the call ends as broken
-// (its bytes may have arrived), and the peer is reported as lost.
+// A middlebox loses the state of the connection: writes still succeed, but nothing is ever
+// received. The caller must not wait for the stage's whole deadline. After heartbeatTimeout
+// without a heartbeat the call ends as broken (its bytes may have arrived), and the peer is
+// reported as lost.
 func TestSilentConnectionEndsAsBroken(t *testing.T) {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = lis.Close() })
 	lost := make(chan shed.VM, 1)
-	c := newClient(t, ClientConfig{Lost: func(vm shed.VM) { lost <- vm }})
+	c := newClient(t, ClientConfig{OnPeerLost: func(vm shed.VM) { lost <- vm }})
 	to := shed.VM(lis.Addr().String())
 	end := c.Stage(context.Background(), to, StageCall{}, false, nil)
 	require.Equal(t, shed.EndBroken, end.End)
 	require.Equal(t, shed.ReasonSilent, end.Reason)
 	require.True(t, end.End.MayHaveRun())
 	require.Equal(t, to, <-lost)
-	require.Equal(t, uint64(1), c.line(to).age, "idle connections of that time are given up")
+	require.Equal(t, uint64(1), c.connKey(to).generation, "idle connections of that generation are not reused")
 }
 
 func TestControlMessagesKeepTheirType(t *testing.T) {
@@ -142,21 +142,21 @@
 		shed.LoadDigest{Reports: map[shed.ServerID]shed.LoadReport{"s": {Running: 1}}},
 		shed.TicketMove{Tickets: []shed.MovedTicket{{ID: "t"}}},
 	} {
-		e, err := seal(shed.Peer{VM: "a", Incarnation: 1}, msg)
+		e, err := newEnvelope(shed.Peer{VM: "a", Incarnation: 1}, msg)
 		require.NoError(t, err)
 		b, err := wire.Marshal(&e)
 		require.NoError(t, err)
-		var back envelope
-		require.NoError(t, wire.Unmarshal(b, &back))
-		got, err := back.open()
+		var received envelope
+		require.NoError(t, wire.Unmarshal(b, &received))
+		got, err := received.unwrap()
 		require.NoError(t, err)
 		require.Equal(t, msg, got)
 	}
 }
 
-// A peer that is broken or hostile sends bytes of its own: an error, no panic.
+// Arbitrary bytes from a faulty or hostile peer cause an error and no panic.
 func FuzzEnvelope(f *testing.F) {
-	e, _ := seal(shed.Peer{}, shed.Probe{Sequence: 1})
+	e, _ := newEnvelope(shed.Peer{}, shed.Probe{Sequence: 1})
 	b, _ := wire.Marshal(&e)
 	f.Add(b)
 	f.Add(b[:len(b)/2])
@@ -166,6 +166,6 @@
 		if wire.Unmarshal(b, &e) != nil {
 			return
 		}
-		_, _ = e.open()
+		_, _ = e.unwrap()
 	})
 }
--- a/internal/peers/relay_test.go
+++ b/internal/peers/relay_test.go
@@ -14,8 +14,8 @@
 	"jasmineshed/internal/peers"
 )
 
-// BenchmarkRelayLoad gives the bytes of one load message, by the servers on which
-// its sender has requests and the prompts that it has placed since the last one.
+// BenchmarkRelayLoad measures the bytes of one load message, by the number of servers on which
+// its sender has requests and of prompts that it has placed since the last one.
 //
 //	go test ./internal/peers -run xxx -bench RelayLoad -benchtime 100x
 func BenchmarkRelayLoad(b *testing.B) {
@@ -43,10 +43,11 @@
 	}
 }
 
-// relayStub makes pieces at once, and counts the results that nobody got.
+// relayStub returns the results of pieces once release is closed, and reports the results that
+// were not delivered.
 type relayStub struct {
-	results  chan struct{}
-	unwanted chan int
+	release   chan struct{}
+	discarded chan int
 }
 
 func (s *relayStub) Control(shed.Peer, shed.Message) {}
@@ -54,7 +55,7 @@
 func (s *relayStub) Items(peers.ItemsCall) peers.ItemsReply { return peers.ItemsReply{} }
 
 func (s *relayStub) Pieces(_ context.Context, call peers.PieceCall) peers.PieceAnswer {
-	<-s.results
+	<-s.release
 	return peers.PieceAnswer{Results: make([]shed.PieceResult, len(call.Pieces))}
 }
 
@@ -62,41 +63,42 @@
 	return peers.TurnReply{Granted: c.Rate < 10, Wait: c.Patience}
 }
 
-func (s *relayStub) Unwanted(results []shed.PieceResult) { s.unwanted <- len(results) }
+func (s *relayStub) DiscardResults(results []shed.PieceResult) { s.discarded <- len(results) }
 
-// The daemon that asked for pieces dies while they are made. Its answer can't be
-// sent, so the results are given up at once: they would take up room for seconds.
+// The daemon that requested pieces dies while they run. The answer can't be sent, so the results
+// are freed at once: otherwise they would use up result capacity for seconds.
 func TestAskerGone(t *testing.T) {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	stub := &relayStub{results: make(chan struct{}), unwanted: make(chan int, 1)}
+	stub := &relayStub{release: make(chan struct{}), discarded: make(chan int, 1)}
 	srv := peers.NewServer(peers.ServerConfig{Listener: lis, Relay: stub})
 	ctx, stop := context.WithCancel(t.Context())
 	var g errgroup.Group
 	g.Go(func() error { return srv.Serve(ctx) })
 	client := peers.NewClient(peers.ClientConfig{})
-	asking, gone := context.WithCancel(t.Context())
+	callCtx, cancelCall := context.WithCancel(t.Context())
 	g.Go(func() error {
-		_, err := client.Pieces(asking, shed.VM(lis.Addr().String()), peers.PieceCall{Pieces: make([]shed.Piece, 3)})
+		_, err := client.Pieces(callCtx, shed.VM(lis.Addr().String()), peers.PieceCall{Pieces: make([]shed.Piece, 3)})
 		require.Error(t, err)
 		return nil
 	})
 	time.Sleep(100 * time.Millisecond)
-	gone()
+	cancelCall()
 	time.Sleep(100 * time.Millisecond)
-	close(stub.results)
+	close(stub.release)
 	select {
-	case n := <-stub.unwanted:
+	case n := <-stub.discarded:
 		require.Equal(t, 3, n)
 	case <-time.After(2 * time.Second):
-		require.Fail(t, "the results were not given up")
+		require.Fail(t, "the results were not freed")
 	}
 	stop()
 	_ = g.Wait()
 	require.NoError(t, client.Close())
 }
 
-// Calls for turns that make no sense are refused: a rate of nought would lend none ever.
+// Requests for turns with invalid values are refused: with a rate of 0 no turn would ever be
+// granted.
 func TestTurnCalls(t *testing.T) {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
--- a/internal/peers/server.go
+++ b/internal/peers/server.go
@@ -17,16 +17,16 @@
 	"storj.io/drpc/drpcwire"
 )
 
-// ServerConfig is what a Server needs.
+// ServerConfig configures a Server.
 type ServerConfig struct {
-	// Listener for peers only; callers and operators never come in here.
+	// Listener accepts peers only, never callers or operators.
 	Listener net.Listener
 	Handler  Handler
-	// Relay, if set, takes the calls of relaying daemons instead.
+	// Relay, if set, handles the calls of relaying daemons in place of Handler.
 	Relay RelayHandler
-	// TLS is the mutual TLS of peers; nil for plain TCP.
+	// TLS is the mutual TLS configuration for peers; nil for plain TCP.
 	TLS *tls.Config
-	// Log takes errors of single connections; may be nil.
+	// Log receives errors of single connections; may be nil.
 	Log func(error)
 }
 
@@ -35,13 +35,13 @@
 	cfg ServerConfig
 }
 
-// NewServer makes a Server.
+// NewServer returns a Server.
 func NewServer(cfg ServerConfig) *Server { return &Server{cfg: cfg} }
 
-// String names the service in the supervisor's log.
+// String returns the service's name in the supervisor's log.
 func (s *Server) String() string { return "peers" }
 
-// Serve answers until ctx ends.
+// Serve handles calls until ctx ends.
 func (s *Server) Serve(ctx context.Context) error {
 	mux := drpcmux.New()
 	if err := s.register(mux); err != nil {
@@ -71,18 +71,18 @@
 	}
 }
 
-// description lists the calls for drpc's mux; it stands in for generated code.
+// description lists the calls for drpc's mux, in place of generated code.
 type description struct{}
 
 // NumMethods implements drpc.Description.
 func (description) NumMethods() int { return 3 }
 
-// Method implements drpc.Description. The function values only tell the mux
-// the shape of each call.
+// Method implements drpc.Description. The function values only give the mux the signature of
+// each call.
 func (description) Method(n int) (string, drpc.Encoding, drpc.Receiver, any, bool) {
 	switch n {
 	case 0:
-		return rpcControl, wire, receiveControl, (func(controller, context.Context, *envelope) (*received, error))(nil), true
+		return rpcControl, wire, receiveControl, (func(controlHandler, context.Context, *envelope) (*ack, error))(nil), true
 	case 1:
 		return rpcStage, wire, receiveStage, (func(Handler, *part, drpc.Stream) error)(nil), true
 	case 2:
@@ -93,18 +93,18 @@
 
 func receiveControl(srv any, _ context.Context, in1, _ any) (drpc.Message, error) { //nolint:revive // drpc.Receiver fixes the order
 	e := in1.(*envelope)
-	msg, err := e.open()
+	msg, err := e.unwrap()
 	if err != nil {
 		return nil, err
 	}
-	srv.(controller).Control(e.From, msg)
-	return &received{}, nil
+	srv.(controlHandler).Control(e.From, msg)
+	return &ack{}, nil
 }
 
 func receiveStage(srv any, _ context.Context, in1, in2 any) (drpc.Message, error) { //nolint:revive // drpc.Receiver fixes the order
 	stream := in2.(drpc.Stream)
 	out := &sender{stream: stream}
-	stop := out.beat(&stageReply{})
+	stop := out.startHeartbeats(&stageReply{})
 	defer stop()
 	var call StageCall
 	if err := readCall(in1, stream, &call); err != nil {
@@ -119,14 +119,14 @@
 func receiveRequest(srv any, _ context.Context, in1, in2 any) (drpc.Message, error) { //nolint:revive // drpc.Receiver fixes the order
 	stream := in2.(drpc.Stream)
 	out := &sender{stream: stream}
-	stop := out.beat(&requestReply{})
+	stop := out.startHeartbeats(&requestReply{})
 	defer stop()
 	var call RequestCall
 	if err := readCall(in1, stream, &call); err != nil {
 		return nil, err
 	}
 	answer, home := srv.(Handler).Request(stream.Context(), call, func(u shed.Update) {
-		// A failed send shows up as the stream's context ending.
+		// A failed send ends the stream's context.
 		_ = out.send(&requestReply{Update: &u})
 	})
 	if !home {
@@ -135,51 +135,49 @@
 	return nil, out.send(&requestReply{Answer: &answer})
 }
 
-// readCall reads a call that comes in parts, of which in1 is the first.
+// readCall reads a call that is sent in parts, of which in1 is the first.
 func readCall(in1 any, stream drpc.Stream, into drpc.Message) error {
 	return readParts(*in1.(*part), func(p *part) error { return stream.MsgRecv(p, wire) }, into)
 }
 
-// sender serialises the messages of one stream with its heartbeats.
+// sender serializes the messages and heartbeats of one stream.
 type sender struct {
-	mu     sync.Mutex
-	stream drpc.Stream
-	// last is when something was last sent.
-	last time.Time
-	done bool
+	mu       sync.Mutex
+	stream   drpc.Stream
+	lastSent time.Time
+	stopped  bool
 }
 
 func (s *sender) send(msg drpc.Message) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.last = time.Now()
+	s.lastSent = time.Now()
 	return s.stream.MsgSend(msg, wire)
 }
 
-// beat sends msg at once, so that the caller knows the link works, and then
-// whenever nothing else went out for beatEvery. Without it a connection that
-// something in between has forgotten looks the same as a slow stage. It stops
-// by stop.
-func (s *sender) beat(msg drpc.Message) (stop func()) {
+// startHeartbeats sends msg at once, so that the caller knows that the link works, and then
+// whenever nothing else was sent for heartbeatInterval. Without heartbeats, a connection whose
+// state a middlebox has lost can't be told from a slow stage. stop ends the heartbeats.
+func (s *sender) startHeartbeats(msg drpc.Message) (stop func()) {
 	_ = s.send(msg)
 	var timer *time.Timer
 	s.mu.Lock()
-	timer = time.AfterFunc(beatEvery, func() {
+	timer = time.AfterFunc(heartbeatInterval, func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		if s.done {
+		if s.stopped {
 			return
 		}
-		if time.Since(s.last) >= beatEvery {
-			s.last = time.Now()
+		if time.Since(s.lastSent) >= heartbeatInterval {
+			s.lastSent = time.Now()
 			_ = s.stream.MsgSend(msg, wire)
 		}
-		timer.Reset(beatEvery)
+		timer.Reset(heartbeatInterval)
 	})
 	s.mu.Unlock()
 	return func() {
 		s.mu.Lock()
-		s.done = true
+		s.stopped = true
 		s.mu.Unlock()
 		timer.Stop()
 	}
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,5 +1,5 @@
-// Package wire holds the names and JSON bodies of the HTTP protocols towards
-// backend servers and the platform. The clients and the stand-ins share it.
+// Package wire defines the names and JSON bodies of the HTTP protocols with backend servers and
+// the platform. The clients and the stand-ins share it.
 package wire
 
 import (
@@ -11,27 +11,27 @@
 	shed "jasmineshed"
 )
 
-// Headers of jasmineshed's own.
+// Headers defined by jasmineshed.
 const (
-	// HeaderCall carries the call's id, "request/stage/attempt".
+	// HeaderCall contains the call's id, "request/stage/attempt".
 	HeaderCall = "X-Call-Id"
-	// HeaderPriority carries the priority; smaller is more urgent.
+	// HeaderPriority contains the priority; smaller is more urgent.
 	HeaderPriority = "X-Priority"
-	// HeaderResume asks to go on with a stream, "callid:offset".
+	// HeaderResume requests to resume a stream at an offset, "callid:offset".
 	HeaderResume = "X-Stream-Resume"
-	// HeaderBudget carries the milliseconds left until the deadline. It bounds
-	// what a call that was held up on its way can still cost.
+	// HeaderBudget contains the milliseconds left until the deadline. It bounds what a call that
+	// was delayed on its way can still cost.
 	HeaderBudget = "X-Budget-Ms"
 	// HeaderNotRun, set to NotRunTrue, says that the server has not run the call.
 	HeaderNotRun = "X-Not-Run"
-	// HeaderBoot carries the server's boot identity, on the answer to a call. It
-	// shows a restart before the next load report does.
+	// HeaderBoot contains the server's boot identity, on the answer to a call. It shows a restart
+	// before the next load report does.
 	HeaderBoot = "X-Boot-Id"
-	// HeaderRevision carries the platform's store revision.
+	// HeaderRevision contains the platform's store revision.
 	HeaderRevision = "X-Revision"
 )
 
-// NotRunTrue is the one value of HeaderNotRun that counts.
+// NotRunTrue is the only value of HeaderNotRun that has an effect.
 const NotRunTrue = "true"
 
 // Paths of the protocols.
@@ -52,10 +52,10 @@
 // StreamDone is the data of a stream's last event.
 const StreamDone = "[DONE]"
 
-// ErrCallID means that a text is no call id.
-var ErrCallID = errors.New("not a call id")
+// ErrBadCallID is returned for a malformed call id.
+var ErrBadCallID = errors.New("not a call id")
 
-// CallID renders a call as "request/stage/attempt".
+// CallID formats a call as "request/stage/attempt".
 func CallID(c shed.Call) string {
 	b := make([]byte, 0, len(c.Request)+10)
 	b = append(b, c.Request...)
@@ -66,41 +66,41 @@
 	return string(b)
 }
 
-// ParseCallID reads what CallID wrote, or returns ErrCallID.
+// ParseCallID parses the format of CallID, or returns ErrBadCallID.
 func ParseCallID(s string) (shed.Call, error) {
 	rest, attempt, ok := cutLast(s, '/')
 	if !ok {
-		return shed.Call{}, fmt.Errorf("%w: %q", ErrCallID, s)
+		return shed.Call{}, fmt.Errorf("%w: %q", ErrBadCallID, s)
 	}
 	request, stage, ok := cutLast(rest, '/')
 	if !ok || request == "" {
-		return shed.Call{}, fmt.Errorf("%w: %q", ErrCallID, s)
+		return shed.Call{}, fmt.Errorf("%w: %q", ErrBadCallID, s)
 	}
 	n, err := strconv.ParseUint(stage, 10, 8)
 	if err != nil {
-		return shed.Call{}, fmt.Errorf("%w: %q", ErrCallID, s)
+		return shed.Call{}, fmt.Errorf("%w: %q", ErrBadCallID, s)
 	}
 	a, err := strconv.ParseUint(attempt, 10, 16)
 	if err != nil {
-		return shed.Call{}, fmt.Errorf("%w: %q", ErrCallID, s)
+		return shed.Call{}, fmt.Errorf("%w: %q", ErrBadCallID, s)
 	}
 	return shed.Call{Request: shed.RequestID(request), Stage: uint8(n), Attempt: uint16(a)}, nil
 }
 
-// Resume renders HeaderResume.
-func Resume(c shed.Call, offset shed.Tokens) string {
+// FormatResume formats a value of HeaderResume.
+func FormatResume(c shed.Call, offset shed.Tokens) string {
 	return CallID(c) + ":" + strconv.FormatUint(uint64(offset), 10)
 }
 
-// ParseResume reads HeaderResume into the stream's id and the offset.
+// ParseResume parses a value of HeaderResume into the stream's id and the offset.
 func ParseResume(s string) (string, int, error) {
 	id, offset, ok := cutLast(s, ':')
 	if !ok {
-		return "", 0, fmt.Errorf("%w: %q", ErrCallID, s)
+		return "", 0, fmt.Errorf("%w: %q", ErrBadCallID, s)
 	}
 	n, err := strconv.ParseUint(offset, 10, 31)
 	if err != nil {
-		return "", 0, fmt.Errorf("%w: %q", ErrCallID, s)
+		return "", 0, fmt.Errorf("%w: %q", ErrBadCallID, s)
 	}
 	return id, int(n), nil
 }
