--- a/internal/admit/admit.go
+++ b/internal/admit/admit.go
@@ -66,13 +66,13 @@
 type Gate struct {
 	cfg      Config
 	sketches map[StageKey]*sketch
-	// trials holds the time of the last trial per pipeline.
-	trials map[shed.PipelineID]time.Time
-	queues map[QueueKey]*queue
-	// names are the keys of queues that ever held something, sorted.
-	names []QueueKey
-	// where finds the item of a waiting request; its size is the number queued.
-	where map[shed.RequestID]*item
+	// lastProbes holds the time of the last trial per pipeline.
+	lastProbes map[shed.PipelineID]time.Time
+	queues     map[QueueKey]*queue
+	// queueKeys are the keys of queues that ever held something, sorted.
+	queueKeys []QueueKey
+	// items finds the item of a waiting request; its size is the number queued.
+	items map[shed.RequestID]*item
 }
 
 // New returns an open gate.
@@ -99,11 +99,11 @@
 		cfg.MaxRetry = DefaultMaxRetry
 	}
 	return &Gate{
-		cfg:      cfg,
-		sketches: map[StageKey]*sketch{},
-		trials:   map[shed.PipelineID]time.Time{},
-		queues:   map[QueueKey]*queue{},
-		where:    map[shed.RequestID]*item{},
+		cfg:        cfg,
+		sketches:   map[StageKey]*sketch{},
+		lastProbes: map[shed.PipelineID]time.Time{},
+		queues:     map[QueueKey]*queue{},
+		items:      map[shed.RequestID]*item{},
 	}
 }
 
@@ -119,12 +119,12 @@
 		}
 	}
 	g.sketches = kept
-	for id := range g.trials {
+	for id := range g.lastProbes {
 		if rules.Pipelines[id] == nil {
-			delete(g.trials, id)
+			delete(g.lastProbes, id)
 		}
 	}
-	g.forgetQueues()
+	g.removeEmptyQueues()
 }
 
 // Observe adds the time that one stage took, waiting not included.
@@ -140,31 +140,31 @@
 // Admit decides whether the request can be done in time. A request that can't
 // is refused at once: held, it would take the place of one that can.
 func (g *Gate) Admit(now time.Time, ask Ask) Verdict {
-	left := ask.Deadline.Sub(now)
-	if Minimum(ask.Pipeline, 0) > left {
-		return g.refuse(now, ask)
+	budget := ask.Deadline.Sub(now)
+	if Minimum(ask.Pipeline, 0) > budget {
+		return g.reject(now, ask)
 	}
-	wait := g.waits(now, ask)
-	if wait+g.Expected(now, ask.Pipeline, 0) <= left {
+	wait := g.totalWait(now, ask)
+	if wait+g.Expected(now, ask.Pipeline, 0) <= budget {
 		return Verdict{OK: true}
 	}
-	if g.trial(now, ask.Pipeline.ID) {
+	if g.allowProbe(now, ask.Pipeline.ID) {
 		return Verdict{OK: true}
 	}
-	return g.refuse(now, ask)
+	return g.reject(now, ask)
 }
 
-func (g *Gate) refuse(now time.Time, ask Ask) Verdict {
+func (g *Gate) reject(now time.Time, ask Ask) Verdict {
 	return Verdict{
 		Reason:     shed.ReasonWontMeetDeadline,
 		RetryAfter: g.RetryAfter(now, g.longestQueue(now, ask), ask.Waiting),
 	}
 }
 
-// waits predicts the waiting at all stages. Most often a late one is the
+// totalWait predicts the waiting at all stages. Most often a late one is the
 // narrow place: looking at the first stage's queue alone, requests are let in,
 // go through the cheap stages, and are given up on before the dear one.
-func (g *Gate) waits(now time.Time, ask Ask) time.Duration {
+func (g *Gate) totalWait(now time.Time, ask Ask) time.Duration {
 	sum := g.Wait(now, ask.Queue, ask.Waiting)
 	for i := range ask.Pipeline.Stages {
 		if key := KeyOf(&ask.Pipeline.Stages[i]); key != ask.Queue {
@@ -176,24 +176,24 @@
 
 // longestQueue is the one that the request would wait in longest.
 func (g *Gate) longestQueue(now time.Time, ask Ask) QueueKey {
-	longest, most := ask.Queue, g.Wait(now, ask.Queue, ask.Waiting)
+	longest, longestWait := ask.Queue, g.Wait(now, ask.Queue, ask.Waiting)
 	for i := range ask.Pipeline.Stages {
 		key := KeyOf(&ask.Pipeline.Stages[i])
-		if wait := g.Wait(now, key, ask.Waiting); wait > most {
-			longest, most = key, wait
+		if wait := g.Wait(now, key, ask.Waiting); wait > longestWait {
+			longest, longestWait = key, wait
 		}
 	}
 	return longest
 }
 
-// trial lets one request through per period. Without it a burst of slow stages
+// allowProbe lets one request through per period. Without it a burst of slow stages
 // could close the gate for good: nothing admitted, hence no new sample, hence
 // still nothing admitted after the stages have mended.
-func (g *Gate) trial(now time.Time, p shed.PipelineID) bool {
-	if last, ok := g.trials[p]; ok && now.Sub(last) < g.cfg.TrialEvery {
+func (g *Gate) allowProbe(now time.Time, p shed.PipelineID) bool {
+	if last, ok := g.lastProbes[p]; ok && now.Sub(last) < g.cfg.TrialEvery {
 		return false
 	}
-	g.trials[p] = now
+	g.lastProbes[p] = now
 	return true
 }
 
@@ -233,7 +233,7 @@
 
 func (g *Gate) quantiles(now time.Time, p *shed.Pipeline, i int) (low, high time.Duration) {
 	s := g.sketches[StageKey{Pipeline: p.ID, Stage: p.Stages[i].ID}]
-	if s == nil || now.Sub(s.last) > g.cfg.Memory {
+	if s == nil || now.Sub(s.lastSample) > g.cfg.Memory {
 		return 0, 0
 	}
 	return s.low, s.high
@@ -245,6 +245,6 @@
 func (g *Gate) RetryAfter(now time.Time, key QueueKey, w Waiting) time.Duration {
 	base := max(min(g.Wait(now, key, w), g.cfg.MaxRetry/2), g.cfg.MinRetry)
 	const steps = 1024
-	share := time.Duration(xxhash.Sum64String(string(w.Request)) % steps)
-	return base + base*share/steps
+	jitter := time.Duration(xxhash.Sum64String(string(w.Request)) % steps)
+	return base + base*jitter/steps
 }
--- a/internal/admit/admit_test.go
+++ b/internal/admit/admit_test.go
@@ -24,7 +24,7 @@
 	return Ask{Waiting: Waiting{Request: id, Workspace: "w"}, Pipeline: p, Deadline: zero.Add(left), Queue: "enc"}
 }
 
-func wait(g *Gate, ws shed.WorkspaceID, n int, share int) {
+func enqueue(g *Gate, ws shed.WorkspaceID, n int, share int) {
 	for i := range n {
 		g.Push(zero, "enc", Waiting{
 			Request:   shed.RequestID(fmt.Sprintf("%s-%04d", ws, i)),
@@ -41,7 +41,7 @@
 	got := map[shed.WorkspaceID]int{}
 	for range n {
 		ok := g.PopReady(zero, "enc", func(id shed.RequestID) bool {
-			got[g.where[id].Workspace]++
+			got[g.items[id].Workspace]++
 			return true
 		})
 		require.True(t, ok)
@@ -88,7 +88,7 @@
 
 func TestRetryAfterFollowsTheDrain(t *testing.T) {
 	g := New(Config{})
-	wait(g, "w", 100, 1)
+	enqueue(g, "w", 100, 1)
 	now := zero
 	for range 20 {
 		now = now.Add(100 * time.Millisecond)
@@ -107,7 +107,7 @@
 // of another one must not be refused for it: its turn is the next but one.
 func TestGreedyWorkspaceClosesTheDoorToNobody(t *testing.T) {
 	g := New(Config{})
-	wait(g, "greedy", 1000, 1)
+	enqueue(g, "greedy", 1000, 1)
 	now := zero
 	for range 20 {
 		now = now.Add(100 * time.Millisecond)
@@ -135,16 +135,16 @@
 // one turn of the flood, and keeps its place when the queue overflows.
 func TestGreedyWorkspaceStarvesNobody(t *testing.T) {
 	g := New(Config{MostQueued: 1000})
-	wait(g, "greedy", 1000, 1)
-	wait(g, "small", 1, 1)
+	enqueue(g, "greedy", 1000, 1)
+	enqueue(g, "small", 1, 1)
 	require.Equal(t, 1000, g.Queued())
 	require.Equal(t, map[shed.WorkspaceID]int{"greedy": 1, "small": 1}, pop(t, g, 2))
 }
 
 func TestTurnsFollowShares(t *testing.T) {
 	g := New(Config{})
-	wait(g, "a", 300, 1)
-	wait(g, "b", 300, 3)
+	enqueue(g, "a", 300, 1)
+	enqueue(g, "b", 300, 3)
 	got := pop(t, g, 200)
 	require.InDelta(t, 50, got["a"], 2)
 	require.InDelta(t, 150, got["b"], 2)
@@ -154,7 +154,7 @@
 // was served, gains nothing over one that queues all at once.
 func TestComingAndGoingGainsNoTurns(t *testing.T) {
 	g := New(Config{})
-	wait(g, "steady", 500, 1)
+	enqueue(g, "steady", 500, 1)
 	got := map[shed.WorkspaceID]int{}
 	for i := range 200 {
 		id := shed.RequestID(fmt.Sprintf("hopper-%d", i))
--- a/internal/admit/heaps.go
+++ b/internal/admit/heaps.go
@@ -37,31 +37,31 @@
 // last is one of the less urgent half.
 func (h itemHeap) last() *item { return h[len(h)-1] }
 
-// turnHeap orders the workspaces of a queue by tag.
-type turnHeap []*share
+// tagHeap orders the workspaces of a queue by tag.
+type tagHeap []*flow
 
-func (h turnHeap) Len() int { return len(h) }
+func (h tagHeap) Len() int { return len(h) }
 
-func (h turnHeap) Less(i, j int) bool {
+func (h tagHeap) Less(i, j int) bool {
 	if h[i].tag != h[j].tag {
 		return h[i].tag < h[j].tag
 	}
 	return h[i].workspace < h[j].workspace
 }
 
-func (h turnHeap) Swap(i, j int) {
+func (h tagHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].turn = i
-	h[j].turn = j
+	h[i].tagIndex = i
+	h[j].tagIndex = j
 }
 
-func (h *turnHeap) Push(x any) {
-	s := x.(*share)
-	s.turn = len(*h)
+func (h *tagHeap) Push(x any) {
+	s := x.(*flow)
+	s.tagIndex = len(*h)
 	*h = append(*h, s)
 }
 
-func (h *turnHeap) Pop() any {
+func (h *tagHeap) Pop() any {
 	old := *h
 	s := old[len(old)-1]
 	old[len(old)-1] = nil
@@ -71,7 +71,7 @@
 
 // backlogHeap orders the workspaces of a queue by what waits for their weight,
 // the most first.
-type backlogHeap []*share
+type backlogHeap []*flow
 
 func (h backlogHeap) Len() int { return len(h) }
 
@@ -86,13 +86,13 @@
 
 func (h backlogHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].backlog = i
-	h[j].backlog = j
+	h[i].backlogIndex = i
+	h[j].backlogIndex = j
 }
 
 func (h *backlogHeap) Push(x any) {
-	s := x.(*share)
-	s.backlog = len(*h)
+	s := x.(*flow)
+	s.backlogIndex = len(*h)
 	*h = append(*h, s)
 }
 
@@ -101,26 +101,26 @@
 	s := old[len(old)-1]
 	old[len(old)-1] = nil
 	*h = old[:len(old)-1]
-	s.backlog = -1
+	s.backlogIndex = -1
 	return s
 }
 
 // rateWindow is the period over which a rate is counted, and leastShare the
 // part of the first one that must have passed before its count is scaled up.
 const (
-	rateWindow = time.Second
-	leastShare = 0.2
+	rateWindow      = time.Second
+	minElapsedShare = 0.2
 )
 
 // rate counts events per second over the running window and the one before.
 type rate struct {
-	start     time.Time
-	now, last float64
+	start             time.Time
+	current, previous float64
 }
 
 func (r *rate) add(now time.Time) {
 	r.roll(now)
-	r.now++
+	r.current++
 }
 
 func (r *rate) roll(now time.Time) {
@@ -128,19 +128,19 @@
 	if gap < rateWindow {
 		return
 	}
-	r.last = r.now
+	r.previous = r.current
 	if gap >= 2*rateWindow {
-		r.last = 0
+		r.previous = 0
 	}
-	r.now = 0
+	r.current = 0
 	r.start = now
 }
 
 func (r *rate) perSecond(now time.Time) float64 {
 	r.roll(now)
-	share := float64(now.Sub(r.start)) / float64(rateWindow)
-	if r.last == 0 {
-		return r.now / max(share, leastShare)
+	elapsed := float64(now.Sub(r.start)) / float64(rateWindow)
+	if r.previous == 0 {
+		return r.current / max(elapsed, minElapsedShare)
 	}
-	return r.now + r.last*(1-share)
+	return r.current + r.previous*(1-elapsed)
 }
--- a/internal/admit/queue.go
+++ b/internal/admit/queue.go
@@ -37,12 +37,12 @@
 type item struct {
 	Waiting
 	key   QueueKey
-	flow  *share
+	flow  *flow
 	index int
 }
 
-// share is one workspace's part of a queue.
-type share struct {
+// flow is one workspace's part of a queue.
+type flow struct {
 	workspace shed.WorkspaceID
 	// weight is 1 or more and changes only while the share is empty.
 	weight int
@@ -52,47 +52,47 @@
 	// items by Latest. An empty share stays until its tag has passed, so a
 	// workspace can't gain turns by leaving the queue and coming back.
 	items itemHeap
-	// turn and backlog are the share's places in the queue's two heaps; backlog
+	// tagIndex and backlog are the share's places in the queue's two heaps; backlog
 	// is -1 while the share is empty.
-	turn, backlog int
+	tagIndex, backlogIndex int
 }
 
 // queue is fair by start-time fair queueing: the workspace with the smallest
 // tag is next, and within it the request with the least slack.
 type queue struct {
-	shares map[shed.WorkspaceID]*share
-	turns  turnHeap
-	// backlogs holds the shares that aren't empty, longest for its weight first.
-	backlogs backlogHeap
-	// virtual is the greatest tag served; it never goes backwards.
-	virtual float64
+	flows map[shed.WorkspaceID]*flow
+	byTag tagHeap
+	// byBacklog holds the shares that aren't empty, longest for its weight first.
+	byBacklog backlogHeap
+	// virtualTime is the greatest tag served; it never goes backwards.
+	virtualTime float64
 	// length counts the requests, active the weights of the shares that aren't
 	// empty.
-	length int
-	active int
-	drain  rate
-	// since is when the queue last moved: drained, or ceased to be empty.
-	since time.Time
+	length       int
+	activeWeight int
+	drainRate    rate
+	// lastProgress is when the queue last moved: drained, or ceased to be empty.
+	lastProgress time.Time
 }
 
 // Push lets a request wait. If the queue is full, one request of the
 // workspace with the longest backlog for its share must go: it is returned, and
 // may be the new one itself.
 func (g *Gate) Push(now time.Time, key QueueKey, w Waiting) (evicted shed.RequestID, ok bool) {
-	if g.where[w.Request] != nil {
+	if g.items[w.Request] != nil {
 		return "", true
 	}
 	q := g.queue(key)
 	if q.length == 0 {
-		q.since = now
+		q.lastProgress = now
 	}
 	it := &item{Waiting: w, key: key}
 	q.push(it)
-	g.where[w.Request] = it
+	g.items[w.Request] = it
 	if q.length <= g.cfg.MostQueued {
 		return "", true
 	}
-	victim := q.backlogs[0].items.last()
+	victim := q.byBacklog[0].items.last()
 	g.Drop(victim.Request)
 	return victim.Request, false
 }
@@ -113,21 +113,21 @@
 		return false
 	}
 	// start may have dropped it already.
-	if g.where[it.Request] != it {
+	if g.items[it.Request] != it {
 		return true
 	}
-	q.virtual = max(q.virtual, s.tag)
+	q.virtualTime = max(q.virtualTime, s.tag)
 	s.tag += 1 / float64(s.weight)
-	heap.Fix(&q.turns, s.turn)
+	heap.Fix(&q.byTag, s.tagIndex)
 	g.remove(it)
-	q.drain.add(now)
-	q.since = now
+	q.drainRate.add(now)
+	q.lastProgress = now
 	return true
 }
 
 // Drop takes a request out of its queue; false if it doesn't wait.
 func (g *Gate) Drop(id shed.RequestID) bool {
-	it := g.where[id]
+	it := g.items[id]
 	if it == nil {
 		return false
 	}
@@ -137,7 +137,7 @@
 
 // Queues appends the keys of the queues that aren't empty, sorted.
 func (g *Gate) Queues(to []QueueKey) []QueueKey {
-	for _, key := range g.names {
+	for _, key := range g.queueKeys {
 		if g.queues[key].length > 0 {
 			to = append(to, key)
 		}
@@ -154,7 +154,7 @@
 }
 
 // Queued is how many requests wait in all.
-func (g *Gate) Queued() int { return len(g.where) }
+func (g *Gate) Queued() int { return len(g.items) }
 
 // Wait predicts how long a request that comes now would wait in the queue. By
 // fair turns a workspace waits for its own backlog, and for the others only as
@@ -165,20 +165,20 @@
 	if q == nil || q.length == 0 {
 		return 0
 	}
-	turns := q.turnsBefore(w)
-	perSecond := q.drain.perSecond(now)
+	turns := q.servedBefore(w)
+	perSecond := q.drainRate.perSecond(now)
 	if perSecond == 0 {
 		// Nothing has moved for a while: at best one goes each such while.
-		return time.Duration(turns * float64(now.Sub(q.since)))
+		return time.Duration(turns * float64(now.Sub(q.lastProgress)))
 	}
 	return time.Duration(turns / perSecond * float64(time.Second))
 }
 
-// turnsBefore is after about how many turns the request would have its own.
-func (q *queue) turnsBefore(w Waiting) float64 {
+// servedBefore is after about how many turns the request would have its own.
+func (q *queue) servedBefore(w Waiting) float64 {
 	weight := float64(max(w.Share, 1))
-	own, active := 0, float64(q.active)
-	if s := q.shares[w.Workspace]; s != nil && len(s.items) > 0 {
+	own, active := 0, float64(q.activeWeight)
+	if s := q.flows[w.Workspace]; s != nil && len(s.items) > 0 {
 		own = len(s.items)
 	} else {
 		active += weight
@@ -191,16 +191,16 @@
 	if q != nil {
 		return q
 	}
-	q = &queue{shares: map[shed.WorkspaceID]*share{}}
+	q = &queue{flows: map[shed.WorkspaceID]*flow{}}
 	g.queues[key] = q
-	at, _ := slices.BinarySearch(g.names, key)
-	g.names = slices.Insert(g.names, at, key)
+	at, _ := slices.BinarySearch(g.queueKeys, key)
+	g.queueKeys = slices.Insert(g.queueKeys, at, key)
 	return q
 }
 
-// forgetQueues lets empty queues go.
-func (g *Gate) forgetQueues() {
-	g.names = slices.DeleteFunc(g.names, func(key QueueKey) bool {
+// removeEmptyQueues lets empty queues go.
+func (g *Gate) removeEmptyQueues() {
+	g.queueKeys = slices.DeleteFunc(g.queueKeys, func(key QueueKey) bool {
 		if g.queues[key].length > 0 {
 			return false
 		}
@@ -210,31 +210,31 @@
 }
 
 func (g *Gate) remove(it *item) {
-	delete(g.where, it.Request)
+	delete(g.items, it.Request)
 	g.queues[it.key].remove(it)
 }
 
 func (q *queue) push(it *item) {
-	s := q.shares[it.Workspace]
+	s := q.flows[it.Workspace]
 	if s == nil {
-		s = &share{workspace: it.Workspace, tag: q.virtual, backlog: -1}
-		q.shares[it.Workspace] = s
-		heap.Push(&q.turns, s)
+		s = &flow{workspace: it.Workspace, tag: q.virtualTime, backlogIndex: -1}
+		q.flows[it.Workspace] = s
+		heap.Push(&q.byTag, s)
 	}
 	if len(s.items) == 0 {
 		s.weight = max(it.Share, 1)
-		s.tag = max(s.tag, q.virtual)
-		heap.Fix(&q.turns, s.turn)
-		q.active += s.weight
+		s.tag = max(s.tag, q.virtualTime)
+		heap.Fix(&q.byTag, s.tagIndex)
+		q.activeWeight += s.weight
 	}
 	it.flow = s
 	heap.Push(&s.items, it)
 	q.length++
-	if s.backlog < 0 {
-		heap.Push(&q.backlogs, s)
+	if s.backlogIndex < 0 {
+		heap.Push(&q.byBacklog, s)
 		return
 	}
-	heap.Fix(&q.backlogs, s.backlog)
+	heap.Fix(&q.byBacklog, s.backlogIndex)
 }
 
 func (q *queue) remove(it *item) {
@@ -242,24 +242,24 @@
 	heap.Remove(&s.items, it.index)
 	q.length--
 	if len(s.items) == 0 {
-		heap.Remove(&q.backlogs, s.backlog)
-		q.active -= s.weight
+		heap.Remove(&q.byBacklog, s.backlogIndex)
+		q.activeWeight -= s.weight
 		return
 	}
-	heap.Fix(&q.backlogs, s.backlog)
+	heap.Fix(&q.byBacklog, s.backlogIndex)
 }
 
 // next is the share whose turn it is, or nil. Empty shares whose tag has come
 // up are forgotten on the way.
-func (q *queue) next() *share {
-	for len(q.turns) > 0 {
-		s := q.turns[0]
+func (q *queue) next() *flow {
+	for len(q.byTag) > 0 {
+		s := q.byTag[0]
 		if len(s.items) > 0 {
 			return s
 		}
-		q.virtual = max(q.virtual, s.tag)
-		heap.Pop(&q.turns)
-		delete(q.shares, s.workspace)
+		q.virtualTime = max(q.virtualTime, s.tag)
+		heap.Pop(&q.byTag)
+		delete(q.flows, s.workspace)
 	}
 	return nil
 }
--- a/internal/admit/sketch.go
+++ b/internal/admit/sketch.go
@@ -11,9 +11,9 @@
 	sketchBuckets = 128
 	sketchLow     = time.Millisecond
 	sketchRatio   = 1.1
-	// sketchFade is the count at which all buckets are halved: the sketch
+	// sketchDecayCount is the count at which all buckets are halved: the sketch
 	// remembers about this many recent samples.
-	sketchFade = 64
+	sketchDecayCount = 64
 	// sketchHalfLife is the time after which all buckets are halved too. After
 	// a slow spell only few samples come in, and these would need minutes to
 	// outweigh the old ones by count alone.
@@ -31,48 +31,48 @@
 	buckets [sketchBuckets]float32
 	// count is the sum of buckets.
 	count float32
-	// fresh counts samples since the quantiles below were worked out.
-	fresh int
+	// sinceRefresh counts samples since the quantiles below were worked out.
+	sinceRefresh int
 	// low and high are quantiles; 0 until there is a sample.
 	low, high time.Duration
-	// last is when the latest sample came, faded when buckets were last halved
+	// lastSample is when the latest sample came, faded when buckets were last halved
 	// for age.
-	last, faded time.Time
+	lastSample, lastHalved time.Time
 }
 
 func (s *sketch) add(now time.Time, d time.Duration, lowQ, highQ float64) {
-	s.age(now)
+	s.decay(now)
 	s.buckets[bucketOf(d)]++
 	s.count++
-	s.last = now
-	if s.count >= sketchFade {
-		s.fade()
+	s.lastSample = now
+	if s.count >= sketchDecayCount {
+		s.halve()
 	}
-	s.fresh++
-	if s.high == 0 || s.fresh >= sketchRefresh {
-		s.fresh = 0
+	s.sinceRefresh++
+	if s.high == 0 || s.sinceRefresh >= sketchRefresh {
+		s.sinceRefresh = 0
 		s.low = s.quantile(lowQ)
 		s.high = s.quantile(highQ)
 	}
 }
 
-// age halves the buckets once for each half-life gone by.
-func (s *sketch) age(now time.Time) {
+// decay halves the buckets once for each half-life gone by.
+func (s *sketch) decay(now time.Time) {
 	if s.count == 0 {
-		s.faded = now
+		s.lastHalved = now
 		return
 	}
-	const enough = 24
-	lives := int(now.Sub(s.faded) / sketchHalfLife)
-	for range min(lives, enough) {
-		s.fade()
+	const maxHalvings = 24
+	halfLives := int(now.Sub(s.lastHalved) / sketchHalfLife)
+	for range min(halfLives, maxHalvings) {
+		s.halve()
 	}
-	if lives > 0 {
-		s.faded = now
+	if halfLives > 0 {
+		s.lastHalved = now
 	}
 }
 
-func (s *sketch) fade() {
+func (s *sketch) halve() {
 	s.count = 0
 	for i := range s.buckets {
 		s.buckets[i] /= 2
@@ -81,15 +81,15 @@
 }
 
 func (s *sketch) quantile(q float64) time.Duration {
-	want := float32(q) * s.count
-	var seen float32
+	target := float32(q) * s.count
+	var sum float32
 	for i := range s.buckets {
-		seen += s.buckets[i]
-		if seen >= want && seen > 0 {
-			return timeOf(i)
+		sum += s.buckets[i]
+		if sum >= target && sum > 0 {
+			return bucketTime(i)
 		}
 	}
-	return timeOf(sketchBuckets - 1)
+	return bucketTime(sketchBuckets - 1)
 }
 
 func bucketOf(d time.Duration) int {
@@ -100,6 +100,6 @@
 	return min(i, sketchBuckets-1)
 }
 
-func timeOf(bucket int) time.Duration {
+func bucketTime(bucket int) time.Duration {
 	return time.Duration(float64(sketchLow) * math.Pow(sketchRatio, float64(bucket)))
 }
