--- a/internal/admit/admit.go
+++ b/internal/admit/admit.go
@@ -1,5 +1,5 @@
-// Package admit decides whether a request can still meet its deadline, and in
-// which order waiting requests get their turn.
+// Package admit does admission control and queueing: it decides whether a request can still meet
+// its deadline, and in which order queued requests are started.
 package admit
 
 import (
@@ -23,59 +23,60 @@
 
 // Config sets up a Gate. Zero values take the defaults.
 type Config struct {
-	// High is the quantile of recent stage times that admission counts on.
+	// High is the quantile of recent stage times that admission relies on.
 	High float64
-	// Low is the quantile below which no hope is left.
+	// Low is the quantile of recent stage times below which a stage hardly ever ends.
 	Low float64
-	// MostQueued bounds the requests that wait in one queue.
+	// MostQueued limits the requests in one queue.
 	MostQueued int
-	// TrialEvery lets one request per pipeline pass against the estimate, so
-	// that an estimate which went wrong can mend.
+	// TrialEvery is the interval at which one request per pipeline is admitted against the
+	// estimate, so that a wrong estimate can recover.
 	TrialEvery time.Duration
-	// Memory is how long estimates count without a new sample.
+	// Memory is how long an estimate is used without a new sample.
 	Memory time.Duration
 	// MinRetry and MaxRetry bound Verdict.RetryAfter.
 	MinRetry, MaxRetry time.Duration
 }
 
-// StageKey names what times are estimated for. It holds no workspace, so the
-// state grows with pipelines only.
+// StageKey identifies an estimate. It has no workspace, so the state grows only with the number
+// of pipelines.
 type StageKey struct {
 	Pipeline shed.PipelineID
 	Stage    shed.StageID
 }
 
-// Ask is the question whether a request may come in.
+// Ask is a request to be admitted.
 type Ask struct {
-	// Waiting is the request as it would wait; its Latest is void.
+	// Waiting is the request as it would be queued; its Latest is not used.
 	Waiting
 	Pipeline *shed.Pipeline
 	Deadline time.Time
-	// Queue is where the first stage would wait.
+	// Queue is the queue of the first stage.
 	Queue QueueKey
 }
 
-// Verdict answers an Ask.
+// Verdict is the decision on an Ask.
 type Verdict struct {
 	OK         bool
 	Reason     shed.Reason
 	RetryAfter time.Duration
 }
 
-// Gate predicts and queues. It is not safe for concurrent use.
+// Gate predicts stage times and waiting times, and queues requests. It is not safe for concurrent
+// use.
 type Gate struct {
 	cfg      Config
 	sketches map[StageKey]*sketch
-	// lastProbes holds the time of the last trial per pipeline.
+	// lastProbes holds the time of the last probe per pipeline.
 	lastProbes map[shed.PipelineID]time.Time
 	queues     map[QueueKey]*queue
-	// queueKeys are the keys of queues that ever held something, sorted.
+	// queueKeys are the sorted keys of queues, empty ones included.
 	queueKeys []QueueKey
-	// items finds the item of a waiting request; its size is the number queued.
+	// items holds all queued requests.
 	items map[shed.RequestID]*item
 }
 
-// New returns an open gate.
+// New returns a Gate without estimates or queued requests.
 func New(cfg Config) *Gate {
 	if cfg.High == 0 {
 		cfg.High = DefaultHigh
@@ -107,7 +108,7 @@
 	}
 }
 
-// SetRules forgets the estimates of stages that the rules no longer have.
+// SetRules removes the estimates of stages that are not in the rules, and empty queues.
 func (g *Gate) SetRules(rules *shed.Rules) {
 	kept := map[StageKey]*sketch{}
 	for id, p := range rules.Pipelines {
@@ -127,7 +128,7 @@
 	g.removeEmptyQueues()
 }
 
-// Observe adds the time that one stage took, waiting not included.
+// Observe adds the run time of one stage, without its waiting time.
 func (g *Gate) Observe(now time.Time, key StageKey, took time.Duration) {
 	s := g.sketches[key]
 	if s == nil {
@@ -137,8 +138,8 @@
 	s.add(now, took, g.cfg.Low, g.cfg.High)
 }
 
-// Admit decides whether the request can be done in time. A request that can't
-// is refused at once: held, it would take the place of one that can.
+// Admit decides whether the request can meet its deadline. A request that can't is rejected at
+// once: if queued, it would take the place of one that can.
 func (g *Gate) Admit(now time.Time, ask Ask) Verdict {
 	budget := ask.Deadline.Sub(now)
 	if Minimum(ask.Pipeline, 0) > budget {
@@ -161,9 +162,9 @@
 	}
 }
 
-// totalWait predicts the waiting at all stages. Most often a late one is the
-// narrow place: looking at the first stage's queue alone, requests are let in,
-// go through the cheap stages, and are given up on before the dear one.
+// totalWait predicts the waiting time at all stages. The bottleneck is most often a late stage: if
+// only the first stage's queue counted, requests would be admitted, run through the cheap stages
+// and be abandoned before the expensive one.
 func (g *Gate) totalWait(now time.Time, ask Ask) time.Duration {
 	sum := g.Wait(now, ask.Queue, ask.Waiting)
 	for i := range ask.Pipeline.Stages {
@@ -174,7 +175,7 @@
 	return sum
 }
 
-// longestQueue is the one that the request would wait in longest.
+// longestQueue returns the queue in which the request would wait longest.
 func (g *Gate) longestQueue(now time.Time, ask Ask) QueueKey {
 	longest, longestWait := ask.Queue, g.Wait(now, ask.Queue, ask.Waiting)
 	for i := range ask.Pipeline.Stages {
@@ -186,9 +187,9 @@
 	return longest
 }
 
-// allowProbe lets one request through per period. Without it a burst of slow stages
-// could close the gate for good: nothing admitted, hence no new sample, hence
-// still nothing admitted after the stages have mended.
+// allowProbe admits one request per interval. Without it, a burst of slow stages could reject all
+// requests for good: without admitted requests there are no new samples, so nothing would be
+// admitted even after the stages have recovered.
 func (g *Gate) allowProbe(now time.Time, p shed.PipelineID) bool {
 	if last, ok := g.lastProbes[p]; ok && now.Sub(last) < g.cfg.TrialEvery {
 		return false
@@ -197,7 +198,7 @@
 	return true
 }
 
-// Minimum sums the least times that the rules give for the stages from one on.
+// Minimum sums the minimum durations that the rules set for the stages starting at index from.
 func Minimum(p *shed.Pipeline, from int) time.Duration {
 	var sum time.Duration
 	for i := from; i < len(p.Stages); i++ {
@@ -206,7 +207,7 @@
 	return sum
 }
 
-// Expected is the time that the stages from one on will likely take.
+// Expected predicts the run time of the stages starting at index from.
 func (g *Gate) Expected(now time.Time, p *shed.Pipeline, from int) time.Duration {
 	var sum time.Duration
 	for i := from; i < len(p.Stages); i++ {
@@ -215,13 +216,13 @@
 	return sum
 }
 
-// Likely is the time that one stage will likely take.
+// Likely predicts the run time of one stage.
 func (g *Gate) Likely(now time.Time, p *shed.Pipeline, stage int) time.Duration {
 	_, high := g.quantiles(now, p, stage)
 	return max(p.Stages[stage].MinDuration, high)
 }
 
-// Least is the time below which the stages from one on hardly ever end.
+// Least is the time below which the stages starting at index from hardly ever end.
 func (g *Gate) Least(now time.Time, p *shed.Pipeline, from int) time.Duration {
 	var sum time.Duration
 	for i := from; i < len(p.Stages); i++ {
@@ -239,9 +240,9 @@
 	return s.low, s.high
 }
 
-// RetryAfter is when a refused request should come back: once its turn would
-// have come. The spread by the request's id keeps those refused together
-// from coming back together.
+// RetryAfter is the delay after which a rejected request should be retried: its predicted waiting
+// time. Jitter derived from the request id keeps requests that were rejected together from being
+// retried together.
 func (g *Gate) RetryAfter(now time.Time, key QueueKey, w Waiting) time.Duration {
 	base := max(min(g.Wait(now, key, w), g.cfg.MaxRetry/2), g.cfg.MinRetry)
 	const steps = 1024
--- a/internal/admit/admit_test.go
+++ b/internal/admit/admit_test.go
@@ -52,20 +52,20 @@
 func TestRefusesWhatCannotBeDone(t *testing.T) {
 	p := pipeline(100 * time.Millisecond)
 	g := New(Config{})
-	require.False(t, g.Admit(zero, ask("r", p, 199*time.Millisecond)).OK, "below the sum of minimums")
+	require.False(t, g.Admit(zero, ask("r", p, 199*time.Millisecond)).OK, "below the sum of the minimum durations")
 	require.True(t, g.Admit(zero, ask("r", p, 200*time.Millisecond)).OK)
 	for range 100 {
 		g.Observe(zero, StageKey{"draft", "write"}, 2*time.Second)
 	}
-	require.True(t, g.Admit(zero, ask("r1", p, time.Second)).OK, "the trial")
+	require.True(t, g.Admit(zero, ask("r1", p, time.Second)).OK, "admitted as a probe")
 	v := g.Admit(zero, ask("r2", p, time.Second))
 	require.Equal(t, shed.ReasonWontMeetDeadline, v.Reason)
 	require.True(t, g.Admit(zero, ask("r3", p, 3*time.Second)).OK)
 }
 
-// Every stage was slow for a while, so each caller is refused, and no stage
-// runs that could show that it is quick again. The caller would be refused for
-// good; the trials let enough through for the estimate to mend.
+// Guards against a gate that rejects all requests for good: after a slow period every request is
+// rejected, so no stage runs that could show that it is fast again. Probes admit enough requests
+// for the estimate to recover.
 func TestGateOpensAgain(t *testing.T) {
 	p := pipeline(time.Millisecond)
 	g := New(Config{})
@@ -94,7 +94,7 @@
 		now = now.Add(100 * time.Millisecond)
 		require.True(t, g.PopReady(now, "enc", func(shed.RequestID) bool { return true }))
 	}
-	// 80 wait, 10 a second go.
+	// 80 are queued, 10 per second are started.
 	wa, wb := Waiting{Request: "a", Workspace: "w"}, Waiting{Request: "b", Workspace: "w"}
 	require.InDelta(t, 8, g.Wait(now, "enc", wa).Seconds(), 1.5)
 	a, b := g.RetryAfter(now, "enc", wa), g.RetryAfter(now, "enc", wb)
@@ -103,8 +103,8 @@
 	require.GreaterOrEqual(t, a, g.Wait(now, "enc", wa))
 }
 
-// One workspace has filled the queue with more than a minute's work. The caller
-// of another one must not be refused for it: its turn is the next but one.
+// Guards against rejecting requests of one workspace because of another's backlog: one workspace
+// has queued more than a minute's work, but a request of another is served second.
 func TestGreedyWorkspaceClosesTheDoorToNobody(t *testing.T) {
 	g := New(Config{})
 	enqueue(g, "greedy", 1000, 1)
@@ -118,7 +118,7 @@
 	a := ask("r", pipeline(time.Millisecond), now.Sub(zero)+time.Second)
 	require.True(t, g.Admit(now, a).OK)
 	a.Workspace = "greedy"
-	g.Admit(now, a) // the trial
+	g.Admit(now, a) // admitted as a probe
 	require.False(t, g.Admit(now, a).OK)
 }
 
@@ -131,8 +131,8 @@
 	require.InEpsilon(t, 0.7, s.high.Seconds(), 0.15)
 }
 
-// One workspace floods the queue. The caller of a small one waits for at most
-// one turn of the flood, and keeps its place when the queue overflows.
+// Guards against starvation: one workspace floods the queue. A request of another waits for at
+// most one request of the first, and isn't evicted when the queue overflows.
 func TestGreedyWorkspaceStarvesNobody(t *testing.T) {
 	g := New(Config{MostQueued: 1000})
 	enqueue(g, "greedy", 1000, 1)
@@ -150,8 +150,8 @@
 	require.InDelta(t, 150, got["b"], 2)
 }
 
-// A workspace that sends one request at a time, always just after its last one
-// was served, gains nothing over one that queues all at once.
+// A workspace that sends one request at a time, always just after its last one was served, must
+// not get more starts than one that queues all its requests at once.
 func TestComingAndGoingGainsNoTurns(t *testing.T) {
 	g := New(Config{})
 	enqueue(g, "steady", 500, 1)
@@ -167,8 +167,8 @@
 	require.LessOrEqual(t, got["hopper"], 101)
 }
 
-// Whatever is pushed, popped and dropped in whatever order, each request leaves
-// the queue exactly once, the most urgent of a workspace first.
+// For any order of Push, PopReady and Drop, each request leaves the queue exactly once, the most
+// urgent of a workspace first.
 func TestQueueLosesAndDoublesNothing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := New(Config{MostQueued: 8})
@@ -196,7 +196,7 @@
 					require.True(t, ok, "popped twice")
 					for _, other := range waiting {
 						urgent := other.Workspace == w.Workspace && other.Latest.Before(w.Latest)
-						require.False(t, urgent, "a more urgent one waits")
+						require.False(t, urgent, "a more urgent request of the workspace is queued")
 					}
 					if take {
 						delete(waiting, id)
@@ -238,8 +238,7 @@
 	}
 }
 
-// The queue holds one request of each of 27,000 workspaces; each round pops one
-// and pushes one.
+// The queue holds one request of each of 27,000 workspaces; each iteration pops one and pushes one.
 func BenchmarkQueue27000Workspaces(b *testing.B) {
 	const workspaces = 27_000
 	g := New(Config{MostQueued: 2 * workspaces})
@@ -264,9 +263,8 @@
 	}
 }
 
-// BenchmarkPushKept lets one request of a new workspace wait each time: its
-// bytes are what a waiting request and its workspace take, with the maps'
-// growth, hence an upper bound.
+// BenchmarkPushKept queues one request of a new workspace per iteration: its bytes per operation are
+// the memory of a queued request and its workspace, including map growth, hence an upper bound.
 func BenchmarkPushKept(b *testing.B) {
 	g := New(Config{MostQueued: 1 << 30})
 	b.ReportAllocs()
--- a/internal/admit/heaps.go
+++ b/internal/admit/heaps.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// itemHeap orders one workspace's requests by slack.
+// itemHeap orders one workspace's requests by Latest, the earliest first.
 type itemHeap []*item
 
 func (h itemHeap) Len() int { return len(h) }
@@ -34,10 +34,10 @@
 	return it
 }
 
-// last is one of the less urgent half.
+// last returns one of the less urgent half of the requests.
 func (h itemHeap) last() *item { return h[len(h)-1] }
 
-// tagHeap orders the workspaces of a queue by tag.
+// tagHeap orders the flows of a queue by tag, the smallest first.
 type tagHeap []*flow
 
 func (h tagHeap) Len() int { return len(h) }
@@ -69,8 +69,7 @@
 	return s
 }
 
-// backlogHeap orders the workspaces of a queue by what waits for their weight,
-// the most first.
+// backlogHeap orders the flows of a queue by backlog relative to weight, the longest first.
 type backlogHeap []*flow
 
 func (h backlogHeap) Len() int { return len(h) }
@@ -105,14 +104,14 @@
 	return s
 }
 
-// rateWindow is the period over which a rate is counted, and leastShare the
-// part of the first one that must have passed before its count is scaled up.
+// rateWindow is the period over which events are counted. minElapsedShare is the share of the first
+// window that must have passed before its count is scaled up.
 const (
 	rateWindow      = time.Second
 	minElapsedShare = 0.2
 )
 
-// rate counts events per second over the running window and the one before.
+// rate counts events per second over the current and the previous window.
 type rate struct {
 	start             time.Time
 	current, previous float64
--- a/internal/admit/queue.go
+++ b/internal/admit/queue.go
@@ -8,10 +8,10 @@
 	shed "jasmineshed"
 )
 
-// QueueKey names one queue: requests that wait for the same servers.
+// QueueKey identifies a queue of requests that wait for the same servers.
 type QueueKey string
 
-// KeyOf is the queue of a stage: its pool, and its zones if it is bound to some.
+// KeyOf returns the queue of a stage: its pool, and its zones if it is bound to any.
 func KeyOf(s *shed.Stage) QueueKey {
 	if len(s.Zones) == 0 {
 		return QueueKey(s.Pool)
@@ -23,17 +23,17 @@
 	return key
 }
 
-// Waiting is one request that waits for a server.
+// Waiting is a request that waits for a server.
 type Waiting struct {
 	Request   shed.RequestID
 	Workspace shed.WorkspaceID
-	// Share of the workspace; 1 or more.
+	// Share is the weight of the workspace; 1 or more.
 	Share int
-	// Latest is the last moment at which a start still meets the deadline.
+	// Latest is the latest start that still meets the deadline.
 	Latest time.Time
 }
 
-// item is a waiting request in its workspace's heap.
+// item is a queued request in its workspace's heap.
 type item struct {
 	Waiting
 	key   QueueKey
@@ -44,40 +44,39 @@
 // flow is one workspace's part of a queue.
 type flow struct {
 	workspace shed.WorkspaceID
-	// weight is 1 or more and changes only while the share is empty.
+	// weight is 1 or more and changes only while the flow is empty.
 	weight int
-	// tag is the queue's virtual time at which the workspace's next turn is
-	// due; it grows by 1/weight per turn.
+	// tag is the virtual time at which the workspace's next request is due; it grows by 1/weight
+	// per started request.
 	tag float64
-	// items by Latest. An empty share stays until its tag has passed, so a
-	// workspace can't gain turns by leaving the queue and coming back.
+	// items is ordered by Latest. An empty flow is kept until its tag has passed, so a workspace
+	// can't gain starts by leaving the queue and coming back.
 	items itemHeap
-	// tagIndex and backlog are the share's places in the queue's two heaps; backlog
-	// is -1 while the share is empty.
+	// tagIndex and backlogIndex are the positions in the queue's two heaps; backlogIndex is -1
+	// while the flow is empty.
 	tagIndex, backlogIndex int
 }
 
-// queue is fair by start-time fair queueing: the workspace with the smallest
-// tag is next, and within it the request with the least slack.
+// queue implements start-time fair queueing: the workspace with the smallest tag is next, and
+// within it the request with the least slack.
 type queue struct {
 	flows map[shed.WorkspaceID]*flow
 	byTag tagHeap
-	// byBacklog holds the shares that aren't empty, longest for its weight first.
+	// byBacklog holds the flows that aren't empty.
 	byBacklog backlogHeap
-	// virtualTime is the greatest tag served; it never goes backwards.
+	// virtualTime is the greatest tag served; it never decreases.
 	virtualTime float64
-	// length counts the requests, active the weights of the shares that aren't
-	// empty.
+	// length is the number of requests, activeWeight the sum of the weights of the flows that
+	// aren't empty.
 	length       int
 	activeWeight int
 	drainRate    rate
-	// lastProgress is when the queue last moved: drained, or ceased to be empty.
+	// lastProgress is when a request was last started, or the queue last became non-empty.
 	lastProgress time.Time
 }
 
-// Push lets a request wait. If the queue is full, one request of the
-// workspace with the longest backlog for its share must go: it is returned, and
-// may be the new one itself.
+// Push queues a request. If the queue is full, one request of the workspace with the longest
+// backlog relative to its share is evicted and returned; it may be the new one.
 func (g *Gate) Push(now time.Time, key QueueKey, w Waiting) (evicted shed.RequestID, ok bool) {
 	if g.items[w.Request] != nil {
 		return "", true
@@ -97,8 +96,8 @@
 	return victim.Request, false
 }
 
-// PopReady offers the next request of the queue to start; it leaves the queue
-// if start returns true. It returns false if the queue is empty or start did.
+// PopReady passes the next request of the queue to start and removes it if start returns true. It
+// returns false if the queue is empty or start returned false.
 func (g *Gate) PopReady(now time.Time, key QueueKey, start func(shed.RequestID) bool) bool {
 	q := g.queues[key]
 	if q == nil {
@@ -112,7 +111,7 @@
 	if !start(it.Request) {
 		return false
 	}
-	// start may have dropped it already.
+	// start may have dropped the request already.
 	if g.items[it.Request] != it {
 		return true
 	}
@@ -125,7 +124,7 @@
 	return true
 }
 
-// Drop takes a request out of its queue; false if it doesn't wait.
+// Drop removes a request from its queue. It returns false if the request isn't queued.
 func (g *Gate) Drop(id shed.RequestID) bool {
 	it := g.items[id]
 	if it == nil {
@@ -135,7 +134,7 @@
 	return true
 }
 
-// Queues appends the keys of the queues that aren't empty, sorted.
+// Queues appends the sorted keys of the queues that aren't empty.
 func (g *Gate) Queues(to []QueueKey) []QueueKey {
 	for _, key := range g.queueKeys {
 		if g.queues[key].length > 0 {
@@ -145,7 +144,7 @@
 	return to
 }
 
-// Len is how many requests wait in the queue.
+// Len returns the number of requests in the queue.
 func (g *Gate) Len(key QueueKey) int {
 	if q := g.queues[key]; q != nil {
 		return q.length
@@ -153,13 +152,12 @@
 	return 0
 }
 
-// Queued is how many requests wait in all.
+// Queued returns the number of requests in all queues.
 func (g *Gate) Queued() int { return len(g.items) }
 
-// Wait predicts how long a request that comes now would wait in the queue. By
-// fair turns a workspace waits for its own backlog, and for the others only as
-// far as their shares go: counting the whole queue, one greedy workspace would
-// have everybody else refused at the door.
+// Wait predicts how long a request that is queued now would wait. Under fair queueing a workspace
+// waits for its own backlog, and for others only according to their shares. If the whole queue
+// counted, one greedy workspace would get the requests of all others rejected.
 func (g *Gate) Wait(now time.Time, key QueueKey, w Waiting) time.Duration {
 	q := g.queues[key]
 	if q == nil || q.length == 0 {
@@ -168,13 +166,13 @@
 	turns := q.servedBefore(w)
 	perSecond := q.drainRate.perSecond(now)
 	if perSecond == 0 {
-		// Nothing has moved for a while: at best one goes each such while.
+		// No request was started recently: assume at best one start per time without progress.
 		return time.Duration(turns * float64(now.Sub(q.lastProgress)))
 	}
 	return time.Duration(turns / perSecond * float64(time.Second))
 }
 
-// servedBefore is after about how many turns the request would have its own.
+// servedBefore estimates how many requests would be started up to and including the new one.
 func (q *queue) servedBefore(w Waiting) float64 {
 	weight := float64(max(w.Share, 1))
 	own, active := 0, float64(q.activeWeight)
@@ -198,7 +196,6 @@
 	return q
 }
 
-// removeEmptyQueues lets empty queues go.
 func (g *Gate) removeEmptyQueues() {
 	g.queueKeys = slices.DeleteFunc(g.queueKeys, func(key QueueKey) bool {
 		if g.queues[key].length > 0 {
@@ -249,8 +246,7 @@
 	heap.Fix(&q.byBacklog, s.backlogIndex)
 }
 
-// next is the share whose turn it is, or nil. Empty shares whose tag has come
-// up are forgotten on the way.
+// next returns the flow to serve next, or nil. It removes empty flows whose tag has passed.
 func (q *queue) next() *flow {
 	for len(q.byTag) > 0 {
 		s := q.byTag[0]
--- a/internal/admit/sketch.go
+++ b/internal/admit/sketch.go
@@ -5,38 +5,34 @@
 	"time"
 )
 
-// The buckets of a sketch: bucket i holds times up to sketchLow*sketchRatio^i,
-// which reaches past two minutes.
+// Bucket i of a sketch holds times up to sketchLow*sketchRatio^i, which reaches beyond two minutes.
 const (
 	sketchBuckets = 128
 	sketchLow     = time.Millisecond
 	sketchRatio   = 1.1
-	// sketchDecayCount is the count at which all buckets are halved: the sketch
-	// remembers about this many recent samples.
+	// sketchDecayCount is the count at which all buckets are halved: the sketch covers about this
+	// many recent samples.
 	sketchDecayCount = 64
-	// sketchHalfLife is the time after which all buckets are halved too. After
-	// a slow spell only few samples come in, and these would need minutes to
-	// outweigh the old ones by count alone.
+	// sketchHalfLife is the time after which all buckets are halved as well. After a slow period
+	// there are few new samples, which by count alone would need minutes to outweigh the old ones.
 	sketchHalfLife = 5 * time.Second
-	// sketchRefresh is after how many samples the quantiles are worked out
-	// anew.
+	// sketchRefresh is the number of samples after which the quantiles are recomputed.
 	sketchRefresh = 8
 )
 
 var logRatio = math.Log(sketchRatio)
 
-// sketch estimates quantiles of a stage's recent times in fixed memory, to
-// within a tenth.
+// sketch estimates quantiles of a stage's recent times in fixed memory, to within 10%.
 type sketch struct {
 	buckets [sketchBuckets]float32
-	// count is the sum of buckets.
+	// count is the sum of the buckets.
 	count float32
-	// sinceRefresh counts samples since the quantiles below were worked out.
+	// sinceRefresh counts samples since low and high were computed.
 	sinceRefresh int
-	// low and high are quantiles; 0 until there is a sample.
+	// low and high are the quantiles; 0 until there is a sample.
 	low, high time.Duration
-	// lastSample is when the latest sample came, faded when buckets were last halved
-	// for age.
+	// lastSample is the time of the latest sample, lastHalved when the buckets were last halved
+	// because of their age.
 	lastSample, lastHalved time.Time
 }
 
@@ -56,7 +52,7 @@
 	}
 }
 
-// decay halves the buckets once for each half-life gone by.
+// decay halves the buckets once for each elapsed half-life.
 func (s *sketch) decay(now time.Time) {
 	if s.count == 0 {
 		s.lastHalved = now
