--- a/internal/ticket/id.go
+++ b/internal/ticket/id.go
@@ -19,15 +19,15 @@
 // The parts of an id: a version, then in base64 the incarnation, the random
 // part, a checksum and the VM.
 const (
-	idVersion   = "t1."
-	randomSize  = 16
-	incarnation = 8
-	checkSize   = 4
-	fixedSize   = incarnation + randomSize + checkSize
-	maxID       = 128
+	idVersion       = "t1."
+	randomSize      = 16
+	incarnationSize = 8
+	checksumSize    = 4
+	fixedSize       = incarnationSize + randomSize + checksumSize
+	maxIDSize       = 128
 )
 
-var idCoding = base64.RawURLEncoding.Strict()
+var idEncoding = base64.RawURLEncoding.Strict()
 
 // ID returns the id of a ticket whose home is the process. The random part
 // keeps callers from guessing the tickets of others.
@@ -35,26 +35,26 @@
 	raw := make([]byte, 0, fixedSize+len(home.VM))
 	raw = binary.BigEndian.AppendUint64(raw, uint64(home.Incarnation))
 	raw = append(raw, random[:]...)
-	raw = binary.BigEndian.AppendUint32(raw, check(raw, home.VM))
+	raw = binary.BigEndian.AppendUint32(raw, checksum(raw, home.VM))
 	raw = append(raw, home.VM...)
-	return shed.RequestID(idVersion + idCoding.EncodeToString(raw))
+	return shed.RequestID(idVersion + idEncoding.EncodeToString(raw))
 }
 
 // Home returns the process that issued the ticket. It accepts an id only in
 // the one form that ID writes, and returns ErrBadID for any other.
 func Home(id shed.RequestID) (shed.Peer, error) {
-	if len(id) > maxID {
-		return shed.Peer{}, fmt.Errorf("%w: longer than %d", ErrBadID, maxID)
+	if len(id) > maxIDSize {
+		return shed.Peer{}, fmt.Errorf("%w: longer than %d", ErrBadID, maxIDSize)
 	}
-	coded, ok := strings.CutPrefix(string(id), idVersion)
+	encoded, ok := strings.CutPrefix(string(id), idVersion)
 	if !ok {
 		return shed.Peer{}, fmt.Errorf("%w: unknown version", ErrBadID)
 	}
 	// The decoder passes over line breaks.
-	if strings.ContainsAny(coded, "\r\n") {
+	if strings.ContainsAny(encoded, "\r\n") {
 		return shed.Peer{}, fmt.Errorf("%w: line break", ErrBadID)
 	}
-	raw, err := idCoding.DecodeString(coded)
+	raw, err := idEncoding.DecodeString(encoded)
 	if err != nil {
 		return shed.Peer{}, fmt.Errorf("%w: %w", ErrBadID, err)
 	}
@@ -66,21 +66,21 @@
 		return shed.Peer{}, fmt.Errorf("%w: too short", ErrBadID)
 	}
 	vm := shed.VM(raw[fixedSize:])
-	signed := raw[:incarnation+randomSize]
-	if binary.BigEndian.Uint32(raw[len(signed):]) != check(signed, vm) {
+	summed := raw[:incarnationSize+randomSize]
+	if binary.BigEndian.Uint32(raw[len(summed):]) != checksum(summed, vm) {
 		return shed.Peer{}, fmt.Errorf("%w: checksum", ErrBadID)
 	}
 	addr, err := netip.ParseAddrPort(string(vm))
 	if err != nil || addr.String() != string(vm) {
 		return shed.Peer{}, fmt.Errorf("%w: address of its home", ErrBadID)
 	}
-	number := binary.BigEndian.Uint64(raw)
-	return shed.Peer{VM: vm, Incarnation: shed.Incarnation(number)}, nil
+	incarnation := binary.BigEndian.Uint64(raw)
+	return shed.Peer{VM: vm, Incarnation: shed.Incarnation(incarnation)}, nil
 }
 
-// check catches a mistyped or cut id; it is no protection against forgery,
+// checksum catches a mistyped or cut id; it is no protection against forgery,
 // which the home's table gives.
-func check(raw []byte, vm shed.VM) uint32 {
+func checksum(raw []byte, vm shed.VM) uint32 {
 	d := xxhash.New()
 	_, _ = d.Write(raw)
 	_, _ = d.WriteString(string(vm))
--- a/internal/ticket/machine_test.go
+++ b/internal/ticket/machine_test.go
@@ -33,34 +33,34 @@
 	stopped bool
 }
 
-// truth is what the oracle knows of one ticket.
-type truth struct {
+// history is what the oracle knows of one ticket.
+type history struct {
 	runs    int
 	finish  *shed.Finish
-	at      *process
+	ranAt   *process
 	expires time.Time
-	// elsewhere: its home has died or moved it.
-	elsewhere bool
+	// unavailable: its home has died or moved it.
+	unavailable bool
 }
 
 // fleet is a few VMs with one process each, and the moves on their way.
 type fleet struct {
-	t       *rapid.T
-	off     safeguards
-	now     time.Time
-	starts  shed.Incarnation
-	vms     []*process
-	moves   []shed.TicketMove
-	ids     []shed.RequestID
-	truths  map[shed.RequestID]*truth
-	faults  []string
-	serials byte
+	t               *rapid.T
+	disabled        safeguards
+	now             time.Time
+	lastIncarnation shed.Incarnation
+	vms             []*process
+	moves           []shed.TicketMove
+	ids             []shed.RequestID
+	histories       map[shed.RequestID]*history
+	failures        []string
+	lastSerial      byte
 }
 
 const fleetSize = 3
 
 func newFleet(t *rapid.T, off safeguards) *fleet {
-	f := &fleet{t: t, off: off, now: time.Unix(1_700_000_000, 0), truths: map[shed.RequestID]*truth{}}
+	f := &fleet{t: t, disabled: off, now: time.Unix(1_700_000_000, 0), histories: map[shed.RequestID]*history{}}
 	f.vms = make([]*process, fleetSize)
 	for i := range f.vms {
 		f.boot(i)
@@ -68,15 +68,15 @@
 	return f
 }
 
-func (f *fleet) fault(format string, args ...any) {
-	f.faults = append(f.faults, fmt.Sprintf(format, args...))
+func (f *fleet) failf(format string, args ...any) {
+	f.failures = append(f.failures, fmt.Sprintf(format, args...))
 }
 
 func (f *fleet) boot(i int) {
-	f.starts++
-	peer := shed.Peer{VM: shed.VM(fmt.Sprintf("10.0.0.%d:7000", i+1)), Incarnation: f.starts}
+	f.lastIncarnation++
+	peer := shed.Peer{VM: shed.VM(fmt.Sprintf("10.0.0.%d:7000", i+1)), Incarnation: f.lastIncarnation}
 	table := New(Config{Self: peer, Most: 6, Life: 10 * time.Second, Keep: 5 * time.Second})
-	table.off = f.off
+	table.disabled = f.disabled
 	f.vms[i] = &process{peer: peer, table: table}
 }
 
@@ -84,18 +84,18 @@
 
 func (f *fleet) issue(*rapid.T) {
 	p := f.vms[f.vm("home")]
-	f.serials++
-	id := ID(p.peer, [16]byte{f.serials})
+	f.lastSerial++
+	id := ID(p.peer, [16]byte{f.lastSerial})
 	before := p.table.Len()
 	expires, err := p.table.Issue(f.now, id, "w", "publish")
 	if err != nil {
 		if !p.stopped && before < 6 {
-			f.fault("refused a ticket with room: %v", err)
+			f.failf("refused a ticket with room: %v", err)
 		}
 		return
 	}
 	f.ids = append(f.ids, id)
-	f.truths[id] = &truth{expires: expires}
+	f.histories[id] = &history{expires: expires}
 }
 
 // start repeats any ticket at any process, as a balancer would.
@@ -106,45 +106,45 @@
 	id := rapid.SampledFrom(f.ids).Draw(f.t, "ticket")
 	p := f.vms[f.vm("at")]
 	ws := rapid.SampledFrom([]shed.WorkspaceID{"w", "w", "w", "thief"}).Draw(f.t, "workspace")
-	f.judge(p, id, ws, p.table.Start(f.now, id, ws, "publish"))
+	f.checkVerdict(p, id, ws, p.table.Start(f.now, id, ws, "publish"))
 }
 
-func (f *fleet) judge(p *process, id shed.RequestID, ws shed.WorkspaceID, v Verdict) {
-	tr := f.truths[id]
+func (f *fleet) checkVerdict(p *process, id shed.RequestID, ws shed.WorkspaceID, v Verdict) {
+	tr := f.histories[id]
 	if ws != "w" && v.Kind != VerdictOther && v.Kind != VerdictUnknown && v.Kind != VerdictMoved {
-		f.fault("told a stranger: %d", v.Kind)
+		f.failf("told a stranger: %d", v.Kind)
 	}
 	home, err := Home(id)
 	if err != nil {
-		f.fault("own id refused: %v", err)
+		f.failf("own id refused: %v", err)
 	}
-	fresh := tr.runs == 0 && !tr.elsewhere && f.now.Before(tr.expires)
+	fresh := tr.runs == 0 && !tr.unavailable && f.now.Before(tr.expires)
 	if ws == "w" && fresh && p.peer == home && v.Kind != VerdictRun {
-		f.fault("a good ticket was refused: %d", v.Kind)
+		f.failf("a good ticket was refused: %d", v.Kind)
 	}
 	switch v.Kind {
 	case VerdictRun:
 		tr.runs++
-		tr.at = p
+		tr.ranAt = p
 		p.running = append(p.running, id)
 		if tr.runs > 1 {
-			f.fault("ran %d times", tr.runs)
+			f.failf("ran %d times", tr.runs)
 		}
 	case VerdictJoin:
-		if tr.at != p || tr.finish != nil {
-			f.fault("joined what does not run here")
+		if tr.ranAt != p || tr.finish != nil {
+			f.failf("joined what does not run here")
 		}
 	case VerdictStored:
 		if tr.finish == nil || tr.finish.RetryAfter != v.Finish.RetryAfter {
-			f.fault("another answer than the first")
+			f.failf("another answer than the first")
 		}
 	case VerdictExpired:
 		if tr.runs > 0 {
-			f.fault("said to be expired, but ran")
+			f.failf("said to be expired, but ran")
 		}
 	}
 	if outcome, _ := v.Outcome(); outcome == shed.OutcomeNotRun && tr.runs > 0 {
-		f.fault("not_run, but ran")
+		f.failf("not_run, but ran")
 	}
 }
 
@@ -157,38 +157,38 @@
 	p.running = p.running[1:]
 	answer := shed.Finish{Request: id, Outcome: shed.OutcomeComplete, RetryAfter: time.Duration(len(f.ids))}
 	if p.table.Finished(f.now, id, answer) {
-		f.truths[id].finish = &answer
+		f.histories[id].finish = &answer
 	}
 	second := shed.Finish{Request: id, Outcome: shed.OutcomeFailed, RetryAfter: -1}
 	if p.table.Finished(f.now, id, second) {
-		f.fault("a second answer was stored")
+		f.failf("a second answer was stored")
 	}
 }
 
 // crash replaces a process; its running requests may still have run.
 func (f *fleet) crash(*rapid.T) {
 	i := f.vm("victim")
-	f.leave(f.vms[i])
+	f.markUnavailable(f.vms[i])
 	f.boot(i)
 }
 
-func (f *fleet) leave(p *process) {
+func (f *fleet) markUnavailable(p *process) {
 	for _, id := range f.ids {
 		if home, _ := Home(id); home == p.peer {
-			f.truths[id].elsewhere = true
+			f.histories[id].unavailable = true
 		}
 	}
 }
 
 // stop moves a process's unused tickets; it lives on until it crashes.
 func (f *fleet) stop(*rapid.T) {
-	p, heir := f.vms[f.vm("leaver")], f.vms[f.vm("heir")]
-	if p.stopped || p == heir {
+	p, successor := f.vms[f.vm("leaver")], f.vms[f.vm("heir")]
+	if p.stopped || p == successor {
 		return
 	}
 	p.stopped = true
-	f.leave(p)
-	f.moves = append(f.moves, p.table.MoveAll(f.now, heir.peer))
+	f.markUnavailable(p)
+	f.moves = append(f.moves, p.table.MoveAll(f.now, successor.peer))
 }
 
 // deliver brings a move, late or again, to whatever runs at a VM now; a move
@@ -205,12 +205,12 @@
 	f.vms[to].table.Adopt(f.now, move)
 }
 
-func (f *fleet) pass(*rapid.T) {
+func (f *fleet) advanceTime(*rapid.T) {
 	f.now = f.now.Add(time.Duration(rapid.IntRange(1, 20).Draw(f.t, "seconds")) * time.Second)
 	for _, p := range f.vms {
 		p.table.Expire(f.now)
 		if p.table.Len() > 6 {
-			f.fault("%d entries", p.table.Len())
+			f.failf("%d entries", p.table.Len())
 		}
 	}
 }
@@ -227,10 +227,10 @@
 			"stop":         f.stop,
 			"deliver":      f.deliver,
 			"deliver_more": f.deliver,
-			"pass":         f.pass,
+			"pass":         f.advanceTime,
 			"": func(t *rapid.T) {
-				if len(f.faults) > 0 {
-					t.Fatalf("%v", f.faults)
+				if len(f.failures) > 0 {
+					t.Fatalf("%v", f.failures)
 				}
 			},
 		})
@@ -245,15 +245,15 @@
 	rapid.Check(t, machine(safeguards{}))
 }
 
-// recorder takes the failure of a check that is meant to fail.
-type recorder struct {
+// failureRecorder takes the failure of a check that is meant to fail.
+type failureRecorder struct {
 	testing.TB
 	failed bool
 }
 
-func (r *recorder) Helper()               {}
-func (r *recorder) Logf(string, ...any)   {}
-func (r *recorder) Errorf(string, ...any) { r.failed = true }
+func (r *failureRecorder) Helper()               {}
+func (r *failureRecorder) Logf(string, ...any)   {}
+func (r *failureRecorder) Errorf(string, ...any) { r.failed = true }
 
 // With any one safeguard off, some order of crashes, moves and repeats runs a
 // publication twice, and the oracle must see it.
@@ -262,7 +262,7 @@
 		"start twice":  {startTwice: true},
 		"keep moved":   {keepMoved: true},
 		"move running": {moveRunning: true},
-		"any heir":     {anyHeir: true},
+		"any heir":     {anySuccessor: true},
 		"adopt twice":  {adoptTwice: true},
 	}
 	for name, value := range map[string]string{"rapid.shrinktime": "0s", "rapid.nofailfile": "true"} {
@@ -272,7 +272,7 @@
 	}
 	for name, off := range mutants {
 		t.Run(name, func(t *testing.T) {
-			r := &recorder{TB: t}
+			r := &failureRecorder{TB: t}
 			rapid.Check(r, machine(off))
 			require.True(t, r.failed, "the oracle saw nothing")
 		})
--- a/internal/ticket/move.go
+++ b/internal/ticket/move.go
@@ -14,13 +14,13 @@
 // and answers only for what it started. The message may be sent any number of
 // times, but only to that heir; a lost one loses its tickets, whose requests
 // then end as unknown.
-func (t *Table) MoveAll(now time.Time, heir shed.Peer) shed.TicketMove {
+func (t *Table) MoveAll(now time.Time, successor shed.Peer) shed.TicketMove {
 	t.Expire(now)
 	t.closed = true
-	t.heir = heir
-	move := shed.TicketMove{From: t.cfg.Self, To: heir}
+	t.successor = successor
+	move := shed.TicketMove{From: t.cfg.Self, To: successor}
 	for _, e := range t.entries {
-		if t.movable(now, e) {
+		if t.isMovable(now, e) {
 			move.Tickets = append(move.Tickets, shed.MovedTicket{
 				ID:        e.id,
 				Workspace: e.workspace,
@@ -31,24 +31,24 @@
 	}
 	slices.SortFunc(move.Tickets, func(a, b shed.MovedTicket) int { return cmp.Compare(a.ID, b.ID) })
 	for i := range move.Tickets {
-		t.drop(move.Tickets[i].ID)
+		t.removeMoved(move.Tickets[i].ID)
 	}
 	return move
 }
 
-// movable: a started ticket never moves, since the heir could start it again.
-func (t *Table) movable(now time.Time, e *entry) bool {
-	if e.state == stateRunning && t.off.moveRunning {
+// isMovable: a started ticket never moves, since the heir could start it again.
+func (t *Table) isMovable(now time.Time, e *entry) bool {
+	if e.state == stateRunning && t.disabled.moveRunning {
 		return true
 	}
 	return e.state == stateUnused && now.Before(e.expires)
 }
 
-// drop forgets a moved ticket before the heir can hear of it, so that at no
+// removeMoved forgets a moved ticket before the heir can hear of it, so that at no
 // moment two tables may start it.
-func (t *Table) drop(id shed.RequestID) {
+func (t *Table) removeMoved(id shed.RequestID) {
 	e := t.entries[id]
-	if t.off.keepMoved || e.state != stateUnused {
+	if t.disabled.keepMoved || e.state != stateUnused {
 		return
 	}
 	heap.Remove(&t.expiry, e.index)
@@ -63,7 +63,7 @@
 // one move of each sender. A sender makes one move in its life, hence nothing
 // is lost by this.
 func (t *Table) Adopt(now time.Time, move shed.TicketMove) int {
-	if move.To != t.cfg.Self && !t.off.anyHeir {
+	if move.To != t.cfg.Self && !t.disabled.anySuccessor {
 		return 0
 	}
 	// Past its own move a table only waits for its end; what it took now would
@@ -71,10 +71,10 @@
 	if t.closed {
 		return 0
 	}
-	if t.movers[move.From] && !t.off.adoptTwice {
+	if t.adoptedFrom[move.From] && !t.disabled.adoptTwice {
 		return 0
 	}
-	t.movers[move.From] = true
+	t.adoptedFrom[move.From] = true
 	t.Expire(now)
 	n := 0
 	for i := range move.Tickets {
--- a/internal/ticket/start.go
+++ b/internal/ticket/start.go
@@ -56,14 +56,14 @@
 	t.Expire(now)
 	e := t.entries[id]
 	if e == nil {
-		return t.missing()
+		return t.missingVerdict()
 	}
 	if e.workspace != ws || e.pipeline != p {
 		return Verdict{Kind: VerdictOther}
 	}
 	switch e.state {
 	case stateRunning:
-		if t.off.startTwice {
+		if t.disabled.startTwice {
 			return Verdict{Kind: VerdictRun}
 		}
 		return Verdict{Kind: VerdictJoin}
@@ -78,9 +78,9 @@
 	return Verdict{Kind: VerdictRun}
 }
 
-func (t *Table) missing() Verdict {
+func (t *Table) missingVerdict() Verdict {
 	if t.closed {
-		return Verdict{Kind: VerdictMoved, Heir: t.heir}
+		return Verdict{Kind: VerdictMoved, Heir: t.successor}
 	}
 	return Verdict{Kind: VerdictUnknown}
 }
@@ -91,7 +91,7 @@
 	t.Expire(now)
 	e := t.entries[id]
 	if e == nil {
-		return t.missing()
+		return t.missingVerdict()
 	}
 	if e.workspace != ws {
 		return Verdict{Kind: VerdictOther}
@@ -116,7 +116,7 @@
 	}
 	e.state = stateEnded
 	e.finish = finish
-	e.forget = now.Add(t.cfg.Keep)
+	e.removeAt = now.Add(t.cfg.Keep)
 	heap.Push(&t.expiry, e)
 	return true
 }
--- a/internal/ticket/table.go
+++ b/internal/ticket/table.go
@@ -58,37 +58,37 @@
 	pipeline  shed.PipelineID
 	state     state
 	expires   time.Time
-	// forget is when the entry may go; void while running.
-	forget time.Time
-	finish shed.Finish
+	// removeAt is when the entry may go; void while running.
+	removeAt time.Time
+	finish   shed.Finish
 	// index in the heap by forget; -1 while running.
 	index int
 }
 
 // safeguards can be turned off by tests, to show that the proof needs them.
 type safeguards struct {
-	startTwice  bool
-	keepMoved   bool
-	moveRunning bool
-	anyHeir     bool
-	adoptTwice  bool
+	startTwice   bool
+	keepMoved    bool
+	moveRunning  bool
+	anySuccessor bool
+	adoptTwice   bool
 }
 
 // Table holds the tickets that this process may start. It is not safe for
 // concurrent use.
 type Table struct {
-	cfg     Config
-	off     safeguards
-	entries map[shed.RequestID]*entry
+	cfg      Config
+	disabled safeguards
+	entries  map[shed.RequestID]*entry
 	// expiry holds every entry that isn't running, by forget.
 	expiry expiryHeap
-	// movers are the processes whose tickets were adopted, each at most once.
+	// adoptedFrom are the processes whose tickets were adopted, each at most once.
 	// There is one per graceful stop of a peer that chose this process, a few in
 	// a process's life, so it is never pruned.
-	movers map[shed.Peer]bool
+	adoptedFrom map[shed.Peer]bool
 	// closed is set once by MoveAll.
-	closed bool
-	heir   shed.Peer
+	closed    bool
+	successor shed.Peer
 }
 
 // New returns an empty table.
@@ -102,7 +102,7 @@
 	if cfg.Keep == 0 {
 		cfg.Keep = DefaultKeep
 	}
-	return &Table{cfg: cfg, entries: map[shed.RequestID]*entry{}, movers: map[shed.Peer]bool{}}
+	return &Table{cfg: cfg, entries: map[shed.RequestID]*entry{}, adoptedFrom: map[shed.Peer]bool{}}
 }
 
 // Issue puts a new ticket into the table and returns when it expires. It
@@ -125,7 +125,7 @@
 
 // put adds an unused entry.
 func (t *Table) put(e *entry) {
-	e.forget = e.expires.Add(t.cfg.Keep)
+	e.removeAt = e.expires.Add(t.cfg.Keep)
 	t.entries[e.id] = e
 	heap.Push(&t.expiry, e)
 }
@@ -134,7 +134,7 @@
 // that is not in the table is never started. A running entry is never
 // forgotten.
 func (t *Table) Expire(now time.Time) {
-	for len(t.expiry) > 0 && !t.expiry[0].forget.After(now) {
+	for len(t.expiry) > 0 && !t.expiry[0].removeAt.After(now) {
 		e := heap.Pop(&t.expiry).(*entry)
 		delete(t.entries, e.id)
 	}
@@ -151,8 +151,8 @@
 func (h expiryHeap) Len() int { return len(h) }
 
 func (h expiryHeap) Less(i, j int) bool {
-	if !h[i].forget.Equal(h[j].forget) {
-		return h[i].forget.Before(h[j].forget)
+	if !h[i].removeAt.Equal(h[j].removeAt) {
+		return h[i].removeAt.Before(h[j].removeAt)
 	}
 	return h[i].id < h[j].id
 }
--- a/internal/ticket/ticket_test.go
+++ b/internal/ticket/ticket_test.go
@@ -12,13 +12,13 @@
 )
 
 var (
-	zero = time.Unix(1_700_000_000, 0)
-	home = shed.Peer{VM: "[2001:db8::1]:7000", Incarnation: 1 << 62}
-	heir = shed.Peer{VM: "10.0.0.2:7000", Incarnation: 7}
+	zero      = time.Unix(1_700_000_000, 0)
+	home      = shed.Peer{VM: "[2001:db8::1]:7000", Incarnation: 1 << 62}
+	successor = shed.Peer{VM: "10.0.0.2:7000", Incarnation: 7}
 )
 
 func TestIDNamesItsHome(t *testing.T) {
-	for _, p := range []shed.Peer{home, heir, {VM: "[ffff:ffff:ffff:ffff:ffff:ffff:ffff:ffff]:65535", Incarnation: 1<<64 - 1}} {
+	for _, p := range []shed.Peer{home, successor, {VM: "[ffff:ffff:ffff:ffff:ffff:ffff:ffff:ffff]:65535", Incarnation: 1<<64 - 1}} {
 		id := ID(p, [16]byte{1, 2, 3})
 		require.Regexp(t, regexp.MustCompile(`^[A-Za-z0-9._-]{1,128}$`), string(id))
 		got, err := Home(id)
@@ -28,7 +28,7 @@
 }
 
 func TestHomeRefuses(t *testing.T) {
-	good := string(ID(heir, [16]byte{9}))
+	good := string(ID(successor, [16]byte{9}))
 	cases := map[string]string{
 		"empty":         "",
 		"no version":    good[3:],
@@ -51,16 +51,16 @@
 }
 
 func FuzzHome(f *testing.F) {
-	f.Add(string(ID(heir, [16]byte{9})))
+	f.Add(string(ID(successor, [16]byte{9})))
 	f.Add("t1.")
 	f.Fuzz(func(t *testing.T, s string) {
 		p, err := Home(shed.RequestID(s))
 		if err != nil {
 			return
 		}
-		raw, err := idCoding.DecodeString(s[len(idVersion):])
+		raw, err := idEncoding.DecodeString(s[len(idVersion):])
 		require.NoError(t, err)
-		random := [randomSize]byte(raw[incarnation:])
+		random := [randomSize]byte(raw[incarnationSize:])
 		require.Equal(t, s, string(ID(p, random)), "two ids for one ticket")
 	})
 }
@@ -69,11 +69,11 @@
 // the move comes in that had been stuck on the way. If it were adopted, a
 // caller's repeat would publish again.
 func TestLateCopyOfMoveRevivesNothing(t *testing.T) {
-	old, next := New(Config{Self: home}), New(Config{Self: heir})
+	old, next := New(Config{Self: home}), New(Config{Self: successor})
 	id := ID(home, [16]byte{1})
 	_, err := old.Issue(zero, id, "w", "publish")
 	require.NoError(t, err)
-	move := old.MoveAll(zero, heir)
+	move := old.MoveAll(zero, successor)
 	require.Equal(t, VerdictMoved, old.Start(zero, id, "w", "publish").Kind)
 	require.Equal(t, 1, next.Adopt(zero, move))
 	require.Equal(t, VerdictRun, next.Start(zero, id, "w", "publish").Kind)
