--- a/internal/ticket/id.go
+++ b/internal/ticket/id.go
@@ -16,8 +16,8 @@
 // ErrBadID is returned for an id that no process can have issued.
 var ErrBadID = errors.New("not a ticket id")
 
-// The parts of an id: a version, then in base64 the incarnation, the random
-// part, a checksum and the VM.
+// An id consists of a version and, in base64, the incarnation, the random part, a checksum and the
+// VM.
 const (
 	idVersion       = "t1."
 	randomSize      = 16
@@ -29,8 +29,8 @@
 
 var idEncoding = base64.RawURLEncoding.Strict()
 
-// ID returns the id of a ticket whose home is the process. The random part
-// keeps callers from guessing the tickets of others.
+// ID returns the id of a ticket issued by the home process. The random part keeps callers from
+// guessing the tickets of others.
 func ID(home shed.Peer, random [randomSize]byte) shed.RequestID {
 	raw := make([]byte, 0, fixedSize+len(home.VM))
 	raw = binary.BigEndian.AppendUint64(raw, uint64(home.Incarnation))
@@ -40,8 +40,8 @@
 	return shed.RequestID(idVersion + idEncoding.EncodeToString(raw))
 }
 
-// Home returns the process that issued the ticket. It accepts an id only in
-// the one form that ID writes, and returns ErrBadID for any other.
+// Home returns the process that issued the ticket. It accepts only the exact form that ID writes,
+// and returns ErrBadID for any other.
 func Home(id shed.RequestID) (shed.Peer, error) {
 	if len(id) > maxIDSize {
 		return shed.Peer{}, fmt.Errorf("%w: longer than %d", ErrBadID, maxIDSize)
@@ -50,7 +50,7 @@
 	if !ok {
 		return shed.Peer{}, fmt.Errorf("%w: unknown version", ErrBadID)
 	}
-	// The decoder passes over line breaks.
+	// The decoder ignores line breaks.
 	if strings.ContainsAny(encoded, "\r\n") {
 		return shed.Peer{}, fmt.Errorf("%w: line break", ErrBadID)
 	}
@@ -78,8 +78,8 @@
 	return shed.Peer{VM: vm, Incarnation: shed.Incarnation(incarnation)}, nil
 }
 
-// checksum catches a mistyped or cut id; it is no protection against forgery,
-// which the home's table gives.
+// checksum detects a mistyped or truncated id. It doesn't protect against forgery; the home's table
+// does.
 func checksum(raw []byte, vm shed.VM) uint32 {
 	d := xxhash.New()
 	_, _ = d.Write(raw)
--- a/internal/ticket/machine_test.go
+++ b/internal/ticket/machine_test.go
@@ -25,7 +25,7 @@
 	os.Exit(m.Run())
 }
 
-// process is one start of a VM's process; a dead one hears nothing.
+// process is one start of a VM's process; a crashed one receives nothing.
 type process struct {
 	peer    shed.Peer
 	table   *Table
@@ -33,17 +33,17 @@
 	stopped bool
 }
 
-// history is what the oracle knows of one ticket.
+// history is what the test oracle knows of a ticket.
 type history struct {
 	runs    int
 	finish  *shed.Finish
 	ranAt   *process
 	expires time.Time
-	// unavailable: its home has died or moved it.
+	// unavailable is set once the ticket's home has crashed or moved it.
 	unavailable bool
 }
 
-// fleet is a few VMs with one process each, and the moves on their way.
+// fleet is a few VMs with one process each, and the moves in flight.
 type fleet struct {
 	t               *rapid.T
 	disabled        safeguards
@@ -90,7 +90,7 @@
 	expires, err := p.table.Issue(f.now, id, "w", "publish")
 	if err != nil {
 		if !p.stopped && before < 6 {
-			f.failf("refused a ticket with room: %v", err)
+			f.failf("ticket refused although the table isn't full: %v", err)
 		}
 		return
 	}
@@ -98,7 +98,7 @@
 	f.histories[id] = &history{expires: expires}
 }
 
-// start repeats any ticket at any process, as a balancer would.
+// start sends a request with any ticket to any process, as a load balancer would.
 func (f *fleet) start(*rapid.T) {
 	if len(f.ids) == 0 {
 		return
@@ -112,15 +112,15 @@
 func (f *fleet) checkVerdict(p *process, id shed.RequestID, ws shed.WorkspaceID, v Verdict) {
 	tr := f.histories[id]
 	if ws != "w" && v.Kind != VerdictOther && v.Kind != VerdictUnknown && v.Kind != VerdictMoved {
-		f.failf("told a stranger: %d", v.Kind)
+		f.failf("verdict %d disclosed to another workspace", v.Kind)
 	}
 	home, err := Home(id)
 	if err != nil {
-		f.failf("own id refused: %v", err)
+		f.failf("id of an issued ticket refused: %v", err)
 	}
 	fresh := tr.runs == 0 && !tr.unavailable && f.now.Before(tr.expires)
 	if ws == "w" && fresh && p.peer == home && v.Kind != VerdictRun {
-		f.failf("a good ticket was refused: %d", v.Kind)
+		f.failf("valid unused ticket refused: verdict %d", v.Kind)
 	}
 	switch v.Kind {
 	case VerdictRun:
@@ -128,23 +128,23 @@
 		tr.ranAt = p
 		p.running = append(p.running, id)
 		if tr.runs > 1 {
-			f.failf("ran %d times", tr.runs)
+			f.failf("request ran %d times", tr.runs)
 		}
 	case VerdictJoin:
 		if tr.ranAt != p || tr.finish != nil {
-			f.failf("joined what does not run here")
+			f.failf("joined a request that isn't running here")
 		}
 	case VerdictStored:
 		if tr.finish == nil || tr.finish.RetryAfter != v.Finish.RetryAfter {
-			f.failf("another answer than the first")
+			f.failf("stored answer differs from the first one")
 		}
 	case VerdictExpired:
 		if tr.runs > 0 {
-			f.failf("said to be expired, but ran")
+			f.failf("verdict expired, but the request ran")
 		}
 	}
 	if outcome, _ := v.Outcome(); outcome == shed.OutcomeNotRun && tr.runs > 0 {
-		f.failf("not_run, but ran")
+		f.failf("outcome not_run, but the request ran")
 	}
 }
 
@@ -165,7 +165,7 @@
 	}
 }
 
-// crash replaces a process; its running requests may still have run.
+// crash replaces a process with a new one; its running requests may have had effects.
 func (f *fleet) crash(*rapid.T) {
 	i := f.vm("victim")
 	f.markUnavailable(f.vms[i])
@@ -180,9 +180,9 @@
 	}
 }
 
-// stop moves a process's unused tickets; it lives on until it crashes.
+// stop moves a process's unused tickets; the process runs on until it crashes.
 func (f *fleet) stop(*rapid.T) {
-	p, successor := f.vms[f.vm("leaver")], f.vms[f.vm("heir")]
+	p, successor := f.vms[f.vm("leaver")], f.vms[f.vm("successor")]
 	if p.stopped || p == successor {
 		return
 	}
@@ -191,8 +191,8 @@
 	f.moves = append(f.moves, p.table.MoveAll(f.now, successor.peer))
 }
 
-// deliver brings a move, late or again, to whatever runs at a VM now; a move
-// that is never drawn is lost.
+// deliver delivers a move, possibly late or repeatedly, to the current process of a VM; a move that
+// is never drawn is lost.
 func (f *fleet) deliver(*rapid.T) {
 	if len(f.moves) == 0 {
 		return
@@ -210,7 +210,7 @@
 	for _, p := range f.vms {
 		p.table.Expire(f.now)
 		if p.table.Len() > 6 {
-			f.failf("%d entries", p.table.Len())
+			f.failf("table has %d entries", p.table.Len())
 		}
 	}
 }
@@ -237,15 +237,14 @@
 	}
 }
 
-// A publication is repeated at any process while processes crash, restart,
-// stop and hand their tickets over by messages that are lost, late, doubled or
-// go astray. The caller may hear that the outcome is unknown, but the
-// publication runs once at the most, since only one table ever may start it.
+// Guards against running a non-idempotent request twice. It is retried at any process while
+// processes crash, restart, stop and move their tickets by messages that are lost, late, duplicated
+// or misdirected. The outcome may be reported as unknown, but only one table may ever start it.
 func TestEachTicketRunsAtMostOnce(t *testing.T) {
 	rapid.Check(t, machine(safeguards{}))
 }
 
-// failureRecorder takes the failure of a check that is meant to fail.
+// failureRecorder records the failure of a check that is expected to fail.
 type failureRecorder struct {
 	testing.TB
 	failed bool
@@ -255,15 +254,15 @@
 func (r *failureRecorder) Logf(string, ...any)   {}
 func (r *failureRecorder) Errorf(string, ...any) { r.failed = true }
 
-// With any one safeguard off, some order of crashes, moves and repeats runs a
-// publication twice, and the oracle must see it.
+// With any one safeguard disabled, some order of crashes, moves and retries runs a request twice,
+// and the oracle must detect it.
 func TestOracleCatchesEachSafeguardOff(t *testing.T) {
 	mutants := map[string]safeguards{
-		"start twice":  {startTwice: true},
-		"keep moved":   {keepMoved: true},
-		"move running": {moveRunning: true},
-		"any heir":     {anySuccessor: true},
-		"adopt twice":  {adoptTwice: true},
+		"start twice":   {startTwice: true},
+		"keep moved":    {keepMoved: true},
+		"move running":  {moveRunning: true},
+		"any successor": {anySuccessor: true},
+		"adopt twice":   {adoptTwice: true},
 	}
 	for name, value := range map[string]string{"rapid.shrinktime": "0s", "rapid.nofailfile": "true"} {
 		before := flag.Lookup(name).Value.String()
@@ -274,7 +273,7 @@
 		t.Run(name, func(t *testing.T) {
 			r := &failureRecorder{TB: t}
 			rapid.Check(r, machine(off))
-			require.True(t, r.failed, "the oracle saw nothing")
+			require.True(t, r.failed, "the oracle detected no fault")
 		})
 	}
 }
--- a/internal/ticket/move.go
+++ b/internal/ticket/move.go
@@ -9,11 +9,10 @@
 	shed "jasmineshed"
 )
 
-// MoveAll forgets every unused ticket and returns the message that hands them
-// to the heir. The table is closed from then on: it issues and adopts nothing
-// and answers only for what it started. The message may be sent any number of
-// times, but only to that heir; a lost one loses its tickets, whose requests
-// then end as unknown.
+// MoveAll removes all unused tickets and returns the message that transfers them to the successor.
+// From then on the table is closed: it issues and adopts nothing and answers only for tickets that
+// it started. The message may be sent any number of times, but only to that successor. If it is
+// lost, so are its tickets, and their requests end as unknown.
 func (t *Table) MoveAll(now time.Time, successor shed.Peer) shed.TicketMove {
 	t.Expire(now)
 	t.closed = true
@@ -36,7 +35,8 @@
 	return move
 }
 
-// isMovable: a started ticket never moves, since the heir could start it again.
+// isMovable reports whether the ticket can move. A started ticket never moves, since the successor
+// could start it again.
 func (t *Table) isMovable(now time.Time, e *entry) bool {
 	if e.state == stateRunning && t.disabled.moveRunning {
 		return true
@@ -44,8 +44,8 @@
 	return e.state == stateUnused && now.Before(e.expires)
 }
 
-// removeMoved forgets a moved ticket before the heir can hear of it, so that at no
-// moment two tables may start it.
+// removeMoved removes a moved ticket before the successor can receive it, so that at no time two
+// tables may start it.
 func (t *Table) removeMoved(id shed.RequestID) {
 	e := t.entries[id]
 	if t.disabled.keepMoved || e.state != stateUnused {
@@ -55,19 +55,18 @@
 	delete(t.entries, id)
 }
 
-// Adopt takes over the tickets of a process that left and returns how many.
+// Adopt takes over the tickets of a stopping process and returns how many it took.
 //
-// The same move may come twice, late, or at a later process on the same VM.
-// Then a ticket that was used, forgotten or moved on would come back to life
-// and run again. So only the process that the move names may adopt, and only
-// one move of each sender. A sender makes one move in its life, hence nothing
-// is lost by this.
+// The same move may arrive twice, late, or at a later process on the same VM. Adopted then, a
+// ticket that was used, removed or moved again would be valid once more and could run twice. So
+// only the process named in the move may adopt it, and only one move of each sender. A process
+// sends one move in its lifetime, so no tickets are lost by this.
 func (t *Table) Adopt(now time.Time, move shed.TicketMove) int {
 	if move.To != t.cfg.Self && !t.disabled.anySuccessor {
 		return 0
 	}
-	// Past its own move a table only waits for its end; what it took now would
-	// be lost with it, while callers are told to look elsewhere.
+	// After its own move the process is about to end. Tickets adopted now would be lost with it,
+	// while callers are sent to the successor.
 	if t.closed {
 		return 0
 	}
@@ -85,8 +84,8 @@
 	return n
 }
 
-// adopt never takes a place from another entry: a ticket that finds the table
-// full is lost, which is safe, as it then starts nowhere.
+// adopt never evicts another entry: if the table is full, the ticket is lost, which is safe, as it
+// is then never started.
 func (t *Table) adopt(now time.Time, m *shed.MovedTicket) bool {
 	if t.entries[m.ID] != nil || len(t.entries) >= t.cfg.Most || m.ExpiresIn <= 0 {
 		return false
--- a/internal/ticket/start.go
+++ b/internal/ticket/start.go
@@ -7,37 +7,37 @@
 	shed "jasmineshed"
 )
 
-// VerdictKind tells the answers of Start apart. The set is closed.
+// VerdictKind is the kind of a Verdict. The set is closed.
 type VerdictKind uint8
 
-// The answers of Start.
+// The kinds of verdicts.
 const (
-	// VerdictRun: run it now. It is given at most once for a ticket, by any
-	// table of the fleet.
+	// VerdictRun: run the request now. It is returned at most once per ticket over all tables of
+	// the fleet.
 	VerdictRun VerdictKind = iota + 1
-	// VerdictJoin: it runs here already; its answer is this caller's too.
+	// VerdictJoin: the request runs here already; this caller gets the same answer.
 	VerdictJoin
-	// VerdictStored: it ended here; Verdict.Finish is the answer.
+	// VerdictStored: the request ended here; Verdict.Finish is the answer.
 	VerdictStored
-	// VerdictExpired: it was not used in time, never ran and never will here.
+	// VerdictExpired: the ticket was not used in time; its request never ran here and never will.
 	VerdictExpired
-	// VerdictMoved: the unused ticket went to Verdict.Heir.
+	// VerdictMoved: the table is closed; its unused tickets were moved to Verdict.Heir.
 	VerdictMoved
-	// VerdictUnknown: not in the table. It may have run and been forgotten.
+	// VerdictUnknown: the ticket is not in the table. It may have run and been removed.
 	VerdictUnknown
-	// VerdictOther: the ticket is for another workspace or pipeline; nothing
-	// about it may be told.
+	// VerdictOther: the ticket belongs to another workspace or pipeline; nothing about it may be
+	// disclosed.
 	VerdictOther
 )
 
-// Verdict is the answer of Start.
+// Verdict is the result of Start and Lookup.
 type Verdict struct {
 	Kind   VerdictKind
 	Finish shed.Finish
 	Heir   shed.Peer
 }
 
-// Outcome is what a caller is told when the verdict ends its call.
+// Outcome returns what to report to a caller whose call ends with the verdict.
 func (v Verdict) Outcome() (shed.Outcome, shed.Reason) {
 	switch v.Kind {
 	case VerdictExpired:
@@ -50,8 +50,8 @@
 	return shed.OutcomeUnknown, shed.ReasonTicketUnknown
 }
 
-// Start decides what a request with this ticket does. After VerdictRun the
-// caller must run the request and tell its end to Finished.
+// Start decides what to do with a request that has this ticket. After VerdictRun the caller must
+// run the request and report its end to Finished.
 func (t *Table) Start(now time.Time, id shed.RequestID, ws shed.WorkspaceID, p shed.PipelineID) Verdict {
 	t.Expire(now)
 	e := t.entries[id]
@@ -85,8 +85,8 @@
 	return Verdict{Kind: VerdictUnknown}
 }
 
-// Lookup tells what Start would, but starts nothing: an unused ticket gives
-// VerdictUnknown.
+// Lookup returns the same verdict as Start, but starts nothing: it returns VerdictUnknown for an
+// unused ticket.
 func (t *Table) Lookup(now time.Time, id shed.RequestID, ws shed.WorkspaceID) Verdict {
 	t.Expire(now)
 	e := t.entries[id]
@@ -105,10 +105,9 @@
 	return Verdict{Kind: VerdictUnknown}
 }
 
-// Finished stores the answer of a running ticket for Config.Keep; a second one
-// is ignored and gives false. Whoever keeps the payload must keep it for as
-// long at least, from the same moment or later, or a repeat would be told to
-// join what is no longer there.
+// Finished stores the answer of a running ticket for Config.Keep. It ignores a second answer and
+// returns false. The payload must be kept elsewhere for at least as long, starting at the same
+// time or later, or else a repeated request would get a stored answer without its payload.
 func (t *Table) Finished(now time.Time, id shed.RequestID, finish shed.Finish) bool {
 	e := t.entries[id]
 	if e == nil || e.state != stateRunning {
--- a/internal/ticket/table.go
+++ b/internal/ticket/table.go
@@ -1,8 +1,7 @@
-// Package ticket makes non-idempotent requests run at most once without a
-// store. A ticket's id names the process that issued it; only that process, or
-// the one heir that it moved the unused ticket to, may start the request, and
-// only once. A process that dies takes its tickets along: their requests end
-// as unknown and are never started elsewhere.
+// Package ticket ensures that non-idempotent requests run at most once, without a store. A ticket's
+// id names the process that issued it. Only that process, or the one successor to which it moved
+// the unused ticket, may start the request, and only once. If a process crashes, its tickets are
+// lost: their requests end as unknown and are never started elsewhere.
 package ticket
 
 import (
@@ -16,11 +15,11 @@
 
 // Errors of Issue.
 var (
-	// ErrFull: the table holds Config.Most entries.
+	// ErrFull is returned if the table holds Config.Most entries.
 	ErrFull = errors.New("ticket table full")
-	// ErrClosed: the tickets were moved to an heir.
+	// ErrClosed is returned after MoveAll.
 	ErrClosed = errors.New("ticket table closed")
-	// ErrTaken: the id is in the table already.
+	// ErrTaken is returned if the id is already in the table.
 	ErrTaken = errors.New("ticket id taken")
 )
 
@@ -34,12 +33,12 @@
 // Config sets up a Table. Zero values take the defaults.
 type Config struct {
 	Self shed.Peer
-	// Most bounds the entries: unused, running and ended.
+	// Most limits the entries: unused, running and ended.
 	Most int
-	// Life is how long a ticket may be used.
+	// Life is how long a ticket can be used after it was issued.
 	Life time.Duration
-	// Keep is how long an answer is kept after its end, and an expired ticket
-	// after its expiry, so that a repeat gets a true answer.
+	// Keep is how long the answer of an ended request and an expired ticket are kept, so that a
+	// repeated request gets a correct answer.
 	Keep time.Duration
 }
 
@@ -51,21 +50,22 @@
 	stateEnded
 )
 
-// entry is one ticket. It goes from unused to running to ended and never back.
+// entry is a ticket. Its state goes from unused to running to ended and never back.
 type entry struct {
 	id        shed.RequestID
 	workspace shed.WorkspaceID
 	pipeline  shed.PipelineID
 	state     state
 	expires   time.Time
-	// removeAt is when the entry may go; void while running.
+	// removeAt is when the entry is removed; not used while running.
 	removeAt time.Time
 	finish   shed.Finish
-	// index in the heap by forget; -1 while running.
+	// index is the position in Table.expiry; -1 while running.
 	index int
 }
 
-// safeguards can be turned off by tests, to show that the proof needs them.
+// safeguards are the rules that a test disables to show that each is needed. A field that is set
+// disables its rule.
 type safeguards struct {
 	startTwice   bool
 	keepMoved    bool
@@ -80,13 +80,12 @@
 	cfg      Config
 	disabled safeguards
 	entries  map[shed.RequestID]*entry
-	// expiry holds every entry that isn't running, by forget.
+	// expiry holds every entry that isn't running, ordered by removeAt.
 	expiry expiryHeap
-	// adoptedFrom are the processes whose tickets were adopted, each at most once.
-	// There is one per graceful stop of a peer that chose this process, a few in
-	// a process's life, so it is never pruned.
+	// adoptedFrom are the processes whose tickets were adopted. It is never pruned: there is one
+	// per graceful stop of a peer that chose this process, a few in a process's lifetime.
 	adoptedFrom map[shed.Peer]bool
-	// closed is set once by MoveAll.
+	// closed is set by MoveAll and never reset.
 	closed    bool
 	successor shed.Peer
 }
@@ -105,8 +104,8 @@
 	return &Table{cfg: cfg, entries: map[shed.RequestID]*entry{}, adoptedFrom: map[shed.Peer]bool{}}
 }
 
-// Issue puts a new ticket into the table and returns when it expires. It
-// returns ErrFull, ErrClosed or ErrTaken.
+// Issue adds a new ticket and returns when it expires. It fails with ErrFull, ErrClosed or
+// ErrTaken.
 func (t *Table) Issue(now time.Time, id shed.RequestID, ws shed.WorkspaceID, p shed.PipelineID) (time.Time, error) {
 	if t.closed {
 		return time.Time{}, ErrClosed
@@ -130,9 +129,8 @@
 	heap.Push(&t.expiry, e)
 }
 
-// Expire forgets what is past its time. Forgetting is always safe: a ticket
-// that is not in the table is never started. A running entry is never
-// forgotten.
+// Expire removes entries whose time has passed. Removal is always safe: a ticket that is not in the
+// table is never started. A running entry is never removed.
 func (t *Table) Expire(now time.Time) {
 	for len(t.expiry) > 0 && !t.expiry[0].removeAt.After(now) {
 		e := heap.Pop(&t.expiry).(*entry)
@@ -140,10 +138,10 @@
 	}
 }
 
-// Len counts the entries.
+// Len returns the number of entries.
 func (t *Table) Len() int { return len(t.entries) }
 
-// Running counts the tickets whose request runs now.
+// Running returns the number of tickets whose request is running.
 func (t *Table) Running() int { return len(t.entries) - len(t.expiry) }
 
 type expiryHeap []*entry
--- a/internal/ticket/ticket_test.go
+++ b/internal/ticket/ticket_test.go
@@ -61,13 +61,12 @@
 		raw, err := idEncoding.DecodeString(s[len(idVersion):])
 		require.NoError(t, err)
 		random := [randomSize]byte(raw[incarnationSize:])
-		require.Equal(t, s, string(ID(p, random)), "two ids for one ticket")
+		require.Equal(t, s, string(ID(p, random)), "a ticket must have only one id")
 	})
 }
 
-// The heir ran a moved publication and has forgotten it since. Then a copy of
-// the move comes in that had been stuck on the way. If it were adopted, a
-// caller's repeat would publish again.
+// Guards against adopting a delayed copy of a move: the successor has run the moved request and
+// removed its ticket since. If it adopted the copy, a caller's retry would run the request again.
 func TestLateCopyOfMoveRevivesNothing(t *testing.T) {
 	old, next := New(Config{Self: home}), New(Config{Self: successor})
 	id := ID(home, [16]byte{1})
@@ -83,9 +82,9 @@
 	require.Equal(t, VerdictUnknown, next.Start(later, id, "w", "publish").Kind)
 }
 
-// The table is full of answers and running requests. A new ticket is refused,
-// nothing is put out for it: an answer put out early would turn a caller's
-// repeat into "unknown", and a running one's could start again.
+// A full table of running requests refuses a new ticket and evicts nothing: if an answer were
+// evicted early, a caller's retry would end as unknown, and a running request could be started
+// again.
 func TestFullTableKeepsWhatItHolds(t *testing.T) {
 	tab := New(Config{Self: home, Most: 2})
 	for i := range byte(2) {
@@ -116,8 +115,8 @@
 	}
 }
 
-// BenchmarkIssueKept keeps every ticket: its bytes are what one entry takes,
-// with the map's growth, hence an upper bound.
+// BenchmarkIssueKept keeps every ticket: its bytes per operation are the memory of one entry,
+// including map growth, hence an upper bound.
 func BenchmarkIssueKept(b *testing.B) {
 	tab := New(Config{Self: home, Most: 1 << 30})
 	b.ReportAllocs()
