--- a/internal/route/affinity.go
+++ b/internal/route/affinity.go
@@ -62,45 +62,45 @@
 
 // Pick implements shed.Policy.
 func (p *Affinity) Pick(_ time.Time, prefix uint64, from []shed.Candidate) int {
-	m := measure(from)
-	slow := time.Duration(float64(m.slow) * p.cfg.SlowFactor)
+	m := meansOf(from)
+	slow := time.Duration(float64(m.callTime) * p.cfg.SlowFactor)
 	if prefix != 0 {
-		if i := p.preferred(prefix, from, m.load*p.cfg.Bound, slow); i >= 0 {
+		if i := p.pickPreferred(prefix, from, m.load*p.cfg.Bound, slow); i >= 0 {
 			return i
 		}
 	}
-	return p.sampled(from, slow)
+	return p.pickSampled(from, slow)
 }
 
 // means are the means over all candidates.
 type means struct {
-	load float64
-	slow time.Duration
+	load     float64
+	callTime time.Duration
 }
 
-func measure(from []shed.Candidate) means {
-	var running, room float64
-	var slow time.Duration
+func meansOf(from []shed.Candidate) means {
+	var calls, total float64
+	var callTime time.Duration
 	known := 0
 	for i := range from {
-		running += float64(max(from[i].Running, from[i].OwnCalls))
-		room += bears(&from[i])
+		calls += float64(max(from[i].Running, from[i].OwnCalls))
+		total += capacity(&from[i])
 		if from[i].MedianCallTime > 0 {
-			slow += from[i].MedianCallTime
+			callTime += from[i].MedianCallTime
 			known++
 		}
 	}
-	m := means{load: (running + 1) / room}
+	m := means{load: (calls + 1) / total}
 	if known > 0 {
-		m.slow = slow / time.Duration(known)
+		m.callTime = callTime / time.Duration(known)
 	}
 	return m
 }
 
-// preferred returns the highest rank for the prefix that is within the bound,
+// pickPreferred returns the highest rank for the prefix that is within the bound,
 // or -1. Ranks are counted over all candidates before any is passed over, so
 // that a prefix does not wander over the fleet while its servers are busy.
-func (p *Affinity) preferred(prefix uint64, from []shed.Candidate, bound float64, slow time.Duration) int {
+func (p *Affinity) pickPreferred(prefix uint64, from []shed.Candidate, bound float64, slow time.Duration) int {
 	var ranks [maxRanks]int
 	var scores [maxRanks]uint64
 	n := 0
@@ -124,21 +124,21 @@
 		}
 		// A server with one place free of many is never above the bound only
 		// because its step is coarse.
-		if relative(&from[i]) <= bound+1/bears(&from[i]) {
+		if relativeLoad(&from[i]) <= bound+1/capacity(&from[i]) {
 			return i
 		}
 	}
 	return -1
 }
 
-// sampled returns the least loaded of a few candidates drawn at random. All
+// pickSampled returns the least loaded of a few candidates drawn at random. All
 // daemons see the same reports, late: if each took the least loaded of all,
 // they would run that one over together before the next report.
-func (p *Affinity) sampled(from []shed.Candidate, slow time.Duration) int {
+func (p *Affinity) pickSampled(from []shed.Candidate, slow time.Duration) int {
 	best, bestLoad := 0, 0.0
 	for k := range p.cfg.Draws {
 		i := p.rng.IntN(len(from))
-		load := relative(&from[i])
+		load := relativeLoad(&from[i])
 		if slow > 0 && from[i].MedianCallTime > slow {
 			load++
 		}
--- a/internal/route/base.go
+++ b/internal/route/base.go
@@ -42,7 +42,7 @@
 func (p *TwoChoices) Pick(_ time.Time, _ uint64, from []shed.Candidate) int {
 	a := p.rng.IntN(len(from))
 	b := p.rng.IntN(len(from))
-	if relative(&from[b]) < relative(&from[a]) {
+	if relativeLoad(&from[b]) < relativeLoad(&from[a]) {
 		return b
 	}
 	return a
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -41,16 +41,16 @@
 	return rand.New(rand.NewPCG(seed, seed^0x9e3779b97f4a7c15))
 }
 
-// bears is how many calls the candidate carries at once as it is now.
-func bears(c *shed.Candidate) float64 {
+// capacity is how many calls the candidate carries at once as it is now.
+func capacity(c *shed.Candidate) float64 {
 	if c.Cold {
 		return float64(max(c.Server.ColdCapacity, 1))
 	}
 	return float64(max(c.Server.Capacity, 1))
 }
 
-// relative is the candidate's load once it has one call more, as a share of
+// relativeLoad is the candidate's load once it has one call more, as a share of
 // what it bears.
-func relative(c *shed.Candidate) float64 {
-	return float64(max(c.Running, c.OwnCalls)+1) / bears(c)
+func relativeLoad(c *shed.Candidate) float64 {
+	return float64(max(c.Running, c.OwnCalls)+1) / capacity(c)
 }
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -54,17 +54,17 @@
 		"to own work": func(c *shed.Candidate) { c.OwnCalls = 7 },
 		"to slowness": func(c *shed.Candidate) { c.MedianCallTime = 10 * time.Second },
 	}
-	for name, burden := range cases {
+	for name, change := range cases {
 		t.Run(name, func(t *testing.T) {
 			from := candidates(16, 8)
 			for i := range from {
 				from[i].MedianCallTime = time.Second
 			}
 			first := p.Pick(zero, 42, from)
-			burden(&from[first])
+			change(&from[first])
 			second := p.Pick(zero, 42, from)
 			require.NotEqual(t, first, second)
-			burden(&from[second])
+			change(&from[second])
 			require.NotContains(t, []int{first, second}, p.Pick(zero, 42, from))
 		})
 	}
