--- a/internal/route/affinity.go
+++ b/internal/route/affinity.go
@@ -20,21 +20,21 @@
 // AffinityConfig sets up an Affinity policy. Zero values take the defaults.
 type AffinityConfig struct {
 	Seed uint64
-	// Bound is how far above the mean relative load a server that has the
-	// prefix may be and still be preferred; above 1.
+	// Bound is the highest load, as a multiple of the mean relative load, at which a server is
+	// still preferred for its prefixes; above 1.
 	Bound float64
-	// Ranks is how many servers hold one prefix, 1 to 4.
+	// Ranks is the number of servers per prefix, 1 to 4.
 	Ranks int
-	// SlowFactor times the mean time per call makes a server slow.
+	// SlowFactor is the multiple of the mean call time above which a server counts as slow.
 	SlowFactor float64
-	// Draws is how many candidates are drawn where no server that has the prefix
-	// will do; the least loaded of them is taken.
+	// Draws is the number of candidates that are sampled if no server of the prefix is suitable;
+	// the least loaded of them is picked.
 	Draws int
 }
 
-// Affinity sends calls with one prefix to the few servers that rank highest
-// for it in a rendezvous hash, so that their prompt caches hit, unless these
-// are loaded well above the mean or slow; then to the least loaded.
+// Affinity sends calls with the same prefix to the few servers that rank highest for it by
+// rendezvous hashing, so that their prompt caches hit. If these are slow or loaded well above the
+// mean, it picks the least loaded of some sampled candidates.
 type Affinity struct {
 	cfg AffinityConfig
 	rng *rand.Rand
@@ -42,7 +42,7 @@
 
 const maxRanks = 4
 
-// NewAffinity returns the policy.
+// NewAffinity returns an Affinity policy.
 func NewAffinity(cfg AffinityConfig) *Affinity {
 	if cfg.Bound == 0 {
 		cfg.Bound = DefaultBound
@@ -72,7 +72,7 @@
 	return p.pickSampled(from, slow)
 }
 
-// means are the means over all candidates.
+// means holds the means over all candidates.
 type means struct {
 	load     float64
 	callTime time.Duration
@@ -97,9 +97,9 @@
 	return m
 }
 
-// pickPreferred returns the highest rank for the prefix that is within the bound,
-// or -1. Ranks are counted over all candidates before any is passed over, so
-// that a prefix does not wander over the fleet while its servers are busy.
+// pickPreferred returns the candidate with the highest rank for the prefix that is within the bound
+// and not slow, or -1. Candidates are ranked before any is skipped, so that a prefix doesn't spread
+// over the fleet while its servers are busy.
 func (p *Affinity) pickPreferred(prefix uint64, from []shed.Candidate, bound float64, slow time.Duration) int {
 	var ranks [maxRanks]int
 	var scores [maxRanks]uint64
@@ -122,8 +122,8 @@
 		if slow > 0 && from[i].MedianCallTime > slow {
 			continue
 		}
-		// A server with one place free of many is never above the bound only
-		// because its step is coarse.
+		// The tolerance of one call keeps a server of small capacity from exceeding the bound
+		// only because its relative load changes in coarse steps.
 		if relativeLoad(&from[i]) <= bound+1/capacity(&from[i]) {
 			return i
 		}
@@ -131,9 +131,9 @@
 	return -1
 }
 
-// pickSampled returns the least loaded of a few candidates drawn at random. All
-// daemons see the same reports, late: if each took the least loaded of all,
-// they would run that one over together before the next report.
+// pickSampled returns the least loaded of a few candidates sampled at random. All daemons see the
+// same delayed load reports: if each picked the least loaded of all candidates, together they would
+// overload it before the next report.
 func (p *Affinity) pickSampled(from []shed.Candidate, slow time.Duration) int {
 	best, bestLoad := 0, 0.0
 	for k := range p.cfg.Draws {
--- a/internal/route/base.go
+++ b/internal/route/base.go
@@ -7,7 +7,7 @@
 	shed "jasmineshed"
 )
 
-// RoundRobin takes the candidates in turn, blind to load.
+// RoundRobin picks the candidates in turn, regardless of load.
 type RoundRobin struct{ next uint64 }
 
 // Pick implements shed.Policy.
@@ -17,12 +17,12 @@
 	return i
 }
 
-// LeastOutstanding takes the candidate with the fewest of this daemon's own
-// calls; it doesn't see what other daemons send.
+// LeastOutstanding picks the candidate with the fewest calls of this daemon; it ignores those of
+// other daemons.
 type LeastOutstanding struct{ next int }
 
-// Pick implements shed.Policy. Ties go round, or else a daemon with little to
-// do would send all of it to the first server.
+// Pick implements shed.Policy. It breaks ties in turn, or else a daemon with few calls would send
+// all of them to the first server.
 func (p *LeastOutstanding) Pick(_ time.Time, _ uint64, from []shed.Candidate) int {
 	p.next++
 	best := p.next % len(from)
@@ -35,7 +35,7 @@
 	return best
 }
 
-// TwoChoices draws two candidates and takes the one with less relative load.
+// TwoChoices samples two candidates and picks the one with the lower relative load.
 type TwoChoices struct{ rng *rand.Rand }
 
 // Pick implements shed.Policy.
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -1,5 +1,5 @@
-// Package route holds the policies that choose a server for a stage call among
-// those that have room: ours and the baselines that it is measured against.
+// Package route provides the policies that choose a server for a stage call among those with free
+// capacity: Affinity and the baselines it is compared with.
 package route
 
 import (
@@ -10,7 +10,7 @@
 	shed "jasmineshed"
 )
 
-// The names of the policies.
+// Names of the policies.
 const (
 	NameAffinity         = "affinity"
 	NameRoundRobin       = "round_robin"
@@ -18,11 +18,11 @@
 	NameTwoChoices       = "two_choices"
 )
 
-// ErrUnknownPolicy is returned for a name that is none of the above.
+// ErrUnknownPolicy is returned for a name that isn't the name of a policy.
 var ErrUnknownPolicy = errors.New("unknown policy")
 
-// Named returns the policy of that name with its default configuration. The
-// seed should differ between daemons, so that they don't all choose alike.
+// Named returns the policy of that name with its default configuration. The seed should differ
+// between daemons, so that they don't all make the same choices.
 func Named(name string, seed uint64) (shed.Policy, error) {
 	switch name {
 	case NameAffinity:
@@ -41,7 +41,7 @@
 	return rand.New(rand.NewPCG(seed, seed^0x9e3779b97f4a7c15))
 }
 
-// capacity is how many calls the candidate carries at once as it is now.
+// capacity returns how many concurrent calls the candidate can handle in its present state.
 func capacity(c *shed.Candidate) float64 {
 	if c.Cold {
 		return float64(max(c.Server.ColdCapacity, 1))
@@ -49,8 +49,7 @@
 	return float64(max(c.Server.Capacity, 1))
 }
 
-// relativeLoad is the candidate's load once it has one call more, as a share of
-// what it bears.
+// relativeLoad returns the candidate's load with one more call, as a share of its capacity.
 func relativeLoad(c *shed.Candidate) float64 {
 	return float64(max(c.Running, c.OwnCalls)+1) / capacity(c)
 }
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -42,7 +42,7 @@
 	}
 	require.Len(t, used, 1)
 	home := p.Pick(zero, 42, from)
-	// Another daemon, and a fleet that lost other servers, choose alike.
+	// Another daemon picks the same server.
 	other := NewAffinity(AffinityConfig{Seed: 2})
 	require.Equal(t, home, other.Pick(zero, 42, from))
 }
@@ -70,8 +70,8 @@
 	}
 }
 
-// One prefix makes up all of the load. No server may fill up while others
-// idle: the bound holds however popular the prefix is.
+// Guards against a hot prefix that overloads its servers while others idle: all calls have one
+// prefix, and the load bound must hold nevertheless.
 func TestAffinityBoundsLoadOfOnePrefix(t *testing.T) {
 	p := NewAffinity(AffinityConfig{Seed: 1})
 	from := candidates(10, 10)
@@ -86,8 +86,8 @@
 	}
 }
 
-// Many daemons hold the same old report, by which one server is the least
-// loaded. If all picked it, it would be run over before the next report.
+// Many daemons have the same stale load report, by which one server is the least loaded. If all
+// picked it, it would be overloaded before the next report.
 func TestOldReportsAreNotFollowedByAll(t *testing.T) {
 	from := candidates(10, 10)
 	for i := range from {
--- a/internal/route/simulation_test.go
+++ b/internal/route/simulation_test.go
@@ -9,8 +9,8 @@
 	shed "jasmineshed"
 )
 
-// The trial's sizes: one zone at the design size, its calls of one second, and
-// caches that hold a few of the prefixes.
+// The simulation has one zone of the size that the system is designed for, calls that take one
+// second on average, and caches that hold a few of the prefixes.
 const (
 	simDaemons   = 52
 	simServers   = 192
@@ -22,13 +22,13 @@
 	simCacheSize = 40
 )
 
-// simulation runs daemons, each with its own policy and its own lagging view, before
-// the same servers.
+// simulation runs daemons, each with its own policy and its own delayed view of the servers, that
+// share all servers.
 type simulation struct {
 	rng        *rand.Rand
 	running    []int
 	views      [][]shed.Candidate
-	ends       [][]int // per step: daemon*trialServers+server
+	ends       [][]int // per step: daemon*simServers+server
 	cache      [][]uint64
 	started    int
 	hits       int
@@ -56,7 +56,7 @@
 	return t, policies
 }
 
-// lookup tells whether the server's cache holds the prefix, and renews it.
+// lookup reports whether the server's cache holds the prefix, and makes it the most recently used.
 func (t *simulation) lookup(server int, prefix uint64) bool {
 	c := t.cache[server]
 	for i, p := range c {
@@ -73,7 +73,7 @@
 	return false
 }
 
-// call places one call as core does: only servers that seem to have room.
+// call places one call as core does: only on servers that appear to have free capacity.
 func (t *simulation) call(step, daemon int, p shed.Policy, prefix uint64, eligible []shed.Candidate, indexes []int) {
 	eligible, indexes = eligible[:0], indexes[:0]
 	for i := range t.views[daemon] {
@@ -120,10 +120,9 @@
 	}
 }
 
-// BenchmarkTrial compares the policies by the share of cache hits, of calls
-// that came to a server which was full already, and of calls for which no
-// server seemed to have room. Run it with -benchtime 1x: it is a trial in
-// virtual time, and its nanoseconds mean nothing.
+// BenchmarkTrial compares the policies by the shares of cache hits, of calls placed on a server that
+// was already full, and of calls for which no server appeared to have free capacity. Run it with
+// -benchtime 1x: it simulates virtual time, so its nanoseconds are meaningless.
 func BenchmarkTrial(b *testing.B) {
 	for _, lag := range []int{10, 50, 100} {
 		for _, load := range []float64{0.5, 0.8, 0.95} {
