--- a/internal/order/decide.go
+++ b/internal/order/decide.go
@@ -22,14 +22,14 @@
 	return uint64(rev)<<revisionBits | hash<<attemptBits | min(attempt, attemptMax)
 }
 
-// fencedHash returns the hash in a fencing number.
-func fencedHash(f uint64) uint64 { return f >> attemptBits & (1<<hashBits - 1) }
+// fenceHash returns the hash in a fencing number.
+func fenceHash(f uint64) uint64 { return f >> attemptBits & (1<<hashBits - 1) }
 
-// met tells whether the server is as the rules want it, as far as it reports.
+// isAsDesired tells whether the server is as the rules want it, as far as it reports.
 // Adapters show only in the hash of the last fencing number. An engine that
 // ignores the number can't show them; there this daemon goes by its own last
 // order, and a new holder of the slot orders once more.
-func (e *entry) met() bool {
+func (e *entry) isAsDesired() bool {
 	if e.report.Model != e.want.name() || e.report.Role != e.want.role {
 		return false
 	}
@@ -37,27 +37,27 @@
 		return true
 	}
 	if e.server.Fenced {
-		return fencedHash(e.report.Fence) == e.want.hash
+		return fenceHash(e.report.Fence) == e.want.hash
 	}
-	return e.done == e.want.hash && e.doneBoot == e.report.Boot
+	return e.doneHash == e.want.hash && e.doneBoot == e.report.Boot
 }
 
-// loads tells whether the server has to load weights to be as wanted.
-func (e *entry) loads() bool { return e.report.Model != e.want.name() }
+// needsLoad tells whether the server has to load weights to be as wanted.
+func (e *entry) needsLoad() bool { return e.report.Model != e.want.name() }
 
-// loading tells whether a load of the group is under way.
-func (g *Giver) loading(group int) bool {
-	for _, id := range g.order {
+// isLoading tells whether a load of the group is under way.
+func (g *Giver) isLoading(slot int) bool {
+	for _, id := range g.ids {
 		e := g.servers[id]
-		if e.sent.Fence != 0 && e.loads() && g.group(id) == group {
+		if e.pending.Fence != 0 && e.needsLoad() && g.slotOf(id) == slot {
 			return true
 		}
 	}
 	return false
 }
 
-// idle tells whether an order can do no harm to running calls.
-func (e *entry) idle() bool {
+// isIdle tells whether an order can do no harm to running calls.
+func (e *entry) isIdle() bool {
 	return e.report.Running == 0 && e.report.Waiting == 0
 }
 
@@ -66,89 +66,89 @@
 // part of a pool drains at once; the others go on serving what they have.
 func (g *Giver) Draining(server shed.ServerID) bool {
 	e := g.servers[server]
-	if e == nil || e.report.Boot == "" || e.met() {
+	if e == nil || e.report.Boot == "" || e.isAsDesired() {
 		return false
 	}
-	return e.report.Model == "" || g.turn(e)
+	return e.report.Model == "" || g.mayChange(e)
 }
 
-// turn tells whether it is the server's turn to change: the first of those of
+// mayChange tells whether it is the server's turn to change: the first of those of
 // its pool that are not as wanted, by id.
-func (g *Giver) turn(e *entry) bool {
+func (g *Giver) mayChange(e *entry) bool {
 	size, ahead := 0, 0
-	for _, id := range g.order {
+	for _, id := range g.ids {
 		o := g.servers[id]
 		if o.server.Pool != e.server.Pool {
 			continue
 		}
 		size++
-		changing := o.report.Boot != "" && !o.met()
+		changing := o.report.Boot != "" && !o.isAsDesired()
 		if changing && id < e.server.ID {
 			ahead++
 		}
 	}
-	return ahead < max(1, size/drainShare)
+	return ahead < max(1, size/drainDivisor)
 }
 
 func (g *Giver) tick(now time.Time) []shed.Action {
 	var out []shed.Action
-	for _, id := range g.order {
+	for _, id := range g.ids {
 		e := g.servers[id]
-		g.hold(now, e)
-		if e.sent.Fence != 0 && now.Sub(e.sentAt) > g.cfg.LongestLoad {
+		g.updateHeldSince(now, e)
+		if e.pending.Fence != 0 && now.Sub(e.sentAt) > g.cfg.LongestLoad {
 			// The driver never told the end; it can't still load.
-			e.sent = shed.SendOrder{}
+			e.pending = shed.SendOrder{}
 		}
-		if g.due(now, e) {
-			out = g.send(now, out, e)
+		if g.isDue(now, e) {
+			out = g.sendOrder(now, out, e)
 		}
 	}
 	return out
 }
 
-func (g *Giver) hold(now time.Time, e *entry) {
+func (g *Giver) updateHeldSince(now time.Time, e *entry) {
 	switch {
-	case !g.table.Holds(now, g.key, g.group(e.server.ID)):
-		e.heldAt = time.Time{}
-	case e.heldAt.IsZero():
-		e.heldAt = now
+	case !g.slotTable.Holds(now, g.slotKey, g.slotOf(e.server.ID)):
+		e.heldSince = time.Time{}
+	case e.heldSince.IsZero():
+		e.heldSince = now
 	}
 }
 
-// due tells whether the server should be sent an order now.
+// isDue tells whether the server should be sent an order now.
 //
 // An engine that takes orders from anybody, or with any number, would take one
 // that a former holder of its slot sent late, on older rules, after ours.
 // So the first order waits out a quiet time in which a late one would have
 // arrived, and is given only on a report made after that, which shows what the
 // engine has then.
-func (g *Giver) due(now time.Time, e *entry) bool {
-	if e.heldAt.IsZero() || e.sent.Fence != 0 || now.Before(e.retryAt) {
+func (g *Giver) isDue(now time.Time, e *entry) bool {
+	if e.heldSince.IsZero() || e.pending.Fence != 0 || now.Before(e.retryAt) {
 		return false
 	}
 	quiet := g.cfg.Quiet
 	if !e.server.Fenced || !e.server.ChecksCaller {
 		quiet = g.cfg.QuietUnfenced
 	}
-	ready := e.heldAt.Add(quiet)
-	if now.Before(ready) || e.at.Before(ready) || now.Sub(e.at) > g.cfg.FreshWithin {
+	ready := e.heldSince.Add(quiet)
+	if now.Before(ready) || e.reportedAt.Before(ready) || now.Sub(e.reportedAt) > g.cfg.FreshWithin {
 		return false
 	}
-	if e.met() || !e.idle() {
+	if e.isAsDesired() || !e.isIdle() {
 		return false
 	}
 	return g.Draining(e.server.ID)
 }
 
-func (g *Giver) send(now time.Time, out []shed.Action, e *entry) []shed.Action {
+func (g *Giver) sendOrder(now time.Time, out []shed.Action, e *entry) []shed.Action {
 	attempt := min(e.attempt+1, attemptMax)
 	f := fence(g.rules.Revision, e.want.hash, attempt)
-	if e.loads() && (!g.loads || g.loading(g.group(e.server.ID))) {
+	if e.needsLoad() && (!g.mayLoad || g.isLoading(g.slotOf(e.server.ID))) {
 		return out
 	}
 	e.attempt = attempt
 	e.sentAt = now
-	e.sent = shed.SendOrder{
+	e.pending = shed.SendOrder{
 		Server:   e.server.ID,
 		URL:      e.server.URL,
 		Fence:    f,
@@ -157,7 +157,7 @@
 		Adapters: e.want.adapters,
 		Role:     e.want.role,
 	}
-	return append(out, e.sent, shed.Note{
+	return append(out, e.pending, shed.Note{
 		Reason: ReasonOrdered,
 		Server: e.server.ID,
 		Rule:   e.server.Origin,
--- a/internal/order/giver.go
+++ b/internal/order/reconciler.go
@@ -60,25 +60,25 @@
 // weights opens the name under which the slots are held. No server can have it:
 // ids in rules hold no "#". The number of slots is part of the name: when it
 // changes, servers change slots, and all of them have to wait once more.
-const weights = "#weights/"
+const slotKeyPrefix = "#weights/"
 
 // drainShare is the part of a pool in this zone, one in so many, that may be
 // out of use at once to change its model or role.
-const drainShare = 4
+const drainDivisor = 4
 
 // Giver gives the orders of one daemon.
 type Giver struct {
 	cfg     Config
 	rules   *shed.Rules
 	servers map[shed.ServerID]*entry
-	order   []shed.ServerID // sorted keys of servers
-	// table shares out the slots, which go by the name of key.
-	table *slots.Table
-	key   shed.ServerID
-	// groups is how many slots there are; loads is false if the rules leave
+	ids     []shed.ServerID // sorted keys of servers
+	// slotTable shares out the slots, which go by the name of key.
+	slotTable *slots.Table
+	slotKey   shed.ServerID
+	// slotCount is how many slots there are; loads is false if the rules leave
 	// this zone no load of weights.
-	groups uint64
-	loads  bool
+	slotCount uint64
+	mayLoad   bool
 }
 
 // entry is what is known of one engine.
@@ -86,18 +86,18 @@
 	server *shed.Server
 	want   desired
 
-	report shed.LoadReport
-	at     time.Time
-	heldAt time.Time // since when this daemon holds its slot; zero: it doesn't
+	report     shed.LoadReport
+	reportedAt time.Time
+	heldSince  time.Time // since when this daemon holds its slot; zero: it doesn't
 	// retryAt is when the next order may be sent.
 	retryAt time.Time
 	attempt uint64
-	// sent is the order that is out; Fence is 0 if there is none.
-	sent   shed.SendOrder
-	sentAt time.Time
-	// done is the hash of the last order that ended well, and doneBoot the
+	// pending is the order that is out; Fence is 0 if there is none.
+	pending shed.SendOrder
+	sentAt  time.Time
+	// doneHash is the hash of the last order that ended well, and doneBoot the
 	// server's boot then.
-	done     uint64
+	doneHash uint64
 	doneBoot string
 }
 
@@ -116,15 +116,15 @@
 
 // New returns a giver without rules.
 func New(cfg Config) *Giver {
-	orDefault(&cfg.Quiet, DefaultQuiet)
-	orDefault(&cfg.QuietUnfenced, DefaultQuietUnfenced)
-	orDefault(&cfg.FreshWithin, DefaultFreshWithin)
-	orDefault(&cfg.RetryAfter, DefaultRetryAfter)
-	orDefault(&cfg.LongestLoad, DefaultLongestLoad)
+	setDefault(&cfg.Quiet, DefaultQuiet)
+	setDefault(&cfg.QuietUnfenced, DefaultQuietUnfenced)
+	setDefault(&cfg.FreshWithin, DefaultFreshWithin)
+	setDefault(&cfg.RetryAfter, DefaultRetryAfter)
+	setDefault(&cfg.LongestLoad, DefaultLongestLoad)
 	return &Giver{
 		cfg:     cfg,
 		servers: map[shed.ServerID]*entry{},
-		table: slots.New(slots.Config{
+		slotTable: slots.New(slots.Config{
 			Self:        cfg.Self,
 			Settle:      cfg.Settle,
 			LongestCall: cfg.LongestLoad,
@@ -133,7 +133,7 @@
 	}
 }
 
-func orDefault(d *time.Duration, v time.Duration) {
+func setDefault(d *time.Duration, v time.Duration) {
 	if *d == 0 {
 		*d = v
 	}
@@ -141,23 +141,23 @@
 
 // SetView passes the view on, as to slots.Table.SetView.
 func (g *Giver) SetView(now time.Time, vms []shed.VM, hash uint64, unsure bool) {
-	g.table.SetView(now, vms, hash, unsure)
+	g.slotTable.SetView(now, vms, hash, unsure)
 }
 
 // SetKnown passes the known VMs on, as to slots.Table.SetKnown.
-func (g *Giver) SetKnown(now time.Time, vms []shed.VM) { g.table.SetKnown(now, vms) }
+func (g *Giver) SetKnown(now time.Time, vms []shed.VM) { g.slotTable.SetKnown(now, vms) }
 
 // SetRules takes the rules in force.
 func (g *Giver) SetRules(now time.Time, rules *shed.Rules) []shed.Action {
-	newer := g.rules == nil || g.rules.Revision != rules.Revision
+	revisionChanged := g.rules == nil || g.rules.Revision != rules.Revision
 	g.rules = rules
-	g.order = g.order[:0]
+	g.ids = g.ids[:0]
 	for id, s := range rules.Servers {
-		want, engine := want(rules, s)
+		want, engine := desiredState(rules, s)
 		if s.Zone != g.cfg.Zone || !engine {
 			continue
 		}
-		g.order = append(g.order, id)
+		g.ids = append(g.ids, id)
 		e := g.servers[id]
 		if e == nil {
 			e = &entry{}
@@ -166,45 +166,45 @@
 		if e.want.hash != want.hash {
 			e.retryAt = time.Time{}
 		}
-		if newer {
+		if revisionChanged {
 			e.attempt = 0
 		}
 		e.server, e.want = s, want
 	}
-	slices.Sort(g.order)
+	slices.Sort(g.ids)
 	for id := range g.servers {
-		if _, keep := slices.BinarySearch(g.order, id); !keep {
+		if _, keep := slices.BinarySearch(g.ids, id); !keep {
 			delete(g.servers, id)
 		}
 	}
-	return g.setLoads(now)
+	return g.updateSlots(now)
 }
 
-// setLoads works out the zone's share of weight loads. Zones times share never
+// updateSlots works out the zone's share of weight loads. Zones times share never
 // passes the limit, so no zone needs to ask another.
-func (g *Giver) setLoads(now time.Time) []shed.Action {
+func (g *Giver) updateSlots(now time.Time) []shed.Action {
 	share := 0
 	if n := len(g.rules.Zones); n > 0 {
 		share = g.rules.MaxWeightLoads / n
 	}
-	g.loads = share > 0
+	g.mayLoad = share > 0
 	n := max(1, share)
-	g.groups = uint64(n)
-	g.key = shed.ServerID(weights + strconv.Itoa(n))
-	g.table.SetServers(now, []*shed.Server{{ID: g.key, Capacity: n, ColdCapacity: n}})
-	if !g.loads {
+	g.slotCount = uint64(n)
+	g.slotKey = shed.ServerID(slotKeyPrefix + strconv.Itoa(n))
+	g.slotTable.SetServers(now, []*shed.Server{{ID: g.slotKey, Capacity: n, ColdCapacity: n}})
+	if !g.mayLoad {
 		return []shed.Action{shed.Note{Reason: ReasonNoWeights, Zone: g.cfg.Zone}}
 	}
 	return nil
 }
 
-// group is the server's slot.
-func (g *Giver) group(id shed.ServerID) int {
-	return int(xxhash.Sum64String(string(id)) % g.groups)
+// slotOf is the server's slot.
+func (g *Giver) slotOf(id shed.ServerID) int {
+	return int(xxhash.Sum64String(string(id)) % g.slotCount)
 }
 
-// want returns what the rules want of the server; false if it is no engine.
-func want(rules *shed.Rules, s *shed.Server) (desired, bool) {
+// desiredState returns what the rules want of the server; false if it is no engine.
+func desiredState(rules *shed.Rules, s *shed.Server) (desired, bool) {
 	pool := rules.Pools[s.Pool]
 	if pool == nil || pool.Model == "" {
 		return desired{}, false
@@ -214,11 +214,11 @@
 		d.version = m.Version
 		d.adapters = m.Adapters
 	}
-	d.hash = d.digest()
+	d.hash = d.computeHash()
 	return d, true
 }
 
-func (d desired) digest() uint64 {
+func (d desired) computeHash() uint64 {
 	var x xxhash.Digest
 	x.Reset()
 	for _, s := range append([]string{string(d.model), d.version, d.role}, d.adapters...) {
@@ -233,7 +233,7 @@
 func (g *Giver) Handle(now time.Time, ev shed.Event) []shed.Action {
 	switch ev := ev.(type) {
 	case shed.Tick:
-		g.table.Handle(now, ev)
+		g.slotTable.Handle(now, ev)
 		return g.tick(now)
 	case shed.LoadReported:
 		g.report(now, ev.Server, ev.Report)
@@ -244,7 +244,7 @@
 			}
 		}
 	case shed.OrderEnded:
-		return g.ended(now, ev)
+		return g.orderEnded(now, ev)
 	}
 	return nil
 }
@@ -254,20 +254,20 @@
 	if e == nil {
 		return
 	}
-	if at := now.Add(-r.Age); !at.Before(e.at) {
-		e.report, e.at = r, at
+	if at := now.Add(-r.Age); !at.Before(e.reportedAt) {
+		e.report, e.reportedAt = r, at
 	}
 }
 
-func (g *Giver) ended(now time.Time, ev shed.OrderEnded) []shed.Action {
+func (g *Giver) orderEnded(now time.Time, ev shed.OrderEnded) []shed.Action {
 	e := g.servers[ev.Server]
-	if e == nil || e.sent.Fence == 0 || e.sent.Fence != ev.Fence {
+	if e == nil || e.pending.Fence == 0 || e.pending.Fence != ev.Fence {
 		return nil
 	}
-	e.sent = shed.SendOrder{}
+	e.pending = shed.SendOrder{}
 	e.retryAt = now.Add(g.cfg.RetryAfter)
 	if ev.Done {
-		e.done, e.doneBoot = fencedHash(ev.Fence), e.report.Boot
+		e.doneHash, e.doneBoot = fenceHash(ev.Fence), e.report.Boot
 	}
 	if ev.StaleFence {
 		return []shed.Action{shed.Note{Reason: ReasonStaleFence, Server: ev.Server}}
--- a/internal/order/giver_test.go
+++ b/internal/order/reconciler_test.go
@@ -18,16 +18,16 @@
 
 // fleet is a zone of givers before engines that load for half a minute.
 type fleet struct {
-	t       *testing.T
-	now     time.Time
-	givers  map[shed.VM]*order.Giver
-	vms     []shed.VM
-	rules   *shed.Rules
-	engines map[shed.ServerID]*engine
-	orders  []shed.SendOrder
-	notes   map[shed.Reason]int
+	t           *testing.T
+	now         time.Time
+	reconcilers map[shed.VM]*order.Giver
+	vms         []shed.VM
+	rules       *shed.Rules
+	engines     map[shed.ServerID]*engine
+	orders      []shed.SendOrder
+	notes       map[shed.Reason]int
 	// most loads at once, and most engines of the pool out of use at once.
-	loads, out int
+	maxLoads, maxDraining int
 }
 
 type engine struct {
@@ -41,9 +41,9 @@
 func newFleet(t *testing.T, daemons, servers, weightLoads int, change func(*shed.Server)) *fleet {
 	f := &fleet{
 		t: t, now: time.Unix(1_800_000_000, 0),
-		givers:  map[shed.VM]*order.Giver{},
-		engines: map[shed.ServerID]*engine{},
-		notes:   map[shed.Reason]int{},
+		reconcilers: map[shed.VM]*order.Giver{},
+		engines:     map[shed.ServerID]*engine{},
+		notes:       map[shed.Reason]int{},
 	}
 	f.rules = rulesAt(1, "4", servers, weightLoads, change)
 	for id, s := range f.rules.Servers {
@@ -52,8 +52,8 @@
 	for i := range daemons {
 		vm := shed.VM(fmt.Sprintf("10.0.0.%d:7400", i))
 		f.vms = append(f.vms, vm)
-		f.givers[vm] = order.New(order.Config{Self: vm, Zone: zone})
-		f.givers[vm].SetRules(f.now, f.rules)
+		f.reconcilers[vm] = order.New(order.Config{Self: vm, Zone: zone})
+		f.reconcilers[vm].SetRules(f.now, f.rules)
 	}
 	return f
 }
@@ -80,7 +80,7 @@
 func (f *fleet) setRules(r *shed.Rules) {
 	f.rules = r
 	for _, vm := range f.vms {
-		f.givers[vm].SetRules(f.now, r)
+		f.reconcilers[vm].SetRules(f.now, r)
 	}
 	for id, s := range r.Servers {
 		f.engines[id].server = s
@@ -89,20 +89,20 @@
 
 func (f *fleet) run(d time.Duration) {
 	for end := f.now.Add(d); f.now.Before(end); f.now = f.now.Add(time.Second) {
-		f.serve()
+		f.runEngines()
 		for _, vm := range f.vms {
-			g := f.givers[vm]
+			g := f.reconcilers[vm]
 			g.SetView(f.now, f.vms, uint64(len(f.vms)), false)
 			for id, e := range f.engines {
 				e.report.Sequence++
 				g.Handle(f.now, shed.LoadReported{Server: id, Report: e.report})
 			}
-			f.perform(vm, g.Handle(f.now, shed.Tick{Wall: f.now}))
+			f.execute(vm, g.Handle(f.now, shed.Tick{Wall: f.now}))
 		}
 	}
 }
 
-func (f *fleet) perform(vm shed.VM, actions []shed.Action) {
+func (f *fleet) execute(vm shed.VM, actions []shed.Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
 		case shed.SendOrder:
@@ -110,7 +110,7 @@
 			f.orders = append(f.orders, a)
 			require.Zero(f.t, e.report.Running, "an order broke calls on %s", a.Server)
 			if e.server.Fenced && a.Fence < e.report.Fence {
-				f.perform(vm, f.givers[vm].Handle(f.now, shed.OrderEnded{Server: a.Server, Fence: a.Fence, StaleFence: true}))
+				f.execute(vm, f.reconcilers[vm].Handle(f.now, shed.OrderEnded{Server: a.Server, Fence: a.Fence, StaleFence: true}))
 				continue
 			}
 			e.report.Fence = a.Fence
@@ -121,27 +121,27 @@
 	}
 }
 
-func (f *fleet) serve() {
+func (f *fleet) runEngines() {
 	loads, out := 0, 0
 	for id, e := range f.engines {
 		if e.want != nil && !f.now.Before(e.until) {
 			e.report.Model, e.report.Role = string(e.want.Model)+"@"+e.want.Version, e.want.Role
-			if g := f.givers[e.by]; g != nil {
-				f.perform(e.by, g.Handle(f.now, shed.OrderEnded{Server: id, Fence: e.want.Fence, Done: true}))
+			if g := f.reconcilers[e.by]; g != nil {
+				f.execute(e.by, g.Handle(f.now, shed.OrderEnded{Server: id, Fence: e.want.Fence, Done: true}))
 			}
 			e.want = nil
 		}
 		if e.want != nil {
 			loads++
 		}
-		if f.givers[f.vms[0]].Draining(id) && e.report.Model != "" {
+		if f.reconcilers[f.vms[0]].Draining(id) && e.report.Model != "" {
 			out++
 		}
 	}
-	f.loads, f.out = max(f.loads, loads), max(f.out, out)
+	f.maxLoads, f.maxDraining = max(f.maxLoads, loads), max(f.maxDraining, out)
 }
 
-func (f *fleet) loaded(version string) int {
+func (f *fleet) countLoaded(version string) int {
 	n := 0
 	for _, e := range f.engines {
 		if e.report.Model == "draft@"+version {
@@ -159,24 +159,24 @@
 		t.Run(fmt.Sprintf("limit %d", limit), func(t *testing.T) {
 			f := newFleet(t, 5, 12, limit, nil)
 			f.run(40 * time.Minute)
-			require.Equal(t, 12, f.loaded("4"))
+			require.Equal(t, 12, f.countLoaded("4"))
 			require.Equal(t, 12, len(f.orders), "one order for each")
-			f.out = 0
+			f.maxDraining = 0
 			f.setRules(rulesAt(2, "5", 12, limit, nil))
 			f.run(90 * time.Second)
-			delete(f.givers, f.vms[1])
+			delete(f.reconcilers, f.vms[1])
 			f.vms = append(f.vms[:1], f.vms[2:]...)
 			f.run(40 * time.Minute)
-			require.Equal(t, 12, f.loaded("5"))
-			require.LessOrEqual(t, f.loads, limit/3)
-			require.LessOrEqual(t, f.out, 12/4)
+			require.Equal(t, 12, f.countLoaded("5"))
+			require.LessOrEqual(t, f.maxLoads, limit/3)
+			require.LessOrEqual(t, f.maxDraining, 12/4)
 		})
 	}
 }
 
 func TestNoShareNoLoad(t *testing.T) {
 	f := newFleet(t, 2, 3, 2, nil)
-	f.perform(f.vms[0], f.givers[f.vms[0]].SetRules(f.now, f.rules))
+	f.execute(f.vms[0], f.reconcilers[f.vms[0]].SetRules(f.now, f.rules))
 	f.run(30 * time.Minute)
 	require.Empty(t, f.orders)
 	require.Equal(t, 1, f.notes[order.ReasonNoWeights])
@@ -184,7 +184,7 @@
 
 // Two daemons believe at the same time that they order the same server: the
 // engine must end up right whichever comes last.
-func TestTwoGiversAtOnce(t *testing.T) {
+func TestTwoReconcilersAtOnce(t *testing.T) {
 	for _, tc := range []struct {
 		name       string
 		first      shed.Revision
@@ -235,15 +235,15 @@
 func TestRoleChangeDrainsFirst(t *testing.T) {
 	f := newFleet(t, 3, 4, 3, nil)
 	f.run(20 * time.Minute)
-	require.Equal(t, 4, f.loaded("4"))
+	require.Equal(t, 4, f.countLoaded("4"))
 	busy := f.engines["engine-00"]
 	busy.report.Running = 3
 	f.orders = nil
 	f.setRules(rulesAt(2, "4", 4, 3, func(s *shed.Server) { s.Role = "decode" }))
 	f.run(5 * time.Minute)
 	for _, vm := range f.vms {
-		require.True(t, f.givers[vm].Draining("engine-00"))
-		require.False(t, f.givers[vm].Draining("engine-01"), "one in four at a time")
+		require.True(t, f.reconcilers[vm].Draining("engine-00"))
+		require.False(t, f.reconcilers[vm].Draining("engine-01"), "one in four at a time")
 	}
 	require.Empty(t, f.orders)
 	busy.report.Running = 0
