--- a/internal/order/decide.go
+++ b/internal/order/decide.go
@@ -6,11 +6,10 @@
 	shed "jasmineshed"
 )
 
-// A fencing number is the revision, then a hash of what is wanted, then the
-// attempt. Within one revision a server's wanted state is one, so two daemons
-// with the same revision give the same number and order: whichever the engine
-// takes, the result is the same. The hash lets any daemon see in a load report
-// what was ordered last, adapters included, which reports don't name.
+// A fencing number consists of the revision, a hash of the desired state and the attempt. Within
+// one revision a server has one desired state, so two daemons with the same revision send the same
+// number and order, and it doesn't matter which one the engine accepts. The hash shows any daemon
+// in a load report what was ordered last, including adapters, which reports don't name.
 const (
 	hashBits     = 16
 	attemptBits  = 4
@@ -22,13 +21,12 @@
 	return uint64(rev)<<revisionBits | hash<<attemptBits | min(attempt, attemptMax)
 }
 
-// fenceHash returns the hash in a fencing number.
+// fenceHash extracts the hash from a fencing number.
 func fenceHash(f uint64) uint64 { return f >> attemptBits & (1<<hashBits - 1) }
 
-// isAsDesired tells whether the server is as the rules want it, as far as it reports.
-// Adapters show only in the hash of the last fencing number. An engine that
-// ignores the number can't show them; there this daemon goes by its own last
-// order, and a new holder of the slot orders once more.
+// isAsDesired reports whether the server's report matches the desired state. Adapters are visible
+// only through the hash of the last fencing number. An engine that ignores the number doesn't show
+// them: there this daemon relies on its own last order, and a new holder of the slot sends another.
 func (e *entry) isAsDesired() bool {
 	if e.report.Model != e.want.name() || e.report.Role != e.want.role {
 		return false
@@ -42,10 +40,10 @@
 	return e.doneHash == e.want.hash && e.doneBoot == e.report.Boot
 }
 
-// needsLoad tells whether the server has to load weights to be as wanted.
+// needsLoad reports whether the server has to load weights to reach the desired state.
 func (e *entry) needsLoad() bool { return e.report.Model != e.want.name() }
 
-// isLoading tells whether a load of the group is under way.
+// isLoading reports whether a load of weights in the slot is in progress.
 func (g *Giver) isLoading(slot int) bool {
 	for _, id := range g.ids {
 		e := g.servers[id]
@@ -56,14 +54,14 @@
 	return false
 }
 
-// isIdle tells whether an order can do no harm to running calls.
+// isIdle reports whether the server has no calls that an order could break.
 func (e *entry) isIdle() bool {
 	return e.report.Running == 0 && e.report.Waiting == 0
 }
 
-// Draining tells whether the server must get no new work, so that its model or
-// role can be changed. Every daemon works it out alike from the reports. Only a
-// part of a pool drains at once; the others go on serving what they have.
+// Draining reports whether the server must get no new calls, so that its model or role can be
+// changed. Every daemon derives the same from the load reports. Only a part of a pool drains at the
+// same time; the other servers keep serving with their present model and role.
 func (g *Giver) Draining(server shed.ServerID) bool {
 	e := g.servers[server]
 	if e == nil || e.report.Boot == "" || e.isAsDesired() {
@@ -72,8 +70,8 @@
 	return e.report.Model == "" || g.mayChange(e)
 }
 
-// mayChange tells whether it is the server's turn to change: the first of those of
-// its pool that are not as wanted, by id.
+// mayChange reports whether the server may be changed now: it is among the first, by id, of the
+// servers of its pool that are not in the desired state.
 func (g *Giver) mayChange(e *entry) bool {
 	size, ahead := 0, 0
 	for _, id := range g.ids {
@@ -96,7 +94,7 @@
 		e := g.servers[id]
 		g.updateHeldSince(now, e)
 		if e.pending.Fence != 0 && now.Sub(e.sentAt) > g.cfg.LongestLoad {
-			// The driver never told the end; it can't still load.
+			// The driver never reported the end of the order; the load must have ended by now.
 			e.pending = shed.SendOrder{}
 		}
 		if g.isDue(now, e) {
@@ -115,13 +113,12 @@
 	}
 }
 
-// isDue tells whether the server should be sent an order now.
+// isDue reports whether an order should be sent to the server now.
 //
-// An engine that takes orders from anybody, or with any number, would take one
-// that a former holder of its slot sent late, on older rules, after ours.
-// So the first order waits out a quiet time in which a late one would have
-// arrived, and is given only on a report made after that, which shows what the
-// engine has then.
+// An engine that accepts orders from any caller, or with any fencing number, would accept a delayed
+// order of a former holder of the slot, based on older rules, after ours. So the first order is sent
+// after a quiet time in which a delayed one would have arrived, and only on a report made after
+// that, which shows the engine's state at that time.
 func (g *Giver) isDue(now time.Time, e *entry) bool {
 	if e.heldSince.IsZero() || e.pending.Fence != 0 || now.Before(e.retryAt) {
 		return false
--- a/internal/order/reconciler.go
+++ b/internal/order/reconciler.go
@@ -1,13 +1,12 @@
-// Package order gives engines the orders that bring them to what the rules
-// want: model, version, adapters and role.
+// Package order sends engines the orders that bring them to the desired state of the rules: model,
+// version, adapters and role.
 //
-// The zone may run so many loads of weights at once; that many slots are shared
-// out as slots of cold servers are. Each server belongs to one of them by hash,
-// and the daemon that holds it gives the server its orders, one load at a time:
-// so one daemon orders a server, and the weight store's limit holds, without a
-// message. The fencing number comes from the configuration's revision, so it never
-// goes backwards, though nothing is shared or kept. docs/design/orders.md says
-// what happens when two daemons give orders all the same.
+// A zone has as many slots as it may run loads of weights at once; they are assigned to daemons like
+// the slots of cold servers. A hash assigns each server to a slot, and the daemon that holds the
+// slot sends the server's orders, one load at a time. So one daemon orders a server, and the weight
+// store's limit holds, without messages. The fencing number is derived from the configuration's
+// revision, so it never decreases, although it is neither shared nor stored. docs/design/orders.md
+// describes what happens if two daemons send orders nevertheless.
 package order
 
 import (
@@ -21,27 +20,26 @@
 	"jasmineshed/internal/slots"
 )
 
-// Config sets up a Giver. Fields left at 0 get the Default of their name.
+// Config configures a Giver. Zero durations take the defaults.
 type Config struct {
 	Self shed.VM
 	Zone shed.ZoneID
-	// Quiet is how long the slot must have been held before an order to a
-	// server that refuses old fencing numbers and foreign callers.
+	// Quiet is how long the slot must be held before an order to a server that refuses old
+	// fencing numbers and other callers.
 	Quiet time.Duration
-	// QuietUnfenced is the same for a server that accepts any order from
-	// anybody.
+	// QuietUnfenced is the same for a server that accepts any fencing number or any caller.
 	QuietUnfenced time.Duration
-	// FreshWithin is the greatest age of a report to act on.
+	// FreshWithin is the greatest age of a load report to act on.
 	FreshWithin time.Duration
-	// RetryAfter is the wait after an order that failed.
+	// RetryAfter is the delay between the end of an order and the next one to the server.
 	RetryAfter time.Duration
-	// LongestLoad is the longest time that a load of weights can take.
+	// LongestLoad is the longest time that loading weights can take.
 	LongestLoad time.Duration
-	// Settle as in slots.Config.
+	// Settle is passed to slots.Config.
 	Settle time.Duration
 }
 
-// Defaults for what a Config leaves at 0.
+// Defaults for a zero Config.
 const (
 	DefaultQuiet         = 2 * time.Second
 	DefaultQuietUnfenced = 20 * time.Second
@@ -50,71 +48,71 @@
 	DefaultLongestLoad   = 2 * time.Minute
 )
 
-// The reasons of the notes that this package takes.
+// Reasons of the notes that this package returns.
 const (
 	ReasonOrdered    shed.Reason = "order_sent"
 	ReasonStaleFence shed.Reason = "order_fence_stale"
 	ReasonNoWeights  shed.Reason = "weight_loads_below_zones"
 )
 
-// weights opens the name under which the slots are held. No server can have it:
-// ids in rules hold no "#". The number of slots is part of the name: when it
-// changes, servers change slots, and all of them have to wait once more.
+// slotKeyPrefix begins the server id under which the slots are assigned. No server can have such an
+// id, since ids in rules don't contain "#". The number of slots is part of the id: when it changes,
+// servers change slots, and all slots have to be acquired and held for the quiet time again.
 const slotKeyPrefix = "#weights/"
 
-// drainShare is the part of a pool in this zone, one in so many, that may be
-// out of use at once to change its model or role.
+// drainDivisor limits the servers of a pool in this zone that drain at the same time, to change
+// their model or role, to one in drainDivisor.
 const drainDivisor = 4
 
-// Giver gives the orders of one daemon.
+// Giver decides the orders of one daemon.
 type Giver struct {
 	cfg     Config
 	rules   *shed.Rules
 	servers map[shed.ServerID]*entry
 	ids     []shed.ServerID // sorted keys of servers
-	// slotTable shares out the slots, which go by the name of key.
+	// slotTable assigns the slots, under the server id slotKey.
 	slotTable *slots.Table
 	slotKey   shed.ServerID
-	// slotCount is how many slots there are; loads is false if the rules leave
-	// this zone no load of weights.
+	// slotCount is the number of slots; mayLoad is false if the rules allow this zone no loads of
+	// weights.
 	slotCount uint64
 	mayLoad   bool
 }
 
-// entry is what is known of one engine.
+// entry holds what is known of one engine.
 type entry struct {
 	server *shed.Server
 	want   desired
 
 	report     shed.LoadReport
 	reportedAt time.Time
-	heldSince  time.Time // since when this daemon holds its slot; zero: it doesn't
-	// retryAt is when the next order may be sent.
+	heldSince  time.Time // since when this daemon holds the slot; zero if it doesn't
+	// retryAt is the earliest time of the next order.
 	retryAt time.Time
 	attempt uint64
-	// pending is the order that is out; Fence is 0 if there is none.
+	// pending is the order in progress; its Fence is 0 if there is none.
 	pending shed.SendOrder
 	sentAt  time.Time
-	// doneHash is the hash of the last order that ended well, and doneBoot the
-	// server's boot then.
+	// doneHash is the hash of the last order that succeeded, doneBoot the server's boot at that
+	// time.
 	doneHash uint64
 	doneBoot string
 }
 
-// desired is what the rules want of a server.
+// desired is the state that the rules demand of a server.
 type desired struct {
 	model    shed.ModelID
 	version  string
 	adapters []string
 	role     string
-	// hash of all of it, hashBits long.
+	// hash covers all other fields and has hashBits bits.
 	hash uint64
 }
 
-// name is the model as load reports name it.
+// name returns the model's name as in load reports.
 func (d desired) name() string { return string(d.model) + "@" + d.version }
 
-// New returns a giver without rules.
+// New returns a Giver without rules.
 func New(cfg Config) *Giver {
 	setDefault(&cfg.Quiet, DefaultQuiet)
 	setDefault(&cfg.QuietUnfenced, DefaultQuietUnfenced)
@@ -139,15 +137,15 @@
 	}
 }
 
-// SetView passes the view on, as to slots.Table.SetView.
+// SetView passes the view to slots.Table.SetView.
 func (g *Giver) SetView(now time.Time, vms []shed.VM, hash uint64, unsure bool) {
 	g.slotTable.SetView(now, vms, hash, unsure)
 }
 
-// SetKnown passes the known VMs on, as to slots.Table.SetKnown.
+// SetKnown passes the known VMs to slots.Table.SetKnown.
 func (g *Giver) SetKnown(now time.Time, vms []shed.VM) { g.slotTable.SetKnown(now, vms) }
 
-// SetRules takes the rules in force.
+// SetRules applies the rules in force.
 func (g *Giver) SetRules(now time.Time, rules *shed.Rules) []shed.Action {
 	revisionChanged := g.rules == nil || g.rules.Revision != rules.Revision
 	g.rules = rules
@@ -180,8 +178,8 @@
 	return g.updateSlots(now)
 }
 
-// updateSlots works out the zone's share of weight loads. Zones times share never
-// passes the limit, so no zone needs to ask another.
+// updateSlots computes the zone's share of weight loads. The shares of all zones never add up to
+// more than the limit, so zones don't need to coordinate.
 func (g *Giver) updateSlots(now time.Time) []shed.Action {
 	share := 0
 	if n := len(g.rules.Zones); n > 0 {
@@ -198,12 +196,12 @@
 	return nil
 }
 
-// slotOf is the server's slot.
+// slotOf returns the server's slot.
 func (g *Giver) slotOf(id shed.ServerID) int {
 	return int(xxhash.Sum64String(string(id)) % g.slotCount)
 }
 
-// desiredState returns what the rules want of the server; false if it is no engine.
+// desiredState returns the server's desired state, or false if the server isn't an engine.
 func desiredState(rules *shed.Rules, s *shed.Server) (desired, bool) {
 	pool := rules.Pools[s.Pool]
 	if pool == nil || pool.Model == "" {
@@ -222,14 +220,14 @@
 	var x xxhash.Digest
 	x.Reset()
 	for _, s := range append([]string{string(d.model), d.version, d.role}, d.adapters...) {
-		// A write to a digest can't fail.
+		// Writing to a digest can't fail.
 		_, _ = x.WriteString(s)
 		_, _ = x.WriteString("\n")
 	}
 	return x.Sum64() & (1<<hashBits - 1)
 }
 
-// Handle takes Tick, LoadReported, OrderEnded and LoadDigest.
+// Handle handles Tick, LoadReported and OrderEnded events and LoadDigest messages.
 func (g *Giver) Handle(now time.Time, ev shed.Event) []shed.Action {
 	switch ev := ev.(type) {
 	case shed.Tick:
--- a/internal/order/reconciler_test.go
+++ b/internal/order/reconciler_test.go
@@ -16,7 +16,7 @@
 	loadTime = 30 * time.Second
 )
 
-// fleet is a zone of givers before engines that load for half a minute.
+// fleet is a zone with several reconcilers and with engines that take loadTime to load weights.
 type fleet struct {
 	t           *testing.T
 	now         time.Time
@@ -26,7 +26,7 @@
 	engines     map[shed.ServerID]*engine
 	orders      []shed.SendOrder
 	notes       map[shed.Reason]int
-	// most loads at once, and most engines of the pool out of use at once.
+	// maxLoads is the most concurrent loads, maxDraining the most engines draining at once.
 	maxLoads, maxDraining int
 }
 
@@ -108,7 +108,7 @@
 		case shed.SendOrder:
 			e := f.engines[a.Server]
 			f.orders = append(f.orders, a)
-			require.Zero(f.t, e.report.Running, "an order broke calls on %s", a.Server)
+			require.Zero(f.t, e.report.Running, "an order broke running calls on %s", a.Server)
 			if e.server.Fenced && a.Fence < e.report.Fence {
 				f.execute(vm, f.reconcilers[vm].Handle(f.now, shed.OrderEnded{Server: a.Server, Fence: a.Fence, StaleFence: true}))
 				continue
@@ -151,16 +151,16 @@
 	return n
 }
 
-// Operators roll out a model version while a daemon dies and another joins. The
-// weight store must not be asked for more than the zone's share at once, every
-// engine must get there, and most of the pool must go on serving meanwhile.
+// A model version is rolled out while a daemon dies. Concurrent loads must not exceed the zone's
+// share of the weight store's limit, every engine must reach the new version, and most of the pool
+// must keep serving meanwhile.
 func TestRollout(t *testing.T) {
 	for _, limit := range []int{3, 6, 12} {
 		t.Run(fmt.Sprintf("limit %d", limit), func(t *testing.T) {
 			f := newFleet(t, 5, 12, limit, nil)
 			f.run(40 * time.Minute)
 			require.Equal(t, 12, f.countLoaded("4"))
-			require.Equal(t, 12, len(f.orders), "one order for each")
+			require.Equal(t, 12, len(f.orders), "one order per engine")
 			f.maxDraining = 0
 			f.setRules(rulesAt(2, "5", 12, limit, nil))
 			f.run(90 * time.Second)
@@ -182,8 +182,8 @@
 	require.Equal(t, 1, f.notes[order.ReasonNoWeights])
 }
 
-// Two daemons believe at the same time that they order the same server: the
-// engine must end up right whichever comes last.
+// Two daemons both believe that they hold the slot of a server. The engine must end in the right
+// state whichever order arrives last.
 func TestTwoReconcilersAtOnce(t *testing.T) {
 	for _, tc := range []struct {
 		name       string
@@ -215,8 +215,8 @@
 	}
 }
 
-// An engine that takes any order from anybody would take a late one from the
-// daemon that held its slot before, so ours must wait for longer.
+// An engine that accepts any order from any caller would accept a delayed one from the former holder
+// of its slot, so the first order to it must be sent later.
 func TestQuietTime(t *testing.T) {
 	first := map[bool]time.Duration{}
 	for _, checks := range []bool{true, false} {
@@ -231,7 +231,7 @@
 	require.Equal(t, order.DefaultQuietUnfenced-order.DefaultQuiet, more)
 }
 
-// A role change on a busy engine would break its calls: it has to drain first.
+// A role change would break the calls of a busy engine, so it must drain first.
 func TestRoleChangeDrainsFirst(t *testing.T) {
 	f := newFleet(t, 3, 4, 3, nil)
 	f.run(20 * time.Minute)
