--- a/internal/answer/answer.go
+++ b/internal/answer/answer.go
@@ -50,10 +50,10 @@
 	taken  int
 	tokens shed.Tokens
 	result *shed.Payload
-	// whole is set once, by the last frame, with no frame missing.
-	whole     bool
-	strangers int
-	repeats   int
+	// complete is set once, by the last frame, with no frame missing.
+	complete   bool
+	foreign    int
+	duplicates int
 }
 
 // New returns an empty assembly for one call.
@@ -87,27 +87,27 @@
 // another call, doubled, or after the last. An error is final.
 func (a *Assembly) Add(f shed.Frame) (bool, error) {
 	if f.Call != a.cfg.Call {
-		a.strangers++
+		a.foreign++
 		return false, nil
 	}
-	if a.whole || f.Sequence < a.next {
-		a.repeats++
+	if a.complete || f.Sequence < a.next {
+		a.duplicates++
 		return false, nil
 	}
 	if f.Sequence > a.next {
-		return a.hold(f)
+		return a.holdBack(f)
 	}
 	if err := a.append(&f); err != nil {
 		return false, err
 	}
-	return true, a.release()
+	return true, a.appendHeld()
 }
 
-// hold keeps a frame that came before its turn.
-func (a *Assembly) hold(f shed.Frame) (bool, error) {
+// holdBack keeps a frame that came before its turn.
+func (a *Assembly) holdBack(f shed.Frame) (bool, error) {
 	for i := range a.held {
 		if a.held[i].Sequence == f.Sequence {
-			a.repeats++
+			a.duplicates++
 			return false, nil
 		}
 	}
@@ -118,8 +118,8 @@
 	return true, nil
 }
 
-// release appends held frames for as long as the next one is among them.
-func (a *Assembly) release() error {
+// appendHeld appends held frames for as long as the next one is among them.
+func (a *Assembly) appendHeld() error {
 	for i := 0; i < len(a.held); i++ {
 		if a.held[i].Sequence != a.next {
 			continue
@@ -135,7 +135,7 @@
 }
 
 func (a *Assembly) append(f *shed.Frame) error {
-	if a.whole {
+	if a.complete {
 		return fmt.Errorf("%w: frame %d after the last", ErrContradiction, f.Sequence)
 	}
 	if a.text.Len()+len(f.Text) > a.cfg.MaxBytes {
@@ -147,12 +147,12 @@
 	if !f.Last {
 		return nil
 	}
-	return a.close(f.Result)
+	return a.finish(f.Result)
 }
 
-// close takes the last frame's result. The server's own copy of the text must
+// finish takes the last frame's result. The server's own copy of the text must
 // agree with the frames, or part of the answer was lost on the way.
-func (a *Assembly) close(p *shed.Payload) error {
+func (a *Assembly) finish(p *shed.Payload) error {
 	if p == nil {
 		return fmt.Errorf("%w: last frame without a result", ErrContradiction)
 	}
@@ -167,12 +167,12 @@
 		return fmt.Errorf("%w: more than %d bytes", ErrTooLarge, a.cfg.MaxBytes)
 	}
 	a.result = &result
-	a.whole = true
+	a.complete = true
 	return nil
 }
 
 // Whole tells whether every frame up to the last is here.
-func (a *Assembly) Whole() bool { return a.whole }
+func (a *Assembly) Whole() bool { return a.complete }
 
 // Result is the payload after the stage, or nil unless Whole.
 func (a *Assembly) Result() *shed.Payload { return a.result }
@@ -182,13 +182,13 @@
 
 // Take returns the text that has come into sequence since the last Take.
 func (a *Assembly) Take() string {
-	fresh := a.text.String()[a.taken:]
+	added := a.text.String()[a.taken:]
 	a.taken = a.text.Len()
-	return fresh
+	return added
 }
 
 // Tokens is how many tokens are here in sequence, those resumed from included.
 func (a *Assembly) Tokens() shed.Tokens { return a.tokens }
 
 // Dropped counts the frames of other calls and those doubled or after the end.
-func (a *Assembly) Dropped() (strangers, repeats int) { return a.strangers, a.repeats }
+func (a *Assembly) Dropped() (foreign, duplicates int) { return a.foreign, a.duplicates }
--- a/internal/answer/answer_test.go
+++ b/internal/answer/answer_test.go
@@ -41,9 +41,9 @@
 			for range rapid.IntRange(1, 2).Draw(t, "times") {
 				stream = append(stream, f)
 			}
-			stranger := f
-			stranger.Call.Attempt = 1
-			stream = append(stream, stranger)
+			foreign := f
+			foreign.Call.Attempt = 1
+			stream = append(stream, foreign)
 		}
 		missing := rapid.IntRange(-1, n).Draw(t, "missing")
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
@@ -69,18 +69,18 @@
 }
 
 func TestRefusesReplies(t *testing.T) {
-	lie := last(1)
-	lie.Result.Text = "other"
-	naked := last(1)
-	naked.Result = nil
+	differing := last(1)
+	differing.Result.Text = "other"
+	noResult := last(1)
+	noResult.Result = nil
 	cases := map[string]struct {
 		frames []shed.Frame
 		want   error
 	}{
 		"too large":             {[]shed.Frame{frame(0, "0123456789")}, ErrTooLarge},
 		"gap too wide":          {[]shed.Frame{frame(1, "a"), frame(2, "b"), frame(3, "c")}, ErrGap},
-		"text differs":          {[]shed.Frame{frame(0, "one"), lie}, ErrContradiction},
-		"last without result":   {[]shed.Frame{frame(0, "one"), naked}, ErrContradiction},
+		"text differs":          {[]shed.Frame{frame(0, "one"), differing}, ErrContradiction},
+		"last without result":   {[]shed.Frame{frame(0, "one"), noResult}, ErrContradiction},
 		"held frame after last": {[]shed.Frame{frame(1, "x"), last(0)}, ErrContradiction},
 	}
 	for name, c := range cases {
@@ -110,16 +110,16 @@
 	require.ErrorIs(t, err, ErrOffset)
 	b, err := a.Resume(next, 3)
 	require.NoError(t, err)
-	taken, err := b.Add(frame(3, "late"))
+	added, err := b.Add(frame(3, "late"))
 	require.NoError(t, err)
-	require.False(t, taken)
+	require.False(t, added)
 	_, err = b.Add(shed.Frame{Call: next, Text: "b", Tokens: 1})
 	require.NoError(t, err)
 	require.Equal(t, "b", b.Take())
 	require.Equal(t, "aaab", b.Text())
 	require.Equal(t, shed.Tokens(4), b.Tokens())
-	strangers, _ := b.Dropped()
-	require.Equal(t, 1, strangers)
+	foreign, _ := b.Dropped()
+	require.Equal(t, 1, foreign)
 }
 
 func BenchmarkToken(b *testing.B) {
