--- a/internal/answer/answer.go
+++ b/internal/answer/answer.go
@@ -1,4 +1,4 @@
-// Package answer puts the frames of one call together into one whole result.
+// Package answer assembles the frames of a call into one result.
 package answer
 
 import (
@@ -9,16 +9,16 @@
 	shed "jasmineshed"
 )
 
-// Errors of Add. Any of them means that the call's reply can't be trusted; the
-// driver ends the call as EndBadReply.
+// Errors of Add and Resume. An error of Add means that the call's reply can't be trusted; the driver
+// ends the call as EndBadReply.
 var (
-	// ErrTooLarge: the text passed Config.MaxBytes.
+	// ErrTooLarge is returned if the text exceeds Config.MaxBytes.
 	ErrTooLarge = errors.New("answer too large")
-	// ErrGap: frames ran further ahead of a missing one than Config.Ahead.
+	// ErrGap is returned if more than Config.Ahead frames arrive while an earlier one is missing.
 	ErrGap = errors.New("frame missing")
-	// ErrContradiction: frames disagree on the end or the text of the result.
+	// ErrContradiction is returned if frames disagree on the end or the text of the result.
 	ErrContradiction = errors.New("frames contradict each other")
-	// ErrOffset: a stream can't be resumed from a place other than its end.
+	// ErrOffset is returned if a stream is resumed from a position other than its end.
 	ErrOffset = errors.New("resumed from another offset")
 )
 
@@ -31,26 +31,25 @@
 // Config sets up an Assembly. Zero values take the defaults.
 type Config struct {
 	Call shed.Call
-	// MaxBytes bounds the text.
+	// MaxBytes limits the length of the text.
 	MaxBytes int
-	// Ahead bounds how many frames are held back while an earlier one is missing.
+	// Ahead limits the frames that are held back while an earlier one is missing.
 	Ahead int
 }
 
-// Assembly is the result of one call as far as it has come. It is not safe for
-// concurrent use.
+// Assembly is the partial or complete result of one call. It is not safe for concurrent use.
 type Assembly struct {
 	cfg Config
-	// next is the sequence number that the text waits for; all below are in it.
+	// next is the sequence number of the next frame to append; all earlier ones are in text.
 	next uint32
-	// held are frames past next, in no order, never more than cfg.Ahead.
+	// held are frames after next, unordered and never more than cfg.Ahead.
 	held []shed.Frame
 	text strings.Builder
-	// taken is how much of text Take has given out.
+	// taken is the length of the text that Take has returned.
 	taken  int
 	tokens shed.Tokens
 	result *shed.Payload
-	// complete is set once, by the last frame, with no frame missing.
+	// complete is set once the last frame is appended, with no frame missing, and never reset.
 	complete   bool
 	foreign    int
 	duplicates int
@@ -67,9 +66,9 @@
 	return &Assembly{cfg: cfg}
 }
 
-// Resume returns an assembly for a call that goes on with the stream of this
-// one from its token number from. The text so far is kept, the sequence starts
-// anew. It returns ErrOffset if this one holds another number of tokens.
+// Resume returns an assembly for a call that continues this stream at token from. It keeps the text
+// so far; sequence numbers restart at 0. It returns ErrOffset if from differs from the number of
+// tokens held.
 func (a *Assembly) Resume(call shed.Call, from shed.Tokens) (*Assembly, error) {
 	if from != a.tokens {
 		return nil, fmt.Errorf("%w: have %d tokens, asked for %d", ErrOffset, a.tokens, from)
@@ -83,8 +82,8 @@
 	return b, nil
 }
 
-// Add takes one frame. It returns false for a frame that was dropped: of
-// another call, doubled, or after the last. An error is final.
+// Add adds a frame. It returns false for a frame that it dropped: one of another call, a duplicate,
+// or one after the last frame. An error is final.
 func (a *Assembly) Add(f shed.Frame) (bool, error) {
 	if f.Call != a.cfg.Call {
 		a.foreign++
@@ -103,7 +102,7 @@
 	return true, a.appendHeld()
 }
 
-// holdBack keeps a frame that came before its turn.
+// holdBack keeps a frame that arrived before an earlier one.
 func (a *Assembly) holdBack(f shed.Frame) (bool, error) {
 	for i := range a.held {
 		if a.held[i].Sequence == f.Sequence {
@@ -112,13 +111,13 @@
 		}
 	}
 	if len(a.held) >= a.cfg.Ahead {
-		return false, fmt.Errorf("%w: %d never came, %d did", ErrGap, a.next, f.Sequence)
+		return false, fmt.Errorf("%w: frame %d not received before frame %d", ErrGap, a.next, f.Sequence)
 	}
 	a.held = append(a.held, f)
 	return true, nil
 }
 
-// appendHeld appends held frames for as long as the next one is among them.
+// appendHeld appends held frames as long as the next one is among them.
 func (a *Assembly) appendHeld() error {
 	for i := 0; i < len(a.held); i++ {
 		if a.held[i].Sequence != a.next {
@@ -150,8 +149,8 @@
 	return a.finish(f.Result)
 }
 
-// finish takes the last frame's result. The server's own copy of the text must
-// agree with the frames, or part of the answer was lost on the way.
+// finish stores the result of the last frame. If the result has the text as well, it must equal that
+// of the frames, or else part of the answer was lost in transit.
 func (a *Assembly) finish(p *shed.Payload) error {
 	if p == nil {
 		return fmt.Errorf("%w: last frame without a result", ErrContradiction)
@@ -171,24 +170,25 @@
 	return nil
 }
 
-// Whole tells whether every frame up to the last is here.
+// Whole reports whether every frame up to the last has been added.
 func (a *Assembly) Whole() bool { return a.complete }
 
-// Result is the payload after the stage, or nil unless Whole.
+// Result returns the payload after the stage, or nil unless Whole.
 func (a *Assembly) Result() *shed.Payload { return a.result }
 
-// Text is the text so far, in sequence.
+// Text returns the text so far, up to the first missing frame.
 func (a *Assembly) Text() string { return a.text.String() }
 
-// Take returns the text that has come into sequence since the last Take.
+// Take returns the text that was appended since the last Take.
 func (a *Assembly) Take() string {
 	added := a.text.String()[a.taken:]
 	a.taken = a.text.Len()
 	return added
 }
 
-// Tokens is how many tokens are here in sequence, those resumed from included.
+// Tokens returns the number of tokens in the text, including those before a Resume.
 func (a *Assembly) Tokens() shed.Tokens { return a.tokens }
 
-// Dropped counts the frames of other calls and those doubled or after the end.
+// Dropped returns the numbers of dropped frames: those of other calls, and those that were duplicates
+// or came after the last frame.
 func (a *Assembly) Dropped() (foreign, duplicates int) { return a.foreign, a.duplicates }
--- a/internal/answer/answer_test.go
+++ b/internal/answer/answer_test.go
@@ -22,9 +22,8 @@
 	return shed.Frame{Call: call, Sequence: sequence, Last: true, Result: &shed.Payload{Input: "in"}}
 }
 
-// Frames come doubled, late, out of order and from other attempts. The caller
-// gets the whole text in order, once, or none: Whole stays false as long as any
-// frame is missing.
+// Frames arrive duplicated, late, out of order and from other attempts. The caller must get the
+// complete text in order and once, and Whole must stay false as long as a frame is missing.
 func TestAnyOrderOfFrames(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 12).Draw(t, "frames")
@@ -95,8 +94,8 @@
 	}
 }
 
-// A stream broke midway and goes on as another call. What the first call still
-// sends must not get into the text a second time.
+// A stream broke and is resumed by another call. Frames that the first call still sends must not be
+// added to the text.
 func TestResumeGoesOnWhereItWas(t *testing.T) {
 	a := New(Config{Call: call})
 	for i := range uint32(3) {
