--- a/internal/cost/cost.go
+++ b/internal/cost/cost.go
@@ -24,7 +24,7 @@
 	Late
 	// Failed: the attempt, or a later stage of its request, failed.
 	Failed
-	uses
+	useCount
 )
 
 // Key names one line of the ledger.
@@ -37,14 +37,14 @@
 type Line struct {
 	Key
 	// Calls and Cost by Use.
-	Calls [uses]uint64
-	Cost  [uses]shed.Cost
+	Calls [useCount]uint64
+	Cost  [useCount]shed.Cost
 }
 
 // Wasted sums the cost of everything but useful work.
 func (l *Line) Wasted() shed.Cost {
 	var sum shed.Cost
-	for u := Cancelled; u < uses; u++ {
+	for u := Cancelled; u < useCount; u++ {
 		sum += l.Cost[u]
 	}
 	return sum
@@ -64,8 +64,8 @@
 
 // Ledger sums cost by stage. It is not safe for concurrent use.
 type Ledger struct {
-	most  int
-	lines map[Key]*Line
+	maxLines int
+	lines    map[Key]*Line
 }
 
 // New returns an empty ledger.
@@ -73,7 +73,7 @@
 	if cfg.Most == 0 {
 		cfg.Most = DefaultMost
 	}
-	return &Ledger{most: cfg.Most, lines: map[Key]*Line{}}
+	return &Ledger{maxLines: cfg.Most, lines: map[Key]*Line{}}
 }
 
 // Add books one call.
@@ -101,7 +101,7 @@
 	if line := l.lines[key]; line != nil {
 		return line
 	}
-	if len(l.lines) >= l.most {
+	if len(l.lines) >= l.maxLines {
 		key = Other
 	}
 	if line := l.lines[key]; line != nil {
