--- a/internal/cost/cost.go
+++ b/internal/cost/cost.go
@@ -1,5 +1,5 @@
-// Package cost keeps the ledger of work done, by pipeline and stage, with
-// useful and wasted work apart.
+// Package cost accounts for the work done per pipeline and stage, and separates useful from wasted
+// work.
 package cost
 
 import (
@@ -10,15 +10,15 @@
 	shed "jasmineshed"
 )
 
-// Use tells what work was good for. The set is closed.
+// Use classifies work by what became of its result. The set is closed.
 type Use uint8
 
-// The uses of work; all but Useful are waste.
+// The uses of work; all except Useful are waste.
 const (
 	Useful Use = iota
-	// Cancelled: nobody wanted the result any more.
+	// Cancelled: the result was no longer wanted.
 	Cancelled
-	// Superseded: another attempt's result was taken.
+	// Superseded: the result of another attempt was used.
 	Superseded
 	// Late: the deadline passed.
 	Late
@@ -27,13 +27,13 @@
 	useCount
 )
 
-// Key names one line of the ledger.
+// Key identifies a line of the ledger.
 type Key struct {
 	Pipeline shed.PipelineID
 	Stage    shed.StageID
 }
 
-// Line is what one stage has cost so far.
+// Line is the cost of one stage so far.
 type Line struct {
 	Key
 	// Calls and Cost by Use.
@@ -41,7 +41,7 @@
 	Cost  [useCount]shed.Cost
 }
 
-// Wasted sums the cost of everything but useful work.
+// Wasted returns the cost of all work except useful work.
 func (l *Line) Wasted() shed.Cost {
 	var sum shed.Cost
 	for u := Cancelled; u < useCount; u++ {
@@ -50,19 +50,19 @@
 	return sum
 }
 
-// DefaultMost bounds the lines of a ledger.
+// DefaultMost is the default of Config.Most.
 const DefaultMost = 1024
 
-// Other gathers the work of stages past the bound.
+// Other is the line for stages beyond the limit of lines.
 var Other = Key{Pipeline: "_other", Stage: "_other"}
 
 // Config sets up a Ledger.
 type Config struct {
-	// Most is the greatest number of lines; 0 takes DefaultMost.
+	// Most limits the lines, apart from Other; 0 means DefaultMost.
 	Most int
 }
 
-// Ledger sums cost by stage. It is not safe for concurrent use.
+// Ledger sums the cost per stage. It is not safe for concurrent use.
 type Ledger struct {
 	maxLines int
 	lines    map[Key]*Line
@@ -76,14 +76,14 @@
 	return &Ledger{maxLines: cfg.Most, lines: map[Key]*Line{}}
 }
 
-// Add books one call.
+// Add records one call.
 func (l *Ledger) Add(key Key, use Use, c shed.Cost) {
 	line := l.line(key)
 	line.Calls[use]++
 	line.Cost[use] += c
 }
 
-// Snapshot copies the ledger, sorted by pipeline and stage.
+// Snapshot returns a copy of the lines, sorted by pipeline and stage.
 func (l *Ledger) Snapshot() []Line {
 	out := make([]Line, 0, len(l.lines))
 	for _, line := range l.lines {
@@ -95,8 +95,9 @@
 	return out
 }
 
-// line finds or opens a line. Pipelines come and go with the rules, so a
-// daemon that runs for months would otherwise grow without bound.
+// line returns the line for key and adds it if necessary, or returns Other's line at the limit.
+// Pipelines change with the rules, so without a limit the ledger of a daemon that runs for months
+// would grow without bound.
 func (l *Ledger) line(key Key) *Line {
 	if line := l.lines[key]; line != nil {
 		return line
@@ -112,8 +113,8 @@
 	return line
 }
 
-// Of is the cost of occupying one of a server's places for took. A capacity
-// that is not known counts as 1, the dearest.
+// Of returns the cost of occupying one of a server's concurrent calls for took. An unknown capacity
+// counts as 1, the most expensive.
 func Of(took time.Duration, capacity int) shed.Cost {
 	if took <= 0 {
 		return 0
