--- a/internal/admit/admit.go
+++ b/internal/admit/admit.go
@@ -12,28 +12,28 @@
 
 // Defaults for a zero Config.
 const (
-	DefaultHigh       = 0.7
-	DefaultLow        = 0.1
-	DefaultMostQueued = 4096
-	DefaultTrialEvery = 500 * time.Millisecond
-	DefaultMemory     = 30 * time.Second
-	DefaultMinRetry   = 100 * time.Millisecond
-	DefaultMaxRetry   = 20 * time.Second
+	DefaultHighQuantile      = 0.7
+	DefaultLowQuantile       = 0.1
+	DefaultMaxQueued         = 4096
+	DefaultProbeInterval     = 500 * time.Millisecond
+	DefaultEstimateRetention = 30 * time.Second
+	DefaultMinRetry          = 100 * time.Millisecond
+	DefaultMaxRetry          = 20 * time.Second
 )
 
 // Config sets up a Gate. Zero values take the defaults.
 type Config struct {
-	// High is the quantile of recent stage times that admission relies on.
-	High float64
-	// Low is the quantile of recent stage times below which a stage hardly ever ends.
-	Low float64
-	// MostQueued limits the requests in one queue.
-	MostQueued int
-	// TrialEvery is the interval at which one request per pipeline is admitted against the
+	// HighQuantile is the quantile of recent stage times that admission relies on.
+	HighQuantile float64
+	// LowQuantile is the quantile of recent stage times below which a stage hardly ever ends.
+	LowQuantile float64
+	// MaxQueued limits the requests in one queue.
+	MaxQueued int
+	// ProbeInterval is the interval at which one request per pipeline is admitted against the
 	// estimate, so that a wrong estimate can recover.
-	TrialEvery time.Duration
-	// Memory is how long an estimate is used without a new sample.
-	Memory time.Duration
+	ProbeInterval time.Duration
+	// EstimateRetention is how long an estimate is used without a new sample.
+	EstimateRetention time.Duration
 	// MinRetry and MaxRetry bound Verdict.RetryAfter.
 	MinRetry, MaxRetry time.Duration
 }
@@ -45,8 +45,8 @@
 	Stage    shed.StageID
 }
 
-// Ask is a request to be admitted.
-type Ask struct {
+// Request is a request to be admitted.
+type Request struct {
 	// Waiting is the request as it would be queued; its Latest is not used.
 	Waiting
 	Pipeline *shed.Pipeline
@@ -57,7 +57,7 @@
 
 // Verdict is the decision on an Ask.
 type Verdict struct {
-	OK         bool
+	Admitted   bool
 	Reason     shed.Reason
 	RetryAfter time.Duration
 }
@@ -78,20 +78,20 @@
 
 // New returns a Gate without estimates or queued requests.
 func New(cfg Config) *Gate {
-	if cfg.High == 0 {
-		cfg.High = DefaultHigh
+	if cfg.HighQuantile == 0 {
+		cfg.HighQuantile = DefaultHighQuantile
 	}
-	if cfg.Low == 0 {
-		cfg.Low = DefaultLow
+	if cfg.LowQuantile == 0 {
+		cfg.LowQuantile = DefaultLowQuantile
 	}
-	if cfg.MostQueued == 0 {
-		cfg.MostQueued = DefaultMostQueued
+	if cfg.MaxQueued == 0 {
+		cfg.MaxQueued = DefaultMaxQueued
 	}
-	if cfg.TrialEvery == 0 {
-		cfg.TrialEvery = DefaultTrialEvery
+	if cfg.ProbeInterval == 0 {
+		cfg.ProbeInterval = DefaultProbeInterval
 	}
-	if cfg.Memory == 0 {
-		cfg.Memory = DefaultMemory
+	if cfg.EstimateRetention == 0 {
+		cfg.EstimateRetention = DefaultEstimateRetention
 	}
 	if cfg.MinRetry == 0 {
 		cfg.MinRetry = DefaultMinRetry
@@ -135,27 +135,27 @@
 		s = &sketch{}
 		g.sketches[key] = s
 	}
-	s.add(now, took, g.cfg.Low, g.cfg.High)
+	s.add(now, took, g.cfg.LowQuantile, g.cfg.HighQuantile)
 }
 
 // Admit decides whether the request can meet its deadline. A request that can't is rejected at
 // once: if queued, it would take the place of one that can.
-func (g *Gate) Admit(now time.Time, ask Ask) Verdict {
+func (g *Gate) Admit(now time.Time, ask Request) Verdict {
 	budget := ask.Deadline.Sub(now)
-	if Minimum(ask.Pipeline, 0) > budget {
+	if MinDuration(ask.Pipeline, 0) > budget {
 		return g.reject(now, ask)
 	}
 	wait := g.totalWait(now, ask)
-	if wait+g.Expected(now, ask.Pipeline, 0) <= budget {
-		return Verdict{OK: true}
+	if wait+g.PredictDuration(now, ask.Pipeline, 0) <= budget {
+		return Verdict{Admitted: true}
 	}
 	if g.allowProbe(now, ask.Pipeline.ID) {
-		return Verdict{OK: true}
+		return Verdict{Admitted: true}
 	}
 	return g.reject(now, ask)
 }
 
-func (g *Gate) reject(now time.Time, ask Ask) Verdict {
+func (g *Gate) reject(now time.Time, ask Request) Verdict {
 	return Verdict{
 		Reason:     shed.ReasonWontMeetDeadline,
 		RetryAfter: g.RetryAfter(now, g.longestQueue(now, ask), ask.Waiting),
@@ -165,22 +165,22 @@
 // totalWait predicts the waiting time at all stages. The bottleneck is most often a late stage: if
 // only the first stage's queue counted, requests would be admitted, run through the cheap stages
 // and be abandoned before the expensive one.
-func (g *Gate) totalWait(now time.Time, ask Ask) time.Duration {
-	sum := g.Wait(now, ask.Queue, ask.Waiting)
+func (g *Gate) totalWait(now time.Time, ask Request) time.Duration {
+	sum := g.PredictWait(now, ask.Queue, ask.Waiting)
 	for i := range ask.Pipeline.Stages {
-		if key := KeyOf(&ask.Pipeline.Stages[i]); key != ask.Queue {
-			sum += g.Wait(now, key, ask.Waiting)
+		if key := StageQueue(&ask.Pipeline.Stages[i]); key != ask.Queue {
+			sum += g.PredictWait(now, key, ask.Waiting)
 		}
 	}
 	return sum
 }
 
 // longestQueue returns the queue in which the request would wait longest.
-func (g *Gate) longestQueue(now time.Time, ask Ask) QueueKey {
-	longest, longestWait := ask.Queue, g.Wait(now, ask.Queue, ask.Waiting)
+func (g *Gate) longestQueue(now time.Time, ask Request) QueueKey {
+	longest, longestWait := ask.Queue, g.PredictWait(now, ask.Queue, ask.Waiting)
 	for i := range ask.Pipeline.Stages {
-		key := KeyOf(&ask.Pipeline.Stages[i])
-		if wait := g.Wait(now, key, ask.Waiting); wait > longestWait {
+		key := StageQueue(&ask.Pipeline.Stages[i])
+		if wait := g.PredictWait(now, key, ask.Waiting); wait > longestWait {
 			longest, longestWait = key, wait
 		}
 	}
@@ -191,15 +191,15 @@
 // requests for good: without admitted requests there are no new samples, so nothing would be
 // admitted even after the stages have recovered.
 func (g *Gate) allowProbe(now time.Time, p shed.PipelineID) bool {
-	if last, ok := g.lastProbes[p]; ok && now.Sub(last) < g.cfg.TrialEvery {
+	if last, ok := g.lastProbes[p]; ok && now.Sub(last) < g.cfg.ProbeInterval {
 		return false
 	}
 	g.lastProbes[p] = now
 	return true
 }
 
-// Minimum sums the minimum durations that the rules set for the stages starting at index from.
-func Minimum(p *shed.Pipeline, from int) time.Duration {
+// MinDuration sums the minimum durations that the rules set for the stages starting at index from.
+func MinDuration(p *shed.Pipeline, from int) time.Duration {
 	var sum time.Duration
 	for i := from; i < len(p.Stages); i++ {
 		sum += p.Stages[i].MinDuration
@@ -207,23 +207,23 @@
 	return sum
 }
 
-// Expected predicts the run time of the stages starting at index from.
-func (g *Gate) Expected(now time.Time, p *shed.Pipeline, from int) time.Duration {
+// PredictDuration predicts the run time of the stages starting at index from.
+func (g *Gate) PredictDuration(now time.Time, p *shed.Pipeline, from int) time.Duration {
 	var sum time.Duration
 	for i := from; i < len(p.Stages); i++ {
-		sum += g.Likely(now, p, i)
+		sum += g.PredictStageDuration(now, p, i)
 	}
 	return sum
 }
 
-// Likely predicts the run time of one stage.
-func (g *Gate) Likely(now time.Time, p *shed.Pipeline, stage int) time.Duration {
+// PredictStageDuration predicts the run time of one stage.
+func (g *Gate) PredictStageDuration(now time.Time, p *shed.Pipeline, stage int) time.Duration {
 	_, high := g.quantiles(now, p, stage)
 	return max(p.Stages[stage].MinDuration, high)
 }
 
-// Least is the time below which the stages starting at index from hardly ever end.
-func (g *Gate) Least(now time.Time, p *shed.Pipeline, from int) time.Duration {
+// LowDuration is the time below which the stages starting at index from hardly ever end.
+func (g *Gate) LowDuration(now time.Time, p *shed.Pipeline, from int) time.Duration {
 	var sum time.Duration
 	for i := from; i < len(p.Stages); i++ {
 		low, _ := g.quantiles(now, p, i)
@@ -234,7 +234,7 @@
 
 func (g *Gate) quantiles(now time.Time, p *shed.Pipeline, i int) (low, high time.Duration) {
 	s := g.sketches[StageKey{Pipeline: p.ID, Stage: p.Stages[i].ID}]
-	if s == nil || now.Sub(s.lastSample) > g.cfg.Memory {
+	if s == nil || now.Sub(s.lastSample) > g.cfg.EstimateRetention {
 		return 0, 0
 	}
 	return s.low, s.high
@@ -244,7 +244,7 @@
 // time. Jitter derived from the request id keeps requests that were rejected together from being
 // retried together.
 func (g *Gate) RetryAfter(now time.Time, key QueueKey, w Waiting) time.Duration {
-	base := max(min(g.Wait(now, key, w), g.cfg.MaxRetry/2), g.cfg.MinRetry)
+	base := max(min(g.PredictWait(now, key, w), g.cfg.MaxRetry/2), g.cfg.MinRetry)
 	const steps = 1024
 	jitter := time.Duration(xxhash.Sum64String(string(w.Request)) % steps)
 	return base + base*jitter/steps
--- a/internal/admit/queue.go
+++ b/internal/admit/queue.go
@@ -11,8 +11,8 @@
 // QueueKey identifies a queue of requests that wait for the same servers.
 type QueueKey string
 
-// KeyOf returns the queue of a stage: its pool, and its zones if it is bound to any.
-func KeyOf(s *shed.Stage) QueueKey {
+// StageQueue returns the queue of a stage: its pool, and its zones if it is bound to any.
+func StageQueue(s *shed.Stage) QueueKey {
 	if len(s.Zones) == 0 {
 		return QueueKey(s.Pool)
 	}
@@ -88,11 +88,11 @@
 	it := &item{Waiting: w, key: key}
 	q.push(it)
 	g.items[w.Request] = it
-	if q.length <= g.cfg.MostQueued {
+	if q.length <= g.cfg.MaxQueued {
 		return "", true
 	}
 	victim := q.byBacklog[0].items.last()
-	g.Drop(victim.Request)
+	g.Remove(victim.Request)
 	return victim.Request, false
 }
 
@@ -124,8 +124,8 @@
 	return true
 }
 
-// Drop removes a request from its queue. It returns false if the request isn't queued.
-func (g *Gate) Drop(id shed.RequestID) bool {
+// Remove removes a request from its queue. It returns false if the request isn't queued.
+func (g *Gate) Remove(id shed.RequestID) bool {
 	it := g.items[id]
 	if it == nil {
 		return false
@@ -134,8 +134,8 @@
 	return true
 }
 
-// Queues appends the sorted keys of the queues that aren't empty.
-func (g *Gate) Queues(to []QueueKey) []QueueKey {
+// AppendQueues appends the sorted keys of the queues that aren't empty.
+func (g *Gate) AppendQueues(to []QueueKey) []QueueKey {
 	for _, key := range g.queueKeys {
 		if g.queues[key].length > 0 {
 			to = append(to, key)
@@ -155,10 +155,10 @@
 // Queued returns the number of requests in all queues.
 func (g *Gate) Queued() int { return len(g.items) }
 
-// Wait predicts how long a request that is queued now would wait. Under fair queueing a workspace
+// PredictWait predicts how long a request that is queued now would wait. Under fair queueing a workspace
 // waits for its own backlog, and for others only according to their shares. If the whole queue
 // counted, one greedy workspace would get the requests of all others rejected.
-func (g *Gate) Wait(now time.Time, key QueueKey, w Waiting) time.Duration {
+func (g *Gate) PredictWait(now time.Time, key QueueKey, w Waiting) time.Duration {
 	q := g.queues[key]
 	if q == nil || q.length == 0 {
 		return 0
--- a/internal/answer/answer.go
+++ b/internal/answer/answer.go
@@ -25,7 +25,7 @@
 // Defaults for a zero Config.
 const (
 	DefaultMaxBytes = 1 << 20
-	DefaultAhead    = 16
+	DefaultMaxHeld  = 16
 )
 
 // Config sets up an Assembly. Zero values take the defaults.
@@ -33,8 +33,8 @@
 	Call shed.Call
 	// MaxBytes limits the length of the text.
 	MaxBytes int
-	// Ahead limits the frames that are held back while an earlier one is missing.
-	Ahead int
+	// MaxHeld limits the frames that are held back while an earlier one is missing.
+	MaxHeld int
 }
 
 // Assembly is the partial or complete result of one call. It is not safe for concurrent use.
@@ -60,8 +60,8 @@
 	if cfg.MaxBytes == 0 {
 		cfg.MaxBytes = DefaultMaxBytes
 	}
-	if cfg.Ahead == 0 {
-		cfg.Ahead = DefaultAhead
+	if cfg.MaxHeld == 0 {
+		cfg.MaxHeld = DefaultMaxHeld
 	}
 	return &Assembly{cfg: cfg}
 }
@@ -110,7 +110,7 @@
 			return false, nil
 		}
 	}
-	if len(a.held) >= a.cfg.Ahead {
+	if len(a.held) >= a.cfg.MaxHeld {
 		return false, fmt.Errorf("%w: frame %d not received before frame %d", ErrGap, a.next, f.Sequence)
 	}
 	a.held = append(a.held, f)
@@ -170,8 +170,8 @@
 	return nil
 }
 
-// Whole reports whether every frame up to the last has been added.
-func (a *Assembly) Whole() bool { return a.complete }
+// Complete reports whether every frame up to the last has been added.
+func (a *Assembly) Complete() bool { return a.complete }
 
 // Result returns the payload after the stage, or nil unless Whole.
 func (a *Assembly) Result() *shed.Payload { return a.result }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -66,7 +66,7 @@
 	member  *member.Group
 	slots   *slots.Table
 	load    *load.Book
-	orders  *order.Giver
+	orders  *order.Reconciler
 	flow    *flow.Flow
 	gate    *admit.Gate
 	ledger  *cost.Ledger
@@ -136,7 +136,7 @@
 	if cfg.Member.LeaseFor == 0 {
 		cfg.Member.LeaseFor = defaultSureFor
 	}
-	policy, err := route.Named(cfg.Policy, cfg.Seed)
+	policy, err := route.NewPolicy(cfg.Policy, cfg.Seed)
 	if err != nil {
 		return nil, err
 	}
@@ -288,7 +288,7 @@
 			c.hand(a.Request.Call, a.To)
 			started = true
 		case shed.Finish:
-			c.tickets.Finished(now, a.Request, a)
+			c.tickets.RecordFinish(now, a.Request, a)
 		}
 		c.out = append(c.out, act)
 	}
--- a/internal/cost/cost.go
+++ b/internal/cost/cost.go
@@ -51,15 +51,15 @@
 }
 
 // DefaultMost is the default of Config.Most.
-const DefaultMost = 1024
+const DefaultMaxLines = 1024
 
 // Other is the line for stages beyond the limit of lines.
 var Other = Key{Pipeline: "_other", Stage: "_other"}
 
 // Config sets up a Ledger.
 type Config struct {
-	// Most limits the lines, apart from Other; 0 means DefaultMost.
-	Most int
+	// MaxLines limits the lines, apart from Other; 0 means DefaultMost.
+	MaxLines int
 }
 
 // Ledger sums the cost per stage. It is not safe for concurrent use.
@@ -70,10 +70,10 @@
 
 // New returns an empty ledger.
 func New(cfg Config) *Ledger {
-	if cfg.Most == 0 {
-		cfg.Most = DefaultMost
+	if cfg.MaxLines == 0 {
+		cfg.MaxLines = DefaultMaxLines
 	}
-	return &Ledger{maxLines: cfg.Most, lines: map[Key]*Line{}}
+	return &Ledger{maxLines: cfg.MaxLines, lines: map[Key]*Line{}}
 }
 
 // Add records one call.
--- a/internal/order/decide.go
+++ b/internal/order/decide.go
@@ -44,7 +44,7 @@
 func (e *entry) needsLoad() bool { return e.report.Model != e.want.name() }
 
 // isLoading reports whether a load of weights in the slot is in progress.
-func (g *Giver) isLoading(slot int) bool {
+func (g *Reconciler) isLoading(slot int) bool {
 	for _, id := range g.ids {
 		e := g.servers[id]
 		if e.pending.Fence != 0 && e.needsLoad() && g.slotOf(id) == slot {
@@ -62,7 +62,7 @@
 // Draining reports whether the server must get no new calls, so that its model or role can be
 // changed. Every daemon derives the same from the load reports. Only a part of a pool drains at the
 // same time; the other servers keep serving with their present model and role.
-func (g *Giver) Draining(server shed.ServerID) bool {
+func (g *Reconciler) Draining(server shed.ServerID) bool {
 	e := g.servers[server]
 	if e == nil || e.report.Boot == "" || e.isAsDesired() {
 		return false
@@ -72,7 +72,7 @@
 
 // mayChange reports whether the server may be changed now: it is among the first, by id, of the
 // servers of its pool that are not in the desired state.
-func (g *Giver) mayChange(e *entry) bool {
+func (g *Reconciler) mayChange(e *entry) bool {
 	size, ahead := 0, 0
 	for _, id := range g.ids {
 		o := g.servers[id]
@@ -88,12 +88,12 @@
 	return ahead < max(1, size/drainDivisor)
 }
 
-func (g *Giver) tick(now time.Time) []shed.Action {
+func (g *Reconciler) tick(now time.Time) []shed.Action {
 	var out []shed.Action
 	for _, id := range g.ids {
 		e := g.servers[id]
 		g.updateHeldSince(now, e)
-		if e.pending.Fence != 0 && now.Sub(e.sentAt) > g.cfg.LongestLoad {
+		if e.pending.Fence != 0 && now.Sub(e.sentAt) > g.cfg.MaxLoadTime {
 			// The driver never reported the end of the order; the load must have ended by now.
 			e.pending = shed.SendOrder{}
 		}
@@ -104,7 +104,7 @@
 	return out
 }
 
-func (g *Giver) updateHeldSince(now time.Time, e *entry) {
+func (g *Reconciler) updateHeldSince(now time.Time, e *entry) {
 	switch {
 	case !g.slotTable.Holds(now, g.slotKey, g.slotOf(e.server.ID)):
 		e.heldSince = time.Time{}
@@ -119,16 +119,16 @@
 // order of a former holder of the slot, based on older rules, after ours. So the first order is sent
 // after a quiet time in which a delayed one would have arrived, and only on a report made after
 // that, which shows the engine's state at that time.
-func (g *Giver) isDue(now time.Time, e *entry) bool {
+func (g *Reconciler) isDue(now time.Time, e *entry) bool {
 	if e.heldSince.IsZero() || e.pending.Fence != 0 || now.Before(e.retryAt) {
 		return false
 	}
-	quiet := g.cfg.Quiet
+	quiet := g.cfg.QuietTime
 	if !e.server.Fenced || !e.server.ChecksCaller {
-		quiet = g.cfg.QuietUnfenced
+		quiet = g.cfg.QuietTimeUnfenced
 	}
 	ready := e.heldSince.Add(quiet)
-	if now.Before(ready) || e.reportedAt.Before(ready) || now.Sub(e.reportedAt) > g.cfg.FreshWithin {
+	if now.Before(ready) || e.reportedAt.Before(ready) || now.Sub(e.reportedAt) > g.cfg.MaxReportAge {
 		return false
 	}
 	if e.isAsDesired() || !e.isIdle() {
@@ -137,7 +137,7 @@
 	return g.Draining(e.server.ID)
 }
 
-func (g *Giver) sendOrder(now time.Time, out []shed.Action, e *entry) []shed.Action {
+func (g *Reconciler) sendOrder(now time.Time, out []shed.Action, e *entry) []shed.Action {
 	attempt := min(e.attempt+1, attemptMax)
 	f := fence(g.rules.Revision, e.want.hash, attempt)
 	if e.needsLoad() && (!g.mayLoad || g.isLoading(g.slotOf(e.server.ID))) {
--- a/internal/order/reconciler.go
+++ b/internal/order/reconciler.go
@@ -24,35 +24,35 @@
 type Config struct {
 	Self shed.VM
 	Zone shed.ZoneID
-	// Quiet is how long the slot must be held before an order to a server that refuses old
+	// QuietTime is how long the slot must be held before an order to a server that refuses old
 	// fencing numbers and other callers.
-	Quiet time.Duration
-	// QuietUnfenced is the same for a server that accepts any fencing number or any caller.
-	QuietUnfenced time.Duration
-	// FreshWithin is the greatest age of a load report to act on.
-	FreshWithin time.Duration
+	QuietTime time.Duration
+	// QuietTimeUnfenced is the same for a server that accepts any fencing number or any caller.
+	QuietTimeUnfenced time.Duration
+	// MaxReportAge is the greatest age of a load report to act on.
+	MaxReportAge time.Duration
 	// RetryAfter is the delay between the end of an order and the next one to the server.
 	RetryAfter time.Duration
-	// LongestLoad is the longest time that loading weights can take.
-	LongestLoad time.Duration
+	// MaxLoadTime is the longest time that loading weights can take.
+	MaxLoadTime time.Duration
 	// Settle is passed to slots.Config.
 	Settle time.Duration
 }
 
 // Defaults for a zero Config.
 const (
-	DefaultQuiet         = 2 * time.Second
-	DefaultQuietUnfenced = 20 * time.Second
-	DefaultFreshWithin   = 5 * time.Second
-	DefaultRetryAfter    = 10 * time.Second
-	DefaultLongestLoad   = 2 * time.Minute
+	DefaultQuietTime         = 2 * time.Second
+	DefaultQuietTimeUnfenced = 20 * time.Second
+	DefaultMaxReportAge      = 5 * time.Second
+	DefaultRetryAfter        = 10 * time.Second
+	DefaultMaxLoadTime       = 2 * time.Minute
 )
 
 // Reasons of the notes that this package returns.
 const (
-	ReasonOrdered    shed.Reason = "order_sent"
-	ReasonStaleFence shed.Reason = "order_fence_stale"
-	ReasonNoWeights  shed.Reason = "weight_loads_below_zones"
+	ReasonOrdered       shed.Reason = "order_sent"
+	ReasonStaleFence    shed.Reason = "order_fence_stale"
+	ReasonNoWeightLoads shed.Reason = "weight_loads_below_zones"
 )
 
 // slotKeyPrefix begins the server id under which the slots are assigned. No server can have such an
@@ -64,8 +64,8 @@
 // their model or role, to one in drainDivisor.
 const drainDivisor = 4
 
-// Giver decides the orders of one daemon.
-type Giver struct {
+// Reconciler decides the orders of one daemon.
+type Reconciler struct {
 	cfg     Config
 	rules   *shed.Rules
 	servers map[shed.ServerID]*entry
@@ -113,19 +113,19 @@
 func (d desired) name() string { return string(d.model) + "@" + d.version }
 
 // New returns a Giver without rules.
-func New(cfg Config) *Giver {
-	setDefault(&cfg.Quiet, DefaultQuiet)
-	setDefault(&cfg.QuietUnfenced, DefaultQuietUnfenced)
-	setDefault(&cfg.FreshWithin, DefaultFreshWithin)
+func New(cfg Config) *Reconciler {
+	setDefault(&cfg.QuietTime, DefaultQuietTime)
+	setDefault(&cfg.QuietTimeUnfenced, DefaultQuietTimeUnfenced)
+	setDefault(&cfg.MaxReportAge, DefaultMaxReportAge)
 	setDefault(&cfg.RetryAfter, DefaultRetryAfter)
-	setDefault(&cfg.LongestLoad, DefaultLongestLoad)
-	return &Giver{
+	setDefault(&cfg.MaxLoadTime, DefaultMaxLoadTime)
+	return &Reconciler{
 		cfg:     cfg,
 		servers: map[shed.ServerID]*entry{},
 		slotTable: slots.New(slots.Config{
 			Self:        cfg.Self,
 			Settle:      cfg.Settle,
-			LongestCall: cfg.LongestLoad,
+			LongestCall: cfg.MaxLoadTime,
 			ReleaseUpTo: -1,
 		}),
 	}
@@ -138,15 +138,15 @@
 }
 
 // SetView passes the view to slots.Table.SetView.
-func (g *Giver) SetView(now time.Time, vms []shed.VM, hash uint64, unsure bool) {
+func (g *Reconciler) SetView(now time.Time, vms []shed.VM, hash uint64, unsure bool) {
 	g.slotTable.SetView(now, vms, hash, unsure)
 }
 
 // SetKnown passes the known VMs to slots.Table.SetKnown.
-func (g *Giver) SetKnown(now time.Time, vms []shed.VM) { g.slotTable.SetKnown(now, vms) }
+func (g *Reconciler) SetKnown(now time.Time, vms []shed.VM) { g.slotTable.SetKnown(now, vms) }
 
 // SetRules applies the rules in force.
-func (g *Giver) SetRules(now time.Time, rules *shed.Rules) []shed.Action {
+func (g *Reconciler) SetRules(now time.Time, rules *shed.Rules) []shed.Action {
 	revisionChanged := g.rules == nil || g.rules.Revision != rules.Revision
 	g.rules = rules
 	g.ids = g.ids[:0]
@@ -180,7 +180,7 @@
 
 // updateSlots computes the zone's share of weight loads. The shares of all zones never add up to
 // more than the limit, so zones don't need to coordinate.
-func (g *Giver) updateSlots(now time.Time) []shed.Action {
+func (g *Reconciler) updateSlots(now time.Time) []shed.Action {
 	share := 0
 	if n := len(g.rules.Zones); n > 0 {
 		share = g.rules.MaxWeightLoads / n
@@ -191,13 +191,13 @@
 	g.slotKey = shed.ServerID(slotKeyPrefix + strconv.Itoa(n))
 	g.slotTable.SetServers(now, []*shed.Server{{ID: g.slotKey, Capacity: n, ColdCapacity: n}})
 	if !g.mayLoad {
-		return []shed.Action{shed.Note{Reason: ReasonNoWeights, Zone: g.cfg.Zone}}
+		return []shed.Action{shed.Note{Reason: ReasonNoWeightLoads, Zone: g.cfg.Zone}}
 	}
 	return nil
 }
 
 // slotOf returns the server's slot.
-func (g *Giver) slotOf(id shed.ServerID) int {
+func (g *Reconciler) slotOf(id shed.ServerID) int {
 	return int(xxhash.Sum64String(string(id)) % g.slotCount)
 }
 
@@ -228,7 +228,7 @@
 }
 
 // Handle handles Tick, LoadReported and OrderEnded events and LoadDigest messages.
-func (g *Giver) Handle(now time.Time, ev shed.Event) []shed.Action {
+func (g *Reconciler) Handle(now time.Time, ev shed.Event) []shed.Action {
 	switch ev := ev.(type) {
 	case shed.Tick:
 		g.slotTable.Handle(now, ev)
@@ -247,7 +247,7 @@
 	return nil
 }
 
-func (g *Giver) report(now time.Time, id shed.ServerID, r shed.LoadReport) {
+func (g *Reconciler) report(now time.Time, id shed.ServerID, r shed.LoadReport) {
 	e := g.servers[id]
 	if e == nil {
 		return
@@ -257,7 +257,7 @@
 	}
 }
 
-func (g *Giver) orderEnded(now time.Time, ev shed.OrderEnded) []shed.Action {
+func (g *Reconciler) orderEnded(now time.Time, ev shed.OrderEnded) []shed.Action {
 	e := g.servers[ev.Server]
 	if e == nil || e.pending.Fence == 0 || e.pending.Fence != ev.Fence {
 		return nil
--- a/internal/route/affinity.go
+++ b/internal/route/affinity.go
@@ -11,25 +11,25 @@
 
 // Defaults for a zero AffinityConfig.
 const (
-	DefaultBound      = 1.25
-	DefaultRanks      = 2
-	DefaultSlowFactor = 2.0
-	DefaultDraws      = 2
+	DefaultLoadBound        = 1.25
+	DefaultServersPerPrefix = 2
+	DefaultSlowFactor       = 2.0
+	DefaultSampleSize       = 2
 )
 
 // AffinityConfig sets up an Affinity policy. Zero values take the defaults.
 type AffinityConfig struct {
 	Seed uint64
-	// Bound is the highest load, as a multiple of the mean relative load, at which a server is
+	// LoadBound is the highest load, as a multiple of the mean relative load, at which a server is
 	// still preferred for its prefixes; above 1.
-	Bound float64
-	// Ranks is the number of servers per prefix, 1 to 4.
-	Ranks int
+	LoadBound float64
+	// ServersPerPrefix is the number of servers per prefix, 1 to 4.
+	ServersPerPrefix int
 	// SlowFactor is the multiple of the mean call time above which a server counts as slow.
 	SlowFactor float64
-	// Draws is the number of candidates that are sampled if no server of the prefix is suitable;
+	// SampleSize is the number of candidates that are sampled if no server of the prefix is suitable;
 	// the least loaded of them is picked.
-	Draws int
+	SampleSize int
 }
 
 // Affinity sends calls with the same prefix to the few servers that rank highest for it by
@@ -40,22 +40,22 @@
 	rng *rand.Rand
 }
 
-const maxRanks = 4
+const maxServersPerPrefix = 4
 
 // NewAffinity returns an Affinity policy.
 func NewAffinity(cfg AffinityConfig) *Affinity {
-	if cfg.Bound == 0 {
-		cfg.Bound = DefaultBound
+	if cfg.LoadBound == 0 {
+		cfg.LoadBound = DefaultLoadBound
 	}
-	if cfg.Ranks == 0 {
-		cfg.Ranks = DefaultRanks
+	if cfg.ServersPerPrefix == 0 {
+		cfg.ServersPerPrefix = DefaultServersPerPrefix
 	}
-	cfg.Ranks = min(cfg.Ranks, maxRanks)
+	cfg.ServersPerPrefix = min(cfg.ServersPerPrefix, maxServersPerPrefix)
 	if cfg.SlowFactor == 0 {
 		cfg.SlowFactor = DefaultSlowFactor
 	}
-	if cfg.Draws == 0 {
-		cfg.Draws = DefaultDraws
+	if cfg.SampleSize == 0 {
+		cfg.SampleSize = DefaultSampleSize
 	}
 	return &Affinity{cfg: cfg, rng: newRand(cfg.Seed)}
 }
@@ -65,7 +65,7 @@
 	m := meansOf(from)
 	slow := time.Duration(float64(m.callTime) * p.cfg.SlowFactor)
 	if prefix != 0 {
-		if i := p.pickPreferred(prefix, from, m.load*p.cfg.Bound, slow); i >= 0 {
+		if i := p.pickPreferred(prefix, from, m.load*p.cfg.LoadBound, slow); i >= 0 {
 			return i
 		}
 	}
@@ -101,8 +101,8 @@
 // and not slow, or -1. Candidates are ranked before any is skipped, so that a prefix doesn't spread
 // over the fleet while its servers are busy.
 func (p *Affinity) pickPreferred(prefix uint64, from []shed.Candidate, bound float64, slow time.Duration) int {
-	var ranks [maxRanks]int
-	var scores [maxRanks]uint64
+	var ranks [maxServersPerPrefix]int
+	var scores [maxServersPerPrefix]uint64
 	n := 0
 	for i := range from {
 		score := rendezvous(prefix, from[i].Server.ID)
@@ -110,10 +110,10 @@
 		for at > 0 && scores[at-1] < score {
 			at--
 		}
-		if at >= p.cfg.Ranks {
+		if at >= p.cfg.ServersPerPrefix {
 			continue
 		}
-		n = min(n+1, p.cfg.Ranks)
+		n = min(n+1, p.cfg.ServersPerPrefix)
 		copy(scores[at+1:n], scores[at:n-1])
 		copy(ranks[at+1:n], ranks[at:n-1])
 		scores[at], ranks[at] = score, i
@@ -136,7 +136,7 @@
 // overload it before the next report.
 func (p *Affinity) pickSampled(from []shed.Candidate, slow time.Duration) int {
 	best, bestLoad := 0, 0.0
-	for k := range p.cfg.Draws {
+	for k := range p.cfg.SampleSize {
 		i := p.rng.IntN(len(from))
 		load := relativeLoad(&from[i])
 		if slow > 0 && from[i].MedianCallTime > slow {
--- a/internal/route/simulation_test.go
+++ b/internal/route/simulation_test.go
@@ -46,7 +46,7 @@
 	policies := make([]shed.Policy, simDaemons)
 	servers := candidates(simServers, simCapacity)
 	for d := range policies {
-		p, err := Named(name, uint64(d))
+		p, err := NewPolicy(name, uint64(d))
 		if err != nil {
 			b.Fatal(err)
 		}
--- a/internal/ticket/start.go
+++ b/internal/ticket/start.go
@@ -25,16 +25,16 @@
 	VerdictMoved
 	// VerdictUnknown: the ticket is not in the table. It may have run and been removed.
 	VerdictUnknown
-	// VerdictOther: the ticket belongs to another workspace or pipeline; nothing about it may be
+	// VerdictMismatch: the ticket belongs to another workspace or pipeline; nothing about it may be
 	// disclosed.
-	VerdictOther
+	VerdictMismatch
 )
 
 // Verdict is the result of Start and Lookup.
 type Verdict struct {
-	Kind   VerdictKind
-	Finish shed.Finish
-	Heir   shed.Peer
+	Kind      VerdictKind
+	Finish    shed.Finish
+	Successor shed.Peer
 }
 
 // Outcome returns what to report to a caller whose call ends with the verdict.
@@ -42,7 +42,7 @@
 	switch v.Kind {
 	case VerdictExpired:
 		return shed.OutcomeNotRun, shed.ReasonTicketExpired
-	case VerdictOther:
+	case VerdictMismatch:
 		return shed.OutcomeUnknown, shed.ReasonTicketUnknown
 	case VerdictStored:
 		return v.Finish.Outcome, v.Finish.Reason
@@ -59,7 +59,7 @@
 		return t.missingVerdict()
 	}
 	if e.workspace != ws || e.pipeline != p {
-		return Verdict{Kind: VerdictOther}
+		return Verdict{Kind: VerdictMismatch}
 	}
 	switch e.state {
 	case stateRunning:
@@ -80,7 +80,7 @@
 
 func (t *Table) missingVerdict() Verdict {
 	if t.closed {
-		return Verdict{Kind: VerdictMoved, Heir: t.successor}
+		return Verdict{Kind: VerdictMoved, Successor: t.successor}
 	}
 	return Verdict{Kind: VerdictUnknown}
 }
@@ -94,7 +94,7 @@
 		return t.missingVerdict()
 	}
 	if e.workspace != ws {
-		return Verdict{Kind: VerdictOther}
+		return Verdict{Kind: VerdictMismatch}
 	}
 	switch e.state {
 	case stateRunning:
@@ -105,17 +105,17 @@
 	return Verdict{Kind: VerdictUnknown}
 }
 
-// Finished stores the answer of a running ticket for Config.Keep. It ignores a second answer and
+// RecordFinish stores the answer of a running ticket for Config.Keep. It ignores a second answer and
 // returns false. The payload must be kept elsewhere for at least as long, starting at the same
 // time or later, or else a repeated request would get a stored answer without its payload.
-func (t *Table) Finished(now time.Time, id shed.RequestID, finish shed.Finish) bool {
+func (t *Table) RecordFinish(now time.Time, id shed.RequestID, finish shed.Finish) bool {
 	e := t.entries[id]
 	if e == nil || e.state != stateRunning {
 		return false
 	}
 	e.state = stateEnded
 	e.finish = finish
-	e.removeAt = now.Add(t.cfg.Keep)
+	e.removeAt = now.Add(t.cfg.Retention)
 	heap.Push(&t.expiry, e)
 	return true
 }
