--- a/internal/admit/admit.go
+++ b/internal/admit/admit.go
@@ -140,47 +140,47 @@
 
 // Admit decides whether the request can meet its deadline. A request that can't is rejected at
 // once: if queued, it would take the place of one that can.
-func (g *Gate) Admit(now time.Time, ask Request) Verdict {
-	budget := ask.Deadline.Sub(now)
-	if MinDuration(ask.Pipeline, 0) > budget {
-		return g.reject(now, ask)
+func (g *Gate) Admit(now time.Time, req Request) Verdict {
+	budget := req.Deadline.Sub(now)
+	if MinDuration(req.Pipeline, 0) > budget {
+		return g.reject(now, req)
 	}
-	wait := g.totalWait(now, ask)
-	if wait+g.PredictDuration(now, ask.Pipeline, 0) <= budget {
+	wait := g.totalWait(now, req)
+	if wait+g.PredictDuration(now, req.Pipeline, 0) <= budget {
 		return Verdict{Admitted: true}
 	}
-	if g.allowProbe(now, ask.Pipeline.ID) {
+	if g.allowProbe(now, req.Pipeline.ID) {
 		return Verdict{Admitted: true}
 	}
-	return g.reject(now, ask)
+	return g.reject(now, req)
 }
 
-func (g *Gate) reject(now time.Time, ask Request) Verdict {
+func (g *Gate) reject(now time.Time, req Request) Verdict {
 	return Verdict{
 		Reason:     shed.ReasonWontMeetDeadline,
-		RetryAfter: g.RetryAfter(now, g.longestQueue(now, ask), ask.Waiting),
+		RetryAfter: g.RetryAfter(now, g.longestQueue(now, req), req.Waiting),
 	}
 }
 
 // totalWait predicts the waiting time at all stages. The bottleneck is most often a late stage: if
 // only the first stage's queue counted, requests would be admitted, run through the cheap stages
 // and be abandoned before the expensive one.
-func (g *Gate) totalWait(now time.Time, ask Request) time.Duration {
-	sum := g.PredictWait(now, ask.Queue, ask.Waiting)
-	for i := range ask.Pipeline.Stages {
-		if key := StageQueue(&ask.Pipeline.Stages[i]); key != ask.Queue {
-			sum += g.PredictWait(now, key, ask.Waiting)
+func (g *Gate) totalWait(now time.Time, req Request) time.Duration {
+	sum := g.PredictWait(now, req.Queue, req.Waiting)
+	for i := range req.Pipeline.Stages {
+		if key := StageQueue(&req.Pipeline.Stages[i]); key != req.Queue {
+			sum += g.PredictWait(now, key, req.Waiting)
 		}
 	}
 	return sum
 }
 
 // longestQueue returns the queue in which the request would wait longest.
-func (g *Gate) longestQueue(now time.Time, ask Request) QueueKey {
-	longest, longestWait := ask.Queue, g.PredictWait(now, ask.Queue, ask.Waiting)
-	for i := range ask.Pipeline.Stages {
-		key := StageQueue(&ask.Pipeline.Stages[i])
-		if wait := g.PredictWait(now, key, ask.Waiting); wait > longestWait {
+func (g *Gate) longestQueue(now time.Time, req Request) QueueKey {
+	longest, longestWait := req.Queue, g.PredictWait(now, req.Queue, req.Waiting)
+	for i := range req.Pipeline.Stages {
+		key := StageQueue(&req.Pipeline.Stages[i])
+		if wait := g.PredictWait(now, key, req.Waiting); wait > longestWait {
 			longest, longestWait = key, wait
 		}
 	}
--- a/internal/admit/admit_test.go
+++ b/internal/admit/admit_test.go
@@ -20,7 +20,7 @@
 	}}
 }
 
-func ask(id shed.RequestID, p *shed.Pipeline, left time.Duration) Request {
+func request(id shed.RequestID, p *shed.Pipeline, left time.Duration) Request {
 	return Request{Waiting: Waiting{Request: id, Workspace: "w"}, Pipeline: p, Deadline: zero.Add(left), Queue: "enc"}
 }
 
@@ -52,15 +52,15 @@
 func TestRefusesWhatCannotBeDone(t *testing.T) {
 	p := pipeline(100 * time.Millisecond)
 	g := New(Config{})
-	require.False(t, g.Admit(zero, ask("r", p, 199*time.Millisecond)).Admitted, "below the sum of the minimum durations")
-	require.True(t, g.Admit(zero, ask("r", p, 200*time.Millisecond)).Admitted)
+	require.False(t, g.Admit(zero, request("r", p, 199*time.Millisecond)).Admitted, "below the sum of the minimum durations")
+	require.True(t, g.Admit(zero, request("r", p, 200*time.Millisecond)).Admitted)
 	for range 100 {
 		g.Observe(zero, StageKey{"draft", "write"}, 2*time.Second)
 	}
-	require.True(t, g.Admit(zero, ask("r1", p, time.Second)).Admitted, "admitted as a probe")
-	v := g.Admit(zero, ask("r2", p, time.Second))
+	require.True(t, g.Admit(zero, request("r1", p, time.Second)).Admitted, "admitted as a probe")
+	v := g.Admit(zero, request("r2", p, time.Second))
 	require.Equal(t, shed.ReasonWontMeetDeadline, v.Reason)
-	require.True(t, g.Admit(zero, ask("r3", p, 3*time.Second)).Admitted)
+	require.True(t, g.Admit(zero, request("r3", p, 3*time.Second)).Admitted)
 }
 
 // Guards against a gate that rejects all requests for good: after a slow period every request is
@@ -76,14 +76,14 @@
 	admitted := 0
 	for i := range 600 {
 		now = now.Add(100 * time.Millisecond)
-		a := ask(shed.RequestID(fmt.Sprint(i)), p, now.Sub(zero)+time.Second)
+		a := request(shed.RequestID(fmt.Sprint(i)), p, now.Sub(zero)+time.Second)
 		if g.Admit(now, a).Admitted {
 			admitted++
 			g.Observe(now, StageKey{"draft", "write"}, 50*time.Millisecond)
 		}
 	}
 	require.Greater(t, admitted, 450, "nearly all of the last 45 s")
-	require.True(t, g.Admit(now, ask("r", p, now.Sub(zero)+time.Second)).Admitted)
+	require.True(t, g.Admit(now, request("r", p, now.Sub(zero)+time.Second)).Admitted)
 }
 
 func TestRetryAfterFollowsTheDrain(t *testing.T) {
@@ -115,7 +115,7 @@
 	}
 	require.Greater(t, g.PredictWait(now, "enc", Waiting{Workspace: "greedy"}), time.Minute)
 	require.Less(t, g.PredictWait(now, "enc", Waiting{Workspace: "w"}), time.Second)
-	a := ask("r", pipeline(time.Millisecond), now.Sub(zero)+time.Second)
+	a := request("r", pipeline(time.Millisecond), now.Sub(zero)+time.Second)
 	require.True(t, g.Admit(now, a).Admitted)
 	a.Workspace = "greedy"
 	g.Admit(now, a) // admitted as a probe
@@ -226,7 +226,7 @@
 	}
 	b.ReportAllocs()
 	for range b.N {
-		g.Admit(zero, ask("request", p, time.Second))
+		g.Admit(zero, request("request", p, time.Second))
 	}
 }
 
