--- a/internal/admit/admit.go
+++ b/internal/admit/admit.go
@@ -55,7 +55,7 @@
 	Queue QueueKey
 }
 
-// Verdict is the decision on an Ask.
+// Verdict is the decision on a Request.
 type Verdict struct {
 	Admitted   bool
 	Reason     shed.Reason
--- a/internal/admit/admit_test.go
+++ b/internal/admit/admit_test.go
@@ -167,7 +167,7 @@
 	require.LessOrEqual(t, got["hopper"], 101)
 }
 
-// For any order of Push, PopReady and Drop, each request leaves the queue exactly once, the most
+// For any order of Push, PopReady and Remove, each request leaves the queue exactly once, the most
 // urgent of a workspace first.
 func TestQueueLosesAndDoublesNothing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/admit/queue.go
+++ b/internal/admit/queue.go
@@ -155,9 +155,9 @@
 // Queued returns the number of requests in all queues.
 func (g *Gate) Queued() int { return len(g.items) }
 
-// PredictWait predicts how long a request that is queued now would wait. Under fair queueing a workspace
-// waits for its own backlog, and for others only according to their shares. If the whole queue
-// counted, one greedy workspace would get the requests of all others rejected.
+// PredictWait predicts how long a request that is queued now would wait. Under fair queueing a
+// workspace waits for its own backlog, and for others only according to their shares. If the whole
+// queue counted, one greedy workspace would get the requests of all others rejected.
 func (g *Gate) PredictWait(now time.Time, key QueueKey, w Waiting) time.Duration {
 	q := g.queues[key]
 	if q == nil || q.length == 0 {
--- a/internal/answer/answer.go
+++ b/internal/answer/answer.go
@@ -14,7 +14,7 @@
 var (
 	// ErrTooLarge is returned if the text exceeds Config.MaxBytes.
 	ErrTooLarge = errors.New("answer too large")
-	// ErrGap is returned if more than Config.Ahead frames arrive while an earlier one is missing.
+	// ErrGap is returned if more than Config.MaxHeld frames arrive while an earlier one is missing.
 	ErrGap = errors.New("frame missing")
 	// ErrContradiction is returned if frames disagree on the end or the text of the result.
 	ErrContradiction = errors.New("frames contradict each other")
@@ -173,7 +173,7 @@
 // Complete reports whether every frame up to the last has been added.
 func (a *Assembly) Complete() bool { return a.complete }
 
-// Result returns the payload after the stage, or nil unless Whole.
+// Result returns the payload after the stage, or nil unless Complete.
 func (a *Assembly) Result() *shed.Payload { return a.result }
 
 // Text returns the text so far, up to the first missing frame.
@@ -189,6 +189,6 @@
 // Tokens returns the number of tokens in the text, including those before a Resume.
 func (a *Assembly) Tokens() shed.Tokens { return a.tokens }
 
-// Dropped returns the numbers of dropped frames: those of other calls, and those that were duplicates
-// or came after the last frame.
+// Dropped returns the numbers of dropped frames: those of other calls, and those that were
+// duplicates or came after the last frame.
 func (a *Assembly) Dropped() (foreign, duplicates int) { return a.foreign, a.duplicates }
--- a/internal/answer/answer_test.go
+++ b/internal/answer/answer_test.go
@@ -23,7 +23,7 @@
 }
 
 // Frames arrive duplicated, late, out of order and from other attempts. The caller must get the
-// complete text in order and once, and Whole must stay false as long as a frame is missing.
+// complete text in order and once, and Complete must stay false as long as a frame is missing.
 func TestAnyOrderOfFrames(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 12).Draw(t, "frames")
--- a/internal/cost/cost.go
+++ b/internal/cost/cost.go
@@ -50,7 +50,7 @@
 	return sum
 }
 
-// DefaultMost is the default of Config.Most.
+// DefaultMaxLines is the default of Config.MaxLines.
 const DefaultMaxLines = 1024
 
 // Other is the line for stages beyond the limit of lines.
--- a/internal/order/reconciler.go
+++ b/internal/order/reconciler.go
@@ -20,7 +20,7 @@
 	"jasmineshed/internal/slots"
 )
 
-// Config configures a Giver. Zero durations take the defaults.
+// Config configures a Reconciler. Zero durations take the defaults.
 type Config struct {
 	Self shed.VM
 	Zone shed.ZoneID
@@ -112,7 +112,7 @@
 // name returns the model's name as in load reports.
 func (d desired) name() string { return string(d.model) + "@" + d.version }
 
-// New returns a Giver without rules.
+// New returns a Reconciler without rules.
 func New(cfg Config) *Reconciler {
 	setDefault(&cfg.QuietTime, DefaultQuietTime)
 	setDefault(&cfg.QuietTimeUnfenced, DefaultQuietTimeUnfenced)
--- a/internal/ticket/start.go
+++ b/internal/ticket/start.go
@@ -21,7 +21,7 @@
 	VerdictStored
 	// VerdictExpired: the ticket was not used in time; its request never ran here and never will.
 	VerdictExpired
-	// VerdictMoved: the table is closed; its unused tickets were moved to Verdict.Heir.
+	// VerdictMoved: the table is closed; its unused tickets were moved to Verdict.Successor.
 	VerdictMoved
 	// VerdictUnknown: the ticket is not in the table. It may have run and been removed.
 	VerdictUnknown
@@ -51,7 +51,7 @@
 }
 
 // Start decides what to do with a request that has this ticket. After VerdictRun the caller must
-// run the request and report its end to Finished.
+// run the request and report its end to RecordFinish.
 func (t *Table) Start(now time.Time, id shed.RequestID, ws shed.WorkspaceID, p shed.PipelineID) Verdict {
 	t.Expire(now)
 	e := t.entries[id]
@@ -105,9 +105,9 @@
 	return Verdict{Kind: VerdictUnknown}
 }
 
-// RecordFinish stores the answer of a running ticket for Config.Keep. It ignores a second answer and
-// returns false. The payload must be kept elsewhere for at least as long, starting at the same
-// time or later, or else a repeated request would get a stored answer without its payload.
+// RecordFinish stores the answer of a running ticket for Config.Retention. It ignores a second
+// answer and returns false. The payload must be kept elsewhere for at least as long, starting at
+// the same time or later, or else a repeated request would join one whose payload is gone.
 func (t *Table) RecordFinish(now time.Time, id shed.RequestID, finish shed.Finish) bool {
 	e := t.entries[id]
 	if e == nil || e.state != stateRunning {
--- a/internal/ticket/table.go
+++ b/internal/ticket/table.go
@@ -15,7 +15,7 @@
 
 // Errors of Issue.
 var (
-	// ErrFull is returned if the table holds Config.Most entries.
+	// ErrFull is returned if the table holds Config.MaxEntries entries.
 	ErrFull = errors.New("ticket table full")
 	// ErrClosed is returned after MoveAll.
 	ErrClosed = errors.New("ticket table closed")
@@ -105,7 +105,7 @@
 }
 
 // Issue adds a new ticket and returns when it expires. It fails with ErrFull, ErrClosed or
-// ErrTaken.
+// ErrDuplicateID.
 func (t *Table) Issue(now time.Time, id shed.RequestID, ws shed.WorkspaceID, p shed.PipelineID) (time.Time, error) {
 	if t.closed {
 		return time.Time{}, ErrClosed
