--- a/internal/order/decide.go
+++ b/internal/order/decide.go
@@ -106,7 +106,7 @@
 
 func (g *Reconciler) updateHeldSince(now time.Time, e *entry) {
 	switch {
-	case !g.slotTable.Holds(now, g.slotKey, g.slotOf(e.server.ID)):
+	case !g.slotTable.MayUseSlot(now, g.slotKey, g.slotOf(e.server.ID)):
 		e.heldSince = time.Time{}
 	case e.heldSince.IsZero():
 		e.heldSince = now
--- a/internal/order/reconciler.go
+++ b/internal/order/reconciler.go
@@ -123,10 +123,10 @@
 		cfg:     cfg,
 		servers: map[shed.ServerID]*entry{},
 		slotTable: slots.New(slots.Config{
-			Self:        cfg.Self,
-			Settle:      cfg.Settle,
-			LongestCall: cfg.MaxLoadTime,
-			ReleaseUpTo: -1,
+			Self:            cfg.Self,
+			Settle:          cfg.Settle,
+			MaxCallDuration: cfg.MaxLoadTime,
+			MaxReleaseZone:  -1,
 		}),
 	}
 }
--- a/internal/relay/gatherer.go
+++ b/internal/relay/gatherer.go
@@ -39,7 +39,7 @@
 // heard is when a VM last told its load, or became known if that was later: a
 // new process tells none before it has settled.
 func (r *Relay) heard(vm shed.VM) time.Time {
-	return shed.Later(r.mesh.heard[vm], r.group.Since(vm))
+	return shed.Later(r.mesh.heard[vm], r.group.UpSince(vm))
 }
 
 // presentFor is how long the VMs that are there are remembered: each request asks
