--- a/internal/relay/mesh.go
+++ b/internal/relay/mesh.go
@@ -194,9 +194,9 @@
 	}
 }
 
-// Unwanted implements peers.RelayHandler. Else the results would take up room at
+// DiscardResults implements peers.RelayHandler. Else the results would take up room at
 // their makers until they lapse there.
-func (r *Relay) Unwanted(results []shed.PieceResult) {
+func (r *Relay) DiscardResults(results []shed.PieceResult) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.perform(r.batcher.Handle(time.Now(), batch.FreeRequested{Refs: made(results)}))
