--- a/internal/admit/admit.go
+++ b/internal/admit/admit.go
@@ -1,5 +1,5 @@
-// Package admit decides whether a request can still meet its deadline, and in
-// which order waiting requests get their turn.
+// Package admit does admission control and queueing: it decides whether a request can still meet
+// its deadline, and in which order queued requests are started.
 package admit
 
 import (
@@ -12,85 +12,86 @@
 
 // Defaults for a zero Config.
 const (
-	DefaultHigh       = 0.7
-	DefaultLow        = 0.1
-	DefaultMostQueued = 4096
-	DefaultTrialEvery = 500 * time.Millisecond
-	DefaultMemory     = 30 * time.Second
-	DefaultMinRetry   = 100 * time.Millisecond
-	DefaultMaxRetry   = 20 * time.Second
+	DefaultHighQuantile      = 0.7
+	DefaultLowQuantile       = 0.1
+	DefaultMaxQueued         = 4096
+	DefaultProbeInterval     = 500 * time.Millisecond
+	DefaultEstimateRetention = 30 * time.Second
+	DefaultMinRetry          = 100 * time.Millisecond
+	DefaultMaxRetry          = 20 * time.Second
 )
 
 // Config sets up a Gate. Zero values take the defaults.
 type Config struct {
-	// High is the quantile of recent stage times that admission counts on.
-	High float64
-	// Low is the quantile below which no hope is left.
-	Low float64
-	// MostQueued bounds the requests that wait in one queue.
-	MostQueued int
-	// TrialEvery lets one request per pipeline pass against the estimate, so
-	// that an estimate which went wrong can mend.
-	TrialEvery time.Duration
-	// Memory is how long estimates count without a new sample.
-	Memory time.Duration
+	// HighQuantile is the quantile of recent stage times that admission relies on.
+	HighQuantile float64
+	// LowQuantile is the quantile of recent stage times below which a stage hardly ever ends.
+	LowQuantile float64
+	// MaxQueued limits the requests in one queue.
+	MaxQueued int
+	// ProbeInterval is the interval at which one request per pipeline is admitted against the
+	// estimate, so that a wrong estimate can recover.
+	ProbeInterval time.Duration
+	// EstimateRetention is how long an estimate is used without a new sample.
+	EstimateRetention time.Duration
 	// MinRetry and MaxRetry bound Verdict.RetryAfter.
 	MinRetry, MaxRetry time.Duration
 }
 
-// StageKey names what times are estimated for. It holds no workspace, so the
-// state grows with pipelines only.
+// StageKey identifies an estimate. It has no workspace, so the state grows only with the number
+// of pipelines.
 type StageKey struct {
 	Pipeline shed.PipelineID
 	Stage    shed.StageID
 }
 
-// Ask is the question whether a request may come in.
-type Ask struct {
-	// Waiting is the request as it would wait; its Latest is void.
+// Request is a request to be admitted.
+type Request struct {
+	// Waiting is the request as it would be queued; its Latest is not used.
 	Waiting
 	Pipeline *shed.Pipeline
 	Deadline time.Time
-	// Queue is where the first stage would wait.
+	// Queue is the queue of the first stage.
 	Queue QueueKey
 }
 
-// Verdict answers an Ask.
+// Verdict is the decision on a Request.
 type Verdict struct {
-	OK         bool
+	Admitted   bool
 	Reason     shed.Reason
 	RetryAfter time.Duration
 }
 
-// Gate predicts and queues. It is not safe for concurrent use.
+// Gate predicts stage times and waiting times, and queues requests. It is not safe for concurrent
+// use.
 type Gate struct {
 	cfg      Config
 	sketches map[StageKey]*sketch
-	// trials holds the time of the last trial per pipeline.
-	trials map[shed.PipelineID]time.Time
-	queues map[QueueKey]*queue
-	// names are the keys of queues that ever held something, sorted.
-	names []QueueKey
-	// where finds the item of a waiting request; its size is the number queued.
-	where map[shed.RequestID]*item
+	// lastProbes holds the time of the last probe per pipeline.
+	lastProbes map[shed.PipelineID]time.Time
+	queues     map[QueueKey]*queue
+	// queueKeys are the sorted keys of queues, empty ones included.
+	queueKeys []QueueKey
+	// items holds all queued requests.
+	items map[shed.RequestID]*item
 }
 
-// New returns an open gate.
+// New returns a Gate without estimates or queued requests.
 func New(cfg Config) *Gate {
-	if cfg.High == 0 {
-		cfg.High = DefaultHigh
+	if cfg.HighQuantile == 0 {
+		cfg.HighQuantile = DefaultHighQuantile
 	}
-	if cfg.Low == 0 {
-		cfg.Low = DefaultLow
+	if cfg.LowQuantile == 0 {
+		cfg.LowQuantile = DefaultLowQuantile
 	}
-	if cfg.MostQueued == 0 {
-		cfg.MostQueued = DefaultMostQueued
+	if cfg.MaxQueued == 0 {
+		cfg.MaxQueued = DefaultMaxQueued
 	}
-	if cfg.TrialEvery == 0 {
-		cfg.TrialEvery = DefaultTrialEvery
+	if cfg.ProbeInterval == 0 {
+		cfg.ProbeInterval = DefaultProbeInterval
 	}
-	if cfg.Memory == 0 {
-		cfg.Memory = DefaultMemory
+	if cfg.EstimateRetention == 0 {
+		cfg.EstimateRetention = DefaultEstimateRetention
 	}
 	if cfg.MinRetry == 0 {
 		cfg.MinRetry = DefaultMinRetry
@@ -99,15 +100,15 @@
 		cfg.MaxRetry = DefaultMaxRetry
 	}
 	return &Gate{
-		cfg:      cfg,
-		sketches: map[StageKey]*sketch{},
-		trials:   map[shed.PipelineID]time.Time{},
-		queues:   map[QueueKey]*queue{},
-		where:    map[shed.RequestID]*item{},
+		cfg:        cfg,
+		sketches:   map[StageKey]*sketch{},
+		lastProbes: map[shed.PipelineID]time.Time{},
+		queues:     map[QueueKey]*queue{},
+		items:      map[shed.RequestID]*item{},
 	}
 }
 
-// SetRules forgets the estimates of stages that the rules no longer have.
+// SetRules removes the estimates of stages that are not in the rules, and empty queues.
 func (g *Gate) SetRules(rules *shed.Rules) {
 	kept := map[StageKey]*sketch{}
 	for id, p := range rules.Pipelines {
@@ -119,86 +120,86 @@
 		}
 	}
 	g.sketches = kept
-	for id := range g.trials {
+	for id := range g.lastProbes {
 		if rules.Pipelines[id] == nil {
-			delete(g.trials, id)
+			delete(g.lastProbes, id)
 		}
 	}
-	g.forgetQueues()
+	g.removeEmptyQueues()
 }
 
-// Observe adds the time that one stage took, waiting not included.
+// Observe adds the run time of one stage, without its waiting time.
 func (g *Gate) Observe(now time.Time, key StageKey, took time.Duration) {
 	s := g.sketches[key]
 	if s == nil {
 		s = &sketch{}
 		g.sketches[key] = s
 	}
-	s.add(now, took, g.cfg.Low, g.cfg.High)
+	s.add(now, took, g.cfg.LowQuantile, g.cfg.HighQuantile)
 }
 
-// Admit decides whether the request can be done in time. A request that can't
-// is refused at once: held, it would take the place of one that can.
-func (g *Gate) Admit(now time.Time, ask Ask) Verdict {
-	left := ask.Deadline.Sub(now)
-	if Minimum(ask.Pipeline, 0) > left {
-		return g.refuse(now, ask)
+// Admit decides whether the request can meet its deadline. A request that can't is rejected at
+// once: if queued, it would take the place of one that can.
+func (g *Gate) Admit(now time.Time, req Request) Verdict {
+	budget := req.Deadline.Sub(now)
+	if MinDuration(req.Pipeline, 0) > budget {
+		return g.reject(now, req)
 	}
-	wait := g.waits(now, ask)
-	if wait+g.Expected(now, ask.Pipeline, 0) <= left {
-		return Verdict{OK: true}
+	wait := g.totalWait(now, req)
+	if wait+g.PredictDuration(now, req.Pipeline, 0) <= budget {
+		return Verdict{Admitted: true}
 	}
-	if g.trial(now, ask.Pipeline.ID) {
-		return Verdict{OK: true}
+	if g.allowProbe(now, req.Pipeline.ID) {
+		return Verdict{Admitted: true}
 	}
-	return g.refuse(now, ask)
+	return g.reject(now, req)
 }
 
-func (g *Gate) refuse(now time.Time, ask Ask) Verdict {
+func (g *Gate) reject(now time.Time, req Request) Verdict {
 	return Verdict{
 		Reason:     shed.ReasonWontMeetDeadline,
-		RetryAfter: g.RetryAfter(now, g.longestQueue(now, ask), ask.Waiting),
+		RetryAfter: g.RetryAfter(now, g.longestQueue(now, req), req.Waiting),
 	}
 }
 
-// waits predicts the waiting at all stages. Most often a late one is the
-// narrow place: looking at the first stage's queue alone, requests are let in,
-// go through the cheap stages, and are given up on before the dear one.
-func (g *Gate) waits(now time.Time, ask Ask) time.Duration {
-	sum := g.Wait(now, ask.Queue, ask.Waiting)
-	for i := range ask.Pipeline.Stages {
-		if key := KeyOf(&ask.Pipeline.Stages[i]); key != ask.Queue {
-			sum += g.Wait(now, key, ask.Waiting)
+// totalWait predicts the waiting time at all stages. The bottleneck is most often a late stage: if
+// only the first stage's queue counted, requests would be admitted, run through the cheap stages
+// and be abandoned before the expensive one.
+func (g *Gate) totalWait(now time.Time, req Request) time.Duration {
+	sum := g.PredictWait(now, req.Queue, req.Waiting)
+	for i := range req.Pipeline.Stages {
+		if key := StageQueue(&req.Pipeline.Stages[i]); key != req.Queue {
+			sum += g.PredictWait(now, key, req.Waiting)
 		}
 	}
 	return sum
 }
 
-// longestQueue is the one that the request would wait in longest.
-func (g *Gate) longestQueue(now time.Time, ask Ask) QueueKey {
-	longest, most := ask.Queue, g.Wait(now, ask.Queue, ask.Waiting)
-	for i := range ask.Pipeline.Stages {
-		key := KeyOf(&ask.Pipeline.Stages[i])
-		if wait := g.Wait(now, key, ask.Waiting); wait > most {
-			longest, most = key, wait
+// longestQueue returns the queue in which the request would wait longest.
+func (g *Gate) longestQueue(now time.Time, req Request) QueueKey {
+	longest, longestWait := req.Queue, g.PredictWait(now, req.Queue, req.Waiting)
+	for i := range req.Pipeline.Stages {
+		key := StageQueue(&req.Pipeline.Stages[i])
+		if wait := g.PredictWait(now, key, req.Waiting); wait > longestWait {
+			longest, longestWait = key, wait
 		}
 	}
 	return longest
 }
 
-// trial lets one request through per period. Without it a burst of slow stages
-// could close the gate for good: nothing admitted, hence no new sample, hence
-// still nothing admitted after the stages have mended.
-func (g *Gate) trial(now time.Time, p shed.PipelineID) bool {
-	if last, ok := g.trials[p]; ok && now.Sub(last) < g.cfg.TrialEvery {
+// allowProbe admits one request per interval. Without it, a burst of slow stages could reject all
+// requests for good: without admitted requests there are no new samples, so nothing would be
+// admitted even after the stages have recovered.
+func (g *Gate) allowProbe(now time.Time, p shed.PipelineID) bool {
+	if last, ok := g.lastProbes[p]; ok && now.Sub(last) < g.cfg.ProbeInterval {
 		return false
 	}
-	g.trials[p] = now
+	g.lastProbes[p] = now
 	return true
 }
 
-// Minimum sums the least times that the rules give for the stages from one on.
-func Minimum(p *shed.Pipeline, from int) time.Duration {
+// MinDuration sums the minimum durations that the rules set for the stages starting at index from.
+func MinDuration(p *shed.Pipeline, from int) time.Duration {
 	var sum time.Duration
 	for i := from; i < len(p.Stages); i++ {
 		sum += p.Stages[i].MinDuration
@@ -206,23 +207,23 @@
 	return sum
 }
 
-// Expected is the time that the stages from one on will likely take.
-func (g *Gate) Expected(now time.Time, p *shed.Pipeline, from int) time.Duration {
+// PredictDuration predicts the run time of the stages starting at index from.
+func (g *Gate) PredictDuration(now time.Time, p *shed.Pipeline, from int) time.Duration {
 	var sum time.Duration
 	for i := from; i < len(p.Stages); i++ {
-		sum += g.Likely(now, p, i)
+		sum += g.PredictStageDuration(now, p, i)
 	}
 	return sum
 }
 
-// Likely is the time that one stage will likely take.
-func (g *Gate) Likely(now time.Time, p *shed.Pipeline, stage int) time.Duration {
+// PredictStageDuration predicts the run time of one stage.
+func (g *Gate) PredictStageDuration(now time.Time, p *shed.Pipeline, stage int) time.Duration {
 	_, high := g.quantiles(now, p, stage)
 	return max(p.Stages[stage].MinDuration, high)
 }
 
-// Least is the time below which the stages from one on hardly ever end.
-func (g *Gate) Least(now time.Time, p *shed.Pipeline, from int) time.Duration {
+// LowDuration is the time below which the stages starting at index from hardly ever end.
+func (g *Gate) LowDuration(now time.Time, p *shed.Pipeline, from int) time.Duration {
 	var sum time.Duration
 	for i := from; i < len(p.Stages); i++ {
 		low, _ := g.quantiles(now, p, i)
@@ -233,18 +234,18 @@
 
 func (g *Gate) quantiles(now time.Time, p *shed.Pipeline, i int) (low, high time.Duration) {
 	s := g.sketches[StageKey{Pipeline: p.ID, Stage: p.Stages[i].ID}]
-	if s == nil || now.Sub(s.last) > g.cfg.Memory {
+	if s == nil || now.Sub(s.lastSample) > g.cfg.EstimateRetention {
 		return 0, 0
 	}
 	return s.low, s.high
 }
 
-// RetryAfter is when a refused request should come back: once its turn would
-// have come. The spread by the request's id keeps those refused together
-// from coming back together.
+// RetryAfter is the delay after which a rejected request should be retried: its predicted waiting
+// time. Jitter derived from the request id keeps requests that were rejected together from being
+// retried together.
 func (g *Gate) RetryAfter(now time.Time, key QueueKey, w Waiting) time.Duration {
-	base := max(min(g.Wait(now, key, w), g.cfg.MaxRetry/2), g.cfg.MinRetry)
+	base := max(min(g.PredictWait(now, key, w), g.cfg.MaxRetry/2), g.cfg.MinRetry)
 	const steps = 1024
-	share := time.Duration(xxhash.Sum64String(string(w.Request)) % steps)
-	return base + base*share/steps
+	jitter := time.Duration(xxhash.Sum64String(string(w.Request)) % steps)
+	return base + base*jitter/steps
 }
--- a/internal/admit/admit_test.go
+++ b/internal/admit/admit_test.go
@@ -20,11 +20,11 @@
 	}}
 }
 
-func ask(id shed.RequestID, p *shed.Pipeline, left time.Duration) Ask {
-	return Ask{Waiting: Waiting{Request: id, Workspace: "w"}, Pipeline: p, Deadline: zero.Add(left), Queue: "enc"}
+func request(id shed.RequestID, p *shed.Pipeline, left time.Duration) Request {
+	return Request{Waiting: Waiting{Request: id, Workspace: "w"}, Pipeline: p, Deadline: zero.Add(left), Queue: "enc"}
 }
 
-func wait(g *Gate, ws shed.WorkspaceID, n int, share int) {
+func enqueue(g *Gate, ws shed.WorkspaceID, n int, share int) {
 	for i := range n {
 		g.Push(zero, "enc", Waiting{
 			Request:   shed.RequestID(fmt.Sprintf("%s-%04d", ws, i)),
@@ -41,7 +41,7 @@
 	got := map[shed.WorkspaceID]int{}
 	for range n {
 		ok := g.PopReady(zero, "enc", func(id shed.RequestID) bool {
-			got[g.where[id].Workspace]++
+			got[g.items[id].Workspace]++
 			return true
 		})
 		require.True(t, ok)
@@ -52,20 +52,20 @@
 func TestRefusesWhatCannotBeDone(t *testing.T) {
 	p := pipeline(100 * time.Millisecond)
 	g := New(Config{})
-	require.False(t, g.Admit(zero, ask("r", p, 199*time.Millisecond)).OK, "below the sum of minimums")
-	require.True(t, g.Admit(zero, ask("r", p, 200*time.Millisecond)).OK)
+	require.False(t, g.Admit(zero, request("r", p, 199*time.Millisecond)).Admitted, "below the sum of the minimum durations")
+	require.True(t, g.Admit(zero, request("r", p, 200*time.Millisecond)).Admitted)
 	for range 100 {
 		g.Observe(zero, StageKey{"draft", "write"}, 2*time.Second)
 	}
-	require.True(t, g.Admit(zero, ask("r1", p, time.Second)).OK, "the trial")
-	v := g.Admit(zero, ask("r2", p, time.Second))
+	require.True(t, g.Admit(zero, request("r1", p, time.Second)).Admitted, "admitted as a probe")
+	v := g.Admit(zero, request("r2", p, time.Second))
 	require.Equal(t, shed.ReasonWontMeetDeadline, v.Reason)
-	require.True(t, g.Admit(zero, ask("r3", p, 3*time.Second)).OK)
+	require.True(t, g.Admit(zero, request("r3", p, 3*time.Second)).Admitted)
 }
 
-// Every stage was slow for a while, so each caller is refused, and no stage
-// runs that could show that it is quick again. The caller would be refused for
-// good; the trials let enough through for the estimate to mend.
+// Guards against a gate that rejects all requests for good: after a slow period every request is
+// rejected, so no stage runs that could show that it is fast again. Probes admit enough requests
+// for the estimate to recover.
 func TestGateOpensAgain(t *testing.T) {
 	p := pipeline(time.Millisecond)
 	g := New(Config{})
@@ -76,85 +76,85 @@
 	admitted := 0
 	for i := range 600 {
 		now = now.Add(100 * time.Millisecond)
-		a := ask(shed.RequestID(fmt.Sprint(i)), p, now.Sub(zero)+time.Second)
-		if g.Admit(now, a).OK {
+		a := request(shed.RequestID(fmt.Sprint(i)), p, now.Sub(zero)+time.Second)
+		if g.Admit(now, a).Admitted {
 			admitted++
 			g.Observe(now, StageKey{"draft", "write"}, 50*time.Millisecond)
 		}
 	}
 	require.Greater(t, admitted, 450, "nearly all of the last 45 s")
-	require.True(t, g.Admit(now, ask("r", p, now.Sub(zero)+time.Second)).OK)
+	require.True(t, g.Admit(now, request("r", p, now.Sub(zero)+time.Second)).Admitted)
 }
 
 func TestRetryAfterFollowsTheDrain(t *testing.T) {
 	g := New(Config{})
-	wait(g, "w", 100, 1)
+	enqueue(g, "w", 100, 1)
 	now := zero
 	for range 20 {
 		now = now.Add(100 * time.Millisecond)
 		require.True(t, g.PopReady(now, "enc", func(shed.RequestID) bool { return true }))
 	}
-	// 80 wait, 10 a second go.
+	// 80 are queued, 10 per second are started.
 	wa, wb := Waiting{Request: "a", Workspace: "w"}, Waiting{Request: "b", Workspace: "w"}
-	require.InDelta(t, 8, g.Wait(now, "enc", wa).Seconds(), 1.5)
+	require.InDelta(t, 8, g.PredictWait(now, "enc", wa).Seconds(), 1.5)
 	a, b := g.RetryAfter(now, "enc", wa), g.RetryAfter(now, "enc", wb)
 	require.NotEqual(t, a, b)
 	require.Equal(t, a, g.RetryAfter(now, "enc", wa))
-	require.GreaterOrEqual(t, a, g.Wait(now, "enc", wa))
+	require.GreaterOrEqual(t, a, g.PredictWait(now, "enc", wa))
 }
 
-// One workspace has filled the queue with more than a minute's work. The caller
-// of another one must not be refused for it: its turn is the next but one.
+// Guards against rejecting requests of one workspace because of another's backlog: one workspace
+// has queued more than a minute's work, but a request of another is served second.
 func TestGreedyWorkspaceClosesTheDoorToNobody(t *testing.T) {
 	g := New(Config{})
-	wait(g, "greedy", 1000, 1)
+	enqueue(g, "greedy", 1000, 1)
 	now := zero
 	for range 20 {
 		now = now.Add(100 * time.Millisecond)
 		require.True(t, g.PopReady(now, "enc", func(shed.RequestID) bool { return true }))
 	}
-	require.Greater(t, g.Wait(now, "enc", Waiting{Workspace: "greedy"}), time.Minute)
-	require.Less(t, g.Wait(now, "enc", Waiting{Workspace: "w"}), time.Second)
-	a := ask("r", pipeline(time.Millisecond), now.Sub(zero)+time.Second)
-	require.True(t, g.Admit(now, a).OK)
+	require.Greater(t, g.PredictWait(now, "enc", Waiting{Workspace: "greedy"}), time.Minute)
+	require.Less(t, g.PredictWait(now, "enc", Waiting{Workspace: "w"}), time.Second)
+	a := request("r", pipeline(time.Millisecond), now.Sub(zero)+time.Second)
+	require.True(t, g.Admit(now, a).Admitted)
 	a.Workspace = "greedy"
-	g.Admit(now, a) // the trial
-	require.False(t, g.Admit(now, a).OK)
+	g.Admit(now, a) // admitted as a probe
+	require.False(t, g.Admit(now, a).Admitted)
 }
 
 func TestQuantilesWithinATenth(t *testing.T) {
 	var s sketch
 	for i := range 1000 {
-		s.add(zero, time.Duration(i*37%100+1)*10*time.Millisecond, DefaultLow, DefaultHigh)
+		s.add(zero, time.Duration(i*37%100+1)*10*time.Millisecond, DefaultLowQuantile, DefaultHighQuantile)
 	}
 	require.InEpsilon(t, 0.1, s.low.Seconds(), 0.15)
 	require.InEpsilon(t, 0.7, s.high.Seconds(), 0.15)
 }
 
-// One workspace floods the queue. The caller of a small one waits for at most
-// one turn of the flood, and keeps its place when the queue overflows.
+// Guards against starvation: one workspace floods the queue. A request of another waits for at
+// most one request of the first, and isn't evicted when the queue overflows.
 func TestGreedyWorkspaceStarvesNobody(t *testing.T) {
-	g := New(Config{MostQueued: 1000})
-	wait(g, "greedy", 1000, 1)
-	wait(g, "small", 1, 1)
+	g := New(Config{MaxQueued: 1000})
+	enqueue(g, "greedy", 1000, 1)
+	enqueue(g, "small", 1, 1)
 	require.Equal(t, 1000, g.Queued())
 	require.Equal(t, map[shed.WorkspaceID]int{"greedy": 1, "small": 1}, pop(t, g, 2))
 }
 
 func TestTurnsFollowShares(t *testing.T) {
 	g := New(Config{})
-	wait(g, "a", 300, 1)
-	wait(g, "b", 300, 3)
+	enqueue(g, "a", 300, 1)
+	enqueue(g, "b", 300, 3)
 	got := pop(t, g, 200)
 	require.InDelta(t, 50, got["a"], 2)
 	require.InDelta(t, 150, got["b"], 2)
 }
 
-// A workspace that sends one request at a time, always just after its last one
-// was served, gains nothing over one that queues all at once.
+// A workspace that sends one request at a time, always just after its last one was served, must
+// not get more starts than one that queues all its requests at once.
 func TestComingAndGoingGainsNoTurns(t *testing.T) {
 	g := New(Config{})
-	wait(g, "steady", 500, 1)
+	enqueue(g, "steady", 500, 1)
 	got := map[shed.WorkspaceID]int{}
 	for i := range 200 {
 		id := shed.RequestID(fmt.Sprintf("hopper-%d", i))
@@ -162,16 +162,16 @@
 		for ws, n := range pop(t, g, 1) {
 			got[ws] += n
 		}
-		g.Drop(id)
+		g.Remove(id)
 	}
 	require.LessOrEqual(t, got["hopper"], 101)
 }
 
-// Whatever is pushed, popped and dropped in whatever order, each request leaves
-// the queue exactly once, the most urgent of a workspace first.
+// For any order of Push, PopReady and Remove, each request leaves the queue exactly once, the most
+// urgent of a workspace first.
 func TestQueueLosesAndDoublesNothing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		g := New(Config{MostQueued: 8})
+		g := New(Config{MaxQueued: 8})
 		waiting := map[shed.RequestID]Waiting{}
 		next := 0
 		t.Repeat(map[string]func(*rapid.T){
@@ -196,7 +196,7 @@
 					require.True(t, ok, "popped twice")
 					for _, other := range waiting {
 						urgent := other.Workspace == w.Workspace && other.Latest.Before(w.Latest)
-						require.False(t, urgent, "a more urgent one waits")
+						require.False(t, urgent, "a more urgent request of the workspace is queued")
 					}
 					if take {
 						delete(waiting, id)
@@ -207,7 +207,7 @@
 			"drop": func(t *rapid.T) {
 				id := shed.RequestID(fmt.Sprint(rapid.IntRange(0, next).Draw(t, "id")))
 				_, waits := waiting[id]
-				require.Equal(t, waits, g.Drop(id))
+				require.Equal(t, waits, g.Remove(id))
 				delete(waiting, id)
 			},
 			"": func(t *rapid.T) {
@@ -226,7 +226,7 @@
 	}
 	b.ReportAllocs()
 	for range b.N {
-		g.Admit(zero, ask("request", p, time.Second))
+		g.Admit(zero, request("request", p, time.Second))
 	}
 }
 
@@ -238,11 +238,10 @@
 	}
 }
 
-// The queue holds one request of each of 27,000 workspaces; each round pops one
-// and pushes one.
+// The queue holds one request of each of 27,000 workspaces; each iteration pops one and pushes one.
 func BenchmarkQueue27000Workspaces(b *testing.B) {
 	const workspaces = 27_000
-	g := New(Config{MostQueued: 2 * workspaces})
+	g := New(Config{MaxQueued: 2 * workspaces})
 	names := make([]shed.WorkspaceID, workspaces)
 	ids := make([]shed.RequestID, workspaces)
 	for i := range names {
@@ -264,11 +263,10 @@
 	}
 }
 
-// BenchmarkPushKept lets one request of a new workspace wait each time: its
-// bytes are what a waiting request and its workspace take, with the maps'
-// growth, hence an upper bound.
+// BenchmarkPushKept queues one request of a new workspace per iteration: its bytes per operation are
+// the memory of a queued request and its workspace, including map growth, hence an upper bound.
 func BenchmarkPushKept(b *testing.B) {
-	g := New(Config{MostQueued: 1 << 30})
+	g := New(Config{MaxQueued: 1 << 30})
 	b.ReportAllocs()
 	for i := range b.N {
 		id := fmt.Sprint(i)
--- a/internal/answer/answer_test.go
+++ b/internal/answer/answer_test.go
@@ -22,9 +22,8 @@
 	return shed.Frame{Call: call, Sequence: sequence, Last: true, Result: &shed.Payload{Input: "in"}}
 }
 
-// Frames come doubled, late, out of order and from other attempts. The caller
-// gets the whole text in order, once, or none: Whole stays false as long as any
-// frame is missing.
+// Frames arrive duplicated, late, out of order and from other attempts. The caller must get the
+// complete text in order and once, and Complete must stay false as long as a frame is missing.
 func TestAnyOrderOfFrames(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 12).Draw(t, "frames")
@@ -41,9 +40,9 @@
 			for range rapid.IntRange(1, 2).Draw(t, "times") {
 				stream = append(stream, f)
 			}
-			stranger := f
-			stranger.Call.Attempt = 1
-			stream = append(stream, stranger)
+			foreign := f
+			foreign.Call.Attempt = 1
+			stream = append(stream, foreign)
 		}
 		missing := rapid.IntRange(-1, n).Draw(t, "missing")
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
@@ -58,8 +57,8 @@
 			require.NoError(t, err)
 			got.WriteString(a.Take())
 		}
-		require.Equal(t, missing < 0, a.Whole())
-		if a.Whole() {
+		require.Equal(t, missing < 0, a.Complete())
+		if a.Complete() {
 			require.Equal(t, want.String(), a.Result().Text)
 			require.Equal(t, want.String(), got.String())
 			require.Equal(t, "in", a.Result().Input)
@@ -69,23 +68,23 @@
 }
 
 func TestRefusesReplies(t *testing.T) {
-	lie := last(1)
-	lie.Result.Text = "other"
-	naked := last(1)
-	naked.Result = nil
+	differing := last(1)
+	differing.Result.Text = "other"
+	noResult := last(1)
+	noResult.Result = nil
 	cases := map[string]struct {
 		frames []shed.Frame
 		want   error
 	}{
 		"too large":             {[]shed.Frame{frame(0, "0123456789")}, ErrTooLarge},
 		"gap too wide":          {[]shed.Frame{frame(1, "a"), frame(2, "b"), frame(3, "c")}, ErrGap},
-		"text differs":          {[]shed.Frame{frame(0, "one"), lie}, ErrContradiction},
-		"last without result":   {[]shed.Frame{frame(0, "one"), naked}, ErrContradiction},
+		"text differs":          {[]shed.Frame{frame(0, "one"), differing}, ErrContradiction},
+		"last without result":   {[]shed.Frame{frame(0, "one"), noResult}, ErrContradiction},
 		"held frame after last": {[]shed.Frame{frame(1, "x"), last(0)}, ErrContradiction},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			a := New(Config{Call: call, MaxBytes: 8, Ahead: 2})
+			a := New(Config{Call: call, MaxBytes: 8, MaxHeld: 2})
 			var err error
 			for _, f := range c.frames {
 				_, err = a.Add(f)
@@ -95,8 +94,8 @@
 	}
 }
 
-// A stream broke midway and goes on as another call. What the first call still
-// sends must not get into the text a second time.
+// A stream broke and is resumed by another call. Frames that the first call still sends must not be
+// added to the text.
 func TestResumeGoesOnWhereItWas(t *testing.T) {
 	a := New(Config{Call: call})
 	for i := range uint32(3) {
@@ -110,16 +109,16 @@
 	require.ErrorIs(t, err, ErrOffset)
 	b, err := a.Resume(next, 3)
 	require.NoError(t, err)
-	taken, err := b.Add(frame(3, "late"))
+	added, err := b.Add(frame(3, "late"))
 	require.NoError(t, err)
-	require.False(t, taken)
+	require.False(t, added)
 	_, err = b.Add(shed.Frame{Call: next, Text: "b", Tokens: 1})
 	require.NoError(t, err)
 	require.Equal(t, "b", b.Take())
 	require.Equal(t, "aaab", b.Text())
 	require.Equal(t, shed.Tokens(4), b.Tokens())
-	strangers, _ := b.Dropped()
-	require.Equal(t, 1, strangers)
+	foreign, _ := b.Dropped()
+	require.Equal(t, 1, foreign)
 }
 
 func BenchmarkToken(b *testing.B) {
--- a/internal/order/decide.go
+++ b/internal/order/decide.go
@@ -6,11 +6,10 @@
 	shed "jasmineshed"
 )
 
-// A fencing number is the revision, then a hash of what is wanted, then the
-// attempt. Within one revision a server's wanted state is one, so two daemons
-// with the same revision give the same number and order: whichever the engine
-// takes, the result is the same. The hash lets any daemon see in a load report
-// what was ordered last, adapters included, which reports don't name.
+// A fencing number consists of the revision, a hash of the desired state and the attempt. Within
+// one revision a server has one desired state, so two daemons with the same revision send the same
+// number and order, and it doesn't matter which one the engine accepts. The hash shows any daemon
+// in a load report what was ordered last, including adapters, which reports don't name.
 const (
 	hashBits     = 16
 	attemptBits  = 4
@@ -22,14 +21,13 @@
 	return uint64(rev)<<revisionBits | hash<<attemptBits | min(attempt, attemptMax)
 }
 
-// fencedHash returns the hash in a fencing number.
-func fencedHash(f uint64) uint64 { return f >> attemptBits & (1<<hashBits - 1) }
+// fenceHash extracts the hash from a fencing number.
+func fenceHash(f uint64) uint64 { return f >> attemptBits & (1<<hashBits - 1) }
 
-// met tells whether the server is as the rules want it, as far as it reports.
-// Adapters show only in the hash of the last fencing number. An engine that
-// ignores the number can't show them; there this daemon goes by its own last
-// order, and a new holder of the slot orders once more.
-func (e *entry) met() bool {
+// isAsDesired reports whether the server's report matches the desired state. Adapters are visible
+// only through the hash of the last fencing number. An engine that ignores the number doesn't show
+// them: there this daemon relies on its own last order, and a new holder of the slot sends another.
+func (e *entry) isAsDesired() bool {
 	if e.report.Model != e.want.name() || e.report.Role != e.want.role {
 		return false
 	}
@@ -37,118 +35,117 @@
 		return true
 	}
 	if e.server.Fenced {
-		return fencedHash(e.report.Fence) == e.want.hash
+		return fenceHash(e.report.Fence) == e.want.hash
 	}
-	return e.done == e.want.hash && e.doneBoot == e.report.Boot
+	return e.doneHash == e.want.hash && e.doneBoot == e.report.Boot
 }
 
-// loads tells whether the server has to load weights to be as wanted.
-func (e *entry) loads() bool { return e.report.Model != e.want.name() }
+// needsLoad reports whether the server has to load weights to reach the desired state.
+func (e *entry) needsLoad() bool { return e.report.Model != e.want.name() }
 
-// loading tells whether a load of the group is under way.
-func (g *Giver) loading(group int) bool {
-	for _, id := range g.order {
+// isLoading reports whether a load of weights in the slot is in progress.
+func (g *Reconciler) isLoading(slot int) bool {
+	for _, id := range g.ids {
 		e := g.servers[id]
-		if e.sent.Fence != 0 && e.loads() && g.group(id) == group {
+		if e.pending.Fence != 0 && e.needsLoad() && g.slotOf(id) == slot {
 			return true
 		}
 	}
 	return false
 }
 
-// idle tells whether an order can do no harm to running calls.
-func (e *entry) idle() bool {
+// isIdle reports whether the server has no calls that an order could break.
+func (e *entry) isIdle() bool {
 	return e.report.Running == 0 && e.report.Waiting == 0
 }
 
-// Draining tells whether the server must get no new work, so that its model or
-// role can be changed. Every daemon works it out alike from the reports. Only a
-// part of a pool drains at once; the others go on serving what they have.
-func (g *Giver) Draining(server shed.ServerID) bool {
+// Draining reports whether the server must get no new calls, so that its model or role can be
+// changed. Every daemon derives the same from the load reports. Only a part of a pool drains at the
+// same time; the other servers keep serving with their present model and role.
+func (g *Reconciler) Draining(server shed.ServerID) bool {
 	e := g.servers[server]
-	if e == nil || e.report.Boot == "" || e.met() {
+	if e == nil || e.report.Boot == "" || e.isAsDesired() {
 		return false
 	}
-	return e.report.Model == "" || g.turn(e)
+	return e.report.Model == "" || g.mayChange(e)
 }
 
-// turn tells whether it is the server's turn to change: the first of those of
-// its pool that are not as wanted, by id.
-func (g *Giver) turn(e *entry) bool {
+// mayChange reports whether the server may be changed now: it is among the first, by id, of the
+// servers of its pool that are not in the desired state.
+func (g *Reconciler) mayChange(e *entry) bool {
 	size, ahead := 0, 0
-	for _, id := range g.order {
+	for _, id := range g.ids {
 		o := g.servers[id]
 		if o.server.Pool != e.server.Pool {
 			continue
 		}
 		size++
-		changing := o.report.Boot != "" && !o.met()
+		changing := o.report.Boot != "" && !o.isAsDesired()
 		if changing && id < e.server.ID {
 			ahead++
 		}
 	}
-	return ahead < max(1, size/drainShare)
+	return ahead < max(1, size/drainDivisor)
 }
 
-func (g *Giver) tick(now time.Time) []shed.Action {
+func (g *Reconciler) tick(now time.Time) []shed.Action {
 	var out []shed.Action
-	for _, id := range g.order {
+	for _, id := range g.ids {
 		e := g.servers[id]
-		g.hold(now, e)
-		if e.sent.Fence != 0 && now.Sub(e.sentAt) > g.cfg.LongestLoad {
-			// The driver never told the end; it can't still load.
-			e.sent = shed.SendOrder{}
+		g.updateHeldSince(now, e)
+		if e.pending.Fence != 0 && now.Sub(e.sentAt) > g.cfg.MaxLoadTime {
+			// The driver never reported the end of the order; the load must have ended by now.
+			e.pending = shed.SendOrder{}
 		}
-		if g.due(now, e) {
-			out = g.send(now, out, e)
+		if g.isDue(now, e) {
+			out = g.sendOrder(now, out, e)
 		}
 	}
 	return out
 }
 
-func (g *Giver) hold(now time.Time, e *entry) {
+func (g *Reconciler) updateHeldSince(now time.Time, e *entry) {
 	switch {
-	case !g.table.MayUseSlot(now, g.key, g.group(e.server.ID)):
-		e.heldAt = time.Time{}
-	case e.heldAt.IsZero():
-		e.heldAt = now
+	case !g.slotTable.MayUseSlot(now, g.slotKey, g.slotOf(e.server.ID)):
+		e.heldSince = time.Time{}
+	case e.heldSince.IsZero():
+		e.heldSince = now
 	}
 }
 
-// due tells whether the server should be sent an order now.
+// isDue reports whether an order should be sent to the server now.
 //
-// An engine that takes orders from anybody, or with any number, would take one
-// that a former holder of its slot sent late, on older rules, after ours.
-// So the first order waits out a quiet time in which a late one would have
-// arrived, and is given only on a report made after that, which shows what the
-// engine has then.
-func (g *Giver) due(now time.Time, e *entry) bool {
-	if e.heldAt.IsZero() || e.sent.Fence != 0 || now.Before(e.retryAt) {
+// An engine that accepts orders from any caller, or with any fencing number, would accept a delayed
+// order of a former holder of the slot, based on older rules, after ours. So the first order is sent
+// after a quiet time in which a delayed one would have arrived, and only on a report made after
+// that, which shows the engine's state at that time.
+func (g *Reconciler) isDue(now time.Time, e *entry) bool {
+	if e.heldSince.IsZero() || e.pending.Fence != 0 || now.Before(e.retryAt) {
 		return false
 	}
-	quiet := g.cfg.Quiet
+	quiet := g.cfg.QuietTime
 	if !e.server.Fenced || !e.server.ChecksCaller {
-		quiet = g.cfg.QuietUnfenced
+		quiet = g.cfg.QuietTimeUnfenced
 	}
-	ready := e.heldAt.Add(quiet)
-	if now.Before(ready) || e.at.Before(ready) || now.Sub(e.at) > g.cfg.FreshWithin {
+	ready := e.heldSince.Add(quiet)
+	if now.Before(ready) || e.reportedAt.Before(ready) || now.Sub(e.reportedAt) > g.cfg.MaxReportAge {
 		return false
 	}
-	if e.met() || !e.idle() {
+	if e.isAsDesired() || !e.isIdle() {
 		return false
 	}
 	return g.Draining(e.server.ID)
 }
 
-func (g *Giver) send(now time.Time, out []shed.Action, e *entry) []shed.Action {
+func (g *Reconciler) sendOrder(now time.Time, out []shed.Action, e *entry) []shed.Action {
 	attempt := min(e.attempt+1, attemptMax)
 	f := fence(g.rules.Revision, e.want.hash, attempt)
-	if e.loads() && (!g.loads || g.loading(g.group(e.server.ID))) {
+	if e.needsLoad() && (!g.mayLoad || g.isLoading(g.slotOf(e.server.ID))) {
 		return out
 	}
 	e.attempt = attempt
 	e.sentAt = now
-	e.sent = shed.SendOrder{
+	e.pending = shed.SendOrder{
 		Server:   e.server.ID,
 		URL:      e.server.URL,
 		Fence:    f,
@@ -157,7 +154,7 @@
 		Adapters: e.want.adapters,
 		Role:     e.want.role,
 	}
-	return append(out, e.sent, shed.Note{
+	return append(out, e.pending, shed.Note{
 		Reason: ReasonOrdered,
 		Server: e.server.ID,
 		Rule:   e.server.Origin,
--- a/internal/route/affinity.go
+++ b/internal/route/affinity.go
@@ -11,98 +11,98 @@
 
 // Defaults for a zero AffinityConfig.
 const (
-	DefaultBound      = 1.25
-	DefaultRanks      = 2
-	DefaultSlowFactor = 2.0
-	DefaultDraws      = 2
+	DefaultLoadBound        = 1.25
+	DefaultServersPerPrefix = 2
+	DefaultSlowFactor       = 2.0
+	DefaultSampleSize       = 2
 )
 
 // AffinityConfig sets up an Affinity policy. Zero values take the defaults.
 type AffinityConfig struct {
 	Seed uint64
-	// Bound is how far above the mean relative load a server that has the
-	// prefix may be and still be preferred; above 1.
-	Bound float64
-	// Ranks is how many servers hold one prefix, 1 to 4.
-	Ranks int
-	// SlowFactor times the mean time per call makes a server slow.
+	// LoadBound is the highest load, as a multiple of the mean relative load, at which a server is
+	// still preferred for its prefixes; above 1.
+	LoadBound float64
+	// ServersPerPrefix is the number of servers per prefix, 1 to 4.
+	ServersPerPrefix int
+	// SlowFactor is the multiple of the mean call time above which a server counts as slow.
 	SlowFactor float64
-	// Draws is how many candidates are drawn where no server that has the prefix
-	// will do; the least loaded of them is taken.
-	Draws int
+	// SampleSize is the number of candidates that are sampled if no server of the prefix is suitable;
+	// the least loaded of them is picked.
+	SampleSize int
 }
 
-// Affinity sends calls with one prefix to the few servers that rank highest
-// for it in a rendezvous hash, so that their prompt caches hit, unless these
-// are loaded well above the mean or slow; then to the least loaded.
+// Affinity sends calls with the same prefix to the few servers that rank highest for it by
+// rendezvous hashing, so that their prompt caches hit. If these are slow or loaded well above the
+// mean, it picks the least loaded of some sampled candidates.
 type Affinity struct {
 	cfg AffinityConfig
 	rng *rand.Rand
 }
 
-const maxRanks = 4
+const maxServersPerPrefix = 4
 
-// NewAffinity returns the policy.
+// NewAffinity returns an Affinity policy.
 func NewAffinity(cfg AffinityConfig) *Affinity {
-	if cfg.Bound == 0 {
-		cfg.Bound = DefaultBound
+	if cfg.LoadBound == 0 {
+		cfg.LoadBound = DefaultLoadBound
 	}
-	if cfg.Ranks == 0 {
-		cfg.Ranks = DefaultRanks
+	if cfg.ServersPerPrefix == 0 {
+		cfg.ServersPerPrefix = DefaultServersPerPrefix
 	}
-	cfg.Ranks = min(cfg.Ranks, maxRanks)
+	cfg.ServersPerPrefix = min(cfg.ServersPerPrefix, maxServersPerPrefix)
 	if cfg.SlowFactor == 0 {
 		cfg.SlowFactor = DefaultSlowFactor
 	}
-	if cfg.Draws == 0 {
-		cfg.Draws = DefaultDraws
+	if cfg.SampleSize == 0 {
+		cfg.SampleSize = DefaultSampleSize
 	}
 	return &Affinity{cfg: cfg, rng: newRand(cfg.Seed)}
 }
 
 // Pick implements shed.Policy.
 func (p *Affinity) Pick(_ time.Time, prefix uint64, from []shed.Candidate) int {
-	m := measure(from)
-	slow := time.Duration(float64(m.slow) * p.cfg.SlowFactor)
+	m := meansOf(from)
+	slow := time.Duration(float64(m.callTime) * p.cfg.SlowFactor)
 	if prefix != 0 {
-		if i := p.preferred(prefix, from, m.load*p.cfg.Bound, slow); i >= 0 {
+		if i := p.pickPreferred(prefix, from, m.load*p.cfg.LoadBound, slow); i >= 0 {
 			return i
 		}
 	}
-	return p.sampled(from, slow)
+	return p.pickSampled(from, slow)
 }
 
-// means are the means over all candidates.
+// means holds the means over all candidates.
 type means struct {
-	load float64
-	slow time.Duration
+	load     float64
+	callTime time.Duration
 }
 
-func measure(from []shed.Candidate) means {
-	var running, room float64
-	var slow time.Duration
+func meansOf(from []shed.Candidate) means {
+	var calls, total float64
+	var callTime time.Duration
 	known := 0
 	for i := range from {
-		running += float64(max(from[i].Running, from[i].OwnCalls))
-		room += bears(&from[i])
+		calls += float64(max(from[i].Running, from[i].OwnCalls))
+		total += capacity(&from[i])
 		if from[i].MedianCallTime > 0 {
-			slow += from[i].MedianCallTime
+			callTime += from[i].MedianCallTime
 			known++
 		}
 	}
-	m := means{load: (running + 1) / room}
+	m := means{load: (calls + 1) / total}
 	if known > 0 {
-		m.slow = slow / time.Duration(known)
+		m.callTime = callTime / time.Duration(known)
 	}
 	return m
 }
 
-// preferred returns the highest rank for the prefix that is within the bound,
-// or -1. Ranks are counted over all candidates before any is passed over, so
-// that a prefix does not wander over the fleet while its servers are busy.
-func (p *Affinity) preferred(prefix uint64, from []shed.Candidate, bound float64, slow time.Duration) int {
-	var ranks [maxRanks]int
-	var scores [maxRanks]uint64
+// pickPreferred returns the candidate with the highest rank for the prefix that is within the bound
+// and not slow, or -1. Candidates are ranked before any is skipped, so that a prefix doesn't spread
+// over the fleet while its servers are busy.
+func (p *Affinity) pickPreferred(prefix uint64, from []shed.Candidate, bound float64, slow time.Duration) int {
+	var ranks [maxServersPerPrefix]int
+	var scores [maxServersPerPrefix]uint64
 	n := 0
 	for i := range from {
 		score := rendezvous(prefix, from[i].Server.ID)
@@ -110,10 +110,10 @@
 		for at > 0 && scores[at-1] < score {
 			at--
 		}
-		if at >= p.cfg.Ranks {
+		if at >= p.cfg.ServersPerPrefix {
 			continue
 		}
-		n = min(n+1, p.cfg.Ranks)
+		n = min(n+1, p.cfg.ServersPerPrefix)
 		copy(scores[at+1:n], scores[at:n-1])
 		copy(ranks[at+1:n], ranks[at:n-1])
 		scores[at], ranks[at] = score, i
@@ -122,23 +122,23 @@
 		if slow > 0 && from[i].MedianCallTime > slow {
 			continue
 		}
-		// A server with one place free of many is never above the bound only
-		// because its step is coarse.
-		if relative(&from[i]) <= bound+1/bears(&from[i]) {
+		// The tolerance of one call keeps a server of small capacity from exceeding the bound
+		// only because its relative load changes in coarse steps.
+		if relativeLoad(&from[i]) <= bound+1/capacity(&from[i]) {
 			return i
 		}
 	}
 	return -1
 }
 
-// sampled returns the least loaded of a few candidates drawn at random. All
-// daemons see the same reports, late: if each took the least loaded of all,
-// they would run that one over together before the next report.
-func (p *Affinity) sampled(from []shed.Candidate, slow time.Duration) int {
+// pickSampled returns the least loaded of a few candidates sampled at random. All daemons see the
+// same delayed load reports: if each picked the least loaded of all candidates, together they would
+// overload it before the next report.
+func (p *Affinity) pickSampled(from []shed.Candidate, slow time.Duration) int {
 	best, bestLoad := 0, 0.0
-	for k := range p.cfg.Draws {
+	for k := range p.cfg.SampleSize {
 		i := p.rng.IntN(len(from))
-		load := relative(&from[i])
+		load := relativeLoad(&from[i])
 		if slow > 0 && from[i].MedianCallTime > slow {
 			load++
 		}
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -22,14 +22,14 @@
 
 func TestNamed(t *testing.T) {
 	for _, name := range []string{NameAffinity, NameRoundRobin, NameLeastOutstanding, NameTwoChoices} {
-		p, err := Named(name, 1)
+		p, err := NewPolicy(name, 1)
 		require.NoError(t, err)
 		for n := 1; n < 5; n++ {
 			i := p.Pick(zero, 7, candidates(n, 4))
 			require.True(t, i >= 0 && i < n)
 		}
 	}
-	_, err := Named("best", 1)
+	_, err := NewPolicy("best", 1)
 	require.ErrorIs(t, err, ErrUnknownPolicy)
 }
 
@@ -42,7 +42,7 @@
 	}
 	require.Len(t, used, 1)
 	home := p.Pick(zero, 42, from)
-	// Another daemon, and a fleet that lost other servers, choose alike.
+	// Another daemon picks the same server.
 	other := NewAffinity(AffinityConfig{Seed: 2})
 	require.Equal(t, home, other.Pick(zero, 42, from))
 }
@@ -54,24 +54,24 @@
 		"to own work": func(c *shed.Candidate) { c.OwnCalls = 7 },
 		"to slowness": func(c *shed.Candidate) { c.MedianCallTime = 10 * time.Second },
 	}
-	for name, burden := range cases {
+	for name, change := range cases {
 		t.Run(name, func(t *testing.T) {
 			from := candidates(16, 8)
 			for i := range from {
 				from[i].MedianCallTime = time.Second
 			}
 			first := p.Pick(zero, 42, from)
-			burden(&from[first])
+			change(&from[first])
 			second := p.Pick(zero, 42, from)
 			require.NotEqual(t, first, second)
-			burden(&from[second])
+			change(&from[second])
 			require.NotContains(t, []int{first, second}, p.Pick(zero, 42, from))
 		})
 	}
 }
 
-// One prefix makes up all of the load. No server may fill up while others
-// idle: the bound holds however popular the prefix is.
+// Guards against a hot prefix that overloads its servers while others idle: all calls have one
+// prefix, and the load bound must hold nevertheless.
 func TestAffinityBoundsLoadOfOnePrefix(t *testing.T) {
 	p := NewAffinity(AffinityConfig{Seed: 1})
 	from := candidates(10, 10)
@@ -86,8 +86,8 @@
 	}
 }
 
-// Many daemons hold the same old report, by which one server is the least
-// loaded. If all picked it, it would be run over before the next report.
+// Many daemons have the same stale load report, by which one server is the least loaded. If all
+// picked it, it would be overloaded before the next report.
 func TestOldReportsAreNotFollowedByAll(t *testing.T) {
 	from := candidates(10, 10)
 	for i := range from {
@@ -106,7 +106,7 @@
 func BenchmarkPick192(b *testing.B) {
 	for _, name := range []string{NameAffinity, NameRoundRobin, NameLeastOutstanding, NameTwoChoices} {
 		b.Run(name, func(b *testing.B) {
-			p, _ := Named(name, 1)
+			p, _ := NewPolicy(name, 1)
 			from := candidates(192, 8)
 			b.ReportAllocs()
 			for i := range b.N {
--- a/internal/ticket/table.go
+++ b/internal/ticket/table.go
@@ -1,8 +1,7 @@
-// Package ticket makes non-idempotent requests run at most once without a
-// store. A ticket's id names the process that issued it; only that process, or
-// the one heir that it moved the unused ticket to, may start the request, and
-// only once. A process that dies takes its tickets along: their requests end
-// as unknown and are never started elsewhere.
+// Package ticket ensures that non-idempotent requests run at most once, without a store. A ticket's
+// id names the process that issued it. Only that process, or the one successor to which it moved
+// the unused ticket, may start the request, and only once. If a process crashes, its tickets are
+// lost: their requests end as unknown and are never started elsewhere.
 package ticket
 
 import (
@@ -16,31 +15,31 @@
 
 // Errors of Issue.
 var (
-	// ErrFull: the table holds Config.Most entries.
+	// ErrFull is returned if the table holds Config.MaxEntries entries.
 	ErrFull = errors.New("ticket table full")
-	// ErrClosed: the tickets were moved to an heir.
+	// ErrClosed is returned after MoveAll.
 	ErrClosed = errors.New("ticket table closed")
-	// ErrTaken: the id is in the table already.
-	ErrTaken = errors.New("ticket id taken")
+	// ErrDuplicateID is returned if the id is already in the table.
+	ErrDuplicateID = errors.New("ticket id taken")
 )
 
 // Defaults for a zero Config.
 const (
-	DefaultMost = 100_000
-	DefaultLife = 10 * time.Minute
-	DefaultKeep = 10 * time.Minute
+	DefaultMaxEntries = 100_000
+	DefaultLifetime   = 10 * time.Minute
+	DefaultRetention  = 10 * time.Minute
 )
 
 // Config sets up a Table. Zero values take the defaults.
 type Config struct {
 	Self shed.Peer
-	// Most bounds the entries: unused, running and ended.
-	Most int
-	// Life is how long a ticket may be used.
-	Life time.Duration
-	// Keep is how long an answer is kept after its end, and an expired ticket
-	// after its expiry, so that a repeat gets a true answer.
-	Keep time.Duration
+	// MaxEntries limits the entries: unused, running and ended.
+	MaxEntries int
+	// Lifetime is how long a ticket can be used after it was issued.
+	Lifetime time.Duration
+	// Retention is how long the answer of an ended request and an expired ticket are kept, so that a
+	// repeated request gets a correct answer.
+	Retention time.Duration
 }
 
 type state uint8
@@ -51,99 +50,98 @@
 	stateEnded
 )
 
-// entry is one ticket. It goes from unused to running to ended and never back.
+// entry is a ticket. Its state goes from unused to running to ended and never back.
 type entry struct {
 	id        shed.RequestID
 	workspace shed.WorkspaceID
 	pipeline  shed.PipelineID
 	state     state
 	expires   time.Time
-	// forget is when the entry may go; void while running.
-	forget time.Time
-	finish shed.Finish
-	// index in the heap by forget; -1 while running.
+	// removeAt is when the entry is removed; not used while running.
+	removeAt time.Time
+	finish   shed.Finish
+	// index is the position in Table.expiry; -1 while running.
 	index int
 }
 
-// safeguards can be turned off by tests, to show that the proof needs them.
+// safeguards are the rules that a test disables to show that each is needed. A field that is set
+// disables its rule.
 type safeguards struct {
-	startTwice  bool
-	keepMoved   bool
-	moveRunning bool
-	anyHeir     bool
-	adoptTwice  bool
+	startTwice   bool
+	keepMoved    bool
+	moveRunning  bool
+	anySuccessor bool
+	adoptTwice   bool
 }
 
 // Table holds the tickets that this process may start. It is not safe for
 // concurrent use.
 type Table struct {
-	cfg     Config
-	off     safeguards
-	entries map[shed.RequestID]*entry
-	// expiry holds every entry that isn't running, by forget.
+	cfg      Config
+	disabled safeguards
+	entries  map[shed.RequestID]*entry
+	// expiry holds every entry that isn't running, ordered by removeAt.
 	expiry expiryHeap
-	// movers are the processes whose tickets were adopted, each at most once.
-	// There is one per graceful stop of a peer that chose this process, a few in
-	// a process's life, so it is never pruned.
-	movers map[shed.Peer]bool
-	// closed is set once by MoveAll.
-	closed bool
-	heir   shed.Peer
+	// adoptedFrom are the processes whose tickets were adopted. It is never pruned: there is one
+	// per graceful stop of a peer that chose this process, a few in a process's lifetime.
+	adoptedFrom map[shed.Peer]bool
+	// closed is set by MoveAll and never reset.
+	closed    bool
+	successor shed.Peer
 }
 
 // New returns an empty table.
 func New(cfg Config) *Table {
-	if cfg.Most == 0 {
-		cfg.Most = DefaultMost
+	if cfg.MaxEntries == 0 {
+		cfg.MaxEntries = DefaultMaxEntries
 	}
-	if cfg.Life == 0 {
-		cfg.Life = DefaultLife
+	if cfg.Lifetime == 0 {
+		cfg.Lifetime = DefaultLifetime
 	}
-	if cfg.Keep == 0 {
-		cfg.Keep = DefaultKeep
+	if cfg.Retention == 0 {
+		cfg.Retention = DefaultRetention
 	}
-	return &Table{cfg: cfg, entries: map[shed.RequestID]*entry{}, movers: map[shed.Peer]bool{}}
+	return &Table{cfg: cfg, entries: map[shed.RequestID]*entry{}, adoptedFrom: map[shed.Peer]bool{}}
 }
 
-// Issue puts a new ticket into the table and returns when it expires. It
-// returns ErrFull, ErrClosed or ErrTaken.
+// Issue adds a new ticket and returns when it expires. It fails with ErrFull, ErrClosed or
+// ErrDuplicateID.
 func (t *Table) Issue(now time.Time, id shed.RequestID, ws shed.WorkspaceID, p shed.PipelineID) (time.Time, error) {
 	if t.closed {
 		return time.Time{}, ErrClosed
 	}
 	if t.entries[id] != nil {
-		return time.Time{}, ErrTaken
+		return time.Time{}, ErrDuplicateID
 	}
 	t.Expire(now)
-	if len(t.entries) >= t.cfg.Most {
+	if len(t.entries) >= t.cfg.MaxEntries {
 		return time.Time{}, fmt.Errorf("%w: %d entries", ErrFull, len(t.entries))
 	}
-	e := &entry{id: id, workspace: ws, pipeline: p, state: stateUnused, expires: now.Add(t.cfg.Life)}
+	e := &entry{id: id, workspace: ws, pipeline: p, state: stateUnused, expires: now.Add(t.cfg.Lifetime)}
 	t.put(e)
 	return e.expires, nil
 }
 
 // put adds an unused entry.
 func (t *Table) put(e *entry) {
-	e.forget = e.expires.Add(t.cfg.Keep)
+	e.removeAt = e.expires.Add(t.cfg.Retention)
 	t.entries[e.id] = e
 	heap.Push(&t.expiry, e)
 }
 
-// Expire forgets what is past its time. Forgetting is always safe: a ticket
-// that is not in the table is never started. A running entry is never
-// forgotten.
+// Expire removes entries whose time has passed. Removal is always safe: a ticket that is not in the
+// table is never started. A running entry is never removed.
 func (t *Table) Expire(now time.Time) {
-	for len(t.expiry) > 0 && !t.expiry[0].forget.After(now) {
+	for len(t.expiry) > 0 && !t.expiry[0].removeAt.After(now) {
 		e := heap.Pop(&t.expiry).(*entry)
 		delete(t.entries, e.id)
 	}
 }
 
-// Len counts the entries.
+// Len returns the number of entries.
 func (t *Table) Len() int { return len(t.entries) }
 
-// Running counts the tickets whose request runs now.
+// Running returns the number of tickets whose request is running.
 func (t *Table) Running() int { return len(t.entries) - len(t.expiry) }
 
 type expiryHeap []*entry
@@ -151,8 +149,8 @@
 func (h expiryHeap) Len() int { return len(h) }
 
 func (h expiryHeap) Less(i, j int) bool {
-	if !h[i].forget.Equal(h[j].forget) {
-		return h[i].forget.Before(h[j].forget)
+	if !h[i].removeAt.Equal(h[j].removeAt) {
+		return h[i].removeAt.Before(h[j].removeAt)
 	}
 	return h[i].id < h[j].id
 }
