--- a/internal/front/answer.go
+++ b/internal/front/answer.go
@@ -27,7 +27,7 @@
 
 // callerFaults are the reasons that the caller has to mend; coming back later
 // won't help.
-var callerFaults = map[shed.Reason]string{
+var clientErrorStatuses = map[shed.Reason]string{
 	shed.ReasonUnknownPipeline:  statusNotFound,
 	shed.ReasonUnknownWorkspace: statusUnauthenticated,
 	shed.ReasonNotAllowed:       statusForbidden,
@@ -36,8 +36,8 @@
 	shed.ReasonTicketExpired:    statusGone,
 }
 
-// status of an answer.
-func status(fin *shed.Finish) string {
+// statusOf of an answer.
+func statusOf(fin *shed.Finish) string {
 	switch fin.Outcome {
 	case shed.OutcomeComplete:
 		return statusComplete
@@ -48,7 +48,7 @@
 	case shed.OutcomeDeadline:
 		return statusDeadline
 	case shed.OutcomeNotRun:
-		if s, ok := callerFaults[fin.Reason]; ok {
+		if s, ok := clientErrorStatuses[fin.Reason]; ok {
 			return s
 		}
 	}
@@ -57,18 +57,18 @@
 
 // leastRetryAfter is one second since the header has no smaller unit, and since
 // a caller that is told 0 comes back at once.
-const leastRetryAfter = time.Second
+const minRetryAfter = time.Second
 
 func retryAfter(d time.Duration) (seconds int, ms int64) {
-	d = max(d, leastRetryAfter)
+	d = max(d, minRetryAfter)
 	return int((d + time.Second - 1) / time.Second), d.Milliseconds()
 }
 
 // newAnswer turns an answer into the design's type.
 func newAnswer(ctx context.Context, a *shed.Answer) *pipelines.Answer {
-	out := newRefusal(ctx, &a.Finish)
+	out := newAnswerHead(ctx, &a.Finish)
 	if a.Trace != "" {
-		out.TraceID = text(a.Trace)
+		out.TraceID = optionalString(a.Trace)
 	}
 	if a.Outcome == shed.OutcomeComplete {
 		out.Payload = newOutput(&a.Payload)
@@ -76,15 +76,15 @@
 	return out
 }
 
-// newRefusal is an answer without a payload.
-func newRefusal(ctx context.Context, fin *shed.Finish) *pipelines.Answer {
+// newAnswerHead is an answer without a payload.
+func newAnswerHead(ctx context.Context, fin *shed.Finish) *pipelines.Answer {
 	out := &pipelines.Answer{
-		Status:    status(fin),
+		Status:    statusOf(fin),
 		Outcome:   fin.Outcome.String(),
-		Reason:    text(string(fin.Reason)),
-		Message:   text(message(fin)),
-		RequestID: text(string(fin.Request)),
-		TraceID:   text(telem.TraceID(ctx)),
+		Reason:    optionalString(string(fin.Reason)),
+		Message:   optionalString(message(fin)),
+		RequestID: optionalString(string(fin.Request)),
+		TraceID:   optionalString(telem.TraceID(ctx)),
 		Stages:    newStages(fin.Stages),
 	}
 	if fin.Rule.Line > 0 {
@@ -109,8 +109,8 @@
 func newStage(r *shed.StageReport) *pipelines.Stage {
 	return &pipelines.Stage{
 		Stage:    string(r.Stage),
-		Server:   text(string(r.Server)),
-		Zone:     text(string(r.Zone)),
+		Server:   optionalString(string(r.Server)),
+		Zone:     optionalString(string(r.Zone)),
 		Attempts: uint(r.Attempts),
 		Ran:      r.Ran,
 		TookMs:   float64(r.Took.Microseconds()) / 1000,
@@ -121,8 +121,8 @@
 
 func newOutput(p *shed.Payload) *pipelines.Output {
 	out := &pipelines.Output{
-		Text:    text(p.Text),
-		Receipt: text(p.Receipt),
+		Text:    optionalString(p.Text),
+		Receipt: optionalString(p.Receipt),
 		Vector:  p.Vector,
 	}
 	for i := range p.Passages {
@@ -132,8 +132,8 @@
 	return out
 }
 
-// text is nil for an empty string, which JSON then leaves out.
-func text(s string) *string {
+// optionalString is nil for an empty string, which JSON then leaves out.
+func optionalString(s string) *string {
 	if s == "" {
 		return nil
 	}
--- a/internal/front/bench_test.go
+++ b/internal/front/bench_test.go
@@ -28,7 +28,7 @@
 }
 
 func tokenSource(tokens int) *fakeServing {
-	s := finished(complete)
+	s := servingWith(complete)
 	s.serve = func(_ context.Context, _ shed.Request, update func(shed.Update)) shed.Answer {
 		for range tokens {
 			update(shed.Update{Stage: "draft", Text: " token"})
@@ -44,18 +44,18 @@
 	f := newTestFront(tokenSource(tokensPerStream), nil)
 	b.ReportAllocs()
 	for b.Loop() {
-		f.handler.ServeHTTP(dropWriter{http.Header{}}, newCall("POST", streamPath, `{"input":"x"}`))
+		f.handler.ServeHTTP(discardWriter{http.Header{}}, newCall("POST", streamPath, `{"input":"x"}`))
 	}
 	b.ReportMetric(float64(b.N)*tokensPerStream/b.Elapsed().Seconds(), "tokens/s")
 }
 
-// dropWriter keeps nothing, as httptest.ResponseRecorder would.
-type dropWriter struct{ header http.Header }
+// discardWriter keeps nothing, as httptest.ResponseRecorder would.
+type discardWriter struct{ header http.Header }
 
-func (w dropWriter) Header() http.Header         { return w.header }
-func (w dropWriter) Write(p []byte) (int, error) { return len(p), nil }
-func (w dropWriter) WriteHeader(int)             {}
-func (w dropWriter) Flush()                      {}
+func (w discardWriter) Header() http.Header         { return w.header }
+func (w discardWriter) Write(p []byte) (int, error) { return len(p), nil }
+func (w discardWriter) WriteHeader(int)             {}
+func (w discardWriter) Flush()                      {}
 
 // BenchmarkStreams takes whole streams over loopback TCP, with net/http and the
 // kernel's part. The reader is a plain loop in the same process, and its work
@@ -109,7 +109,7 @@
 func BenchmarkOpenStreams(b *testing.B) {
 	const streams = 2000
 	var hold chan struct{}
-	s := finished(complete)
+	s := servingWith(complete)
 	s.serve = func(_ context.Context, _ shed.Request, update func(shed.Update)) shed.Answer {
 		update(shed.Update{Stage: "draft", Text: " token"})
 		<-hold
@@ -121,7 +121,7 @@
 	// is run with -benchtime 1x.
 	for b.Loop() {
 		hold = make(chan struct{})
-		before := inUse()
+		before := memStats()
 		conns := make([]net.Conn, 0, streams)
 		for range streams {
 			conn, err := net.Dial("tcp", addr)
@@ -130,7 +130,7 @@
 			readUntil(b, conn, " token")
 			conns = append(conns, conn)
 		}
-		after := inUse()
+		after := memStats()
 		heap = float64(after.HeapInuse-before.HeapInuse) / streams
 		stack = float64(after.StackInuse-before.StackInuse) / streams
 		close(hold)
@@ -153,7 +153,7 @@
 	}
 }
 
-func inUse() runtime.MemStats {
+func memStats() runtime.MemStats {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
--- a/internal/front/codec.go
+++ b/internal/front/codec.go
@@ -16,7 +16,7 @@
 const jsonType = "application/json"
 
 // errorTooLarge names a decoding error; unlike the others it isn't a 400.
-const errorTooLarge = "body_too_large"
+const errorBodyTooLarge = "body_too_large"
 
 // decoder takes one JSON object and nothing else.
 type decoder struct{ r *http.Request }
@@ -35,15 +35,15 @@
 	}
 	body, err := io.ReadAll(d.r.Body)
 	if err != nil {
-		return readFault(err)
+		return newReadError(err)
 	}
 	return unmarshal(body, v)
 }
 
-func readFault(err error) error {
+func newReadError(err error) error {
 	var large *http.MaxBytesError
 	if errors.As(err, &large) {
-		return goa.PermanentError(errorTooLarge, "body is larger than %d bytes", large.Limit)
+		return goa.PermanentError(errorBodyTooLarge, "body is larger than %d bytes", large.Limit)
 	}
 	return fmt.Errorf("reading the body: %w", err)
 }
--- /dev/null
+++ b/internal/front/errors.go
@@ -0,0 +1,61 @@
+package front
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"net/http"
+
+	goahttp "goa.design/goa/v3/http"
+	goa "goa.design/goa/v3/pkg"
+
+	shed "jasmineshed"
+	pipehttp "jasmineshed/internal/gen/http/pipelines/server"
+	"jasmineshed/internal/gen/pipelines"
+)
+
+// errorResponse is the JSON body of every answer that is not a 2xx.
+type errorResponse struct {
+	body *pipehttp.RunResponseBody
+	code int
+}
+
+// StatusCode is used where the design names no status for the error.
+func (f errorResponse) StatusCode() int { return f.code }
+
+// MarshalJSON leaves the code to the status line.
+func (f errorResponse) MarshalJSON() ([]byte, error) { return json.Marshal(f.body) }
+
+// formatError turns what goa says of a bad call into the one body that callers have
+// to know.
+func formatError(_ context.Context, err error) goahttp.Statuser {
+	var answer *pipelines.Answer
+	if errors.As(err, &answer) {
+		return newErrorResponse(answer, http.StatusInternalServerError)
+	}
+	var bad *goa.ServiceError
+	if !errors.As(err, &bad) {
+		return newErrorResponse(newRejection(statusFailed, "internal error"), http.StatusInternalServerError)
+	}
+	switch bad.Name {
+	case errorBodyTooLarge:
+		return newErrorResponse(newRejection(statusTooLarge, bad.Message), http.StatusRequestEntityTooLarge)
+	case goa.UnsupportedMediaType:
+		return newErrorResponse(newRejection(statusBadRequest, bad.Message), http.StatusUnsupportedMediaType)
+	}
+	return newErrorResponse(newRejection(statusBadRequest, bad.Message), http.StatusBadRequest)
+}
+
+func newErrorResponse(a *pipelines.Answer, code int) errorResponse {
+	return errorResponse{body: pipehttp.NewRunResponseBody(a), code: code}
+}
+
+// newRejection refuses a call before anything was run.
+func newRejection(status, message string) *pipelines.Answer {
+	return &pipelines.Answer{
+		Status:  status,
+		Outcome: shed.OutcomeNotRun.String(),
+		Reason:  optionalString(string(reasonBadRequest)),
+		Message: optionalString(message),
+	}
+}
--- a/internal/front/events.go
+++ b/internal/front/events.go
@@ -14,11 +14,11 @@
 
 // Kinds of events in a stream.
 const (
-	eventStage  = "stage"
-	eventText   = "text"
-	eventReset  = "reset"
-	eventBeat   = "beat"
-	eventAnswer = "answer"
+	eventStage     = "stage"
+	eventText      = "text"
+	eventReset     = "reset"
+	eventHeartbeat = "beat"
+	eventAnswer    = "answer"
 )
 
 // textEvent is the next piece of a stage's text; without text it is a reset.
@@ -37,50 +37,50 @@
 	Tokens   uint32  `json:"tokens"`
 }
 
-// events writes one stream.
-type events struct {
-	mu     sync.Mutex
-	stream pipelines.StreamServerStream
-	period time.Duration
-	timer  *time.Timer
-	// began: an event has left, and with it the status line.
-	began bool
-	// spoke: an event has left since the last beat was due.
-	spoke bool
+// eventStream writes one stream.
+type eventStream struct {
+	mu       sync.Mutex
+	stream   pipelines.StreamServerStream
+	interval time.Duration
+	timer    *time.Timer
+	// started: an event has left, and with it the status line.
+	started bool
+	// sentRecently: an event has left since the last beat was due.
+	sentRecently bool
 	// done: the handler is about to return; nothing may be written any more.
 	done bool
 }
 
-func newEvents(stream pipelines.StreamServerStream, period time.Duration) *events {
-	e := &events{stream: stream, period: period}
+func newEventStream(stream pipelines.StreamServerStream, period time.Duration) *eventStream {
+	e := &eventStream{stream: stream, interval: period}
 	// beat uses the timer without the lock, so it may not run before the timer
 	// is in its place.
-	e.timer = time.AfterFunc(math.MaxInt64, e.beat)
+	e.timer = time.AfterFunc(math.MaxInt64, e.heartbeat)
 	e.timer.Reset(period)
 	return e
 }
 
-// beat keeps a silent stream apart from a dead connection: a caller that hears
+// heartbeat keeps a silent stream apart from a dead connection: a caller that hears
 // nothing for a few beats knows that something between has lost track of it.
-func (e *events) beat() {
+func (e *eventStream) heartbeat() {
 	// Whoever holds the lock is writing, and that is as good as a beat. Waiting
 	// for a write that blocks would only pile up.
 	if !e.mu.TryLock() {
-		e.timer.Reset(e.period)
+		e.timer.Reset(e.interval)
 		return
 	}
 	defer e.mu.Unlock()
 	if e.done {
 		return
 	}
-	if !e.spoke {
-		e.sendLocked(eventBeat, "{}")
+	if !e.sentRecently {
+		e.sendLocked(eventHeartbeat, "{}")
 	}
-	e.spoke = false
-	e.timer.Reset(e.period)
+	e.sentRecently = false
+	e.timer.Reset(e.interval)
 }
 
-func (e *events) update(u shed.Update) {
+func (e *eventStream) sendUpdate(u shed.Update) {
 	stage := string(u.Stage)
 	if u.Reset {
 		e.sendJSON(eventReset, textEvent{Stage: stage})
@@ -106,7 +106,7 @@
 
 // sendJSON sends v, which has only fields that can be marshalled. JSON stands
 // in one line, so no text can end an event early.
-func (e *events) sendJSON(kind string, v any) {
+func (e *eventStream) sendJSON(kind string, v any) {
 	data, err := json.Marshal(v)
 	if err != nil {
 		return
@@ -118,15 +118,15 @@
 
 // sendLocked needs e.mu. A caller that has gone is seen by the context of the
 // request, which net/http ends when a write fails; so an error is dropped here.
-func (e *events) sendLocked(kind, data string) {
-	e.began = true
-	e.spoke = true
+func (e *eventStream) sendLocked(kind, data string) {
+	e.started = true
+	e.sentRecently = true
 	_ = e.stream.Send(&pipelines.StreamResult{Kind: kind, Data: data})
 }
 
 // finish ends the stream with its answer. A refusal before the first event is
 // returned, and so gets an HTTP status of its own.
-func (e *events) finish(out *pipelines.Answer) error {
+func (e *eventStream) finish(out *pipelines.Answer) error {
 	data, err := json.Marshal(pipehttp.NewRunResponseBody(out))
 	if err != nil {
 		return fmt.Errorf("writing the answer: %w", err)
@@ -135,7 +135,7 @@
 	defer e.mu.Unlock()
 	e.done = true
 	e.timer.Stop()
-	if !e.began && out.Status != statusComplete {
+	if !e.started && out.Status != statusComplete {
 		return out
 	}
 	e.sendLocked(eventAnswer, string(data))
--- a/internal/front/fake_test.go
+++ b/internal/front/fake_test.go
@@ -21,38 +21,38 @@
 
 // fakeServing answers as the test says and counts what reached it.
 type fakeServing struct {
-	serve  func(ctx context.Context, req shed.Request, update func(shed.Update)) shed.Answer
-	issue  func(req shed.Request) (shed.Ticket, *shed.Finish)
-	result func(req shed.Request) shed.Answer
-	ready  bool
-	mu     sync.Mutex
-	seen   []shed.Request
+	serve    func(ctx context.Context, req shed.Request, update func(shed.Update)) shed.Answer
+	issue    func(req shed.Request) (shed.Ticket, *shed.Finish)
+	result   func(req shed.Request) shed.Answer
+	ready    bool
+	mu       sync.Mutex
+	requests []shed.Request
 }
 
-func (f *fakeServing) note(req shed.Request) {
+func (f *fakeServing) record(req shed.Request) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.seen = append(f.seen, req)
+	f.requests = append(f.requests, req)
 }
 
 func (f *fakeServing) Serve(ctx context.Context, req shed.Request, update func(shed.Update)) shed.Answer {
-	f.note(req)
+	f.record(req)
 	return f.serve(ctx, req, update)
 }
 
 func (f *fakeServing) Issue(_ context.Context, req shed.Request) (shed.Ticket, *shed.Finish) {
-	f.note(req)
+	f.record(req)
 	return f.issue(req)
 }
 
 func (f *fakeServing) Result(_ context.Context, req shed.Request) shed.Answer {
-	f.note(req)
+	f.record(req)
 	return f.result(req)
 }
 
 func (f *fakeServing) Ready() bool { return f.ready }
 
-func finished(fin shed.Finish) *fakeServing {
+func servingWith(fin shed.Finish) *fakeServing {
 	return &fakeServing{
 		ready:  true,
 		serve:  func(context.Context, shed.Request, func(shed.Update)) shed.Answer { return shed.Answer{Finish: fin} },
@@ -63,7 +63,7 @@
 
 var complete = shed.Finish{Request: "r1", Outcome: shed.OutcomeComplete}
 
-func quiet() *logrus.Logger {
+func discardLogger() *logrus.Logger {
 	l := logrus.New()
 	l.SetOutput(io.Discard)
 	return l
@@ -74,7 +74,7 @@
 		Serving: s,
 		Limits:  prefs.Defaults().Limits,
 		Drain:   time.Minute,
-		Log:     quiet(),
+		Log:     discardLogger(),
 	}
 	if change != nil {
 		change(&cfg)
@@ -82,18 +82,18 @@
 	return New(cfg)
 }
 
-// pipes is a listener in memory, so that a synctest bubble can hold both ends.
-type pipes struct {
+// pipeListener is a listener in memory, so that a synctest bubble can hold both ends.
+type pipeListener struct {
 	conns  chan net.Conn
 	closed chan struct{}
 	once   sync.Once
 }
 
-func newPipes() *pipes {
-	return &pipes{conns: make(chan net.Conn), closed: make(chan struct{})}
+func newPipeListener() *pipeListener {
+	return &pipeListener{conns: make(chan net.Conn), closed: make(chan struct{})}
 }
 
-func (p *pipes) Accept() (net.Conn, error) {
+func (p *pipeListener) Accept() (net.Conn, error) {
 	select {
 	case c := <-p.conns:
 		return c, nil
@@ -102,18 +102,18 @@
 	}
 }
 
-func (p *pipes) Close() error {
+func (p *pipeListener) Close() error {
 	p.once.Do(func() { close(p.closed) })
 	return nil
 }
 
-func (p *pipes) Addr() net.Addr { return &net.TCPAddr{} }
+func (p *pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-func (p *pipes) dial(ctx context.Context, _, _ string) (net.Conn, error) {
-	near, far := net.Pipe()
+func (p *pipeListener) dial(ctx context.Context, _, _ string) (net.Conn, error) {
+	client, server := net.Pipe()
 	select {
-	case p.conns <- far:
-		return near, nil
+	case p.conns <- server:
+		return client, nil
 	case <-p.closed:
 		return nil, errors.New("connection refused")
 	case <-ctx.Done():
@@ -121,23 +121,23 @@
 	}
 }
 
-// running is a Front that serves over pipes.
-type running struct {
-	pipes  *pipes
-	client *http.Client
-	stop   context.CancelFunc
-	group  errgroup.Group
+// testServer is a Front that serves over pipes.
+type testServer struct {
+	listener *pipeListener
+	client   *http.Client
+	stop     context.CancelFunc
+	group    errgroup.Group
 }
 
-func run(t *testing.T, s shed.Serving, change func(*Config)) *running {
-	r := &running{pipes: newPipes()}
+func startServer(t *testing.T, s shed.Serving, change func(*Config)) *testServer {
+	r := &testServer{listener: newPipeListener()}
 	f := newTestFront(s, func(cfg *Config) {
-		cfg.Listener = r.pipes
+		cfg.Listener = r.listener
 		if change != nil {
 			change(cfg)
 		}
 	})
-	transport := &http.Transport{DialContext: r.pipes.dial}
+	transport := &http.Transport{DialContext: r.listener.dial}
 	r.client = &http.Client{Transport: transport}
 	ctx, cancel := context.WithCancel(context.Background())
 	r.stop = cancel
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -73,18 +73,18 @@
 
 func (f *Front) newHandler() http.Handler {
 	mux := goahttp.NewMuxer()
-	count := newCounts(f.cfg.Scope)
-	svc := &service{serving: f.cfg.Serving, beat: f.cfg.Limits.Beat, count: count}
-	pipes := pipehttp.New(pipelines.NewEndpoints(svc), mux, newDecoder, newEncoder, f.logEncoding, format)
+	m := newMetrics(f.cfg.Scope)
+	svc := &service{serving: f.cfg.Serving, heartbeatInterval: f.cfg.Limits.Beat, metrics: m}
+	pipes := pipehttp.New(pipelines.NewEndpoints(svc), mux, newDecoder, newEncoder, f.logEncoding, formatError)
 	probes := healthhttp.New(health.NewEndpoints(svc), mux, newDecoder, newEncoder, f.logEncoding, nil)
-	nowhere(mux)
+	handleUnknownRoutes(mux)
 	pipehttp.Mount(mux, pipes)
 	healthhttp.Mount(mux, probes)
-	return newGuard(f.cfg, count, mux)
+	return newGuard(f.cfg, m, mux)
 }
 
-// nowhere answers calls without a route in the same form as all others.
-func nowhere(mux goahttp.Muxer) {
+// handleUnknownRoutes answers calls without a route in the same form as all others.
+func handleUnknownRoutes(mux goahttp.Muxer) {
 	router, ok := mux.(interface {
 		NotFound(http.HandlerFunc)
 		MethodNotAllowed(http.HandlerFunc)
@@ -92,15 +92,15 @@
 	if !ok {
 		return
 	}
-	router.NotFound(plainFault(http.StatusNotFound, statusNotFound, "no such path"))
-	router.MethodNotAllowed(plainFault(http.StatusMethodNotAllowed, statusBadRequest, "no such method on this path"))
+	router.NotFound(errorHandler(http.StatusNotFound, statusNotFound, "no such path"))
+	router.MethodNotAllowed(errorHandler(http.StatusMethodNotAllowed, statusBadRequest, "no such method on this path"))
 }
 
-func plainFault(code int, status, message string) http.HandlerFunc {
+func errorHandler(code int, status, message string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		enc := newEncoder(r.Context(), w)
 		w.WriteHeader(code)
-		_ = enc.Encode(newFault(badCall(status, message), code))
+		_ = enc.Encode(newErrorResponse(newRejection(status, message), code))
 	}
 }
 
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -33,7 +33,7 @@
 	return w
 }
 
-func bodyOf(t *testing.T, w *httptest.ResponseRecorder) *pipehttp.RunResponseBody {
+func decodeBody(t *testing.T, w *httptest.ResponseRecorder) *pipehttp.RunResponseBody {
 	var b pipehttp.RunResponseBody
 	require.NoError(t, json.Unmarshal(w.Body.Bytes(), &b), w.Body.String())
 	return &b
@@ -64,7 +64,7 @@
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			f := newTestFront(finished(tc.fin), nil)
+			f := newTestFront(servingWith(tc.fin), nil)
 			for _, call := range []*http.Request{
 				newCall("POST", runPath, `{"input":"x"}`),
 				newCall("PUT", oncePath, `{"input":"x","pipeline":"caption"}`),
@@ -73,7 +73,7 @@
 				w := record(f, call)
 				require.Equal(t, tc.code, w.Code, call.URL.Path)
 				require.Equal(t, tc.retryAfter, w.Header().Get("Retry-After"))
-				b := bodyOf(t, w)
+				b := decodeBody(t, w)
 				require.Equal(t, tc.status, b.Status)
 				require.Equal(t, tc.fin.Outcome.String(), b.Outcome)
 				require.Equal(t, tc.retryAfter != "", b.RetryAfterMs != nil)
@@ -121,7 +121,7 @@
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			serving := finished(complete)
+			serving := servingWith(complete)
 			req := newCall(tc.method, tc.path, tc.body)
 			if tc.header[0] != "" {
 				req.Header.Set(tc.header[0], tc.header[1])
@@ -129,17 +129,17 @@
 			w := record(newTestFront(serving, nil), req)
 			require.Equal(t, tc.code, w.Code, w.Body.String())
 			require.Equal(t, jsonType, w.Header().Get("Content-Type"))
-			b := bodyOf(t, w)
+			b := decodeBody(t, w)
 			require.Equal(t, "not_run", b.Outcome)
 			require.NotEmpty(t, *b.Message)
 			require.NotContains(t, w.Body.String(), "secret")
-			require.Empty(t, serving.seen)
+			require.Empty(t, serving.requests)
 		})
 	}
 }
 
-func TestRequestReachesServingWhole(t *testing.T) {
-	serving := finished(complete)
+func TestRequestReachesServing(t *testing.T) {
+	serving := servingWith(complete)
 	f := newTestFront(serving, nil)
 	body := `{"input":"storm","max_tokens":40,"budget_ms":1500,"pipeline":"warn"}`
 	w := record(f, newCall("PUT", oncePath, body))
@@ -151,10 +151,10 @@
 		Pipeline:  "warn",
 		Payload:   shed.Payload{Input: "storm", MaxTokens: 40},
 		Budget:    1500 * time.Millisecond,
-	}}, serving.seen)
+	}}, serving.requests)
 }
 
-var drafted = shed.Answer{
+var completeAnswer = shed.Answer{
 	Finish: shed.Finish{
 		Request: "r1",
 		Outcome: shed.OutcomeComplete,
@@ -173,20 +173,20 @@
 }
 
 func TestWholeAnswer(t *testing.T) {
-	serving := finished(complete)
-	serving.serve = func(context.Context, shed.Request, func(shed.Update)) shed.Answer { return drafted }
+	serving := servingWith(complete)
+	serving.serve = func(context.Context, shed.Request, func(shed.Update)) shed.Answer { return completeAnswer }
 	w := record(newTestFront(serving, nil), newCall("POST", runPath, `{"input":"x"}`))
 	goldie.New(t).Assert(t, "answer", w.Body.Bytes())
 }
 
 func TestStreamOfEvents(t *testing.T) {
-	serving := finished(complete)
+	serving := servingWith(complete)
 	serving.serve = func(_ context.Context, _ shed.Request, update func(shed.Update)) shed.Answer {
 		update(shed.Update{Stage: "draft", Text: "Storm"})
 		update(shed.Update{Stage: "draft", Reset: true})
 		update(shed.Update{Stage: "draft", Text: "Wind\n\nevent: text\n"})
-		update(shed.Update{Stage: "draft", Done: &drafted.Stages[0]})
-		return drafted
+		update(shed.Update{Stage: "draft", Done: &completeAnswer.Stages[0]})
+		return completeAnswer
 	}
 	w := record(newTestFront(serving, nil), newCall("POST", streamPath, `{"input":"x"}`))
 	require.Equal(t, "text/event-stream", w.Header().Get("Content-Type"))
@@ -194,15 +194,15 @@
 }
 
 func TestStreamRefusedBeforeItsFirstEvent(t *testing.T) {
-	f := newTestFront(finished(notRun(shed.ReasonQueueFull, 0)), nil)
+	f := newTestFront(servingWith(notRun(shed.ReasonQueueFull, 0)), nil)
 	w := record(f, newCall("POST", streamPath, `{"input":"x"}`))
 	require.Equal(t, 503, w.Code)
 	require.Equal(t, "1", w.Header().Get("Retry-After"))
-	require.Equal(t, "queue_full", *bodyOf(t, w).Reason)
+	require.Equal(t, "queue_full", *decodeBody(t, w).Reason)
 }
 
 func TestStreamFailedAfterItsFirstEvent(t *testing.T) {
-	serving := finished(complete)
+	serving := servingWith(complete)
 	serving.serve = func(_ context.Context, _ shed.Request, update func(shed.Update)) shed.Answer {
 		update(shed.Update{Stage: "draft", Text: "Sto"})
 		return shed.Answer{Finish: shed.Finish{Outcome: shed.OutcomeDeadline, Reason: shed.ReasonDeadline}}
@@ -214,7 +214,7 @@
 }
 
 func TestTickets(t *testing.T) {
-	serving := finished(complete)
+	serving := servingWith(complete)
 	serving.issue = func(shed.Request) (shed.Ticket, *shed.Finish) {
 		return shed.Ticket{ID: "t-9", Expires: time.Now().Add(time.Hour)}, nil
 	}
@@ -222,25 +222,25 @@
 	require.Equal(t, 201, w.Code)
 	require.Contains(t, w.Body.String(), `"request_id":"t-9"`)
 
-	full := newTestFront(finished(notRun(shed.ReasonTicketsFull, 0)), nil)
+	full := newTestFront(servingWith(notRun(shed.ReasonTicketsFull, 0)), nil)
 	w = record(full, newCall("POST", "/v1/tickets", `{"pipeline":"warn"}`))
 	require.Equal(t, 503, w.Code)
-	require.Equal(t, "tickets_full", *bodyOf(t, w).Reason)
+	require.Equal(t, "tickets_full", *decodeBody(t, w).Reason)
 }
 
 // A ticket's id holds the address of its home. The longest must pass the check
 // of ids, or a VM with a long address could give out tickets but run none.
-func TestLongestTicketIsTaken(t *testing.T) {
+func TestLongestTicketIsAccepted(t *testing.T) {
 	home := shed.Peer{VM: "[ffff:ffff:ffff:ffff:ffff:ffff:ffff:ffff]:65535", Incarnation: 1<<64 - 1}
 	id := string(ticket.ID(home, [16]byte{255}))
-	f := newTestFront(finished(complete), nil)
+	f := newTestFront(servingWith(complete), nil)
 	w := record(f, newCall("PUT", "/v1/requests/"+id, `{"input":"x","pipeline":"warn"}`))
 	require.Equal(t, 200, w.Code, w.Body.String())
 	require.Equal(t, 200, record(f, newCall("GET", "/v1/requests/"+id, "")).Code)
 }
 
 func TestReadiness(t *testing.T) {
-	serving := finished(complete)
+	serving := servingWith(complete)
 	f := newTestFront(serving, nil)
 	require.Equal(t, 200, record(f, newCall("GET", "/readyz", "")).Code)
 
@@ -254,7 +254,7 @@
 }
 
 func TestTooManyInFlight(t *testing.T) {
-	serving := finished(complete)
+	serving := servingWith(complete)
 	f := newTestFront(serving, func(cfg *Config) { cfg.Limits.Streams = 1 })
 	var second *httptest.ResponseRecorder
 	serving.serve = func(context.Context, shed.Request, func(shed.Update)) shed.Answer {
@@ -264,14 +264,14 @@
 	require.Equal(t, 200, record(f, newCall("POST", runPath, `{"input":"x"}`)).Code)
 	require.Equal(t, 503, second.Code)
 	require.Equal(t, "1", second.Header().Get("Retry-After"))
-	require.Equal(t, string(reasonStreams), *bodyOf(t, second).Reason)
-	require.Len(t, serving.seen, 1)
+	require.Equal(t, string(reasonTooManyInFlight), *decodeBody(t, second).Reason)
+	require.Len(t, serving.requests, 1)
 }
 
 func TestSpanContinuesTheCallersTrace(t *testing.T) {
 	spans := tracetest.NewSpanRecorder()
 	provider := sdktrace.NewTracerProvider(sdktrace.WithSpanProcessor(spans))
-	f := newTestFront(finished(complete), func(cfg *Config) { cfg.Tracer = provider })
+	f := newTestFront(servingWith(complete), func(cfg *Config) { cfg.Tracer = provider })
 	req := newCall("POST", runPath, `{"input":"x"}`)
 	req.Header.Set("traceparent", "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01")
 	w := record(f, req)
@@ -279,7 +279,7 @@
 	span := spans.Ended()[0]
 	require.Equal(t, "POST /v1/pipelines/{pipeline}/requests", span.Name())
 	require.Equal(t, "0af7651916cd43dd8448eb211c80319c", span.SpanContext().TraceID().String())
-	require.Equal(t, "0af7651916cd43dd8448eb211c80319c", *bodyOf(t, w).TraceID)
+	require.Equal(t, "0af7651916cd43dd8448eb211c80319c", *decodeBody(t, w).TraceID)
 }
 
 func TestRefusalsAreCountedAndOnTheSpan(t *testing.T) {
@@ -287,7 +287,7 @@
 	scope := tally.NewTestScope("", nil)
 	fin := notRun(shed.ReasonNotAllowed, 0)
 	fin.Rule = shed.Origin{Line: 12}
-	f := newTestFront(finished(fin), func(cfg *Config) {
+	f := newTestFront(servingWith(fin), func(cfg *Config) {
 		cfg.Tracer = sdktrace.NewTracerProvider(sdktrace.WithSpanProcessor(spans))
 		cfg.Scope = scope
 	})
--- a/internal/front/fuzz_test.go
+++ b/internal/front/fuzz_test.go
@@ -16,16 +16,16 @@
 	f.Add("", "", "", "\xef\xbb\xbf{}")
 	codes := map[int]bool{200: true, 400: true, 404: true, 405: true, 413: true}
 	f.Fuzz(func(t *testing.T, pipeline, workspace, token, body string) {
-		serving := finished(complete)
+		serving := servingWith(complete)
 		req := newCall("POST", runPath, body)
 		req.URL.Path = "/v1/pipelines/" + pipeline + "/requests"
 		req.Header.Set("X-Workspace", workspace)
 		req.Header.Set("Authorization", token)
 		w := record(newTestFront(serving, nil), req)
 		require.True(t, codes[w.Code], w.Code)
-		bodyOf(t, w)
-		require.Equal(t, w.Code == 200, len(serving.seen) == 1)
-		for _, r := range serving.seen {
+		decodeBody(t, w)
+		require.Equal(t, w.Code == 200, len(serving.requests) == 1)
+		for _, r := range serving.requests {
 			require.Regexp(t, `^[A-Za-z0-9._-]{1,64}$`, string(r.Pipeline))
 			require.Regexp(t, `^[A-Za-z0-9._-]{1,64}$`, string(r.Workspace))
 		}
--- a/internal/front/guard.go
+++ b/internal/front/guard.go
@@ -16,19 +16,19 @@
 
 // guard stands before goa's handlers: limits, spans and counts.
 type guard struct {
-	cfg    Config
-	next   http.Handler
-	tracer trace.Tracer
-	count  *counts
-	flying atomic.Int64
+	cfg      Config
+	next     http.Handler
+	tracer   trace.Tracer
+	metrics  *metrics
+	inFlight atomic.Int64
 }
 
-func newGuard(cfg Config, count *counts, next http.Handler) *guard {
+func newGuard(cfg Config, m *metrics, next http.Handler) *guard {
 	return &guard{
-		cfg:    cfg,
-		next:   next,
-		tracer: cfg.Tracer.Tracer("jasmineshed/front"),
-		count:  count,
+		cfg:     cfg,
+		next:    next,
+		tracer:  cfg.Tracer.Tracer("jasmineshed/front"),
+		metrics: m,
 	}
 }
 
@@ -48,52 +48,52 @@
 		g.next.ServeHTTP(tw, r)
 		return
 	}
-	r, span := g.trace(r)
-	g.pass(tw, r)
-	g.ended(tw, r, span, start)
+	r, span := g.startSpan(r)
+	g.admit(tw, r)
+	g.finishCall(tw, r, span, start)
 }
 
-// trace starts the call's span, as a part of the caller's trace if it sent one.
-func (g *guard) trace(r *http.Request) (*http.Request, trace.Span) {
+// startSpan starts the call's span, as a part of the caller's trace if it sent one.
+func (g *guard) startSpan(r *http.Request) (*http.Request, trace.Span) {
 	ctx := telem.Extract(r.Context(), r.Header)
 	ctx, span := g.tracer.Start(ctx, r.Method, trace.WithSpanKind(trace.SpanKindServer))
 	return r.WithContext(ctx), span
 }
 
-func (g *guard) ended(w *timedWriter, r *http.Request, span trace.Span, start time.Time) {
+func (g *guard) finishCall(w *timedWriter, r *http.Request, span trace.Span, start time.Time) {
 	span.SetName(spanName(r))
 	span.SetAttributes(attribute.Int("http.response.status_code", w.code))
 	if w.code >= http.StatusInternalServerError {
 		span.SetStatus(codes.Error, http.StatusText(w.code))
 	}
 	span.End()
-	g.count.ended(r, w, time.Since(start))
+	g.metrics.recordCall(r, w, time.Since(start))
 }
 
-// pass counts the call among those in flight, and refuses one too many.
-func (g *guard) pass(w *timedWriter, r *http.Request) {
-	flying := g.flying.Add(1)
-	defer g.landed()
-	g.count.inFlight.Update(float64(flying))
-	if flying > int64(g.cfg.Limits.Streams) {
-		g.refuse(w, r, shed.Finish{Outcome: shed.OutcomeNotRun, Reason: reasonStreams})
+// admit counts the call among those in flight, and refuses one too many.
+func (g *guard) admit(w *timedWriter, r *http.Request) {
+	inFlight := g.inFlight.Add(1)
+	defer g.release()
+	g.metrics.inFlight.Update(float64(inFlight))
+	if inFlight > int64(g.cfg.Limits.Streams) {
+		g.refuse(w, r, shed.Finish{Outcome: shed.OutcomeNotRun, Reason: reasonTooManyInFlight})
 		return
 	}
 	g.next.ServeHTTP(w, r)
 }
 
-func (g *guard) landed() {
-	g.count.inFlight.Update(float64(g.flying.Add(-1)))
+func (g *guard) release() {
+	g.metrics.inFlight.Update(float64(g.inFlight.Add(-1)))
 }
 
 // refuse answers 503 without going through goa.
 func (g *guard) refuse(w http.ResponseWriter, r *http.Request, fin shed.Finish) {
-	a := newRefusal(r.Context(), &fin)
-	g.count.answered(a.Outcome, string(fin.Reason))
+	a := newAnswerHead(r.Context(), &fin)
+	g.metrics.countAnswer(a.Outcome, string(fin.Reason))
 	enc := newEncoder(r.Context(), w)
 	w.Header().Set("Retry-After", strconv.Itoa(*a.RetryAfter))
 	w.WriteHeader(http.StatusServiceUnavailable)
-	_ = enc.Encode(newFault(a, http.StatusServiceUnavailable))
+	_ = enc.Encode(newErrorResponse(a, http.StatusServiceUnavailable))
 }
 
 func isProbe(r *http.Request) bool {
--- a/internal/front/message.go
+++ b/internal/front/message.go
@@ -3,13 +3,13 @@
 import shed "jasmineshed"
 
 // reasonStreams refuses a call since too many are in flight on this listener.
-const reasonStreams shed.Reason = "too_many_requests_in_flight"
+const reasonTooManyInFlight shed.Reason = "too_many_requests_in_flight"
 
 // reasonBadRequest refuses a call that makes no sense.
 const reasonBadRequest shed.Reason = "bad_request"
 
 // messages tell a person what the reason means and what to do.
-var messages = map[shed.Reason]string{
+var reasonMessages = map[shed.Reason]string{
 	shed.ReasonUnknownPipeline:  "There is no pipeline of this name.",
 	shed.ReasonUnknownWorkspace: "The workspace is unknown or the token is not its token.",
 	shed.ReasonNotAllowed:       "The rules don't let this workspace run this pipeline.",
@@ -25,11 +25,11 @@
 	shed.ReasonTicketExpired:    "The ticket is too old; get a new one if the request was not run.",
 	shed.ReasonTicketsFull:      "No more tickets can be kept now.",
 	shed.ReasonHomeGone:         "The VM that issued the ticket is gone; the request may or may not have run.",
-	reasonStreams:               "Too many requests are in flight here.",
+	reasonTooManyInFlight:       "Too many requests are in flight here.",
 }
 
 // ends tell a person what an outcome means where the reason has no message.
-var ends = map[shed.Outcome]string{
+var outcomeMessages = map[shed.Outcome]string{
 	shed.OutcomeNotRun:    "The request was not run.",
 	shed.OutcomeRefused:   "The request was given up on after some stages had run.",
 	shed.OutcomeUnknown:   "The request may or may not have run; it will not be started again.",
@@ -42,8 +42,8 @@
 	if fin.Outcome == shed.OutcomeComplete {
 		return ""
 	}
-	if m := messages[fin.Reason]; m != "" {
+	if m := reasonMessages[fin.Reason]; m != "" {
 		return m
 	}
-	return ends[fin.Outcome]
+	return outcomeMessages[fin.Outcome]
 }
--- a/internal/front/counts.go
+++ b/internal/front/metrics.go
@@ -9,14 +9,14 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// counts are the listener's metrics. Tally builds a map for each tagged scope,
+// metrics are the listener's metrics. Tally builds a map for each tagged scope,
 // so the scopes are kept by route and status.
-type counts struct {
+type metrics struct {
 	scope    tally.Scope
 	events   tally.Counter
 	inFlight tally.Gauge
 	mu       sync.Mutex
-	routes   map[routeKey]*routeCounts
+	routes   map[routeKey]*routeMetrics
 	answers  map[answerKey]tally.Counter
 }
 
@@ -27,50 +27,50 @@
 	code  int
 }
 
-type routeCounts struct {
+type routeMetrics struct {
 	requests tally.Counter
-	took     tally.Histogram
+	duration tally.Histogram
 }
 
 // tookBuckets reach from a millisecond to more than a minute.
-var tookBuckets = tally.MustMakeExponentialDurationBuckets(time.Millisecond, 2, 17)
+var durationBuckets = tally.MustMakeExponentialDurationBuckets(time.Millisecond, 2, 17)
 
-func newCounts(scope tally.Scope) *counts {
+func newMetrics(scope tally.Scope) *metrics {
 	sub := scope.SubScope("front")
-	return &counts{
+	return &metrics{
 		scope:    sub,
 		events:   sub.Counter("events"),
 		inFlight: sub.Gauge("in_flight"),
-		routes:   map[routeKey]*routeCounts{},
+		routes:   map[routeKey]*routeMetrics{},
 		answers:  map[answerKey]tally.Counter{},
 	}
 }
 
-func (c *counts) ended(r *http.Request, w *timedWriter, took time.Duration) {
+func (c *metrics) recordCall(r *http.Request, w *timedWriter, took time.Duration) {
 	rc := c.route(routeKey{route: spanName(r), code: w.code})
 	rc.requests.Inc(1)
-	rc.took.RecordDuration(took)
+	rc.duration.RecordDuration(took)
 	c.events.Inc(w.events)
 }
 
-func (c *counts) route(key routeKey) *routeCounts {
+func (c *metrics) route(key routeKey) *routeMetrics {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	rc := c.routes[key]
 	if rc == nil {
 		sub := c.scope.Tagged(map[string]string{"route": key.route, "code": strconv.Itoa(key.code)})
-		rc = &routeCounts{
+		rc = &routeMetrics{
 			requests: sub.Counter("requests"),
-			took:     sub.Histogram("took", tookBuckets),
+			duration: sub.Histogram("took", durationBuckets),
 		}
 		c.routes[key] = rc
 	}
 	return rc
 }
 
-// answered counts an answer by its outcome and reason, which are both from
+// countAnswer counts an answer by its outcome and reason, which are both from
 // closed sets.
-func (c *counts) answered(outcome, reason string) {
+func (c *metrics) countAnswer(outcome, reason string) {
 	key := answerKey{outcome: outcome, reason: reason}
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/front/service.go
+++ b/internal/front/service.go
@@ -15,25 +15,25 @@
 
 // service implements goa's services on top of shed.Serving.
 type service struct {
-	serving shed.Serving
-	beat    time.Duration
-	count   *counts
+	serving           shed.Serving
+	heartbeatInterval time.Duration
+	metrics           *metrics
 }
 
 // Run answers with the whole result.
 func (s *service) Run(ctx context.Context, p *pipelines.RunPayload) (*pipelines.Answer, error) {
 	req := newRequest(p.Workspace, p.Token, p.Pipeline)
-	addWork(req, p.Input, p.MaxTokens, p.BudgetMs)
-	return s.whole(ctx, s.serve(ctx, req, nil))
+	setPayload(req, p.Input, p.MaxTokens, p.BudgetMs)
+	return s.answerOrError(ctx, s.serve(ctx, req, nil))
 }
 
 // Stream answers with events.
 func (s *service) Stream(ctx context.Context, p *pipelines.StreamPayload, stream pipelines.StreamServerStream) error {
 	req := newRequest(p.Workspace, p.Token, p.Pipeline)
-	addWork(req, p.Input, p.MaxTokens, p.BudgetMs)
-	events := newEvents(stream, s.beat)
-	answer := s.answer(ctx, s.serve(ctx, req, events.update))
-	return events.finish(answer)
+	setPayload(req, p.Input, p.MaxTokens, p.BudgetMs)
+	out := newEventStream(stream, s.heartbeatInterval)
+	answer := s.recordAnswer(ctx, s.serve(ctx, req, out.sendUpdate))
+	return out.finish(answer)
 }
 
 func (s *service) serve(ctx context.Context, req *shed.Request, update func(shed.Update)) *shed.Answer {
@@ -45,7 +45,7 @@
 func (s *service) Issue(ctx context.Context, p *pipelines.IssuePayload) (*pipelines.Ticket, error) {
 	ticket, refusal := s.serving.Issue(ctx, *newRequest(p.Workspace, p.Token, p.Pipeline))
 	if refusal != nil {
-		return nil, s.answer(ctx, &shed.Answer{Finish: *refusal})
+		return nil, s.recordAnswer(ctx, &shed.Answer{Finish: *refusal})
 	}
 	return &pipelines.Ticket{
 		RequestID:   string(ticket.ID),
@@ -57,8 +57,8 @@
 func (s *service) Once(ctx context.Context, p *pipelines.OncePayload) (*pipelines.Answer, error) {
 	req := newRequest(p.Workspace, p.Token, p.Pipeline)
 	req.ID = shed.RequestID(p.RequestID)
-	addWork(req, p.Input, p.MaxTokens, p.BudgetMs)
-	return s.whole(ctx, s.serve(ctx, req, nil))
+	setPayload(req, p.Input, p.MaxTokens, p.BudgetMs)
+	return s.answerOrError(ctx, s.serve(ctx, req, nil))
 }
 
 // Result answers with what a ticketed request came to.
@@ -66,7 +66,7 @@
 	req := newRequest(p.Workspace, p.Token, "")
 	req.ID = shed.RequestID(p.RequestID)
 	answer := s.serving.Result(ctx, *req)
-	return s.whole(ctx, &answer)
+	return s.answerOrError(ctx, &answer)
 }
 
 // Live tells that the process answers at all.
@@ -82,30 +82,30 @@
 	return &health.Health{Status: "ready"}, nil
 }
 
-// whole gives an answer that is not complete as an error, which the design maps
+// answerOrError gives an answer that is not complete as an error, which the design maps
 // to its HTTP status.
-func (s *service) whole(ctx context.Context, answer *shed.Answer) (*pipelines.Answer, error) {
-	out := s.answer(ctx, answer)
+func (s *service) answerOrError(ctx context.Context, answer *shed.Answer) (*pipelines.Answer, error) {
+	out := s.recordAnswer(ctx, answer)
 	if out.Status != statusComplete {
 		return nil, out
 	}
 	return out, nil
 }
 
-// answer notes how the call ended on its span and in the counts.
-func (s *service) answer(ctx context.Context, answer *shed.Answer) *pipelines.Answer {
-	out := newAnswer(ctx, answer)
-	s.count.answered(out.Outcome, string(answer.Reason))
+// recordAnswer notes how the call ended on its span and in the counts.
+func (s *service) recordAnswer(ctx context.Context, recordAnswer *shed.Answer) *pipelines.Answer {
+	out := newAnswer(ctx, recordAnswer)
+	s.metrics.countAnswer(out.Outcome, string(recordAnswer.Reason))
 	trace.SpanFromContext(ctx).SetAttributes(
-		attribute.String("request", string(answer.Request)),
+		attribute.String("request", string(recordAnswer.Request)),
 		attribute.String("outcome", out.Outcome),
-		attribute.String("reason", string(answer.Reason)),
-		attribute.Int("rule.line", answer.Rule.Line),
+		attribute.String("reason", string(recordAnswer.Reason)),
+		attribute.Int("rule.line", recordAnswer.Rule.Line),
 	)
 	return out
 }
 
-const bearer = "Bearer "
+const bearerPrefix = "Bearer "
 
 func newRequest(workspace string, token *string, pipeline string) *shed.Request {
 	req := &shed.Request{
@@ -113,12 +113,12 @@
 		Pipeline:  shed.PipelineID(pipeline),
 	}
 	if token != nil {
-		req.Token = strings.TrimPrefix(*token, bearer)
+		req.Token = strings.TrimPrefix(*token, bearerPrefix)
 	}
 	return req
 }
 
-func addWork(req *shed.Request, input string, tokens *uint32, budget *int64) {
+func setPayload(req *shed.Request, input string, tokens *uint32, budget *int64) {
 	req.Payload.Input = input
 	if tokens != nil {
 		req.Payload.MaxTokens = shed.Tokens(*tokens)
--- a/internal/front/timed.go
+++ b/internal/front/timed.go
@@ -15,9 +15,9 @@
 type timedWriter struct {
 	http.ResponseWriter
 	timeout time.Duration
-	// until is the deadline set on the connection.
-	until time.Time
-	code  int
+	// deadline is the deadline set on the connection.
+	deadline time.Time
+	code     int
 	// events counts flushes, which are one for each event of a stream.
 	events int64
 }
@@ -33,7 +33,7 @@
 
 // Write puts the deadline off where it draws near.
 func (w *timedWriter) Write(p []byte) (int, error) {
-	w.putOff()
+	w.extendDeadline()
 	return w.ResponseWriter.Write(p)
 }
 
@@ -46,16 +46,16 @@
 // Unwrap lets http.ResponseController reach the connection.
 func (w *timedWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
 
-// putOff moves the deadline only after a quarter of it has gone, since setting
+// extendDeadline moves the deadline only after a quarter of it has gone, since setting
 // it costs more than a token is worth.
-func (w *timedWriter) putOff() {
+func (w *timedWriter) extendDeadline() {
 	now := time.Now()
-	if w.until.Sub(now) > w.timeout*3/4 {
+	if w.deadline.Sub(now) > w.timeout*3/4 {
 		return
 	}
-	w.until = now.Add(w.timeout)
+	w.deadline = now.Add(w.timeout)
 	// A writer without deadlines, as in a test, goes without.
-	_ = http.NewResponseController(w.ResponseWriter).SetWriteDeadline(w.until)
+	_ = http.NewResponseController(w.ResponseWriter).SetWriteDeadline(w.deadline)
 }
 
 // timedBody bounds a body in bytes and time.
--- a/internal/front/tls_test.go
+++ b/internal/front/tls_test.go
@@ -14,17 +14,17 @@
 // share one connection, and hang with it.
 func TestTLSWithoutHTTP2(t *testing.T) {
 	// The test server is there for its certificate only.
-	donor := httptest.NewUnstartedServer(http.NotFoundHandler())
-	donor.StartTLS()
-	defer donor.Close()
+	certServer := httptest.NewUnstartedServer(http.NotFoundHandler())
+	certServer.StartTLS()
+	defer certServer.Close()
 	pool := x509.NewCertPool()
-	pool.AddCert(donor.Certificate())
+	pool.AddCert(certServer.Certificate())
 
-	r := run(t, finished(complete), func(cfg *Config) {
-		cfg.TLS = &tls.Config{Certificates: donor.TLS.Certificates, NextProtos: []string{"h2", "http/1.1"}}
+	r := startServer(t, servingWith(complete), func(cfg *Config) {
+		cfg.TLS = &tls.Config{Certificates: certServer.TLS.Certificates, NextProtos: []string{"h2", "http/1.1"}}
 	})
 	transport := &http.Transport{
-		DialContext:       r.pipes.dial,
+		DialContext:       r.listener.dial,
 		TLSClientConfig:   &tls.Config{RootCAs: pool, ServerName: "example.com"},
 		ForceAttemptHTTP2: true,
 	}
--- a/internal/front/wire_test.go
+++ b/internal/front/wire_test.go
@@ -15,9 +15,9 @@
 	shed "jasmineshed"
 )
 
-// waitFor gives a Serving that waits, or ends early with its context.
-func waitFor(d time.Duration) *fakeServing {
-	s := finished(complete)
+// delayedServing gives a Serving that waits, or ends early with its context.
+func delayedServing(d time.Duration) *fakeServing {
+	s := servingWith(complete)
 	s.serve = func(ctx context.Context, _ shed.Request, _ func(shed.Update)) shed.Answer {
 		select {
 		case <-time.After(d):
@@ -29,7 +29,7 @@
 	return s
 }
 
-func get(t *testing.T, r *running, req *http.Request) (*http.Response, string) {
+func doRequest(t *testing.T, r *testServer, req *http.Request) (*http.Response, string) {
 	res, err := r.client.Do(req)
 	require.NoError(t, err)
 	body, err := io.ReadAll(res.Body)
@@ -44,8 +44,8 @@
 // look like a caller that has gone, and a good request would be cancelled.
 func TestLongRequestOutlivesTheBodyTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := run(t, waitFor(10*time.Second), func(cfg *Config) { cfg.Limits.BodyTimeout = time.Second })
-		res, body := get(t, r, newCall("POST", runPath, `{"input":"x"}`))
+		r := startServer(t, delayedServing(10*time.Second), func(cfg *Config) { cfg.Limits.BodyTimeout = time.Second })
+		res, body := doRequest(t, r, newCall("POST", runPath, `{"input":"x"}`))
 		require.Equal(t, 200, res.StatusCode, body)
 	})
 }
@@ -53,13 +53,13 @@
 // As above, but with a call that has no body which could lift the deadline.
 func TestLongReadOutlivesTheBodyTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		serving := finished(complete)
+		serving := servingWith(complete)
 		serving.result = func(shed.Request) shed.Answer {
 			time.Sleep(10 * time.Second)
 			return shed.Answer{Finish: complete}
 		}
-		r := run(t, serving, func(cfg *Config) { cfg.Limits.BodyTimeout = time.Second })
-		res, body := get(t, r, newCall("GET", oncePath, ""))
+		r := startServer(t, serving, func(cfg *Config) { cfg.Limits.BodyTimeout = time.Second })
+		res, body := doRequest(t, r, newCall("GET", oncePath, ""))
 		require.Equal(t, 200, res.StatusCode, body)
 	})
 }
@@ -82,22 +82,22 @@
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				serving := finished(complete)
-				r := run(t, serving, func(cfg *Config) { cfg.Limits.Streams = tc.streams })
+				serving := servingWith(complete)
+				r := startServer(t, serving, func(cfg *Config) { cfg.Limits.Streams = tc.streams })
 				start := time.Now()
-				code := raw(t, r, tc.line+" HTTP/1.1\r\nHost: front\r\nX-Workspace: weer\r\nContent-Length: 50\r\n\r\n{")
+				code := sendRaw(t, r, tc.line+" HTTP/1.1\r\nHost: front\r\nX-Workspace: weer\r\nContent-Length: 50\r\n\r\n{")
 				require.Equal(t, tc.code, code)
 				require.Equal(t, 5*time.Second, time.Since(start))
-				require.Empty(t, serving.seen)
+				require.Empty(t, serving.requests)
 			})
 		})
 	}
 }
 
-// raw writes text on a new connection and gives the status that comes back, or
+// sendRaw writes text on a new connection and gives the status that comes back, or
 // 0 if the connection is closed without one.
-func raw(t *testing.T, r *running, text string) int {
-	conn, err := r.pipes.dial(t.Context(), "", "")
+func sendRaw(t *testing.T, r *testServer, text string) int {
+	conn, err := r.listener.dial(t.Context(), "", "")
 	require.NoError(t, err)
 	defer func() { _ = conn.Close() }()
 	_, err = io.WriteString(conn, text)
@@ -112,9 +112,9 @@
 
 func TestHeaderThatNeverEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := run(t, finished(complete), nil)
+		r := startServer(t, servingWith(complete), nil)
 		start := time.Now()
-		require.Equal(t, 0, raw(t, r, "POST "+runPath+" HTTP/1.1\r\nHost: fr"))
+		require.Equal(t, 0, sendRaw(t, r, "POST "+runPath+" HTTP/1.1\r\nHost: fr"))
 		require.Equal(t, 5*time.Second, time.Since(start))
 	})
 }
@@ -123,8 +123,8 @@
 // ends, so that the engine behind is not kept busy for nobody.
 func TestCallerGoesAway(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		serving := waitFor(time.Hour)
-		r := run(t, serving, nil)
+		serving := delayedServing(time.Hour)
+		r := startServer(t, serving, nil)
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		_, err := r.client.Do(newCall("POST", runPath, `{"input":"x"}`).WithContext(ctx))
@@ -141,7 +141,7 @@
 // ends the request's context; else the request would hang for good.
 func TestCallerStopsReading(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		serving := finished(complete)
+		serving := servingWith(complete)
 		var gone time.Time
 		serving.serve = func(ctx context.Context, _ shed.Request, update func(shed.Update)) shed.Answer {
 			for ctx.Err() == nil {
@@ -150,7 +150,7 @@
 			gone = time.Now()
 			return shed.Answer{Finish: shed.Finish{Outcome: shed.OutcomeCancelled, Reason: shed.ReasonCallerGone}}
 		}
-		r := run(t, serving, nil)
+		r := startServer(t, serving, nil)
 		res, err := r.client.Do(newCall("POST", streamPath, `{"input":"x"}`))
 		require.NoError(t, err)
 		start := time.Now()
@@ -167,8 +167,8 @@
 // connection.
 func TestSilentStreamBeats(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := run(t, waitFor(3500*time.Millisecond), nil)
-		res, body := get(t, r, newCall("POST", streamPath, `{"input":"x"}`))
+		r := startServer(t, delayedServing(3500*time.Millisecond), nil)
+		res, body := doRequest(t, r, newCall("POST", streamPath, `{"input":"x"}`))
 		require.Equal(t, 200, res.StatusCode)
 		require.Equal(t, 3, strings.Count(body, "event: beat\ndata: {}\n\n"))
 		require.Contains(t, body, "event: answer\n")
@@ -179,9 +179,9 @@
 // gets its whole answer, a new connection is refused, and Serve then returns.
 func TestStopCutsOffNoRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := run(t, waitFor(5*time.Second), nil)
+		r := startServer(t, delayedServing(5*time.Second), nil)
 		time.AfterFunc(time.Second, r.stop)
-		res, body := get(t, r, newCall("POST", runPath, `{"input":"x"}`))
+		res, body := doRequest(t, r, newCall("POST", runPath, `{"input":"x"}`))
 		require.Equal(t, 200, res.StatusCode)
 		require.Contains(t, body, `"outcome":"complete"`)
 		require.NoError(t, r.group.Wait())
@@ -194,7 +194,7 @@
 // context ends, so that a stop can't take for ever.
 func TestDrainIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := run(t, waitFor(time.Hour), func(cfg *Config) { cfg.Drain = 3 * time.Second })
+		r := startServer(t, delayedServing(time.Hour), func(cfg *Config) { cfg.Drain = 3 * time.Second })
 		start := time.Now()
 		time.AfterFunc(time.Second, r.stop)
 		_, err := r.client.Do(newCall("POST", runPath, `{"input":"x"}`))
@@ -206,10 +206,10 @@
 
 func TestHeaderLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := run(t, finished(complete), nil)
+		r := startServer(t, servingWith(complete), nil)
 		req := newCall("POST", runPath, `{"input":"x"}`)
 		req.Header.Set("X-Large", strings.Repeat("x", 64<<10))
-		res, _ := get(t, r, req)
+		res, _ := doRequest(t, r, req)
 		require.Equal(t, 431, res.StatusCode)
 	})
 }
@@ -217,7 +217,7 @@
 // Connections beyond the limit wait until one is closed; none is dropped.
 func TestConnectionLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := run(t, waitFor(time.Second), func(cfg *Config) {
+		r := startServer(t, delayedServing(time.Second), func(cfg *Config) {
 			cfg.Limits.Connections = 1
 			cfg.Limits.IdleTimeout = time.Second
 		})
