--- a/internal/front/answer.go
+++ b/internal/front/answer.go
@@ -9,7 +9,7 @@
 	"jasmineshed/internal/telem"
 )
 
-// Names of the HTTP statuses; the design maps each to its number.
+// Names of the HTTP statuses; the design maps each to its code.
 const (
 	statusComplete        = "complete"
 	statusBadRequest      = "bad_request"
@@ -25,8 +25,8 @@
 	statusDeadline        = "deadline_exceeded"
 )
 
-// callerFaults are the reasons that the caller has to mend; coming back later
-// won't help.
+// clientErrorStatuses holds the statuses of refusals that a retry can't fix: the caller has to
+// change the request.
 var clientErrorStatuses = map[shed.Reason]string{
 	shed.ReasonUnknownPipeline:  statusNotFound,
 	shed.ReasonUnknownWorkspace: statusUnauthenticated,
@@ -36,7 +36,7 @@
 	shed.ReasonTicketExpired:    statusGone,
 }
 
-// statusOf of an answer.
+// statusOf returns the name of the HTTP status for an answer.
 func statusOf(fin *shed.Finish) string {
 	switch fin.Outcome {
 	case shed.OutcomeComplete:
@@ -55,8 +55,8 @@
 	return statusUnavailable
 }
 
-// leastRetryAfter is one second since the header has no smaller unit, and since
-// a caller that is told 0 comes back at once.
+// minRetryAfter is one second: the Retry-After header has no smaller unit, and a caller that
+// gets 0 retries at once.
 const minRetryAfter = time.Second
 
 func retryAfter(d time.Duration) (seconds int, ms int64) {
@@ -64,7 +64,7 @@
 	return int((d + time.Second - 1) / time.Second), d.Milliseconds()
 }
 
-// newAnswer turns an answer into the design's type.
+// newAnswer converts an answer to the design's type.
 func newAnswer(ctx context.Context, a *shed.Answer) *pipelines.Answer {
 	out := newAnswerHead(ctx, &a.Finish)
 	if a.Trace != "" {
@@ -76,7 +76,7 @@
 	return out
 }
 
-// newAnswerHead is an answer without a payload.
+// newAnswerHead returns the answer without its payload.
 func newAnswerHead(ctx context.Context, fin *shed.Finish) *pipelines.Answer {
 	out := &pipelines.Answer{
 		Status:    statusOf(fin),
@@ -132,7 +132,7 @@
 	return out
 }
 
-// optionalString is nil for an empty string, which JSON then leaves out.
+// optionalString returns nil for an empty string, so that JSON omits it.
 func optionalString(s string) *string {
 	if s == "" {
 		return nil
--- a/internal/front/bench_test.go
+++ b/internal/front/bench_test.go
@@ -38,8 +38,8 @@
 	return s
 }
 
-// BenchmarkTokens takes the cost of one streamed token in the front alone: the
-// writer drops what it gets.
+// BenchmarkTokens measures the cost of one streamed token in this package alone: the writer
+// discards its input.
 func BenchmarkTokens(b *testing.B) {
 	f := newTestFront(tokenSource(tokensPerStream), nil)
 	b.ReportAllocs()
@@ -49,7 +49,7 @@
 	b.ReportMetric(float64(b.N)*tokensPerStream/b.Elapsed().Seconds(), "tokens/s")
 }
 
-// discardWriter keeps nothing, as httptest.ResponseRecorder would.
+// discardWriter keeps nothing, unlike httptest.ResponseRecorder.
 type discardWriter struct{ header http.Header }
 
 func (w discardWriter) Header() http.Header         { return w.header }
@@ -57,9 +57,8 @@
 func (w discardWriter) WriteHeader(int)             {}
 func (w discardWriter) Flush()                      {}
 
-// BenchmarkStreams takes whole streams over loopback TCP, with net/http and the
-// kernel's part. The reader is a plain loop in the same process, and its work
-// is in the figure too.
+// BenchmarkStreams measures complete streams over loopback TCP, including net/http and the
+// kernel. The figure also includes the reader, a plain loop in the same process.
 func BenchmarkStreams(b *testing.B) {
 	addr := loopback(b, tokenSource(tokensPerStream))
 	var tokens atomic.Int64
@@ -104,8 +103,8 @@
 	return l.Addr().String()
 }
 
-// BenchmarkOpenStreams takes the memory that one open stream holds, the
-// caller's socket included, since it is in the same process.
+// BenchmarkOpenStreams measures the memory that one open stream holds, including the caller's
+// socket, which is in the same process.
 func BenchmarkOpenStreams(b *testing.B) {
 	const streams = 2000
 	var hold chan struct{}
@@ -117,8 +116,7 @@
 	}
 	addr := loopback(b, s)
 	var heap, stack float64
-	// Only the first round tells: later ones use what it left behind, so this
-	// is run with -benchtime 1x.
+	// Only the first round is meaningful: later ones reuse its memory. Run with -benchtime 1x.
 	for b.Loop() {
 		hold = make(chan struct{})
 		before := memStats()
--- a/internal/front/codec.go
+++ b/internal/front/codec.go
@@ -15,17 +15,16 @@
 
 const jsonType = "application/json"
 
-// errorTooLarge names a decoding error; unlike the others it isn't a 400.
+// errorBodyTooLarge names the only decoding error that gets another status than 400.
 const errorBodyTooLarge = "body_too_large"
 
-// decoder takes one JSON object and nothing else.
+// decoder accepts exactly one JSON object.
 type decoder struct{ r *http.Request }
 
 func newDecoder(r *http.Request) goahttp.Decoder { return decoder{r} }
 
-// Decode reads the whole body into v. It goes on to the end of the body also
-// after the object: net/http watches for the caller's going away only once the
-// body has been read to its end.
+// Decode reads the body into v. It always reads to the end of the body, because net/http
+// detects a client disconnect only from then on.
 func (d decoder) Decode(v any) error {
 	if t := d.r.Header.Get("Content-Type"); t != "" {
 		media, _, err := mime.ParseMediaType(t)
@@ -48,7 +47,7 @@
 	return fmt.Errorf("reading the body: %w", err)
 }
 
-// encoder writes JSON whatever the caller accepts.
+// encoder writes JSON regardless of the Accept header.
 type encoder struct{ w http.ResponseWriter }
 
 func newEncoder(_ context.Context, w http.ResponseWriter) goahttp.Encoder {
@@ -58,7 +57,7 @@
 
 func (e encoder) Encode(v any) error {
 	if err := json.NewEncoder(e.w).Encode(v); err != nil {
-		return fmt.Errorf("writing the answer: %w", err)
+		return fmt.Errorf("encoding the response: %w", err)
 	}
 	return nil
 }
--- a/internal/front/errors.go
+++ b/internal/front/errors.go
@@ -14,20 +14,19 @@
 	"jasmineshed/internal/gen/pipelines"
 )
 
-// errorResponse is the JSON body of every answer that is not a 2xx.
+// errorResponse is the JSON body of every response other than 2xx.
 type errorResponse struct {
 	body *pipehttp.RunResponseBody
 	code int
 }
 
-// StatusCode is used where the design names no status for the error.
+// StatusCode is used for errors for which the design names no status.
 func (f errorResponse) StatusCode() int { return f.code }
 
-// MarshalJSON leaves the code to the status line.
+// MarshalJSON omits the code, which is in the status line.
 func (f errorResponse) MarshalJSON() ([]byte, error) { return json.Marshal(f.body) }
 
-// formatError turns what goa says of a bad call into the one body that callers have
-// to know.
+// formatError converts goa's request errors to the same body as all other refusals.
 func formatError(_ context.Context, err error) goahttp.Statuser {
 	var answer *pipelines.Answer
 	if errors.As(err, &answer) {
@@ -50,7 +49,7 @@
 	return errorResponse{body: pipehttp.NewRunResponseBody(a), code: code}
 }
 
-// newRejection refuses a call before anything was run.
+// newRejection returns the answer to a call that was rejected before anything ran.
 func newRejection(status, message string) *pipelines.Answer {
 	return &pipelines.Answer{
 		Status:  status,
--- a/internal/front/events.go
+++ b/internal/front/events.go
@@ -21,13 +21,13 @@
 	eventAnswer    = "answer"
 )
 
-// textEvent is the next piece of a stage's text; without text it is a reset.
+// textEvent is the next part of a stage's text; without text it is a reset.
 type textEvent struct {
 	Stage string `json:"stage"`
 	Text  string `json:"text,omitempty"`
 }
 
-// stageEvent says that a stage has ended well.
+// stageEvent reports that a stage has completed.
 type stageEvent struct {
 	Stage    string  `json:"stage"`
 	Server   string  `json:"server,omitempty"`
@@ -37,15 +37,15 @@
 	Tokens   uint32  `json:"tokens"`
 }
 
-// eventStream writes one stream.
+// eventStream writes the events of one response.
 type eventStream struct {
 	mu       sync.Mutex
 	stream   pipelines.StreamServerStream
 	interval time.Duration
 	timer    *time.Timer
-	// started: an event has left, and with it the status line.
+	// started: an event has been sent, and with it the status line.
 	started bool
-	// sentRecently: an event has left since the last beat was due.
+	// sentRecently: an event has been sent since the last heartbeat tick.
 	sentRecently bool
 	// done: the handler is about to return; nothing may be written any more.
 	done bool
@@ -53,18 +53,18 @@
 
 func newEventStream(stream pipelines.StreamServerStream, period time.Duration) *eventStream {
 	e := &eventStream{stream: stream, interval: period}
-	// beat uses the timer without the lock, so it may not run before the timer
-	// is in its place.
+	// heartbeat uses the timer without the lock, so the timer starts only after e.timer is
+	// set.
 	e.timer = time.AfterFunc(math.MaxInt64, e.heartbeat)
 	e.timer.Reset(period)
 	return e
 }
 
-// heartbeat keeps a silent stream apart from a dead connection: a caller that hears
-// nothing for a few beats knows that something between has lost track of it.
+// heartbeat keeps an idle stream distinguishable from a dead connection: a caller that misses
+// several heartbeats knows that the connection is lost.
 func (e *eventStream) heartbeat() {
-	// Whoever holds the lock is writing, and that is as good as a beat. Waiting
-	// for a write that blocks would only pile up.
+	// The lock holder is writing, which serves as a heartbeat. Waiting for a blocked write
+	// would make goroutines pile up.
 	if !e.mu.TryLock() {
 		e.timer.Reset(e.interval)
 		return
@@ -104,8 +104,8 @@
 	}
 }
 
-// sendJSON sends v, which has only fields that can be marshalled. JSON stands
-// in one line, so no text can end an event early.
+// sendJSON sends v, which has only fields that can be marshalled. JSON is a single line, so no
+// text can end an event early.
 func (e *eventStream) sendJSON(kind string, v any) {
 	data, err := json.Marshal(v)
 	if err != nil {
@@ -116,20 +116,20 @@
 	e.sendLocked(kind, string(data))
 }
 
-// sendLocked needs e.mu. A caller that has gone is seen by the context of the
-// request, which net/http ends when a write fails; so an error is dropped here.
+// sendLocked requires e.mu. It ignores write errors: net/http cancels the request's context
+// when a write fails.
 func (e *eventStream) sendLocked(kind, data string) {
 	e.started = true
 	e.sentRecently = true
 	_ = e.stream.Send(&pipelines.StreamResult{Kind: kind, Data: data})
 }
 
-// finish ends the stream with its answer. A refusal before the first event is
-// returned, and so gets an HTTP status of its own.
+// finish ends the stream with its answer. A refusal before the first event is returned as an
+// error, and so gets its own HTTP status.
 func (e *eventStream) finish(out *pipelines.Answer) error {
 	data, err := json.Marshal(pipehttp.NewRunResponseBody(out))
 	if err != nil {
-		return fmt.Errorf("writing the answer: %w", err)
+		return fmt.Errorf("encoding the answer event: %w", err)
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/front/fake_test.go
+++ b/internal/front/fake_test.go
@@ -19,7 +19,7 @@
 	"jasmineshed/internal/prefs"
 )
 
-// fakeServing answers as the test says and counts what reached it.
+// fakeServing answers as the test specifies and records the requests that reach it.
 type fakeServing struct {
 	serve    func(ctx context.Context, req shed.Request, update func(shed.Update)) shed.Answer
 	issue    func(req shed.Request) (shed.Ticket, *shed.Finish)
@@ -82,7 +82,7 @@
 	return New(cfg)
 }
 
-// pipeListener is a listener in memory, so that a synctest bubble can hold both ends.
+// pipeListener is an in-memory listener, so that both ends are in one synctest bubble.
 type pipeListener struct {
 	conns  chan net.Conn
 	closed chan struct{}
@@ -121,7 +121,7 @@
 	}
 }
 
-// testServer is a Front that serves over pipes.
+// testServer is a Front that serves on a pipeListener.
 type testServer struct {
 	listener *pipeListener
 	client   *http.Client
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -1,5 +1,4 @@
-// Package front is the callers' listener: goa's HTTP server before
-// shed.Serving, which is all of the system that it sees.
+// Package front is the HTTP interface for callers: a goa server in front of shed.Serving.
 package front
 
 import (
@@ -25,15 +24,15 @@
 	"jasmineshed/internal/prefs"
 )
 
-// Config of a Front.
+// Config configures a Front.
 type Config struct {
-	// Listener takes the callers' connections; Serve closes it.
+	// Listener accepts the callers' connections; Serve closes it.
 	Listener net.Listener
 	// TLS is nil for plain TCP.
 	TLS     *tls.Config
 	Serving shed.Serving
 	Limits  prefs.Limits
-	// Drain bounds how long Serve waits for requests in flight at its end.
+	// Drain bounds how long Serve waits for requests in flight when it stops.
 	Drain time.Duration
 	Log   logrus.FieldLogger
 	// Scope may be nil.
@@ -42,14 +41,14 @@
 	Tracer trace.TracerProvider
 }
 
-// Front is the callers' listener as a service of the supervisor tree.
+// Front is the callers' HTTP server as a service of the supervisor tree.
 type Front struct {
 	cfg     Config
 	handler http.Handler
 	server  *httpd.Server
 }
 
-// New builds the listener's server; nothing runs before Serve.
+// New builds the server; nothing runs before Serve.
 func New(cfg Config) *Front {
 	if cfg.Scope == nil {
 		cfg.Scope = tally.NoopScope
@@ -83,7 +82,7 @@
 	return newGuard(f.cfg, m, mux)
 }
 
-// handleUnknownRoutes answers calls without a route in the same form as all others.
+// handleUnknownRoutes answers unrouted calls in the same form as all others.
 func handleUnknownRoutes(mux goahttp.Muxer) {
 	router, ok := mux.(interface {
 		NotFound(http.HandlerFunc)
@@ -104,14 +103,14 @@
 	}
 }
 
-// logEncoding is told when an answer could not be written, mostly since the
-// caller has gone.
+// logEncoding logs a response that could not be written, usually because the caller
+// disconnected.
 func (f *Front) logEncoding(_ context.Context, _ http.ResponseWriter, err error) {
-	f.cfg.Log.WithError(err).Debug("answer not written")
+	f.cfg.Log.WithError(err).Debug("could not write the response")
 }
 
 // String names the service in the supervisor's log.
 func (f *Front) String() string { return "front" }
 
-// Serve takes calls until ctx ends, then waits for those in flight.
+// Serve accepts calls until ctx ends, then waits for those in flight.
 func (f *Front) Serve(ctx context.Context) error { return f.server.Serve(ctx) }
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -228,8 +228,8 @@
 	require.Equal(t, "tickets_full", *decodeBody(t, w).Reason)
 }
 
-// A ticket's id holds the address of its home. The longest must pass the check
-// of ids, or a VM with a long address could give out tickets but run none.
+// A ticket's id contains the address of its home. If the longest address failed the id check,
+// a VM with such an address could issue tickets but not run them.
 func TestLongestTicketIsAccepted(t *testing.T) {
 	home := shed.Peer{VM: "[ffff:ffff:ffff:ffff:ffff:ffff:ffff:ffff]:65535", Incarnation: 1<<64 - 1}
 	id := string(ticket.ID(home, [16]byte{255}))
@@ -249,7 +249,7 @@
 	require.Equal(t, 503, w.Code)
 	require.Equal(t, "close", w.Header().Get("Connection"))
 	require.Equal(t, 200, record(f, newCall("GET", "/healthz", "")).Code)
-	// It still serves while the balancer notices.
+	// It still serves until the balancer reacts.
 	require.Equal(t, 200, record(f, newCall("POST", runPath, `{"input":"x"}`)).Code)
 }
 
--- a/internal/front/fuzz_test.go
+++ b/internal/front/fuzz_test.go
@@ -6,8 +6,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Whatever stands in the path, the header and the body, the caller gets one
-// answer in JSON, and only a request that makes sense reaches Serving.
+// For any path, header and body the caller gets exactly one JSON answer, and only valid
+// requests reach Serving.
 func FuzzRun(f *testing.F) {
 	f.Add("caption", "weer", "Bearer x", `{"input":"x"}`)
 	f.Add("caption", "weer", "", `{"input":"x","max_tokens":4294967296}`)
--- a/internal/front/guard.go
+++ b/internal/front/guard.go
@@ -14,7 +14,7 @@
 	"jasmineshed/internal/telem"
 )
 
-// guard stands before goa's handlers: limits, spans and counts.
+// guard is the middleware in front of goa's handlers: limits, spans and metrics.
 type guard struct {
 	cfg      Config
 	next     http.Handler
@@ -32,17 +32,17 @@
 	}
 }
 
-// ServeHTTP lets one call through, or refuses it.
+// ServeHTTP passes the call on or refuses it.
 func (g *guard) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	start := time.Now()
 	tw := &timedWriter{ResponseWriter: w, timeout: g.cfg.Limits.WriteTimeout}
-	// A balancer keeps connections open to a VM that it was told to leave, and
-	// would only notice when they are cut.
+	// A balancer keeps its connections to a VM that it was told to leave, and notices the change
+	// only when they are closed.
 	if !g.cfg.Serving.Ready() {
 		tw.Header().Set("Connection", "close")
 	}
-	// The body is bounded on every path: net/http reads what a handler left of
-	// it before it writes the answer, and would wait for it for good.
+	// The body is bounded on every path: net/http reads the rest of an unread body before it
+	// writes the response, and would wait for it indefinitely.
 	r.Body = newTimedBody(tw, r.Body, &g.cfg.Limits)
 	if isProbe(r) {
 		g.next.ServeHTTP(tw, r)
@@ -53,7 +53,7 @@
 	g.finishCall(tw, r, span, start)
 }
 
-// startSpan starts the call's span, as a part of the caller's trace if it sent one.
+// startSpan starts the call's span, within the caller's trace if it sent one.
 func (g *guard) startSpan(r *http.Request) (*http.Request, trace.Span) {
 	ctx := telem.Extract(r.Context(), r.Header)
 	ctx, span := g.tracer.Start(ctx, r.Method, trace.WithSpanKind(trace.SpanKindServer))
@@ -70,7 +70,7 @@
 	g.metrics.recordCall(r, w, time.Since(start))
 }
 
-// admit counts the call among those in flight, and refuses one too many.
+// admit counts the call as in flight, and refuses it beyond the limit.
 func (g *guard) admit(w *timedWriter, r *http.Request) {
 	inFlight := g.inFlight.Add(1)
 	defer g.release()
@@ -100,7 +100,7 @@
 	return r.URL.Path == "/healthz" || r.URL.Path == "/readyz"
 }
 
-// spanName is the route, since the path holds ids.
+// spanName is the route, because the path contains ids.
 func spanName(r *http.Request) string {
 	if r.Pattern == "" {
 		return "http unknown route"
--- a/internal/front/message.go
+++ b/internal/front/message.go
@@ -2,13 +2,13 @@
 
 import shed "jasmineshed"
 
-// reasonStreams refuses a call since too many are in flight on this listener.
+// reasonTooManyInFlight refuses a call beyond this listener's limit of calls in flight.
 const reasonTooManyInFlight shed.Reason = "too_many_requests_in_flight"
 
-// reasonBadRequest refuses a call that makes no sense.
+// reasonBadRequest refuses an invalid call.
 const reasonBadRequest shed.Reason = "bad_request"
 
-// messages tell a person what the reason means and what to do.
+// reasonMessages explain each reason to a person, and what to do.
 var reasonMessages = map[shed.Reason]string{
 	shed.ReasonUnknownPipeline:  "There is no pipeline of this name.",
 	shed.ReasonUnknownWorkspace: "The workspace is unknown or the token is not its token.",
@@ -28,7 +28,7 @@
 	reasonTooManyInFlight:       "Too many requests are in flight here.",
 }
 
-// ends tell a person what an outcome means where the reason has no message.
+// outcomeMessages explain an outcome whose reason has no message.
 var outcomeMessages = map[shed.Outcome]string{
 	shed.OutcomeNotRun:    "The request was not run.",
 	shed.OutcomeRefused:   "The request was given up on after some stages had run.",
--- a/internal/front/metrics.go
+++ b/internal/front/metrics.go
@@ -9,8 +9,8 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// metrics are the listener's metrics. Tally builds a map for each tagged scope,
-// so the scopes are kept by route and status.
+// metrics are the listener's metrics. Tally builds a map for each tagged scope, so the scopes
+// are cached by route and status.
 type metrics struct {
 	scope    tally.Scope
 	events   tally.Counter
@@ -32,7 +32,7 @@
 	duration tally.Histogram
 }
 
-// tookBuckets reach from a millisecond to more than a minute.
+// durationBuckets range from a millisecond to more than a minute.
 var durationBuckets = tally.MustMakeExponentialDurationBuckets(time.Millisecond, 2, 17)
 
 func newMetrics(scope tally.Scope) *metrics {
@@ -68,8 +68,7 @@
 	return rc
 }
 
-// countAnswer counts an answer by its outcome and reason, which are both from
-// closed sets.
+// countAnswer counts an answer by its outcome and reason, both from closed sets.
 func (c *metrics) countAnswer(outcome, reason string) {
 	key := answerKey{outcome: outcome, reason: reason}
 	c.mu.Lock()
--- a/internal/front/service.go
+++ b/internal/front/service.go
@@ -20,14 +20,14 @@
 	metrics           *metrics
 }
 
-// Run answers with the whole result.
+// Run runs a pipeline and returns the complete result.
 func (s *service) Run(ctx context.Context, p *pipelines.RunPayload) (*pipelines.Answer, error) {
 	req := newRequest(p.Workspace, p.Token, p.Pipeline)
 	setPayload(req, p.Input, p.MaxTokens, p.BudgetMs)
 	return s.answerOrError(ctx, s.serve(ctx, req, nil))
 }
 
-// Stream answers with events.
+// Stream runs a pipeline and sends its result as events.
 func (s *service) Stream(ctx context.Context, p *pipelines.StreamPayload, stream pipelines.StreamServerStream) error {
 	req := newRequest(p.Workspace, p.Token, p.Pipeline)
 	setPayload(req, p.Input, p.MaxTokens, p.BudgetMs)
@@ -41,7 +41,7 @@
 	return &answer
 }
 
-// Issue gives out a ticket.
+// Issue issues a ticket.
 func (s *service) Issue(ctx context.Context, p *pipelines.IssuePayload) (*pipelines.Ticket, error) {
 	ticket, refusal := s.serving.Issue(ctx, *newRequest(p.Workspace, p.Token, p.Pipeline))
 	if refusal != nil {
@@ -61,7 +61,7 @@
 	return s.answerOrError(ctx, s.serve(ctx, req, nil))
 }
 
-// Result answers with what a ticketed request came to.
+// Result returns the answer to a ticketed request.
 func (s *service) Result(ctx context.Context, p *pipelines.ResultPayload) (*pipelines.Answer, error) {
 	req := newRequest(p.Workspace, p.Token, "")
 	req.ID = shed.RequestID(p.RequestID)
@@ -69,12 +69,12 @@
 	return s.answerOrError(ctx, &answer)
 }
 
-// Live tells that the process answers at all.
+// Live reports that the process is alive.
 func (s *service) Live(context.Context) (*health.Health, error) {
 	return &health.Health{Status: "live"}, nil
 }
 
-// Ready tells the balancer whether to send requests here.
+// Ready tells the balancer whether to send requests to this VM.
 func (s *service) Ready(context.Context) (*health.Health, error) {
 	if !s.serving.Ready() {
 		return nil, &health.NotReady{Status: "not_ready"}
@@ -82,8 +82,8 @@
 	return &health.Health{Status: "ready"}, nil
 }
 
-// answerOrError gives an answer that is not complete as an error, which the design maps
-// to its HTTP status.
+// answerOrError returns an answer that is not complete as an error, which the design maps to
+// its HTTP status.
 func (s *service) answerOrError(ctx context.Context, answer *shed.Answer) (*pipelines.Answer, error) {
 	out := s.recordAnswer(ctx, answer)
 	if out.Status != statusComplete {
@@ -92,7 +92,7 @@
 	return out, nil
 }
 
-// recordAnswer notes how the call ended on its span and in the counts.
+// recordAnswer records the outcome of the call on its span and in the metrics.
 func (s *service) recordAnswer(ctx context.Context, recordAnswer *shed.Answer) *pipelines.Answer {
 	out := newAnswer(ctx, recordAnswer)
 	s.metrics.countAnswer(out.Outcome, string(recordAnswer.Reason))
--- a/internal/front/tls_test.go
+++ b/internal/front/tls_test.go
@@ -10,10 +10,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A client that offers HTTP/2 gets HTTP/1.1: with the former all its calls would
-// share one connection, and hang with it.
+// A client that offers HTTP/2 gets HTTP/1.1: over HTTP/2 all its calls would share one
+// connection, and a stalled connection would stall them all.
 func TestTLSWithoutHTTP2(t *testing.T) {
-	// The test server is there for its certificate only.
+	// The test server only provides its certificate.
 	certServer := httptest.NewUnstartedServer(http.NotFoundHandler())
 	certServer.StartTLS()
 	defer certServer.Close()
--- a/internal/front/unmarshal.go
+++ b/internal/front/unmarshal.go
@@ -8,8 +8,8 @@
 	"unicode/utf8"
 )
 
-// unmarshal takes one JSON object without unknown keys: a key with a typo would
-// else be dropped without a word, and the request run without its limit.
+// unmarshal accepts one JSON object without unknown keys: a misspelled key would otherwise be
+// ignored silently, and the request run without its limit.
 func unmarshal(body []byte, v any) error {
 	if len(bytes.TrimSpace(body)) == 0 {
 		return io.EOF
--- a/internal/front/wire_test.go
+++ b/internal/front/wire_test.go
@@ -15,7 +15,7 @@
 	shed "jasmineshed"
 )
 
-// delayedServing gives a Serving that waits, or ends early with its context.
+// delayedServing returns a Serving that answers after d, or earlier when its context ends.
 func delayedServing(d time.Duration) *fakeServing {
 	s := servingWith(complete)
 	s.serve = func(ctx context.Context, _ shed.Request, _ func(shed.Update)) shed.Answer {
@@ -38,10 +38,9 @@
 	return res, string(body)
 }
 
-// The caller sends its call within the body's time limit, and the pipeline then
-// takes ten times as long. The limit is a deadline on the connection that
-// net/http also watches for the caller's going away; left in place it would
-// look like a caller that has gone, and a good request would be cancelled.
+// The caller sends its call within the body timeout, and the pipeline then takes ten times as
+// long. The timeout is a deadline on the connection that net/http also uses to detect a
+// disconnect; if left in place it would look like one and cancel a good request.
 func TestLongRequestOutlivesTheBodyTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := startServer(t, delayedServing(10*time.Second), func(cfg *Config) { cfg.Limits.BodyTimeout = time.Second })
@@ -50,7 +49,7 @@
 	})
 }
 
-// As above, but with a call that has no body which could lift the deadline.
+// As above, but without a body whose end could lift the deadline.
 func TestLongReadOutlivesTheBodyTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		serving := servingWith(complete)
@@ -64,10 +63,9 @@
 	})
 }
 
-// The caller opens a call and never sends its whole body. It gets an answer
-// after the body's time limit on every path, so that the connection is not held
-// for good: net/http waits for the rest of a body also where a handler has
-// answered without reading it.
+// The caller never sends its complete body. It gets an answer after the body timeout on every
+// path, so that the connection is not held indefinitely: net/http waits for the rest of a body
+// even if a handler has answered without reading it.
 func TestBodyThatNeverEnds(t *testing.T) {
 	cases := []struct {
 		name, line string
@@ -94,8 +92,8 @@
 	}
 }
 
-// sendRaw writes text on a new connection and gives the status that comes back, or
-// 0 if the connection is closed without one.
+// sendRaw writes text on a new connection and returns the response's status, or 0 if the
+// connection is closed without a response.
 func sendRaw(t *testing.T, r *testServer, text string) int {
 	conn, err := r.listener.dial(t.Context(), "", "")
 	require.NoError(t, err)
@@ -119,8 +117,8 @@
 	})
 }
 
-// The caller closes its connection while its request waits. Serving's context
-// ends, so that the engine behind is not kept busy for nobody.
+// The caller closes its connection while its request waits. Serving's context must end, so
+// that the engine does not work on an abandoned request.
 func TestCallerGoesAway(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		serving := delayedServing(time.Hour)
@@ -136,9 +134,9 @@
 	})
 }
 
-// The caller reads the first events of its stream and then nothing more, while
-// its connection stays open. The blocked write fails after its time limit and
-// ends the request's context; else the request would hang for good.
+// The caller stops reading its stream but keeps the connection open. The blocked write must
+// fail after its timeout and end the request's context; otherwise the request would hang
+// indefinitely.
 func TestCallerStopsReading(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		serving := servingWith(complete)
@@ -162,9 +160,8 @@
 	})
 }
 
-// Nothing comes out of the pipeline for three and a half seconds. The caller
-// gets a beat each second, by which it tells a slow answer from a dead
-// connection.
+// The pipeline produces nothing for 3.5 seconds. The caller gets a heartbeat each second,
+// which distinguishes a slow answer from a dead connection.
 func TestSilentStreamBeats(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := startServer(t, delayedServing(3500*time.Millisecond), nil)
@@ -175,8 +172,8 @@
 	})
 }
 
-// The daemon is told to stop while a request is in flight. The caller still
-// gets its whole answer, a new connection is refused, and Serve then returns.
+// The daemon is told to stop while a request is in flight. The caller still gets its complete
+// answer, a new connection is refused, and Serve then returns.
 func TestStopCutsOffNoRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := startServer(t, delayedServing(5*time.Second), nil)
@@ -190,8 +187,8 @@
 	})
 }
 
-// A request lasts longer than the drain may. It is cut off then, and its
-// context ends, so that a stop can't take for ever.
+// A request takes longer than the drain timeout. It is then aborted and its context ends, so
+// that a stop always terminates.
 func TestDrainIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := startServer(t, delayedServing(time.Hour), func(cfg *Config) { cfg.Drain = 3 * time.Second })
