--- a/internal/engine/chunk.go
+++ b/internal/engine/chunk.go
@@ -10,10 +10,10 @@
 	"jasmineshed/internal/wire"
 )
 
-var errEngine = errors.New("engine reported an error")
+var errEngineFailed = errors.New("engine reported an error")
 
-// piece is what one event of a stream tells. Its text is valid until the next.
-type piece struct {
+// streamEvent is what one event of a stream tells. Its text is valid until the next.
+type streamEvent struct {
 	text     []byte
 	finished bool
 	usage    *wire.Usage
@@ -26,30 +26,30 @@
 // event with the same bytes around a plain piece of text must be the same
 // JSON, so its text is cut out; any other goes to encoding/json again.
 type chunkParser struct {
-	before, after []byte
+	prefix, suffix []byte
 }
 
 var (
 	contentField = []byte(`"content":"`)
-	// endOfText is what follows the text in an event of one choice.
-	endOfText = []byte(`"}`)
+	// textEnd is what follows the text in an event of one choice.
+	textEnd = []byte(`"}`)
 )
 
-func (p *chunkParser) parse(data []byte) (piece, error) {
-	if text, ok := p.cut(data); ok {
-		return piece{text: text}, nil
+func (p *chunkParser) parse(data []byte) (streamEvent, error) {
+	if text, ok := p.parseFast(data); ok {
+		return streamEvent{text: text}, nil
 	}
 	var chunk wire.Chunk
 	if err := json.Unmarshal(data, &chunk); err != nil {
-		return piece{}, fmt.Errorf("%w: %w", errBadReply, err)
+		return streamEvent{}, fmt.Errorf("%w: %w", errBadReply, err)
 	}
 	if chunk.Error != nil {
-		return piece{}, errEngine
+		return streamEvent{}, errEngineFailed
 	}
 	if len(chunk.Choices) > 1 {
-		return piece{}, errBadReply
+		return streamEvent{}, errBadReply
 	}
-	out := piece{usage: chunk.Usage}
+	out := streamEvent{usage: chunk.Usage}
 	if len(chunk.Choices) == 0 {
 		return out, nil
 	}
@@ -57,39 +57,39 @@
 	out.text = []byte(choice.Delta.Content)
 	if choice.FinishReason != nil {
 		out.finished = true
-		return out, finish(*choice.FinishReason)
+		return out, checkFinishReason(*choice.FinishReason)
 	}
 	if chunk.Usage == nil {
-		p.learn(data, out.text)
+		p.learnTemplate(data, out.text)
 	}
 	return out, nil
 }
 
-// finish tells whether the engine came to a good end.
-func finish(reason string) error {
+// checkFinishReason tells whether the engine came to a good end.
+func checkFinishReason(reason string) error {
 	switch reason {
 	case "stop", "length", "tool_calls", "content_filter":
 		return nil
 	default:
-		return errEngine
+		return errEngineFailed
 	}
 }
 
-func (p *chunkParser) cut(data []byte) ([]byte, bool) {
-	if p.before == nil || len(data) <= len(p.before)+len(p.after) {
+func (p *chunkParser) parseFast(data []byte) ([]byte, bool) {
+	if p.prefix == nil || len(data) <= len(p.prefix)+len(p.suffix) {
 		return nil, false
 	}
-	text := data[len(p.before) : len(data)-len(p.after)]
-	if !bytes.HasPrefix(data, p.before) || !bytes.HasSuffix(data, p.after) || !plain(text) {
+	text := data[len(p.prefix) : len(data)-len(p.suffix)]
+	if !bytes.HasPrefix(data, p.prefix) || !bytes.HasSuffix(data, p.suffix) || !isPlainText(text) {
 		return nil, false
 	}
 	return text, true
 }
 
-// learn keeps the bytes around the text, if the text stands in them plainly.
-func (p *chunkParser) learn(data, text []byte) {
-	p.before, p.after = nil, nil
-	if len(text) == 0 || !plain(text) {
+// learnTemplate keeps the bytes around the text, if the text stands in them plainly.
+func (p *chunkParser) learnTemplate(data, text []byte) {
+	p.prefix, p.suffix = nil, nil
+	if len(text) == 0 || !isPlainText(text) {
 		return
 	}
 	at := bytes.Index(data, contentField)
@@ -98,15 +98,15 @@
 	}
 	at += len(contentField)
 	rest, ok := bytes.CutPrefix(data[at:], text)
-	if !ok || !bytes.HasPrefix(rest, endOfText) {
+	if !ok || !bytes.HasPrefix(rest, textEnd) {
 		return
 	}
-	p.before = bytes.Clone(data[:at])
-	p.after = bytes.Clone(rest)
+	p.prefix = bytes.Clone(data[:at])
+	p.suffix = bytes.Clone(rest)
 }
 
-// plain tells whether text means itself inside a JSON string.
-func plain(text []byte) bool {
+// isPlainText tells whether text means itself inside a JSON string.
+func isPlainText(text []byte) bool {
 	for _, b := range text {
 		if b < ' ' || b == '"' || b == '\\' {
 			return false
--- a/internal/engine/conn.go
+++ b/internal/engine/conn.go
@@ -16,8 +16,8 @@
 )
 
 var (
-	errTooLate = errors.New("too late to send")
-	errSealed  = errors.New("connection sealed")
+	errTooLate       = errors.New("too late to send")
+	errWritesBlocked = errors.New("connection sealed")
 )
 
 // conn knows whether a byte of the call that uses it can have left.
@@ -30,26 +30,26 @@
 type conn struct {
 	net.Conn
 
-	mu     sync.Mutex
-	until  time.Time
-	wrote  bool
-	sealed bool
+	mu      sync.Mutex
+	sendBy  time.Time
+	wrote   bool
+	blocked bool
 }
 
-// arm hands the connection to one call, which may open its writing until then.
-func (c *conn) arm(until time.Time) {
+// assign hands the connection to one call, which may open its writing until then.
+func (c *conn) assign(until time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.until = until
+	c.sendBy = until
 	c.wrote = false
 }
 
-// seal tells whether a byte can have left since arm. If none has, none will.
-func (c *conn) seal() (wrote bool) {
+// blockUnlessWritten tells whether a byte can have left since arm. If none has, none will.
+func (c *conn) blockUnlessWritten() (wrote bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.wrote {
-		c.sealed = true
+		c.blocked = true
 	}
 	return c.wrote
 }
@@ -58,30 +58,30 @@
 // go. A process that was paused after it had decided to send, while dialling
 // or in net/http, is caught here; what is left of the gap is one system call.
 func (c *conn) Write(b []byte) (int, error) {
-	if err := c.mayWrite(); err != nil {
+	if err := c.checkWrite(); err != nil {
 		return 0, err
 	}
 	return c.Conn.Write(b)
 }
 
-func (c *conn) mayWrite() error {
+func (c *conn) checkWrite() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.sealed {
-		return errSealed
+	if c.blocked {
+		return errWritesBlocked
 	}
 	if c.wrote {
 		return nil
 	}
-	if !c.until.IsZero() && time.Now().After(c.until) {
-		c.sealed = true
+	if !c.sendBy.IsZero() && time.Now().After(c.sendBy) {
+		c.blocked = true
 		return errTooLate
 	}
 	c.wrote = true
 	return nil
 }
 
-func dialer(cfg Config) func(context.Context, string, string) (net.Conn, error) {
+func newDialFunc(cfg Config) func(context.Context, string, string) (net.Conn, error) {
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
 		ctx, cancel := context.WithTimeout(ctx, cfg.ConnectTimeout)
 		defer cancel()
@@ -95,25 +95,25 @@
 	}
 }
 
-// sending follows one call through net/http.
-type sending struct {
-	until time.Time
-	// accepted is told of the boot that an early answer names.
-	accepted func(boot string)
+// sendTracker follows one call through net/http.
+type sendTracker struct {
+	sendBy time.Time
+	// onAccepted is told of the boot that an early answer names.
+	onAccepted func(boot string)
 
 	mu   sync.Mutex
 	conn *conn
-	// unknown: the call got a connection that can't tell what left.
-	unknown bool
+	// untracked: the call got a connection that can't tell what left.
+	untracked bool
 }
 
-// trace returns ctx with a hook that arms the connection that the call gets.
-func (s *sending) trace(ctx context.Context) context.Context {
+// withTrace returns ctx with a hook that arms the connection that the call gets.
+func (s *sendTracker) withTrace(ctx context.Context) context.Context {
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: s.gotConn,
 		Got1xxResponse: func(code int, h textproto.MIMEHeader) error {
-			if code == http.StatusEarlyHints && s.accepted != nil {
-				s.accepted(h.Get(wire.HeaderBoot))
+			if code == http.StatusEarlyHints && s.onAccepted != nil {
+				s.onAccepted(h.Get(wire.HeaderBoot))
 			}
 			return nil
 		},
@@ -124,38 +124,38 @@
 // here a second time only if it repeats the call by itself, which would run it
 // twice without anyone's knowledge; the second connection is sealed, so that
 // not a byte of the repetition leaves.
-func (s *sending) gotConn(info httptrace.GotConnInfo) {
-	c := unwrap(info.Conn)
+func (s *sendTracker) gotConn(info httptrace.GotConnInfo) {
+	c := trackedConn(info.Conn)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if c == nil {
-		s.unknown = true
+		s.untracked = true
 		return
 	}
 	if s.conn != nil {
-		c.arm(time.Time{})
-		c.seal()
+		c.assign(time.Time{})
+		c.blockUnlessWritten()
 		return
 	}
-	c.arm(s.until)
+	c.assign(s.sendBy)
 	s.conn = c
 }
 
-// mayHaveLeft tells whether a byte of the call can have left, and makes sure
+// mayHaveSent tells whether a byte of the call can have left, and makes sure
 // that none will if none has.
-func (s *sending) mayHaveLeft() bool {
+func (s *sendTracker) mayHaveSent() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.unknown {
+	if s.untracked {
 		return true
 	}
-	return s.conn != nil && s.conn.seal()
+	return s.conn != nil && s.conn.blockUnlessWritten()
 }
 
-func unwrap(c net.Conn) *conn {
+func trackedConn(c net.Conn) *conn {
 	if t, ok := c.(*tls.Conn); ok {
 		c = t.NetConn()
 	}
-	own, _ := c.(*conn)
-	return own
+	tracked, _ := c.(*conn)
+	return tracked
 }
--- a/internal/engine/control.go
+++ b/internal/engine/control.go
@@ -14,7 +14,7 @@
 )
 
 // maxControl bounds a load report or the answer to an order, in bytes.
-const maxControl = 64 << 10
+const maxControlReply = 64 << 10
 
 // Errors of load reports and orders.
 var (
@@ -35,7 +35,7 @@
 	if err != nil {
 		return shed.LoadReport{}, fmt.Errorf("%w: %w", ErrUnreachable, err)
 	}
-	status, data, err := e.ask(req)
+	status, data, err := e.roundTrip(req)
 	if err != nil {
 		return shed.LoadReport{}, err
 	}
@@ -72,7 +72,7 @@
 	if e.cfg.OrderToken != "" {
 		req.Header.Set("Authorization", "Bearer "+e.cfg.OrderToken)
 	}
-	status, _, err := e.ask(req)
+	status, _, err := e.roundTrip(req)
 	if err != nil {
 		return ended, err
 	}
@@ -89,31 +89,31 @@
 	return ended, nil
 }
 
-// ask makes one control exchange.
-func (e *Engine) ask(req *http.Request) (int, []byte, error) {
+// roundTrip makes one control exchange.
+func (e *Engine) roundTrip(req *http.Request) (int, []byte, error) {
 	resp, err := e.control.RoundTrip(req)
 	if err != nil {
 		return 0, nil, fmt.Errorf("%w: %w", ErrUnreachable, err)
 	}
 	defer func() { _ = resp.Body.Close() }()
-	data, err := io.ReadAll(io.LimitReader(resp.Body, maxControl+1))
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxControlReply+1))
 	if err != nil {
 		return 0, nil, fmt.Errorf("%w: %w", ErrUnreachable, err)
 	}
-	if len(data) > maxControl {
-		return 0, nil, fmt.Errorf("%w: over %d bytes", ErrBadReply, maxControl)
+	if len(data) > maxControlReply {
+		return 0, nil, fmt.Errorf("%w: over %d bytes", ErrBadReply, maxControlReply)
 	}
 	return resp.StatusCode, data, nil
 }
 
-// cancelLater tells the engine in the background that nobody wants the call's
+// cancelInBackground tells the engine in the background that nobody wants the call's
 // result any more. It is an advice: if it is lost, the engine ends by itself
 // when the budget that went with the call is spent.
-func (e *Engine) cancelLater(start shed.StartCall) {
+func (e *Engine) cancelInBackground(start shed.StartCall) {
 	if start.Stage.Kind == shed.KindService {
 		return
 	}
-	e.cancels.TryGo(func() error {
+	e.cancellations.TryGo(func() error {
 		ctx, stop := context.WithTimeout(context.Background(), e.cfg.ControlTimeout)
 		defer stop()
 		id := url.PathEscape(wire.CallID(start.Call))
@@ -121,7 +121,7 @@
 		if err != nil {
 			return nil
 		}
-		_, _, _ = e.ask(req)
+		_, _, _ = e.roundTrip(req)
 		return nil
 	})
 }
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -19,19 +19,19 @@
 )
 
 const (
-	defaultConnect = time.Second
-	defaultControl = 2 * time.Second
-	defaultOrder   = 30 * time.Second
-	// idleTime is kept below the idle timeouts usual for servers, so that a
+	defaultConnectTimeout = time.Second
+	defaultControlTimeout = 2 * time.Second
+	defaultOrderTimeout   = 30 * time.Second
+	// idleConnTimeout is kept below the idle timeouts usual for servers, so that a
 	// call seldom meets a connection that the server is just closing.
-	idleTime = 15 * time.Second
-	// maxIdle bounds the idle connections to one server.
-	maxIdle = 64
-	// maxCancels bounds the cancellations under way; more are dropped, and the
+	idleConnTimeout = 15 * time.Second
+	// maxIdleConnsPerHost bounds the idle connections to one server.
+	maxIdleConnsPerHost = 64
+	// maxCancellations bounds the cancellations under way; more are dropped, and the
 	// engine then runs into its budget.
-	maxCancels = 64
-	// maxHeader bounds a reply's header in bytes.
-	maxHeader = 16 << 10
+	maxCancellations = 64
+	// maxHeaderBytes bounds a reply's header in bytes.
+	maxHeaderBytes = 16 << 10
 )
 
 // Config configures an Engine.
@@ -55,8 +55,8 @@
 	cfg    Config
 	sender *Sender
 	// control is apart, so that a stuck call holds up no load report.
-	control *http.Transport
-	cancels errgroup.Group
+	control       *http.Transport
+	cancellations errgroup.Group
 }
 
 var _ shed.Backend = (*Engine)(nil)
@@ -64,13 +64,13 @@
 // withDefaults fills in what cfg leaves at 0.
 func (cfg Config) withDefaults() Config {
 	if cfg.ConnectTimeout == 0 {
-		cfg.ConnectTimeout = defaultConnect
+		cfg.ConnectTimeout = defaultConnectTimeout
 	}
 	if cfg.ControlTimeout == 0 {
-		cfg.ControlTimeout = defaultControl
+		cfg.ControlTimeout = defaultControlTimeout
 	}
 	if cfg.OrderTimeout == 0 {
-		cfg.OrderTimeout = defaultOrder
+		cfg.OrderTimeout = defaultOrderTimeout
 	}
 	if cfg.Dial == nil {
 		cfg.Dial = (&net.Dialer{}).DialContext
@@ -81,29 +81,29 @@
 // New returns an Engine without connections.
 func New(cfg Config) *Engine {
 	cfg = cfg.withDefaults()
-	e := &Engine{cfg: cfg, sender: NewSender(cfg), control: transport(cfg)}
-	e.cancels.SetLimit(maxCancels)
+	e := &Engine{cfg: cfg, sender: NewSender(cfg), control: newTransport(cfg)}
+	e.cancellations.SetLimit(maxCancellations)
 	return e
 }
 
-func transport(cfg Config) *http.Transport {
+func newTransport(cfg Config) *http.Transport {
 	var http1 http.Protocols
 	http1.SetHTTP1(true)
 	return &http.Transport{
-		DialContext:            dialer(cfg),
+		DialContext:            newDialFunc(cfg),
 		TLSClientConfig:        cfg.TLS,
 		TLSHandshakeTimeout:    cfg.ConnectTimeout,
 		Protocols:              &http1,
-		MaxIdleConnsPerHost:    maxIdle,
-		IdleConnTimeout:        idleTime,
-		MaxResponseHeaderBytes: maxHeader,
+		MaxIdleConnsPerHost:    maxIdleConnsPerHost,
+		IdleConnTimeout:        idleConnTimeout,
+		MaxResponseHeaderBytes: maxHeaderBytes,
 		DisableCompression:     true,
 	}
 }
 
 // Close waits for the cancellations under way and closes idle connections.
 func (e *Engine) Close() error {
-	err := e.cancels.Wait()
+	err := e.cancellations.Wait()
 	e.sender.Close()
 	e.control.CloseIdleConnections()
 	return err
@@ -119,7 +119,7 @@
 	defer cancel(nil)
 	if !start.Deadline.IsZero() {
 		var stop context.CancelFunc
-		ctx, stop = context.WithDeadlineCause(ctx, start.Deadline, errDeadline)
+		ctx, stop = context.WithDeadlineCause(ctx, start.Deadline, errDeadlinePassed)
 		defer stop()
 	}
 	c := &call{
@@ -127,47 +127,47 @@
 		start:  start,
 		in:     in,
 		sink:   sink,
-		watch:  watchSilence(start.IdleTimeout, func() { cancel(errSilent) }),
+		idle:   newIdleTimer(start.IdleTimeout, func() { cancel(errIdleTimeout) }),
 	}
-	defer c.watch.stop()
+	defer c.idle.stop()
 	end := c.run(ctx)
-	if end.End.MayHaveRun() && unwanted(end) {
-		e.cancelLater(start)
+	if end.End.MayHaveRun() && isStreamDiscarded(end) {
+		e.cancelInBackground(start)
 	}
 	return end
 }
 
-// unwanted tells whether nobody will come back for the call's stream. A broken
+// isStreamDiscarded tells whether nobody will come back for the call's stream. A broken
 // one may still be resumed, and a complete one is over.
-func unwanted(end shed.CallEnded) bool {
+func isStreamDiscarded(end shed.CallEnded) bool {
 	return end.End == shed.EndCancelled || end.End == shed.EndBadReply
 }
 
 var (
-	errSilent   = errors.New("no progress in time")
-	errDeadline = errors.New("deadline passed")
+	errIdleTimeout    = errors.New("no progress in time")
+	errDeadlinePassed = errors.New("deadline passed")
 )
 
-// silence fires unless it is fed in time.
-type silence struct {
+// idleTimer fires unless it is fed in time.
+type idleTimer struct {
 	timer *time.Timer
 	limit time.Duration
 }
 
-func watchSilence(limit time.Duration, fire func()) *silence {
+func newIdleTimer(limit time.Duration, onTimeout func()) *idleTimer {
 	if limit <= 0 {
-		return &silence{}
+		return &idleTimer{}
 	}
-	return &silence{timer: time.AfterFunc(limit, fire), limit: limit}
+	return &idleTimer{timer: time.AfterFunc(limit, onTimeout), limit: limit}
 }
 
-func (s *silence) feed() {
+func (s *idleTimer) reset() {
 	if s.timer != nil {
 		s.timer.Reset(s.limit)
 	}
 }
 
-func (s *silence) stop() {
+func (s *idleTimer) stop() {
 	if s.timer != nil {
 		s.timer.Stop()
 	}
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -13,8 +13,8 @@
 	"jasmineshed/internal/stand"
 )
 
-// listen serves a stand-in on loopback until the test ends.
-func listen(t testing.TB, h http.Handler) string {
+// serve serves a stand-in on loopback until the test ends.
+func serve(t testing.TB, h http.Handler) string {
 	t.Helper()
 	s, err := stand.Listen("127.0.0.1:0", h)
 	require.NoError(t, err)
@@ -22,7 +22,7 @@
 	return s.URL()
 }
 
-func startOf(url string, kind shed.StageKind) shed.StartCall {
+func newStartCall(url string, kind shed.StageKind) shed.StartCall {
 	return shed.StartCall{
 		Call:        shed.Call{Request: "q1", Attempt: 1},
 		Server:      "s1",
@@ -33,15 +33,15 @@
 	}
 }
 
-// collect gathers the frames of a call.
-type collect struct{ frames []shed.Frame }
+// frameCollector gathers the frames of a call.
+type frameCollector struct{ frames []shed.Frame }
 
-func (c *collect) take(f shed.Frame) error {
+func (c *frameCollector) add(f shed.Frame) error {
 	c.frames = append(c.frames, f)
 	return nil
 }
 
-func (c *collect) text() string {
+func (c *frameCollector) text() string {
 	text := ""
 	for _, f := range c.frames {
 		text += f.Text
@@ -65,16 +65,16 @@
 	}
 	e := engine.New(engine.Config{})
 	defer func() { require.NoError(t, e.Close()) }()
-	eng := listen(t, stand.NewEngine(stand.EngineConfig{ID: "s1"}))
-	svc := listen(t, stand.NewService(stand.ServiceConfig{}))
+	eng := serve(t, stand.NewEngine(stand.EngineConfig{ID: "s1"}))
+	svc := serve(t, stand.NewService(stand.ServiceConfig{}))
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			url := eng
 			if c.kind == shed.KindService {
 				url = svc
 			}
-			var got collect
-			end := e.Call(context.Background(), startOf(url, c.kind), in, got.take)
+			var got frameCollector
+			end := e.Call(context.Background(), newStartCall(url, c.kind), in, got.add)
 			require.Equal(t, shed.EndComplete, end.End, end.Reason)
 			want := in
 			c.want(&want)
--- a/internal/engine/fault_test.go
+++ b/internal/engine/fault_test.go
@@ -23,34 +23,34 @@
 	"jasmineshed/internal/wire"
 )
 
-// bench is an Engine before one server on a network in memory.
-type bench struct {
+// fixture is an Engine before one server on a network in memory.
+type fixture struct {
 	net    *stand.Net
 	engine *engine.Engine
 	server *stand.Server
 }
 
-const benchURL = "http://server:1"
+const serverURL = "http://server:1"
 
-func newBench(t *testing.T, h http.Handler) *bench {
+func newFixture(t *testing.T, h http.Handler) *fixture {
 	t.Helper()
 	n := stand.NewNet()
 	l, err := n.Listen("server:1")
 	require.NoError(t, err)
-	return &bench{
+	return &fixture{
 		net:    n,
 		engine: engine.New(engine.Config{Dial: n.Dial}),
 		server: stand.ServeOn(l, h),
 	}
 }
 
-func (b *bench) close(t *testing.T) {
+func (b *fixture) close(t *testing.T) {
 	t.Helper()
 	require.NoError(t, b.engine.Close())
 	require.NoError(t, b.server.Close())
 }
 
-func ignore(shed.Frame) error { return nil }
+func ignoreFrame(shed.Frame) error { return nil }
 
 // The caller sees the stage tried elsewhere. A server's connection goes silent
 // after some tokens: writing to it would still succeed, and no end ever shows.
@@ -58,8 +58,8 @@
 func TestSilentConnectionIsBrokenAndNotReused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		eng := stand.NewEngine(stand.EngineConfig{ID: "s1", TokenTime: 50 * time.Millisecond})
-		b := newBench(t, eng)
-		start := startOf(benchURL, shed.KindGenerate)
+		b := newFixture(t, eng)
+		start := newStartCall(serverURL, shed.KindGenerate)
 		start.IdleTimeout = 2 * time.Second
 		began := time.Now()
 		end := b.engine.Call(t.Context(), start, shed.Payload{Input: "x", MaxTokens: 40}, func(f shed.Frame) error {
@@ -75,8 +75,8 @@
 
 		start.Call.Attempt = 2
 		start.Resumes, start.ResumeFrom = shed.Call{Request: "q1", Attempt: 1}, end.Tokens
-		var got collect
-		end = b.engine.Call(t.Context(), start, shed.Payload{Input: "x", MaxTokens: 40}, got.take)
+		var got frameCollector
+		end = b.engine.Call(t.Context(), start, shed.Payload{Input: "x", MaxTokens: 40}, got.add)
 		require.Equal(t, shed.EndComplete, end.End, end.Reason)
 		whole := stand.WholeText("x", 40)
 		require.Equal(t, strings.TrimPrefix(whole, stand.WholeText("x", 10)), got.text())
@@ -91,14 +91,14 @@
 func TestTooLateToSend(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		eng := stand.NewEngine(stand.EngineConfig{ID: "s1"})
-		b := newBench(t, eng)
+		b := newFixture(t, eng)
 		late := engine.New(engine.Config{Dial: func(ctx context.Context, network, addr string) (net.Conn, error) {
 			time.Sleep(500 * time.Millisecond)
 			return b.net.Dial(ctx, network, addr)
 		}})
-		start := startOf(benchURL, shed.KindGenerate)
+		start := newStartCall(serverURL, shed.KindGenerate)
 		start.SendBy = time.Now().Add(300 * time.Millisecond)
-		end := late.Call(t.Context(), start, shed.Payload{Input: "x"}, ignore)
+		end := late.Call(t.Context(), start, shed.Payload{Input: "x"}, ignoreFrame)
 		require.Equal(t, shed.EndNotStarted, end.End)
 		require.Equal(t, shed.ReasonWoke, end.Reason)
 		require.Empty(t, eng.Runs())
@@ -113,11 +113,11 @@
 // happen: the service must have seen the call once.
 func TestPlainServiceIsNeverCalledTwice(t *testing.T) {
 	svc := stand.NewService(stand.ServiceConfig{})
-	url := listen(t, svc)
+	url := serve(t, svc)
 	e := engine.New(engine.Config{})
 	defer func() { require.NoError(t, e.Close()) }()
 	for attempt := range uint16(20) {
-		start := startOf(url, shed.KindService)
+		start := newStartCall(url, shed.KindService)
 		start.Call.Attempt = attempt + 1
 		start.Call.Request = shed.RequestID(rune('a' + attempt))
 		fault, want := stand.ServiceWell, shed.EndComplete
@@ -125,7 +125,7 @@
 			fault, want = stand.ServiceCuts, shed.EndBroken
 		}
 		svc.Fail(fault)
-		end := e.Call(t.Context(), start, shed.Payload{Input: "errata"}, ignore)
+		end := e.Call(t.Context(), start, shed.Payload{Input: "errata"}, ignoreFrame)
 		require.Equal(t, want, end.End)
 	}
 	require.Len(t, svc.Runs(), 20)
@@ -143,10 +143,10 @@
 	var group errgroup.Group
 	group.Go(func() error { return serveOnceThenClose(l, &seen) })
 	e := engine.New(engine.Config{})
-	start := startOf("http://"+l.Addr().String(), shed.KindEncode)
-	end := e.Call(t.Context(), start, shed.Payload{Input: "x"}, ignore)
+	start := newStartCall("http://"+l.Addr().String(), shed.KindEncode)
+	end := e.Call(t.Context(), start, shed.Payload{Input: "x"}, ignoreFrame)
 	require.Equal(t, shed.EndComplete, end.End, end.Reason)
-	end = e.Call(t.Context(), start, shed.Payload{Input: "x"}, ignore)
+	end = e.Call(t.Context(), start, shed.Payload{Input: "x"}, ignoreFrame)
 	require.Equal(t, shed.EndBroken, end.End)
 	require.NoError(t, l.Close())
 	require.ErrorIs(t, group.Wait(), net.ErrClosed)
@@ -200,7 +200,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			url := listen(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+			url := serve(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 				w.Header().Set("Retry-After", "7")
 				w.Header().Set("Location", "/v1/call")
 				if c.notRun {
@@ -210,9 +210,9 @@
 			}))
 			e := engine.New(engine.Config{})
 			defer func() { require.NoError(t, e.Close()) }()
-			start := startOf(url, shed.KindEncode)
+			start := newStartCall(url, shed.KindEncode)
 			start.Stage.Idempotent = c.idempotent
-			end := e.Call(t.Context(), start, shed.Payload{Input: "x"}, ignore)
+			end := e.Call(t.Context(), start, shed.Payload{Input: "x"}, ignoreFrame)
 			require.Equal(t, c.want, end.End)
 			require.Equal(t, c.after, end.RetryAfter)
 		})
@@ -224,15 +224,15 @@
 func TestCancelStopsTheEngine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		eng := stand.NewEngine(stand.EngineConfig{ID: "s1", TokenTime: 50 * time.Millisecond})
-		var told atomic.Int32
-		b := newBench(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		var cancels atomic.Int32
+		b := newFixture(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			if r.Method == http.MethodDelete && r.URL.Path == wire.PathStreams+"q1/0/1" {
-				told.Add(1)
+				cancels.Add(1)
 			}
 			eng.ServeHTTP(w, r)
 		}))
 		ctx, cancel := context.WithCancel(t.Context())
-		end := b.engine.Call(ctx, startOf(benchURL, shed.KindGenerate), shed.Payload{Input: "x"}, func(f shed.Frame) error {
+		end := b.engine.Call(ctx, newStartCall(serverURL, shed.KindGenerate), shed.Payload{Input: "x"}, func(f shed.Frame) error {
 			if f.Sequence == 4 {
 				cancel()
 			}
@@ -243,7 +243,7 @@
 		require.NoError(t, b.engine.Close())
 		synctest.Wait()
 		require.Zero(t, eng.Running())
-		require.EqualValues(t, 1, told.Load())
+		require.EqualValues(t, 1, cancels.Load())
 		b.close(t)
 	})
 }
@@ -251,15 +251,15 @@
 // A daemon that can't connect says not_run, and it is true.
 func TestNobodyListens(t *testing.T) {
 	e := engine.New(engine.Config{Dial: stand.NewNet().Dial})
-	end := e.Call(t.Context(), startOf(benchURL, shed.KindService), shed.Payload{}, ignore)
+	end := e.Call(t.Context(), newStartCall(serverURL, shed.KindService), shed.Payload{}, ignoreFrame)
 	require.Equal(t, shed.EndNotStarted, end.End)
 	require.NoError(t, e.Close())
 }
 
 func TestSinkErrorBreaksTheCall(t *testing.T) {
-	url := listen(t, stand.NewEngine(stand.EngineConfig{ID: "s1"}))
+	url := serve(t, stand.NewEngine(stand.EngineConfig{ID: "s1"}))
 	e := engine.New(engine.Config{})
-	end := e.Call(t.Context(), startOf(url, shed.KindGenerate), shed.Payload{Input: "x"}, func(shed.Frame) error {
+	end := e.Call(t.Context(), newStartCall(url, shed.KindGenerate), shed.Payload{Input: "x"}, func(shed.Frame) error {
 		return errors.New("no room")
 	})
 	require.Equal(t, shed.EndBroken, end.End)
@@ -270,7 +270,7 @@
 	eng := stand.NewEngine(stand.EngineConfig{
 		ID: "s1", ChecksFence: true, OrderToken: "sesame", WarmAfter: 3, Model: "m@1",
 	})
-	url := listen(t, eng)
+	url := serve(t, eng)
 	e := engine.New(engine.Config{OrderToken: "sesame"})
 	defer func() { require.NoError(t, e.Close()) }()
 	order := shed.SendOrder{Server: "s1", URL: url, Fence: 5, Model: "m", Version: "2", Role: "decode"}
@@ -296,11 +296,11 @@
 func TestDeadlinePasses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		eng := stand.NewEngine(stand.EngineConfig{ID: "s1", TokenTime: 50 * time.Millisecond})
-		b := newBench(t, eng)
-		start := startOf(benchURL, shed.KindGenerate)
+		b := newFixture(t, eng)
+		start := newStartCall(serverURL, shed.KindGenerate)
 		began := time.Now()
 		start.Deadline = began.Add(time.Second)
-		end := b.engine.Call(t.Context(), start, shed.Payload{Input: "x"}, ignore)
+		end := b.engine.Call(t.Context(), start, shed.Payload{Input: "x"}, ignoreFrame)
 		require.Equal(t, shed.EndCancelled, end.End)
 		require.Equal(t, shed.ReasonDeadline, end.Reason)
 		require.Equal(t, time.Second, time.Since(began))
@@ -324,14 +324,14 @@
 	defer s.Close()
 	e := engine.New(engine.Config{TLS: s.Client().Transport.(*http.Transport).TLSClientConfig})
 	defer func() { require.NoError(t, e.Close()) }()
-	start := startOf(s.URL, shed.KindEncode)
-	end := e.Call(t.Context(), start, shed.Payload{Input: "x"}, ignore)
+	start := newStartCall(s.URL, shed.KindEncode)
+	end := e.Call(t.Context(), start, shed.Payload{Input: "x"}, ignoreFrame)
 	require.Equal(t, shed.EndComplete, end.End, end.Reason)
 	start.SendBy = time.Now().Add(-time.Second)
-	end = e.Call(t.Context(), start, shed.Payload{Input: "x"}, ignore)
+	end = e.Call(t.Context(), start, shed.Payload{Input: "x"}, ignoreFrame)
 	require.Equal(t, shed.EndNotStarted, end.End)
 	start.SendBy = time.Time{}
 	cut.Store(true)
-	end = e.Call(t.Context(), start, shed.Payload{Input: "x"}, ignore)
+	end = e.Call(t.Context(), start, shed.Payload{Input: "x"}, ignoreFrame)
 	require.Equal(t, shed.EndBroken, end.End)
 }
--- a/internal/engine/fuzz_test.go
+++ b/internal/engine/fuzz_test.go
@@ -14,16 +14,16 @@
 	"jasmineshed/internal/wire"
 )
 
-func callOf(kind shed.StageKind, sink func(shed.Frame) error) *call {
+func newTestCall(kind shed.StageKind, sink func(shed.Frame) error) *call {
 	return &call{
 		start: shed.StartCall{Call: shed.Call{Request: "q"}, Stage: shed.Stage{Kind: kind}},
 		sink:  sink,
-		watch: &silence{},
+		idle:  &idleTimer{},
 	}
 }
 
-// slowText reads a stream as plainly as can be, for comparison.
-func slowText(data []byte) string {
+// referenceText reads a stream as plainly as can be, for comparison.
+func referenceText(data []byte) string {
 	text := ""
 	for _, line := range strings.SplitAfter(string(data), "\n") {
 		line = strings.TrimRight(line, "\r\n")
@@ -71,16 +71,16 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		text := ""
 		var result *shed.Payload
-		c := callOf(shed.KindGenerate, func(fr shed.Frame) error {
+		c := newTestCall(shed.KindGenerate, func(fr shed.Frame) error {
 			text += fr.Text
 			result = fr.Result
 			return nil
 		})
-		end := c.answer(context.Background(), bytes.NewReader(data))
+		end := c.readReply(context.Background(), bytes.NewReader(data))
 		if end.End != shed.EndComplete {
 			return
 		}
-		require.Equal(t, slowText(data), text)
+		require.Equal(t, referenceText(data), text)
 		require.Equal(t, text, result.Text)
 	})
 }
@@ -96,13 +96,13 @@
 	f.Add(uint8(shed.KindService), []byte(`{"receipt":`))
 	f.Fuzz(func(t *testing.T, kind uint8, data []byte) {
 		last := 0
-		c := callOf(shed.StageKind(kind), func(fr shed.Frame) error {
+		c := newTestCall(shed.StageKind(kind), func(fr shed.Frame) error {
 			require.True(t, fr.Last)
 			last++
 			return nil
 		})
 		c.in.Passages = []shed.Passage{{ID: "a"}, {ID: "b"}}
-		end := c.answer(context.Background(), bytes.NewReader(data))
+		end := c.readReply(context.Background(), bytes.NewReader(data))
 		require.Equal(t, end.End == shed.EndComplete, last == 1)
 		if end.End == shed.EndComplete && shed.StageKind(kind) == shed.KindRerank {
 			require.Len(t, c.in.Passages, 2)
@@ -127,8 +127,8 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			stream := strings.Replace(goodStream, c.from, c.to, 1)
-			end := callOf(shed.KindGenerate, func(shed.Frame) error { return nil }).
-				answer(context.Background(), strings.NewReader(stream))
+			end := newTestCall(shed.KindGenerate, func(shed.Frame) error { return nil }).
+				readReply(context.Background(), strings.NewReader(stream))
 			require.Equal(t, c.want, end.End)
 		})
 	}
@@ -145,8 +145,8 @@
 	data.WriteString(`data: {"choices":[{"delta":{},"finish_reason":"stop"}],"usage":{"completion_tokens":1000}}` + "\n\ndata: [DONE]\n\n")
 	b.ReportAllocs()
 	for b.Loop() {
-		end := callOf(shed.KindGenerate, func(shed.Frame) error { return nil }).
-			answer(context.Background(), bytes.NewReader(data.Bytes()))
+		end := newTestCall(shed.KindGenerate, func(shed.Frame) error { return nil }).
+			readReply(context.Background(), bytes.NewReader(data.Bytes()))
 		if end.End != shed.EndComplete {
 			b.Fatal(end)
 		}
@@ -176,9 +176,9 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			ca := callOf(c.kind, func(shed.Frame) error { return nil })
+			ca := newTestCall(c.kind, func(shed.Frame) error { return nil })
 			ca.in.Passages = []shed.Passage{{ID: "a"}, {ID: "b"}}
-			end := ca.answer(context.Background(), strings.NewReader(c.reply))
+			end := ca.readReply(context.Background(), strings.NewReader(c.reply))
 			require.Equal(t, c.want, end.End)
 		})
 	}
--- a/internal/engine/reply.go
+++ b/internal/engine/reply.go
@@ -15,29 +15,29 @@
 const (
 	// maxReply bounds a reply that isn't streamed, in bytes.
 	maxReply = 4 << 20
-	// maxVector bounds an embedding.
-	maxVector = 16 << 10
+	// maxVectorLength bounds an embedding.
+	maxVectorLength = 16 << 10
 	// maxPassages bounds what a retriever gives.
 	maxPassages = 1000
 	// maxReceipt bounds a service's receipt in bytes.
 	maxReceipt = 64 << 10
-	// passages is how many a retriever is asked for.
-	passages = 8
+	// retrieveLimit is how many a retriever is asked for.
+	retrieveLimit = 8
 )
 
 var errBadReply = errors.New("reply makes no sense")
 
-// question is where the call goes and what it asks.
-func (c *call) question() (path string, ask any) {
+// request is where the call goes and what it asks.
+func (c *call) request() (path string, payload any) {
 	switch c.start.Stage.Kind {
 	case shed.KindEncode:
 		return wire.PathEmbeddings, wire.Embed{Model: string(c.start.Model), Input: c.in.Input}
 	case shed.KindRetrieve:
-		return wire.PathRetrieve, wire.Retrieve{Query: c.in.Input, Vector: c.in.Vector, Limit: passages}
+		return wire.PathRetrieve, wire.Retrieve{Query: c.in.Input, Vector: c.in.Vector, Limit: retrieveLimit}
 	case shed.KindRerank:
-		return wire.PathRerank, c.rerank()
+		return wire.PathRerank, c.rerankRequest()
 	case shed.KindGenerate:
-		return wire.PathChat, c.chat()
+		return wire.PathChat, c.chatRequest()
 	default:
 		return wire.PathCall, wire.ServiceCall{
 			Request: c.start.Call.Request,
@@ -47,52 +47,52 @@
 	}
 }
 
-func (c *call) rerank() wire.Rerank {
-	ask := wire.Rerank{
+func (c *call) rerankRequest() wire.Rerank {
+	req := wire.Rerank{
 		Model:     string(c.start.Model),
 		Query:     c.in.Input,
 		Documents: make([]string, len(c.in.Passages)),
 	}
 	for i, p := range c.in.Passages {
-		ask.Documents[i] = p.Text
+		req.Documents[i] = p.Text
 	}
-	return ask
+	return req
 }
 
-// chat puts the passages first, so that prompts about the same passages share
+// chatRequest puts the passages first, so that prompts about the same passages share
 // a prefix, then the text of an earlier stage, and the caller's input last.
-func (c *call) chat() wire.Chat {
-	ask := wire.Chat{
+func (c *call) chatRequest() wire.Chat {
+	req := wire.Chat{
 		Model:         string(c.start.Model),
 		MaxTokens:     c.in.MaxTokens,
 		Stream:        true,
 		StreamOptions: wire.StreamOptions{IncludeUsage: true},
 	}
 	for _, p := range c.in.Passages {
-		ask.Messages = append(ask.Messages, wire.Message{Role: wire.RoleSystem, Content: p.Text})
+		req.Messages = append(req.Messages, wire.Message{Role: wire.RoleSystem, Content: p.Text})
 	}
 	if c.in.Text != "" {
-		ask.Messages = append(ask.Messages, wire.Message{Role: wire.RoleAssistant, Content: c.in.Text})
+		req.Messages = append(req.Messages, wire.Message{Role: wire.RoleAssistant, Content: c.in.Text})
 	}
-	ask.Messages = append(ask.Messages, wire.Message{Role: wire.RoleUser, Content: c.in.Input})
-	return ask
+	req.Messages = append(req.Messages, wire.Message{Role: wire.RoleUser, Content: c.in.Input})
+	return req
 }
 
-// answer reads a reply of status 200.
-func (c *call) answer(ctx context.Context, reply io.Reader) shed.CallEnded {
+// readReply reads a reply of status 200.
+func (c *call) readReply(ctx context.Context, reply io.Reader) shed.CallEnded {
 	if c.start.Stage.Kind == shed.KindGenerate {
 		return c.stream(ctx, reply)
 	}
 	data, err := io.ReadAll(io.LimitReader(reply, maxReply+1))
 	if err != nil {
-		return c.failed(ctx, err, true)
+		return c.endFailed(ctx, err, true)
 	}
 	result, err := c.result(data)
 	if err != nil {
-		return c.end(shed.EndBadReply, shed.ReasonBadReply)
+		return c.newEnd(shed.EndBadReply, shed.ReasonBadReply)
 	}
 	c.tokens = 1
-	return c.complete(result, reply)
+	return c.endComplete(result, reply)
 }
 
 // result is the payload after the stage, or errBadReply.
@@ -124,7 +124,7 @@
 		return nil, fmt.Errorf("%w: %d embeddings for one input", errBadReply, len(reply.Data))
 	}
 	v := reply.Data[0].Embedding
-	if len(v) == 0 || len(v) > maxVector {
+	if len(v) == 0 || len(v) > maxVectorLength {
 		return nil, fmt.Errorf("%w: embedding of %d numbers", errBadReply, len(v))
 	}
 	return v, nil
--- a/internal/engine/send.go
+++ b/internal/engine/send.go
@@ -22,8 +22,8 @@
 	maxRetryAfter = time.Minute
 	// maxErrorBody bounds what is read of an error's body in bytes.
 	maxErrorBody = 4 << 10
-	// drainTime bounds the wait for the end of a reply whose content is whole.
-	drainTime = 50 * time.Millisecond
+	// drainTimeout bounds the wait for the end of a reply whose content is whole.
+	drainTimeout = 50 * time.Millisecond
 )
 
 // call is one call on its way.
@@ -32,48 +32,48 @@
 	start  shed.StartCall
 	in     shed.Payload
 	sink   func(shed.Frame) error
-	watch  *silence
-	// taken: the server's acceptance has been told.
-	taken bool
+	idle   *idleTimer
+	// acceptReported: the server's acceptance has been told.
+	acceptReported bool
 	// sequence is the next frame's.
 	sequence uint32
 	tokens   shed.Tokens
 }
 
-// body is a request's body that net/http can't rewind, and so can't send twice.
-type body struct{ r *strings.Reader }
+// singleUseBody is a request's body that net/http can't rewind, and so can't send twice.
+type singleUseBody struct{ r *strings.Reader }
 
-func (b body) Read(p []byte) (int, error) { return b.r.Read(p) }
+func (b singleUseBody) Read(p []byte) (int, error) { return b.r.Read(p) }
 
-func (body) Close() error { return nil }
+func (singleUseBody) Close() error { return nil }
 
 func (c *call) run(ctx context.Context) shed.CallEnded {
-	path, ask := c.question()
-	req, err := newPost(ctx, c.start.URL+path, ask)
+	path, payload := c.request()
+	req, err := newPost(ctx, c.start.URL+path, payload)
 	if err != nil {
-		return c.end(shed.EndNotStarted, shed.ReasonBroken)
+		return c.newEnd(shed.EndNotStarted, shed.ReasonBroken)
 	}
-	c.header(ctx, req.Header)
-	send := &sending{until: c.start.SendBy, accepted: c.accepted}
-	resp, sent, err := c.engine.sender.do(req, !c.start.Stage.Idempotent, send)
+	c.setHeaders(ctx, req.Header)
+	tracker := &sendTracker{sendBy: c.start.SendBy, onAccepted: c.reportAccepted}
+	resp, sent, err := c.engine.sender.do(req, !c.start.Stage.Idempotent, tracker)
 	if err != nil {
-		return c.failed(ctx, err, sent)
+		return c.endFailed(ctx, err, sent)
 	}
 	defer func() { _ = resp.Body.Close() }()
-	c.watch.feed()
+	c.idle.reset()
 	if resp.StatusCode != http.StatusOK {
-		return c.refused(resp)
+		return c.endRefused(resp)
 	}
-	c.accepted(resp.Header.Get(wire.HeaderBoot))
-	return c.answer(ctx, resp.Body)
+	c.reportAccepted(resp.Header.Get(wire.HeaderBoot))
+	return c.readReply(ctx, resp.Body)
 }
 
-func newPost(ctx context.Context, url string, ask any) (*http.Request, error) {
-	data, err := json.Marshal(ask)
+func newPost(ctx context.Context, url string, payload any) (*http.Request, error) {
+	data, err := json.Marshal(payload)
 	if err != nil {
 		return nil, fmt.Errorf("encode: %w", err)
 	}
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, body{strings.NewReader(string(data))})
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, singleUseBody{strings.NewReader(string(data))})
 	if err != nil {
 		return nil, fmt.Errorf("address: %w", err)
 	}
@@ -82,34 +82,34 @@
 	return req, nil
 }
 
-func (c *call) header(ctx context.Context, h http.Header) {
+func (c *call) setHeaders(ctx context.Context, h http.Header) {
 	h.Set(wire.HeaderCall, wire.CallID(c.start.Call))
 	h.Set(wire.HeaderPriority, strconv.Itoa(c.start.Priority))
 	if c.start.ResumeFrom > 0 {
 		h.Set(wire.HeaderResume, wire.Resume(c.start.Resumes, c.start.ResumeFrom))
 	}
 	if !c.start.Deadline.IsZero() {
-		left := max(time.Until(c.start.Deadline), 0)
-		h.Set(wire.HeaderBudget, strconv.FormatInt(left.Milliseconds(), 10))
+		budget := max(time.Until(c.start.Deadline), 0)
+		h.Set(wire.HeaderBudget, strconv.FormatInt(budget.Milliseconds(), 10))
 	}
 	propagation.TraceContext{}.Inject(ctx, propagation.HeaderCarrier(h))
 }
 
-// failed ends a call whose exchange broke off.
-func (c *call) failed(ctx context.Context, err error, mayHaveLeft bool) shed.CallEnded {
+// endFailed ends a call whose exchange broke off.
+func (c *call) endFailed(ctx context.Context, err error, mayHaveLeft bool) shed.CallEnded {
 	reason := shed.ReasonBroken
 	end := shed.EndBroken
 	cause := context.Cause(ctx)
-	if cause == nil && c.pastDeadline() {
+	if cause == nil && c.deadlinePassed() {
 		// The server knows the deadline, too, and may be first to act on it.
-		cause = errDeadline
+		cause = errDeadlinePassed
 	}
 	switch {
 	case errors.Is(err, errTooLate):
 		reason = shed.ReasonWoke
-	case errors.Is(cause, errSilent):
+	case errors.Is(cause, errIdleTimeout):
 		reason = shed.ReasonSilent
-	case errors.Is(cause, errDeadline):
+	case errors.Is(cause, errDeadlinePassed):
 		end, reason = shed.EndCancelled, shed.ReasonDeadline
 	case cause != nil:
 		end, reason = shed.EndCancelled, shed.ReasonCallerGone
@@ -117,34 +117,34 @@
 	if !mayHaveLeft {
 		end = shed.EndNotStarted
 	}
-	return c.end(end, reason)
+	return c.newEnd(end, reason)
 }
 
-func (c *call) pastDeadline() bool {
+func (c *call) deadlinePassed() bool {
 	return !c.start.Deadline.IsZero() && !time.Now().Before(c.start.Deadline)
 }
 
-// refused ends a call that the server answered with another status than 200.
+// endRefused ends a call that the server answered with another status than 200.
 //
 // "Not run" is what the server says outright. A bare 503 may come from
 // something between the two ends that gave up waiting for a run: a stage that
 // may run only once is then taken to have run.
-func (c *call) refused(resp *http.Response) shed.CallEnded {
+func (c *call) endRefused(resp *http.Response) shed.CallEnded {
 	_, _ = io.CopyN(io.Discard, resp.Body, maxErrorBody)
 	notRun := resp.Header.Get(wire.HeaderNotRun) == wire.NotRunTrue
 	busy := resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusTooManyRequests
 	if busy && (notRun || c.start.Stage.Idempotent) {
-		end := c.end(shed.EndOverloaded, shed.ReasonOverloaded)
+		end := c.newEnd(shed.EndOverloaded, shed.ReasonOverloaded)
 		end.RetryAfter = retryAfter(resp.Header.Get("Retry-After"))
 		return end
 	}
 	if notRun {
-		return c.end(shed.EndNotStarted, shed.ReasonServerError)
+		return c.newEnd(shed.EndNotStarted, shed.ReasonServerError)
 	}
 	if resp.StatusCode < http.StatusBadRequest {
-		return c.end(shed.EndBadReply, shed.ReasonBadReply)
+		return c.newEnd(shed.EndBadReply, shed.ReasonBadReply)
 	}
-	return c.end(shed.EndError, shed.ReasonServerError)
+	return c.newEnd(shed.EndError, shed.ReasonServerError)
 }
 
 func retryAfter(s string) time.Duration {
@@ -157,24 +157,24 @@
 	return 0
 }
 
-func (c *call) end(end shed.CallEnd, reason shed.Reason) shed.CallEnded {
+func (c *call) newEnd(newEnd shed.CallEnd, reason shed.Reason) shed.CallEnded {
 	return shed.CallEnded{
 		Call:   c.start.Call,
-		End:    end,
+		End:    newEnd,
 		Reason: reason,
 		Tokens: c.tokens,
 		Server: c.start.Server,
 	}
 }
 
-// accepted tells, once, that the server has taken the call in: by an early
+// reportAccepted tells, once, that the server has taken the call in: by an early
 // answer (103) if it gives one, or with the head of its answer. It comes before
 // all frames, and nothing runs beside it: the caller of RoundTrip waits.
-func (c *call) accepted(boot string) {
-	if c.taken {
+func (c *call) reportAccepted(boot string) {
+	if c.acceptReported {
 		return
 	}
-	c.taken = true
+	c.acceptReported = true
 	// A sink that fails here fails with the next frame, too.
 	_ = c.sink(shed.Frame{Call: c.start.Call, Server: c.start.Server, Accepted: true, Boot: boot})
 }
@@ -188,20 +188,20 @@
 	return c.sink(f)
 }
 
-// complete hands on the last frame and ends the call.
-func (c *call) complete(result shed.Payload, rest io.Reader) shed.CallEnded {
+// endComplete hands on the last frame and ends the call.
+func (c *call) endComplete(result shed.Payload, rest io.Reader) shed.CallEnded {
 	if err := c.emit(shed.Frame{Last: true, Result: &result}); err != nil {
-		return c.end(shed.EndBroken, shed.ReasonBroken)
+		return c.newEnd(shed.EndBroken, shed.ReasonBroken)
 	}
 	c.drain(rest)
-	return c.end(shed.EndComplete, shed.ReasonNone)
+	return c.newEnd(shed.EndComplete, shed.ReasonNone)
 }
 
 // drain reads the end of the reply, without which net/http can't use the
 // connection again. A server that holds the end back loses the connection.
 func (c *call) drain(rest io.Reader) {
-	if c.watch.timer != nil {
-		c.watch.timer.Reset(drainTime)
+	if c.idle.timer != nil {
+		c.idle.timer.Reset(drainTimeout)
 	}
 	_, _ = io.CopyN(io.Discard, rest, maxErrorBody)
 }
--- a/internal/engine/sender.go
+++ b/internal/engine/sender.go
@@ -8,18 +8,18 @@
 // Sender makes single HTTP exchanges with backend servers. It never sends a
 // request twice, and it says truthfully whether a byte of it may have left.
 type Sender struct {
-	// reuse keeps connections; fresh opens one for each request, for what may
+	// pooled keeps connections; fresh opens one for each request, for what may
 	// run only once.
-	reuse *http.Transport
-	fresh *http.Transport
+	pooled   *http.Transport
+	unpooled *http.Transport
 }
 
 // NewSender returns a Sender without connections. It uses the fields Dial,
 // ConnectTimeout and TLS of cfg.
 func NewSender(cfg Config) *Sender {
 	cfg = cfg.withDefaults()
-	s := &Sender{reuse: transport(cfg), fresh: transport(cfg)}
-	s.fresh.DisableKeepAlives = true
+	s := &Sender{pooled: newTransport(cfg), unpooled: newTransport(cfg)}
+	s.unpooled.DisableKeepAlives = true
 	return s
 }
 
@@ -28,23 +28,23 @@
 // reused one, the server may close it at the moment of sending, and nobody can
 // tell whether the request ran. If sent is false, not a byte has left, nor will.
 func (s *Sender) Do(req *http.Request, once bool, until time.Time) (resp *http.Response, sent bool, err error) {
-	return s.do(req, once, &sending{until: until})
+	return s.do(req, once, &sendTracker{sendBy: until})
 }
 
-func (s *Sender) do(req *http.Request, once bool, send *sending) (*http.Response, bool, error) {
-	t := s.reuse
+func (s *Sender) do(req *http.Request, once bool, tracker *sendTracker) (*http.Response, bool, error) {
+	t := s.pooled
 	if once {
-		t = s.fresh
+		t = s.unpooled
 	}
-	resp, err := t.RoundTrip(req.WithContext(send.trace(req.Context())))
+	resp, err := t.RoundTrip(req.WithContext(tracker.withTrace(req.Context())))
 	if err != nil {
-		return nil, send.mayHaveLeft(), err
+		return nil, tracker.mayHaveSent(), err
 	}
 	return resp, true, nil
 }
 
 // Close closes idle connections.
 func (s *Sender) Close() {
-	s.reuse.CloseIdleConnections()
-	s.fresh.CloseIdleConnections()
+	s.pooled.CloseIdleConnections()
+	s.unpooled.CloseIdleConnections()
 }
