--- a/internal/engine/chunk.go
+++ b/internal/engine/chunk.go
@@ -12,26 +12,26 @@
 
 var errEngineFailed = errors.New("engine reported an error")
 
-// streamEvent is what one event of a stream tells. Its text is valid until the next.
+// streamEvent is the content of one event of a stream. Its text is valid until the next event.
 type streamEvent struct {
 	text     []byte
 	finished bool
 	usage    *wire.Usage
 }
 
-// chunkParser reads the events of one stream.
+// chunkParser parses the events of one stream.
 //
-// Nearly all events of a stream are the same but for the text. The first one
-// is read by encoding/json, and the bytes around its text are kept. A later
-// event with the same bytes around a plain piece of text must be the same
-// JSON, so its text is cut out; any other goes to encoding/json again.
+// Nearly all events of a stream differ only in their text. The first one is parsed by
+// encoding/json, and the bytes around its text are kept. A later event with the same bytes
+// around text without escapes must be the same JSON, so its text is cut out directly; any
+// other event goes to encoding/json again.
 type chunkParser struct {
 	prefix, suffix []byte
 }
 
 var (
 	contentField = []byte(`"content":"`)
-	// textEnd is what follows the text in an event of one choice.
+	// textEnd follows the text in an event with a single choice.
 	textEnd = []byte(`"}`)
 )
 
@@ -65,7 +65,7 @@
 	return out, nil
 }
 
-// checkFinishReason tells whether the engine came to a good end.
+// checkFinishReason returns an error unless the engine finished normally.
 func checkFinishReason(reason string) error {
 	switch reason {
 	case "stop", "length", "tool_calls", "content_filter":
@@ -86,7 +86,7 @@
 	return text, true
 }
 
-// learnTemplate keeps the bytes around the text, if the text stands in them plainly.
+// learnTemplate stores the bytes around the text, if it occurs in them without escapes.
 func (p *chunkParser) learnTemplate(data, text []byte) {
 	p.prefix, p.suffix = nil, nil
 	if len(text) == 0 || !isPlainText(text) {
@@ -105,7 +105,7 @@
 	p.suffix = bytes.Clone(rest)
 }
 
-// isPlainText tells whether text means itself inside a JSON string.
+// isPlainText reports whether text needs no escapes inside a JSON string.
 func isPlainText(text []byte) bool {
 	for _, b := range text {
 		if b < ' ' || b == '"' || b == '\\' {
--- a/internal/engine/conn.go
+++ b/internal/engine/conn.go
@@ -16,17 +16,16 @@
 )
 
 var (
-	errTooLate       = errors.New("too late to send")
-	errWritesBlocked = errors.New("connection sealed")
+	errTooLate       = errors.New("send deadline passed")
+	errWritesBlocked = errors.New("writes on this connection are blocked")
 )
 
-// conn knows whether a byte of the call that uses it can have left.
+// conn tracks whether a byte of its current call may have been sent.
 //
-// net/http may return an error while its writing goroutine is still about to
-// write; a count of bytes read at that moment would say "nothing left", and
-// the call would run all the same while it is started elsewhere too. So the
-// question seals the connection in the same step: what has not been written
-// by then never will be.
+// net/http may return an error while its writing goroutine is still about to write. A byte
+// count read at that moment would say "nothing sent", and the call would run although it is
+// also started elsewhere. So the check blocks further writes in the same step: what has not
+// been written by then is never written.
 type conn struct {
 	net.Conn
 
@@ -36,7 +35,7 @@
 	blocked bool
 }
 
-// assign hands the connection to one call, which may open its writing until then.
+// assign gives the connection to one call, whose first write is allowed until sendBy.
 func (c *conn) assign(until time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -44,7 +43,8 @@
 	c.wrote = false
 }
 
-// blockUnlessWritten tells whether a byte can have left since arm. If none has, none will.
+// blockUnlessWritten reports whether a byte may have been sent since assign. If none has, none
+// will be.
 func (c *conn) blockUnlessWritten() (wrote bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -54,9 +54,9 @@
 	return c.wrote
 }
 
-// Write checks the call's last moment to be sent right before its first bytes
-// go. A process that was paused after it had decided to send, while dialling
-// or in net/http, is caught here; what is left of the gap is one system call.
+// Write checks the call's send deadline immediately before its first bytes. This catches a
+// process that was paused after it had decided to send, while dialling or in net/http; the
+// remaining gap is one system call.
 func (c *conn) Write(b []byte) (int, error) {
 	if err := c.checkWrite(); err != nil {
 		return 0, err
@@ -87,10 +87,9 @@
 		defer cancel()
 		c, err := cfg.Dial(ctx, network, addr)
 		if err != nil {
-			return nil, fmt.Errorf("connect: %w", err)
+			return nil, fmt.Errorf("connecting: %w", err)
 		}
-		// The handshake of TLS writes before the call is armed; wrote starts
-		// true so that it passes.
+		// The TLS handshake writes before assign; wrote starts as true to allow that.
 		return &conn{Conn: c, wrote: true}, nil
 	}
 }
@@ -98,16 +97,16 @@
 // sendTracker follows one call through net/http.
 type sendTracker struct {
 	sendBy time.Time
-	// onAccepted is told of the boot that an early answer names.
+	// onAccepted is called with the boot id of an early (103) response.
 	onAccepted func(boot string)
 
 	mu   sync.Mutex
 	conn *conn
-	// untracked: the call got a connection that can't tell what left.
+	// untracked: the call got a connection that can't tell what was sent.
 	untracked bool
 }
 
-// withTrace returns ctx with a hook that arms the connection that the call gets.
+// withTrace returns ctx with a hook that assigns the connection to the call.
 func (s *sendTracker) withTrace(ctx context.Context) context.Context {
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: s.gotConn,
@@ -120,10 +119,9 @@
 	})
 }
 
-// gotConn runs before the first byte of the call is written. net/http comes
-// here a second time only if it repeats the call by itself, which would run it
-// twice without anyone's knowledge; the second connection is sealed, so that
-// not a byte of the repetition leaves.
+// gotConn runs before the first byte of the call is written. net/http calls it again only if
+// it repeats the call by itself, which would run the call twice unnoticed; writes on the
+// second connection are blocked, so that no byte of the repetition is sent.
 func (s *sendTracker) gotConn(info httptrace.GotConnInfo) {
 	c := trackedConn(info.Conn)
 	s.mu.Lock()
@@ -141,8 +139,8 @@
 	s.conn = c
 }
 
-// mayHaveSent tells whether a byte of the call can have left, and makes sure
-// that none will if none has.
+// mayHaveSent reports whether a byte of the call may have been sent, and ensures that none
+// will be if none has.
 func (s *sendTracker) mayHaveSent() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/engine/conn_test.go
+++ b/internal/engine/conn_test.go
@@ -10,13 +10,13 @@
 	"github.com/stretchr/testify/require"
 )
 
-// discardConn takes every byte.
+// discardConn accepts every byte.
 type discardConn struct{ net.Conn }
 
 func (discardConn) Write(b []byte) (int, error) { return io.Discard.Write(b) }
 
-// The caller is told not_run. net/http gave up while its writing goroutine had
-// not run yet; when it runs, it must find that it may not write any more.
+// The call is reported as not run because net/http gave up before its writing goroutine ran.
+// When that runs later, its write must fail; otherwise the call would run after all.
 func TestNothingLeavesAfterNotStarted(t *testing.T) {
 	c := &conn{Conn: discardConn{}, wrote: true}
 	s := &sendTracker{}
@@ -26,8 +26,8 @@
 	require.ErrorIs(t, err, errWritesBlocked)
 }
 
-// A call of a plain service would run twice: net/http takes a second
-// connection for a request that it has sent already. Nothing leaves on it.
+// net/http takes a second connection for a request that it has already sent. Nothing may be
+// sent on it; otherwise a call of a plain service would run twice.
 func TestSecondSendingIsSealed(t *testing.T) {
 	first := &conn{Conn: discardConn{}}
 	second := &conn{Conn: discardConn{}}
@@ -41,7 +41,7 @@
 	require.True(t, s.mayHaveSent())
 }
 
-// A connection that can't be asked counts as one on which bytes have left.
+// A connection of unknown type counts as one on which bytes have been sent.
 func TestUnknownConnectionMayHaveSent(t *testing.T) {
 	s := &sendTracker{}
 	s.gotConn(httptrace.GotConnInfo{Conn: discardConn{}})
--- a/internal/engine/control.go
+++ b/internal/engine/control.go
@@ -13,21 +13,20 @@
 	"jasmineshed/internal/wire"
 )
 
-// maxControl bounds a load report or the answer to an order, in bytes.
+// maxControlReply bounds a load report or the answer to an order, in bytes.
 const maxControlReply = 64 << 10
 
 // Errors of load reports and orders.
 var (
 	// ErrUnreachable: no answer came in time.
 	ErrUnreachable = errors.New("backend server unreachable")
-	// ErrBadReply: the answer makes no sense.
-	ErrBadReply = errors.New("bad reply of the backend server")
-	// ErrRefused: the server refused for another reason than an old fence.
+	// ErrBadReply: the answer is invalid.
+	ErrBadReply = errors.New("bad reply from the backend server")
+	// ErrRefused: the server refused for another reason than a stale fencing number.
 	ErrRefused = errors.New("refused by the backend server")
 )
 
-// Load asks a server for its load report. It fails with ErrUnreachable or
-// ErrBadReply.
+// Load requests a server's load report. It fails with ErrUnreachable or ErrBadReply.
 func (e *Engine) Load(ctx context.Context, base string) (shed.LoadReport, error) {
 	ctx, cancel := context.WithTimeout(ctx, e.cfg.ControlTimeout)
 	defer cancel()
@@ -47,14 +46,14 @@
 		return shed.LoadReport{}, fmt.Errorf("%w: %w", ErrBadReply, err)
 	}
 	if load.Boot == "" || load.Running < 0 || load.Waiting < 0 || load.AgeMS < 0 {
-		return shed.LoadReport{}, fmt.Errorf("%w: impossible report", ErrBadReply)
+		return shed.LoadReport{}, fmt.Errorf("%w: load report without boot id or with negative numbers", ErrBadReply)
 	}
 	return load.Report(), nil
 }
 
-// Order sends an order. A server that refuses an old fencing number gives no
-// error but StaleFence; other failures are ErrUnreachable, after which the
-// order may have been carried out, ErrRefused and ErrBadReply.
+// Order sends an order. If the server refuses a stale fencing number, the result has
+// StaleFence and there is no error. Other failures are ErrUnreachable, after which the order
+// may have been carried out, ErrRefused and ErrBadReply.
 func (e *Engine) Order(ctx context.Context, order shed.SendOrder) (shed.OrderEnded, error) {
 	ctx, cancel := context.WithTimeout(ctx, e.cfg.OrderTimeout)
 	defer cancel()
@@ -89,7 +88,7 @@
 	return ended, nil
 }
 
-// roundTrip makes one control exchange.
+// roundTrip makes one control request and reads its response.
 func (e *Engine) roundTrip(req *http.Request) (int, []byte, error) {
 	resp, err := e.control.RoundTrip(req)
 	if err != nil {
@@ -101,14 +100,14 @@
 		return 0, nil, fmt.Errorf("%w: %w", ErrUnreachable, err)
 	}
 	if len(data) > maxControlReply {
-		return 0, nil, fmt.Errorf("%w: over %d bytes", ErrBadReply, maxControlReply)
+		return 0, nil, fmt.Errorf("%w: longer than %d bytes", ErrBadReply, maxControlReply)
 	}
 	return resp.StatusCode, data, nil
 }
 
-// cancelInBackground tells the engine in the background that nobody wants the call's
-// result any more. It is an advice: if it is lost, the engine ends by itself
-// when the budget that went with the call is spent.
+// cancelInBackground tells the engine asynchronously that the call's result is no longer
+// needed. This is best effort: if it is lost, the engine stops by itself when the budget sent
+// with the call is spent.
 func (e *Engine) cancelInBackground(start shed.StartCall) {
 	if start.Stage.Kind == shed.KindService {
 		return
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -1,8 +1,8 @@
-// Package engine implements shed.Backend over HTTP: calls of every stage kind,
-// load reports and orders.
+// Package engine implements shed.Backend over HTTP: calls of every stage kind, load reports
+// and orders.
 //
-// It never repeats a call. net/http repeats some requests by itself; conn.go
-// and send.go say how that is made impossible here.
+// It never repeats a call. net/http retries some requests by itself; conn.go and send.go show
+// how that is prevented here.
 package engine
 
 import (
@@ -22,15 +22,15 @@
 	defaultConnectTimeout = time.Second
 	defaultControlTimeout = 2 * time.Second
 	defaultOrderTimeout   = 30 * time.Second
-	// idleConnTimeout is kept below the idle timeouts usual for servers, so that a
-	// call seldom meets a connection that the server is just closing.
+	// idleConnTimeout is shorter than the usual idle timeouts of servers, so that a call
+	// seldom gets a connection that the server is about to close.
 	idleConnTimeout = 15 * time.Second
 	// maxIdleConnsPerHost bounds the idle connections to one server.
 	maxIdleConnsPerHost = 64
-	// maxCancellations bounds the cancellations under way; more are dropped, and the
-	// engine then runs into its budget.
+	// maxCancellations bounds the cancellations in flight; further ones are dropped, and the
+	// engine then runs until its budget is spent.
 	maxCancellations = 64
-	// maxHeaderBytes bounds a reply's header in bytes.
+	// maxHeaderBytes bounds a reply's header.
 	maxHeaderBytes = 16 << 10
 )
 
@@ -38,30 +38,30 @@
 type Config struct {
 	// Dial opens connections; nil means TCP.
 	Dial func(ctx context.Context, network, addr string) (net.Conn, error)
-	// ConnectTimeout bounds the opening of a connection; 0 means one second.
+	// ConnectTimeout bounds connecting to a server; 0 means one second.
 	ConnectTimeout time.Duration
 	// ControlTimeout bounds a load report or a cancellation; 0 means two seconds.
 	ControlTimeout time.Duration
-	// OrderTimeout bounds an order; 0 means half a minute.
+	// OrderTimeout bounds an order; 0 means 30 seconds.
 	OrderTimeout time.Duration
-	// OrderToken goes with each order, for servers that check who gives it.
+	// OrderToken is sent with each order, for servers that authenticate orders.
 	OrderToken string
-	// TLS is used for https addresses; nil takes the system's roots.
+	// TLS is used for https addresses; nil means the system's roots.
 	TLS *tls.Config
 }
 
-// Engine talks to backend servers. It is safe for use by many goroutines.
+// Engine talks to backend servers. It is safe for concurrent use.
 type Engine struct {
 	cfg    Config
 	sender *Sender
-	// control is apart, so that a stuck call holds up no load report.
+	// control is a separate transport, so that stuck calls don't delay load reports.
 	control       *http.Transport
 	cancellations errgroup.Group
 }
 
 var _ shed.Backend = (*Engine)(nil)
 
-// withDefaults fills in what cfg leaves at 0.
+// withDefaults replaces zero values by the defaults.
 func (cfg Config) withDefaults() Config {
 	if cfg.ConnectTimeout == 0 {
 		cfg.ConnectTimeout = defaultConnectTimeout
@@ -101,7 +101,7 @@
 	}
 }
 
-// Close waits for the cancellations under way and closes idle connections.
+// Close waits for cancellations in flight and closes idle connections.
 func (e *Engine) Close() error {
 	err := e.cancellations.Wait()
 	e.sender.Close()
@@ -109,9 +109,9 @@
 	return err
 }
 
-// Call runs one call to its end. On a resumed call, the frames carry the text
-// that follows start.ResumeFrom, and the result has no text. The zone of frames
-// and end is left for the caller to fill in.
+// Call runs one call to its end. On a resumed call, the frames contain the text that follows
+// start.ResumeFrom, and the result has no text. The caller fills in the zone of the frames and
+// of the end.
 func (e *Engine) Call(
 	ctx context.Context, start shed.StartCall, in shed.Payload, sink func(shed.Frame) error,
 ) shed.CallEnded {
@@ -137,18 +137,18 @@
 	return end
 }
 
-// isStreamDiscarded tells whether nobody will come back for the call's stream. A broken
-// one may still be resumed, and a complete one is over.
+// isStreamDiscarded reports whether the call's stream is no longer needed. A broken stream may
+// still be resumed, and a complete one is over.
 func isStreamDiscarded(end shed.CallEnded) bool {
 	return end.End == shed.EndCancelled || end.End == shed.EndBadReply
 }
 
 var (
-	errIdleTimeout    = errors.New("no progress in time")
+	errIdleTimeout    = errors.New("no progress within the idle timeout")
 	errDeadlinePassed = errors.New("deadline passed")
 )
 
-// idleTimer fires unless it is fed in time.
+// idleTimer fires unless it is reset in time.
 type idleTimer struct {
 	timer *time.Timer
 	limit time.Duration
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -13,7 +13,7 @@
 	"jasmineshed/internal/stand"
 )
 
-// serve serves a stand-in on loopback until the test ends.
+// serve serves a simulated server on loopback until the test ends.
 func serve(t testing.TB, h http.Handler) string {
 	t.Helper()
 	s, err := stand.Listen("127.0.0.1:0", h)
@@ -33,7 +33,7 @@
 	}
 }
 
-// frameCollector gathers the frames of a call.
+// frameCollector collects the frames of a call.
 type frameCollector struct{ frames []shed.Frame }
 
 func (c *frameCollector) add(f shed.Frame) error {
@@ -82,7 +82,7 @@
 			last := got.frames[len(got.frames)-1]
 			require.True(t, last.Last)
 			require.Equal(t, want, *last.Result)
-			// Exactly one frame tells of the acceptance, before all others.
+			// Exactly one frame reports the acceptance, before all others.
 			for i, f := range got.frames {
 				require.Equal(t, i == 0, f.Accepted)
 				require.EqualValues(t, max(i-1, 0), f.Sequence)
--- a/internal/engine/fault_test.go
+++ b/internal/engine/fault_test.go
@@ -23,7 +23,7 @@
 	"jasmineshed/internal/wire"
 )
 
-// fixture is an Engine before one server on a network in memory.
+// fixture is an Engine with one server on an in-memory network.
 type fixture struct {
 	net    *stand.Net
 	engine *engine.Engine
@@ -52,9 +52,9 @@
 
 func ignoreFrame(shed.Frame) error { return nil }
 
-// The caller sees the stage tried elsewhere. A server's connection goes silent
-// after some tokens: writing to it would still succeed, and no end ever shows.
-// Only the missing progress tells, and the connection must not be used again.
+// A server's connection goes silent after some tokens: writes to it still succeed, and it
+// never ends. Only the missing progress shows the failure. The call must end as broken, so
+// that the stage is retried elsewhere, and the connection must not be reused.
 func TestSilentConnectionIsBrokenAndNotReused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		eng := stand.NewEngine(stand.EngineConfig{ID: "s1", TokenTime: 50 * time.Millisecond})
@@ -85,9 +85,9 @@
 	})
 }
 
-// The caller sees the stage placed again at no risk. The process is paused
-// between the decision to send and the sending, here while it dials; when it
-// wakes, the time at which the decision was good has passed. Not a byte leaves.
+// The process is paused between the decision to send and the sending, here while it dials, and
+// resumes after the send deadline. Not a byte may be sent, so that the stage can safely be
+// placed again.
 func TestTooLateToSend(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		eng := stand.NewEngine(stand.EngineConfig{ID: "s1"})
@@ -107,10 +107,9 @@
 	})
 }
 
-// The caller of a publication sees outcome_unknown. The service runs the call
-// and the connection is cut before the answer; net/http repeats requests that
-// it takes for idempotent or that fail on a reused connection. Neither may
-// happen: the service must have seen the call once.
+// A plain service runs the call and the connection breaks before the answer, so that the
+// caller gets outcome_unknown. net/http retries requests that it considers idempotent or that
+// fail on a reused connection. The service must see each call once.
 func TestPlainServiceIsNeverCalledTwice(t *testing.T) {
 	svc := stand.NewService(stand.ServiceConfig{})
 	url := serve(t, svc)
@@ -132,10 +131,9 @@
 	require.Empty(t, svc.Doubled())
 }
 
-// The caller of an idempotent stage sees a retry that the daemon counted. The
-// server closes the kept connection at the moment when the next call is sent
-// on it. net/http would send such a request again by itself if it could rewind
-// the body; the server must see each call once.
+// The server closes a kept connection at the moment when the next call is sent on it. net/http
+// would resend an idempotent request by itself, without the daemon counting a retry, if it
+// could rewind the body; the server must see each call once.
 func TestReusedConnectionIsNotRepeated(t *testing.T) {
 	var seen atomic.Int32
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -154,8 +152,8 @@
 	require.NoError(t, e.Close())
 }
 
-// serveOnceThenClose answers the first request of each connection, and reads
-// the second one and closes.
+// serveOnceThenClose answers the first request of each connection, then reads the second one
+// and closes the connection.
 func serveOnceThenClose(l net.Listener, seen *atomic.Int32) error {
 	for {
 		c, err := l.Accept()
@@ -219,8 +217,8 @@
 	}
 }
 
-// The caller goes away in the middle of a generation. The engine has to stop at
-// once and not run on to the end, since its work would be wasted.
+// The caller disconnects in the middle of a generation. The engine must stop at once instead
+// of wasting work until the end.
 func TestCancelStopsTheEngine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		eng := stand.NewEngine(stand.EngineConfig{ID: "s1", TokenTime: 50 * time.Millisecond})
@@ -248,7 +246,7 @@
 	})
 }
 
-// A daemon that can't connect says not_run, and it is true.
+// A daemon that can't connect reports the call as not started.
 func TestNobodyListens(t *testing.T) {
 	e := engine.New(engine.Config{Dial: stand.NewNet().Dial})
 	end := e.Call(t.Context(), newStartCall(serverURL, shed.KindService), shed.Payload{}, ignoreFrame)
@@ -291,8 +289,8 @@
 	require.NoError(t, stranger.Close())
 }
 
-// The caller's deadline passes in the middle of a generation. The call ends at
-// that moment, and so does the work at the engine.
+// The caller's deadline passes in the middle of a generation. The call ends at that moment,
+// and so does the engine's work.
 func TestDeadlinePasses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		eng := stand.NewEngine(stand.EngineConfig{ID: "s1", TokenTime: 50 * time.Millisecond})
@@ -310,8 +308,8 @@
 	})
 }
 
-// A call over TLS: the handshake's bytes don't count as the call's, and a
-// connection that breaks after the request counts as one that may have run.
+// Over TLS, the handshake's bytes don't count as the call's, and a connection that breaks
+// after the request counts as one that may have run.
 func TestOverTLS(t *testing.T) {
 	eng := stand.NewEngine(stand.EngineConfig{ID: "s1"})
 	var cut atomic.Bool
--- a/internal/engine/fuzz_test.go
+++ b/internal/engine/fuzz_test.go
@@ -22,7 +22,7 @@
 	}
 }
 
-// referenceText reads a stream as plainly as can be, for comparison.
+// referenceText parses a stream in the simplest way, for comparison.
 func referenceText(data []byte) string {
 	text := ""
 	for _, line := range strings.SplitAfter(string(data), "\n") {
@@ -57,8 +57,8 @@
 
 `
 
-// An engine's stream is only called complete if it is whole, and then its text
-// is what the plain reader gives, also where the quick one cut it out.
+// A stream counts as complete only if it is, and its text then equals that of the reference
+// parser, also where the fast path cut it out.
 func FuzzStream(f *testing.F) {
 	f.Add([]byte(goodStream))
 	f.Add([]byte(strings.ReplaceAll(goodStream, "\n", "\r\n")))
@@ -85,7 +85,7 @@
 	})
 }
 
-// A reply that isn't streamed gives its result or a bad reply, never half.
+// A reply that isn't streamed gives its full result or a bad reply, never a partial one.
 func FuzzReply(f *testing.F) {
 	f.Add(uint8(shed.KindEncode), []byte(`{"data":[{"embedding":[0.5,1]}]}`))
 	f.Add(uint8(shed.KindRetrieve), []byte(`{"passages":[{"id":"p","text":"t","score":1}]}`))
@@ -134,7 +134,7 @@
 	}
 }
 
-// BenchmarkStream reads a stream of 1,000 tokens that is here already.
+// BenchmarkStream parses a buffered stream of 1,000 tokens.
 func BenchmarkStream(b *testing.B) {
 	var data bytes.Buffer
 	const tokens = 1000
--- a/internal/engine/reply.go
+++ b/internal/engine/reply.go
@@ -15,19 +15,19 @@
 const (
 	// maxReply bounds a reply that isn't streamed, in bytes.
 	maxReply = 4 << 20
-	// maxVectorLength bounds an embedding.
+	// maxVectorLength bounds the length of an embedding.
 	maxVectorLength = 16 << 10
-	// maxPassages bounds what a retriever gives.
+	// maxPassages bounds the number of passages that a retriever returns.
 	maxPassages = 1000
 	// maxReceipt bounds a service's receipt in bytes.
 	maxReceipt = 64 << 10
-	// retrieveLimit is how many a retriever is asked for.
+	// retrieveLimit is the number of passages requested from a retriever.
 	retrieveLimit = 8
 )
 
-var errBadReply = errors.New("reply makes no sense")
+var errBadReply = errors.New("malformed reply")
 
-// request is where the call goes and what it asks.
+// request returns the path and payload of the call's request.
 func (c *call) request() (path string, payload any) {
 	switch c.start.Stage.Kind {
 	case shed.KindEncode:
@@ -59,8 +59,8 @@
 	return req
 }
 
-// chatRequest puts the passages first, so that prompts about the same passages share
-// a prefix, then the text of an earlier stage, and the caller's input last.
+// chatRequest puts the passages first, so that prompts about the same passages share a prefix,
+// then the text of an earlier stage, and the caller's input last.
 func (c *call) chatRequest() wire.Chat {
 	req := wire.Chat{
 		Model:         string(c.start.Model),
@@ -95,10 +95,10 @@
 	return c.endComplete(result, reply)
 }
 
-// result is the payload after the stage, or errBadReply.
+// result returns the payload after the stage, or errBadReply.
 func (c *call) result(data []byte) (shed.Payload, error) {
 	if len(data) > maxReply {
-		return shed.Payload{}, fmt.Errorf("%w: over %d bytes", errBadReply, maxReply)
+		return shed.Payload{}, fmt.Errorf("%w: longer than %d bytes", errBadReply, maxReply)
 	}
 	out := c.in
 	var err error
@@ -141,8 +141,8 @@
 	return reply.Passages, nil
 }
 
-// readRanks puts the passages in the reply's order. Each must come once: a
-// reranker that drops or doubles one has answered another question.
+// readRanks puts the passages in the reply's order. Each must occur exactly once: a reranker
+// that drops or duplicates one has not answered this request.
 func readRanks(data []byte, asked []shed.Passage) ([]shed.Passage, error) {
 	var reply wire.Reranked
 	if err := unmarshal(data, &reply); err != nil {
@@ -155,7 +155,7 @@
 	seen := make([]bool, len(asked))
 	for _, r := range reply.Results {
 		if r.Index < 0 || r.Index >= len(asked) || seen[r.Index] {
-			return nil, fmt.Errorf("%w: rank of passage %d", errBadReply, r.Index)
+			return nil, fmt.Errorf("%w: invalid or repeated index %d", errBadReply, r.Index)
 		}
 		seen[r.Index] = true
 		p := asked[r.Index]
--- a/internal/engine/send.go
+++ b/internal/engine/send.go
@@ -18,29 +18,29 @@
 )
 
 const (
-	// maxRetryAfter bounds what a server may ask for.
+	// maxRetryAfter bounds the delay that a server may request.
 	maxRetryAfter = time.Minute
-	// maxErrorBody bounds what is read of an error's body in bytes.
+	// maxErrorBody bounds how much of an error's body is read, in bytes.
 	maxErrorBody = 4 << 10
-	// drainTimeout bounds the wait for the end of a reply whose content is whole.
+	// drainTimeout bounds the wait for the end of a reply whose content is complete.
 	drainTimeout = 50 * time.Millisecond
 )
 
-// call is one call on its way.
+// call is one call in flight.
 type call struct {
 	engine *Engine
 	start  shed.StartCall
 	in     shed.Payload
 	sink   func(shed.Frame) error
 	idle   *idleTimer
-	// acceptReported: the server's acceptance has been told.
+	// acceptReported: the server's acceptance has been reported to sink.
 	acceptReported bool
-	// sequence is the next frame's.
+	// sequence is the sequence number of the next frame.
 	sequence uint32
 	tokens   shed.Tokens
 }
 
-// singleUseBody is a request's body that net/http can't rewind, and so can't send twice.
+// singleUseBody is a request body that net/http can't rewind, and so can't resend.
 type singleUseBody struct{ r *strings.Reader }
 
 func (b singleUseBody) Read(p []byte) (int, error) { return b.r.Read(p) }
@@ -71,11 +71,11 @@
 func newPost(ctx context.Context, url string, payload any) (*http.Request, error) {
 	data, err := json.Marshal(payload)
 	if err != nil {
-		return nil, fmt.Errorf("encode: %w", err)
+		return nil, fmt.Errorf("encoding the request: %w", err)
 	}
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, singleUseBody{strings.NewReader(string(data))})
 	if err != nil {
-		return nil, fmt.Errorf("address: %w", err)
+		return nil, fmt.Errorf("creating the request: %w", err)
 	}
 	req.ContentLength = int64(len(data))
 	req.Header.Set("Content-Type", "application/json")
@@ -95,13 +95,13 @@
 	propagation.TraceContext{}.Inject(ctx, propagation.HeaderCarrier(h))
 }
 
-// endFailed ends a call whose exchange broke off.
+// endFailed ends a call whose exchange failed.
 func (c *call) endFailed(ctx context.Context, err error, mayHaveLeft bool) shed.CallEnded {
 	reason := shed.ReasonBroken
 	end := shed.EndBroken
 	cause := context.Cause(ctx)
 	if cause == nil && c.deadlinePassed() {
-		// The server knows the deadline, too, and may be first to act on it.
+		// The server knows the deadline, too, and may be the first to act on it.
 		cause = errDeadlinePassed
 	}
 	switch {
@@ -124,11 +124,10 @@
 	return !c.start.Deadline.IsZero() && !time.Now().Before(c.start.Deadline)
 }
 
-// endRefused ends a call that the server answered with another status than 200.
+// endRefused ends a call that got a status other than 200.
 //
-// "Not run" is what the server says outright. A bare 503 may come from
-// something between the two ends that gave up waiting for a run: a stage that
-// may run only once is then taken to have run.
+// Only the server itself can say "not run". A bare 503 may come from an intermediary that gave
+// up waiting for a run, so a stage that may run only once then counts as run.
 func (c *call) endRefused(resp *http.Response) shed.CallEnded {
 	_, _ = io.CopyN(io.Discard, resp.Body, maxErrorBody)
 	notRun := resp.Header.Get(wire.HeaderNotRun) == wire.NotRunTrue
@@ -167,19 +166,19 @@
 	}
 }
 
-// reportAccepted tells, once, that the server has taken the call in: by an early
-// answer (103) if it gives one, or with the head of its answer. It comes before
-// all frames, and nothing runs beside it: the caller of RoundTrip waits.
+// reportAccepted reports, once, that the server has accepted the call: on an early response
+// (103), or else with the header of its response. It runs before all frames and never
+// concurrently with them, because the caller of RoundTrip waits.
 func (c *call) reportAccepted(boot string) {
 	if c.acceptReported {
 		return
 	}
 	c.acceptReported = true
-	// A sink that fails here fails with the next frame, too.
+	// If the sink fails here, it also fails with the next frame.
 	_ = c.sink(shed.Frame{Call: c.start.Call, Server: c.start.Server, Accepted: true, Boot: boot})
 }
 
-// emit hands one frame on.
+// emit passes one frame to the sink.
 func (c *call) emit(f shed.Frame) error {
 	f.Call = c.start.Call
 	f.Sequence = c.sequence
@@ -188,7 +187,7 @@
 	return c.sink(f)
 }
 
-// endComplete hands on the last frame and ends the call.
+// endComplete emits the last frame and ends the call.
 func (c *call) endComplete(result shed.Payload, rest io.Reader) shed.CallEnded {
 	if err := c.emit(shed.Frame{Last: true, Result: &result}); err != nil {
 		return c.newEnd(shed.EndBroken, shed.ReasonBroken)
@@ -197,8 +196,8 @@
 	return c.newEnd(shed.EndComplete, shed.ReasonNone)
 }
 
-// drain reads the end of the reply, without which net/http can't use the
-// connection again. A server that holds the end back loses the connection.
+// drain reads the end of the reply, without which net/http can't reuse the connection. If the
+// server delays the end, the connection is closed.
 func (c *call) drain(rest io.Reader) {
 	if c.idle.timer != nil {
 		c.idle.timer.Reset(drainTimeout)
--- a/internal/engine/sender.go
+++ b/internal/engine/sender.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// Sender makes single HTTP exchanges with backend servers. It never sends a
-// request twice, and it says truthfully whether a byte of it may have left.
+// Sender makes single HTTP exchanges with backend servers. It never sends a request twice, and
+// it reports reliably whether a byte of it may have been sent.
 type Sender struct {
-	// pooled keeps connections; fresh opens one for each request, for what may
-	// run only once.
+	// pooled keeps connections; unpooled opens one per request, for requests that may run only
+	// once.
 	pooled   *http.Transport
 	unpooled *http.Transport
 }
 
-// NewSender returns a Sender without connections. It uses the fields Dial,
-// ConnectTimeout and TLS of cfg.
+// NewSender returns a Sender without connections. It uses the fields Dial, ConnectTimeout and
+// TLS of cfg.
 func NewSender(cfg Config) *Sender {
 	cfg = cfg.withDefaults()
 	s := &Sender{pooled: newTransport(cfg), unpooled: newTransport(cfg)}
@@ -23,10 +23,10 @@
 	return s
 }
 
-// Do makes one exchange. Unless until is zero, no first byte leaves after it. A
-// request that may run once only goes out on a connection of its own: on a
-// reused one, the server may close it at the moment of sending, and nobody can
-// tell whether the request ran. If sent is false, not a byte has left, nor will.
+// Do makes one exchange. Unless until is zero, the first byte is never sent after it. A
+// request that may run only once gets a new connection: the server may close a reused one just
+// as the request is sent, and then it is unknown whether the request ran. If sent is false, no
+// byte has been sent, nor will be.
 func (s *Sender) Do(req *http.Request, once bool, until time.Time) (resp *http.Response, sent bool, err error) {
 	return s.do(req, once, &sendTracker{sendBy: until})
 }
--- a/internal/engine/stream.go
+++ b/internal/engine/stream.go
@@ -18,11 +18,11 @@
 	maxLine = 16 << 10
 	// maxText bounds the text of a whole stream in bytes.
 	maxText = 4 << 20
-	// maxFrameText bounds the text that is joined into one frame, in bytes.
+	// maxFrameText bounds the text that is merged into one frame, in bytes.
 	maxFrameText = 4 << 10
 )
 
-var errSinkFailed = errors.New("frame not taken")
+var errSinkFailed = errors.New("frame sink failed")
 
 var readerPool = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, maxLine) }}
 
@@ -50,8 +50,8 @@
 	}
 }
 
-// result is the payload after the stage. Of a resumed stream only the end is
-// here, so the text is left to whoever holds the beginning.
+// result is the payload after the stage. A resumed stream contains only the end of the text,
+// so the text is left empty; whoever has the beginning joins them.
 func (g *streamReader) result() shed.Payload {
 	out := g.in
 	out.Text = ""
@@ -61,21 +61,21 @@
 	return out
 }
 
-// streamReader puts the events of one stream together.
+// streamReader assembles the events of one stream.
 type streamReader struct {
 	*call
 	events eventReader
 	parser chunkParser
 	text   strings.Builder
-	// pendingText and count are text not yet handed on, and its tokens.
+	// pendingText is text not yet emitted, pendingTokens its number of tokens.
 	pendingText   []byte
 	pendingTokens shed.Tokens
 	finished      bool
 	usage         *wire.Usage
 }
 
-// read returns nil once the stream is whole: it gave a reason for its finish,
-// the count of tokens it told is the count that came, and its end mark came.
+// read returns nil once the stream is complete: it has a finish reason, its reported token
+// count equals the number of tokens received, and its end marker has arrived.
 func (g *streamReader) read() error {
 	for {
 		data, err := g.events.next()
@@ -95,7 +95,7 @@
 	}
 }
 
-// handleEvent takes one event and tells whether it was the end mark.
+// handleEvent processes one event and reports whether it was the end marker.
 func (g *streamReader) handleEvent(data []byte) (bool, error) {
 	if string(data) == wire.StreamDone {
 		return true, g.checkComplete()
@@ -126,9 +126,9 @@
 	return false, nil
 }
 
-// checkComplete is the check at the end mark. An engine that packs several tokens into
-// one event would break the count, and with it the offset to resume from; its
-// stream is not taken for whole.
+// checkComplete runs at the end marker. An engine that packs several tokens into one event
+// would break the token count, and with it the offset to resume from; its stream does not
+// count as complete.
 func (g *streamReader) checkComplete() error {
 	if !g.finished {
 		return errBadReply
@@ -139,9 +139,9 @@
 	return nil
 }
 
-// flushWithBuffered hands the text on. Events that have arrived in the meantime
-// travel in the same frame, so that the cost for each token falls as load
-// grows; the first token waits for nothing.
+// flushWithBuffered emits the pending text. Events that have arrived in the meantime are
+// merged into the same frame, which lowers the cost per token under load; the first token is
+// never delayed.
 func (g *streamReader) flushWithBuffered() error {
 	for g.sequence > 0 && len(g.pendingText) < maxFrameText {
 		data, ok := g.events.nextBuffered()
@@ -177,13 +177,13 @@
 type eventReader struct {
 	br     *bufio.Reader
 	onLine func()
-	// pushedBack is given again by next.
+	// pushedBack is returned by the next call of next.
 	pushedBack []byte
 }
 
 var dataPrefix = []byte("data:")
 
-// next waits for the next event's data, valid until the next call.
+// next waits for the next event's data, which is valid until the following call.
 func (l *eventReader) next() ([]byte, error) {
 	if l.pushedBack != nil {
 		data := l.pushedBack
@@ -205,7 +205,7 @@
 	}
 }
 
-// nextBuffered returns the next event's data if it is here already.
+// nextBuffered returns the next event's data if it is already buffered.
 func (l *eventReader) nextBuffered() ([]byte, bool) {
 	for {
 		available, _ := l.br.Peek(l.br.Buffered())
@@ -222,8 +222,8 @@
 	}
 }
 
-// eventData returns the data of a line, if it has any. Comments and other
-// fields only show that the server is alive.
+// eventData returns the data of a line, if it has any. Comments and other fields only show
+// that the server is alive.
 func eventData(line []byte) ([]byte, bool) {
 	data, ok := bytes.CutPrefix(bytes.TrimRight(line, "\r\n"), dataPrefix)
 	if !ok {
