--- a/internal/httpd/httpd.go
+++ b/internal/httpd/httpd.go
@@ -74,9 +74,9 @@
 // Serve takes calls until ctx ends, then waits for those in flight.
 func (s *Server) Serve(ctx context.Context) error {
 	var g errgroup.Group
-	ended := make(chan struct{})
+	served := make(chan struct{})
 	g.Go(func() error {
-		defer close(ended)
+		defer close(served)
 		err := s.http.Serve(s.listener())
 		if errors.Is(err, http.ErrServerClosed) {
 			if ctx.Err() == nil {
@@ -94,7 +94,7 @@
 		select {
 		case <-ctx.Done():
 			return s.drain()
-		case <-ended:
+		case <-served:
 			return nil
 		}
 	})
--- a/internal/httpd/httpd_test.go
+++ b/internal/httpd/httpd_test.go
@@ -53,17 +53,17 @@
 	require.NoError(t, g.Wait())
 }
 
-func TestAcceptedConnectionsDieOfSilence(t *testing.T) {
+func TestAcceptedConnectionsHaveTimeouts(t *testing.T) {
 	l, err := Listen(t.Context(), "127.0.0.1:0", 7*time.Second)
 	require.NoError(t, err)
 	defer func() { _ = l.Close() }()
-	near, err := net.Dial("tcp", l.Addr().String())
+	client, err := net.Dial("tcp", l.Addr().String())
 	require.NoError(t, err)
-	defer func() { _ = near.Close() }()
-	far, err := l.Accept()
+	defer func() { _ = client.Close() }()
+	accepted, err := l.Accept()
 	require.NoError(t, err)
-	defer func() { _ = far.Close() }()
-	raw, err := far.(*net.TCPConn).SyscallConn()
+	defer func() { _ = accepted.Close() }()
+	raw, err := accepted.(*net.TCPConn).SyscallConn()
 	require.NoError(t, err)
 	options := map[int]int{unix.TCP_USER_TIMEOUT: 7000, unix.TCP_KEEPIDLE: 5, unix.TCP_KEEPINTVL: 3, unix.TCP_KEEPCNT: 3}
 	for option, want := range options {
--- a/internal/httpd/limit.go
+++ b/internal/httpd/limit.go
@@ -14,28 +14,28 @@
 // did not read to its end, and the caller gets a reset in place of the refusal.
 type limitListener struct {
 	net.Listener
-	places chan struct{}
+	sem    chan struct{}
 	closed chan struct{}
 	once   sync.Once
 }
 
-func newLimitListener(l net.Listener, most int) *limitListener {
-	return &limitListener{Listener: l, places: make(chan struct{}, most), closed: make(chan struct{})}
+func newLimitListener(l net.Listener, limit int) *limitListener {
+	return &limitListener{Listener: l, sem: make(chan struct{}, limit), closed: make(chan struct{})}
 }
 
 // Accept waits for a free place, then for a connection.
 func (l *limitListener) Accept() (net.Conn, error) {
 	select {
-	case l.places <- struct{}{}:
+	case l.sem <- struct{}{}:
 	case <-l.closed:
 		return nil, net.ErrClosed
 	}
 	c, err := l.Listener.Accept()
 	if err != nil {
-		<-l.places
+		<-l.sem
 		return nil, err
 	}
-	return &limitedConn{Conn: c, free: func() { <-l.places }}, nil
+	return &limitedConn{Conn: c, release: func() { <-l.sem }}, nil
 }
 
 // Close also ends the wait for a place.
@@ -47,14 +47,14 @@
 // limitedConn gives its place back once.
 type limitedConn struct {
 	net.Conn
-	once sync.Once
-	free func()
+	once    sync.Once
+	release func()
 }
 
 // Close closes the connection and frees its place.
 func (c *limitedConn) Close() error {
 	err := c.Conn.Close()
-	c.once.Do(c.free)
+	c.once.Do(c.release)
 	return err
 }
 
--- a/internal/httpd/listen.go
+++ b/internal/httpd/listen.go
@@ -13,17 +13,17 @@
 // Probes of an idle connection: with these, one whose other end is lost is
 // closed after about a quarter of a minute.
 const (
-	probeIdle  = 5 * time.Second
-	probeEvery = 3 * time.Second
-	probeCount = 3
+	keepAliveIdle     = 5 * time.Second
+	keepAliveInterval = 3 * time.Second
+	keepAliveCount    = 3
 )
 
 // KeepAlive are the probes for connections of the system.
 var KeepAlive = net.KeepAliveConfig{
 	Enable:   true,
-	Idle:     probeIdle,
-	Interval: probeEvery,
-	Count:    probeCount,
+	Idle:     keepAliveIdle,
+	Interval: keepAliveInterval,
+	Count:    keepAliveCount,
 }
 
 // Listen opens a TCP listener at address ("ip:port"). A connection on which
@@ -33,11 +33,11 @@
 // minutes, since the kernel keeps them to send again; the request would hold its
 // place on an engine for nobody. Probes don't help there: they are sent only
 // while nothing is unacknowledged.
-func Listen(ctx context.Context, address string, silence time.Duration) (net.Listener, error) {
+func Listen(ctx context.Context, address string, userTimeout time.Duration) (net.Listener, error) {
 	lc := net.ListenConfig{
 		KeepAliveConfig: KeepAlive,
 		// Accepted connections inherit the option.
-		Control: func(_, _ string, c syscall.RawConn) error { return setUserTimeout(c, silence) },
+		Control: func(_, _ string, c syscall.RawConn) error { return setUserTimeout(c, userTimeout) },
 	}
 	l, err := lc.Listen(ctx, "tcp", address)
 	if err != nil {
@@ -48,23 +48,23 @@
 
 // Dialer opens TCP connections on which bytes that stay unacknowledged for
 // silence close the connection; see Listen. connect bounds the opening.
-func Dialer(connect, silence time.Duration) *net.Dialer {
+func Dialer(connectTimeout, userTimeout time.Duration) *net.Dialer {
 	return &net.Dialer{
-		Timeout:         connect,
+		Timeout:         connectTimeout,
 		KeepAliveConfig: KeepAlive,
-		Control:         func(_, _ string, c syscall.RawConn) error { return setUserTimeout(c, silence) },
+		Control:         func(_, _ string, c syscall.RawConn) error { return setUserTimeout(c, userTimeout) },
 	}
 }
 
-func setUserTimeout(c syscall.RawConn, silence time.Duration) error {
-	var failed error
+func setUserTimeout(c syscall.RawConn, timeout time.Duration) error {
+	var optErr error
 	err := c.Control(func(fd uintptr) {
-		failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(silence.Milliseconds()))
+		optErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(timeout.Milliseconds()))
 	})
 	if err != nil {
 		return err
 	}
-	return failed
+	return optErr
 }
 
 // Opening is a listener to be opened, unless there is one.
@@ -75,12 +75,12 @@
 
 // ListenAll opens listeners as Listen does. After an error, those before it are
 // open.
-func ListenAll(ctx context.Context, silence time.Duration, all []Opening) error {
+func ListenAll(ctx context.Context, userTimeout time.Duration, all []Opening) error {
 	for _, o := range all {
 		if *o.To != nil {
 			continue
 		}
-		l, err := Listen(ctx, o.Addr, silence)
+		l, err := Listen(ctx, o.Addr, userTimeout)
 		if err != nil {
 			return err
 		}
