--- a/internal/httpd/httpd.go
+++ b/internal/httpd/httpd.go
@@ -1,5 +1,4 @@
-// Package httpd is an HTTP listener with limits, as a service of the supervisor
-// tree.
+// Package httpd is an HTTP server with limits, as a service of the supervisor tree.
 package httpd
 
 import (
@@ -20,25 +19,25 @@
 	"jasmineshed/internal/telem"
 )
 
-// Config of a Server.
+// Config configures a Server.
 type Config struct {
-	// Name in logs and errors.
+	// Name is used in logs and errors.
 	Name string
-	// Listener takes the connections; Serve closes it.
+	// Listener accepts the connections; Serve closes it.
 	Listener net.Listener
 	// TLS is nil for plain TCP.
 	TLS     *tls.Config
 	Handler http.Handler
 	Limits  prefs.Limits
-	// Call bounds one whole call, body and answer, where these are short; 0 for
-	// a handler that sets its own deadlines.
+	// Call bounds a complete call, request body and response, for handlers of short calls; 0
+	// for a handler that sets its own deadlines.
 	Call time.Duration
-	// Drain bounds how long Serve waits for requests in flight at its end.
+	// Drain bounds how long Serve waits for requests in flight when it stops.
 	Drain time.Duration
 	Log   logrus.FieldLogger
 }
 
-// Server is one HTTP listener. It serves once.
+// Server serves one HTTP listener. It can serve only once.
 type Server struct {
 	cfg  Config
 	http *http.Server
@@ -57,21 +56,21 @@
 	}}
 }
 
-// listener adds the connection limit and TLS. The limit comes first, so that a
-// connection counts from its handshake on.
+// listener adds the connection limit and TLS. The limit is innermost, so that a connection
+// counts from its TLS handshake on.
 func (s *Server) listener() net.Listener {
 	var l net.Listener = newLimitListener(s.cfg.Listener, s.cfg.Limits.Connections)
 	if s.cfg.TLS == nil {
 		return l
 	}
 	c := s.cfg.TLS.Clone()
-	// HTTP/2 would put all calls of a client on one connection, and all of them
-	// would hang with it when it goes silent.
+	// HTTP/2 would put all calls of a client on one connection, which would stall all of them
+	// when it stalls.
 	c.NextProtos = []string{"http/1.1"}
 	return tls.NewListener(l, c)
 }
 
-// Serve takes calls until ctx ends, then waits for those in flight.
+// Serve accepts calls until ctx ends, then waits for those in flight.
 func (s *Server) Serve(ctx context.Context) error {
 	var g errgroup.Group
 	served := make(chan struct{})
@@ -80,14 +79,13 @@
 		err := s.http.Serve(s.listener())
 		if errors.Is(err, http.ErrServerClosed) {
 			if ctx.Err() == nil {
-				// It was shut; the supervisor must not open it again.
+				// Shut was called; the supervisor must not restart the server.
 				return suture.ErrDoNotRestart
 			}
 			return nil
 		}
-		// The listener can't be opened again from here; a restart would fail for
-		// ever while the VM looks alive. So the whole process stops gracefully,
-		// and the platform replaces it.
+		// The listener can't be reopened here, so a restart would fail forever while the VM
+		// looks alive. Instead the process stops gracefully, and the platform replaces it.
 		return fmt.Errorf("%s listener: %w: %w", s.cfg.Name, err, suture.ErrTerminateSupervisorTree)
 	})
 	g.Go(func() error {
@@ -101,21 +99,21 @@
 	return g.Wait()
 }
 
-// Shut takes no more connections and waits for the requests in flight, until ctx
-// ends; then it cuts them off. Serve returns.
+// Shut stops accepting connections and waits for the requests in flight until ctx ends, then
+// aborts them. Serve returns.
 func (s *Server) Shut(ctx context.Context) error {
 	if err := s.http.Shutdown(ctx); err == nil {
 		return nil
 	}
-	s.cfg.Log.WithField("listener", s.cfg.Name).Warn("requests cut off at the end of the drain")
+	s.cfg.Log.WithField("listener", s.cfg.Name).Warn("requests in flight aborted at the end of the drain")
 	if err := s.http.Close(); err != nil {
 		return fmt.Errorf("closing %s listener: %w", s.cfg.Name, err)
 	}
 	return nil
 }
 
-// drain lets requests in flight end, up to the limit. Their contexts do not
-// come from Serve's, so the end of that one cuts off none of them.
+// drain lets requests in flight finish, up to the limit. Their contexts are not derived from
+// Serve's, so its end aborts none of them.
 func (s *Server) drain() error {
 	ctx, cancel := context.WithTimeout(context.Background(), s.cfg.Drain)
 	defer cancel()
--- a/internal/httpd/httpd_test.go
+++ b/internal/httpd/httpd_test.go
@@ -30,8 +30,8 @@
 	})
 }
 
-// Someone closes the listener under the server. A restart could not open it
-// again, so the error asks the supervisor to end the tree.
+// The listener is closed while the server uses it. A restart could not reopen it, so the error
+// must ask the supervisor to end the tree.
 func TestLostListenerEndsTheTree(t *testing.T) {
 	l, err := Listen(t.Context(), "127.0.0.1:0", time.Second)
 	require.NoError(t, err)
--- a/internal/httpd/limit.go
+++ b/internal/httpd/limit.go
@@ -6,12 +6,11 @@
 	"sync"
 )
 
-// limitListener bounds the connections that are open at once; more wait to be
-// accepted.
+// limitListener bounds the number of open connections; further ones wait to be accepted.
 //
-// The ready-made one of golang.org/x/net hides CloseWrite. Without that, net/http
-// can't half-close a connection after it has refused a header or body that it
-// did not read to its end, and the caller gets a reset in place of the refusal.
+// netutil.LimitListener of golang.org/x/net hides CloseWrite. Without that, net/http can't
+// half-close a connection after it has refused a header or body that it did not read to the
+// end, and the caller gets a connection reset instead of the refusal.
 type limitListener struct {
 	net.Listener
 	sem    chan struct{}
@@ -23,7 +22,7 @@
 	return &limitListener{Listener: l, sem: make(chan struct{}, limit), closed: make(chan struct{})}
 }
 
-// Accept waits for a free place, then for a connection.
+// Accept waits until the limit allows a connection, then for the connection.
 func (l *limitListener) Accept() (net.Conn, error) {
 	select {
 	case l.sem <- struct{}{}:
@@ -38,27 +37,27 @@
 	return &limitedConn{Conn: c, release: func() { <-l.sem }}, nil
 }
 
-// Close also ends the wait for a place.
+// Close also ends the wait in Accept.
 func (l *limitListener) Close() error {
 	l.once.Do(func() { close(l.closed) })
 	return l.Listener.Close()
 }
 
-// limitedConn gives its place back once.
+// limitedConn releases its place under the limit exactly once.
 type limitedConn struct {
 	net.Conn
 	once    sync.Once
 	release func()
 }
 
-// Close closes the connection and frees its place.
+// Close closes the connection and releases its place.
 func (c *limitedConn) Close() error {
 	err := c.Conn.Close()
 	c.once.Do(c.release)
 	return err
 }
 
-// CloseWrite closes the sending side, where the connection can do so.
+// CloseWrite closes the sending side, if the connection supports it.
 func (c *limitedConn) CloseWrite() error {
 	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 		return half.CloseWrite()
--- a/internal/httpd/listen.go
+++ b/internal/httpd/listen.go
@@ -10,15 +10,15 @@
 	"golang.org/x/sys/unix"
 )
 
-// Probes of an idle connection: with these, one whose other end is lost is
-// closed after about a quarter of a minute.
+// Keep-alive probes of an idle connection: they close it about 15 seconds after its other end
+// is lost.
 const (
 	keepAliveIdle     = 5 * time.Second
 	keepAliveInterval = 3 * time.Second
 	keepAliveCount    = 3
 )
 
-// KeepAlive are the probes for connections of the system.
+// KeepAlive is the keep-alive configuration of the connections of this system.
 var KeepAlive = net.KeepAliveConfig{
 	Enable:   true,
 	Idle:     keepAliveIdle,
@@ -26,13 +26,12 @@
 	Count:    keepAliveCount,
 }
 
-// Listen opens a TCP listener at address ("ip:port"). A connection on which
-// bytes stay unacknowledged for silence is closed by the kernel.
+// Listen opens a TCP listener at address ("ip:port"). The kernel closes a connection on which
+// bytes stay unacknowledged for userTimeout.
 //
-// Without that, writes to a caller that is lost without a word go on well for
-// minutes, since the kernel keeps them to send again; the request would hold its
-// place on an engine for nobody. Probes don't help there: they are sent only
-// while nothing is unacknowledged.
+// Without that, writes to a caller that has vanished succeed for minutes, because the kernel
+// buffers them for retransmission, and the request occupies an engine for nobody. Keep-alive
+// probes don't help there: they are sent only while nothing is unacknowledged.
 func Listen(ctx context.Context, address string, userTimeout time.Duration) (net.Listener, error) {
 	lc := net.ListenConfig{
 		KeepAliveConfig: KeepAlive,
@@ -46,8 +45,8 @@
 	return l, nil
 }
 
-// Dialer opens TCP connections on which bytes that stay unacknowledged for
-// silence close the connection; see Listen. connect bounds the opening.
+// Dialer opens TCP connections that the kernel closes when bytes stay unacknowledged for
+// userTimeout; see Listen. connectTimeout bounds the connection set-up.
 func Dialer(connectTimeout, userTimeout time.Duration) *net.Dialer {
 	return &net.Dialer{
 		Timeout:         connectTimeout,
@@ -67,14 +66,13 @@
 	return optErr
 }
 
-// Opening is a listener to be opened, unless there is one.
+// Opening is a listener to open at Addr, unless *To is already set.
 type Opening struct {
 	To   *net.Listener
 	Addr string
 }
 
-// ListenAll opens listeners as Listen does. After an error, those before it are
-// open.
+// ListenAll opens listeners as Listen does. If one fails, those before it stay open.
 func ListenAll(ctx context.Context, userTimeout time.Duration, all []Opening) error {
 	for _, o := range all {
 		if *o.To != nil {
