--- a/internal/plat/plat.go
+++ b/internal/plat/plat.go
@@ -23,10 +23,10 @@
 
 // Limits on what the platform may answer.
 const (
-	// maxValue is the largest value in bytes, as the platform promises.
-	maxValue = 1 << 20
-	// maxVMs bounds the VM list, in bytes.
-	maxVMs = 1 << 20
+	// maxValueBytes is the largest value in bytes, as the platform promises.
+	maxValueBytes = 1 << 20
+	// maxVMListBytes bounds the VM list, in bytes.
+	maxVMListBytes = 1 << 20
 	// defaultTimeout bounds a call beyond the time that it waits on purpose.
 	defaultTimeout = 3 * time.Second
 )
@@ -95,7 +95,7 @@
 // that the platform is stale. Parts that came before an error are in the result beside
 // it, so that the next read has fewer to ask for.
 func (p *Platform) Config(ctx context.Context, read shed.ReadConfig) (shed.ConfigRead, error) {
-	got, err := p.value(ctx, rules.IndexKey, read.After, read.Wait)
+	got, err := p.readValue(ctx, rules.IndexKey, read.After, read.Wait)
 	if err != nil {
 		return shed.ConfigRead{Failed: true}, err
 	}
@@ -106,21 +106,21 @@
 	if err != nil {
 		return shed.ConfigRead{Failed: true}, fmt.Errorf("%w: %w", ErrBadReply, err)
 	}
-	parts, err := p.parts(ctx, index.Parts, read.Have)
+	parts, err := p.readParts(ctx, index.Parts, read.Have)
 	if err != nil && len(parts) == 0 {
 		return shed.ConfigRead{Failed: true}, err
 	}
 	return shed.ConfigRead{Index: index, Parts: parts}, err
 }
 
-// parts reads those that are not held, up to the first error.
-func (p *Platform) parts(ctx context.Context, want, have []shed.PartHash) (map[shed.PartHash][]byte, error) {
+// readParts reads those that are not held, up to the first error.
+func (p *Platform) readParts(ctx context.Context, want, have []shed.PartHash) (map[shed.PartHash][]byte, error) {
 	parts := map[shed.PartHash][]byte{}
 	for _, hash := range want {
 		if _, got := parts[hash]; got || slices.Contains(have, hash) {
 			continue
 		}
-		got, err := p.value(ctx, rules.PartName(hash), 0, 0)
+		got, err := p.readValue(ctx, rules.PartName(hash), 0, 0)
 		if err != nil {
 			return parts, err
 		}
@@ -136,28 +136,28 @@
 func (p *Platform) VMs(ctx context.Context) ([]shed.VMEntry, error) {
 	ctx, cancel := context.WithTimeout(ctx, p.cfg.Timeout)
 	defer cancel()
-	got, err := p.get(ctx, wire.PathVMs, maxVMs)
+	got, err := p.get(ctx, wire.PathVMs, maxVMListBytes)
 	if err != nil {
 		return nil, err
 	}
-	var lines []wire.VM
-	if err := json.Unmarshal(got.data, &lines); err != nil {
+	var entries []wire.VM
+	if err := json.Unmarshal(got.data, &entries); err != nil {
 		return nil, fmt.Errorf("%w: VM list: %w", ErrBadReply, err)
 	}
-	vms := make([]shed.VMEntry, len(lines))
-	for i, line := range lines {
-		vms[i] = shed.VMEntry{VM: line.VM, Zone: line.Zone, Leaving: line.Leaving}
+	vms := make([]shed.VMEntry, len(entries))
+	for i, entry := range entries {
+		vms[i] = shed.VMEntry{VM: entry.VM, Zone: entry.Zone, Leaving: entry.Leaving}
 	}
 	return vms, nil
 }
 
-type value struct {
+type versionedValue struct {
 	revision shed.Revision
 	data     []byte
 	newer    bool
 }
 
-func (p *Platform) value(ctx context.Context, key string, after shed.Revision, wait time.Duration) (value, error) {
+func (p *Platform) readValue(ctx context.Context, key string, after shed.Revision, wait time.Duration) (versionedValue, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+p.cfg.Timeout)
 	defer cancel()
 	path := wire.PathValues + key + "?after=" + strconv.FormatUint(uint64(after), 10)
@@ -165,45 +165,45 @@
 		seconds := (wait + time.Second - 1) / time.Second
 		path += "&wait=" + strconv.FormatInt(int64(seconds), 10)
 	}
-	got, err := p.get(ctx, path, maxValue)
+	got, err := p.get(ctx, path, maxValueBytes)
 	if err != nil {
-		return value{}, err
+		return versionedValue{}, err
 	}
 	n, err := strconv.ParseUint(got.header.Get(wire.HeaderRevision), 10, 64)
 	if err != nil {
-		return value{}, fmt.Errorf("%w: no %s", ErrBadReply, wire.HeaderRevision)
+		return versionedValue{}, fmt.Errorf("%w: no %s", ErrBadReply, wire.HeaderRevision)
 	}
-	return value{revision: shed.Revision(n), data: got.data, newer: got.status == http.StatusOK}, nil
+	return versionedValue{revision: shed.Revision(n), data: got.data, newer: got.status == http.StatusOK}, nil
 }
 
-type answer struct {
+type response struct {
 	status int
 	header http.Header
 	data   []byte
 }
 
 // get makes one call and reads its whole answer, up to limit bytes.
-func (p *Platform) get(ctx context.Context, path string, limit int64) (answer, error) {
+func (p *Platform) get(ctx context.Context, path string, limit int64) (response, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, p.cfg.URL+path, nil)
 	if err != nil {
-		return answer{}, fmt.Errorf("platform address: %w", err)
+		return response{}, fmt.Errorf("platform address: %w", err)
 	}
 	resp, err := p.client.Do(req)
 	if err != nil {
-		return answer{}, fmt.Errorf("%w: %w", ErrUnreachable, err)
+		return response{}, fmt.Errorf("%w: %w", ErrUnreachable, err)
 	}
 	defer func() { _ = resp.Body.Close() }()
 	data, err := io.ReadAll(io.LimitReader(resp.Body, limit+1))
 	if err != nil {
-		return answer{}, fmt.Errorf("%w: %w", ErrUnreachable, err)
+		return response{}, fmt.Errorf("%w: %w", ErrUnreachable, err)
 	}
 	if int64(len(data)) > limit {
-		return answer{}, fmt.Errorf("%w: over %d bytes", ErrBadReply, limit)
+		return response{}, fmt.Errorf("%w: over %d bytes", ErrBadReply, limit)
 	}
-	return answer{status: resp.StatusCode, header: resp.Header, data: data}, status(resp.StatusCode)
+	return response{status: resp.StatusCode, header: resp.Header, data: data}, statusError(resp.StatusCode)
 }
 
-func status(code int) error {
+func statusError(code int) error {
 	switch code {
 	case http.StatusOK, http.StatusNotModified:
 		return nil
--- a/internal/plat/plat_test.go
+++ b/internal/plat/plat_test.go
@@ -22,8 +22,8 @@
 
 const platformURL = "http://platform:1"
 
-// reader is a Platform before a stand-in on a network in memory.
-func reader(t *testing.T, h http.Handler) *plat.Platform {
+// newReader is a Platform before a stand-in on a network in memory.
+func newReader(t *testing.T, h http.Handler) *plat.Platform {
 	t.Helper()
 	n := stand.NewNet()
 	l, err := n.Listen("platform:1")
@@ -37,8 +37,8 @@
 	return p
 }
 
-// values are the index of some parts, and the parts.
-func values(parts ...string) (map[string][]byte, []shed.PartHash) {
+// configValues are the index of some parts, and the parts.
+func configValues(parts ...string) (map[string][]byte, []shed.PartHash) {
 	out := map[string][]byte{}
 	var hashes []shed.PartHash
 	var names []string
@@ -53,21 +53,21 @@
 }
 
 func TestConfigReadsOnlyWhatIsMissing(t *testing.T) {
-	stood := stand.NewPlatform(stand.PlatformConfig{})
-	p := reader(t, stood)
+	fake := stand.NewPlatform(stand.PlatformConfig{})
+	p := newReader(t, fake)
 	ctx := t.Context()
 	_, err := p.Config(ctx, shed.ReadConfig{})
 	require.ErrorIs(t, err, plat.ErrAbsent)
 
-	first, hashes := values("a", "b")
-	revision := stood.Publish(first)
+	first, hashes := configValues("a", "b")
+	revision := fake.Publish(first)
 	got, err := p.Config(ctx, shed.ReadConfig{})
 	require.NoError(t, err)
 	require.Equal(t, shed.ConfigIndex{Revision: revision, Parts: hashes}, got.Index)
 	require.Len(t, got.Parts, 2)
 
-	second, hashes := values("a", "c")
-	stood.Publish(second)
+	second, hashes := configValues("a", "c")
+	fake.Publish(second)
 	got, err = p.Config(ctx, shed.ReadConfig{After: revision, Have: hashes[:1]})
 	require.NoError(t, err)
 	require.Equal(t, map[shed.PartHash][]byte{hashes[1]: []byte("c")}, got.Parts)
@@ -75,15 +75,15 @@
 	got, err = p.Config(ctx, shed.ReadConfig{After: 2})
 	require.NoError(t, err)
 	require.Equal(t, shed.ConfigRead{Index: shed.ConfigIndex{Revision: 2}}, got)
-	require.Equal(t, 7, stood.Calls().Reads)
+	require.Equal(t, 7, fake.Calls().Reads)
 }
 
 func TestWatch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		stood := stand.NewPlatform(stand.PlatformConfig{})
-		p := reader(t, stood)
-		first, _ := values("a")
-		stood.Publish(first)
+		fake := stand.NewPlatform(stand.PlatformConfig{})
+		p := newReader(t, fake)
+		first, _ := configValues("a")
+		fake.Publish(first)
 		began := time.Now()
 		got, err := p.Config(t.Context(), shed.ReadConfig{After: 1, Wait: 5 * time.Second})
 		require.NoError(t, err)
@@ -96,8 +96,8 @@
 			return err
 		})
 		time.Sleep(time.Second)
-		second, hashes := values("b")
-		stood.Publish(second)
+		second, hashes := configValues("b")
+		fake.Publish(second)
 		require.NoError(t, group.Wait())
 		require.Equal(t, shed.ConfigIndex{Revision: 2, Parts: hashes}, got.Index)
 		require.Equal(t, 6*time.Second, time.Since(began))
@@ -108,17 +108,17 @@
 // state and answers reads with it; the reader must show that revision, and not
 // take the answer for a confirmation of the newer one.
 func TestStalePlatformShows(t *testing.T) {
-	stood := stand.NewPlatform(stand.PlatformConfig{})
-	p := reader(t, stood)
-	first, _ := values("a")
-	stood.Publish(first)
-	stood.SetStale(true)
-	second, _ := values("b")
-	stood.Publish(second)
+	fake := stand.NewPlatform(stand.PlatformConfig{})
+	p := newReader(t, fake)
+	first, _ := configValues("a")
+	fake.Publish(first)
+	fake.SetStale(true)
+	second, _ := configValues("b")
+	fake.Publish(second)
 	got, err := p.Config(t.Context(), shed.ReadConfig{After: 2})
 	require.NoError(t, err)
 	require.Equal(t, shed.ConfigRead{Index: shed.ConfigIndex{Revision: 1}}, got)
-	stood.SetStale(false)
+	fake.SetStale(false)
 	got, err = p.Config(t.Context(), shed.ReadConfig{After: 1})
 	require.NoError(t, err)
 	require.EqualValues(t, 2, got.Index.Revision)
@@ -128,16 +128,16 @@
 // or a read; each ends with an error within its time, and the next one works.
 func TestPlatformDownAndMute(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		stood := stand.NewPlatform(stand.PlatformConfig{})
-		p := reader(t, stood)
-		first, _ := values("a")
-		stood.Publish(first)
+		fake := stand.NewPlatform(stand.PlatformConfig{})
+		p := newReader(t, fake)
+		first, _ := configValues("a")
+		fake.Publish(first)
 		began := time.Now()
-		stood.SetMute(true)
+		fake.SetMute(true)
 		_, err := p.Config(t.Context(), shed.ReadConfig{})
 		require.ErrorIs(t, err, plat.ErrUnreachable)
 		require.Equal(t, 3*time.Second, time.Since(began))
-		stood.SetMute(false)
+		fake.SetMute(false)
 
 		var group errgroup.Group
 		group.Go(func() error {
@@ -145,10 +145,10 @@
 			return err
 		})
 		time.Sleep(time.Second)
-		stood.SetDown(true)
+		fake.SetDown(true)
 		require.ErrorIs(t, group.Wait(), plat.ErrUnreachable)
 		require.Equal(t, 4*time.Second, time.Since(began))
-		stood.SetDown(false)
+		fake.SetDown(false)
 		_, err = p.Config(t.Context(), shed.ReadConfig{})
 		require.NoError(t, err)
 	})
@@ -156,8 +156,8 @@
 
 func TestBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		stood := stand.NewPlatform(stand.PlatformConfig{ReadsPerSecond: 3})
-		p := reader(t, stood)
+		fake := stand.NewPlatform(stand.PlatformConfig{ReadsPerSecond: 3})
+		p := newReader(t, fake)
 		for range 3 {
 			_, err := p.VMs(t.Context())
 			require.NoError(t, err)
@@ -167,16 +167,16 @@
 		time.Sleep(time.Second)
 		_, err = p.VMs(t.Context())
 		require.NoError(t, err)
-		require.Equal(t, stand.PlatformCalls{VMs: 5, Refused: 1, Peak: 4}, stood.Calls())
+		require.Equal(t, stand.PlatformCalls{VMs: 5, Refused: 1, Peak: 4}, fake.Calls())
 	})
 }
 
 func TestVMsLag(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		stood := stand.NewPlatform(stand.PlatformConfig{VMLag: 10 * time.Second})
-		p := reader(t, stood)
-		stood.SetVMs([]wire.VM{{VM: "10.0.0.1:1", Zone: "a"}})
-		stood.SetVMs([]wire.VM{{VM: "10.0.0.1:1", Zone: "a", Leaving: true}})
+		fake := stand.NewPlatform(stand.PlatformConfig{VMLag: 10 * time.Second})
+		p := newReader(t, fake)
+		fake.SetVMs([]wire.VM{{VM: "10.0.0.1:1", Zone: "a"}})
+		fake.SetVMs([]wire.VM{{VM: "10.0.0.1:1", Zone: "a", Leaving: true}})
 		vms, err := p.VMs(t.Context())
 		require.NoError(t, err)
 		require.Equal(t, []shed.VMEntry{{VM: "10.0.0.1:1", Zone: "a"}}, vms)
@@ -190,7 +190,7 @@
 // Nothing of a configuration is taken when one of its parts is wrong, so that
 // every daemon has the whole revision or the one before.
 func TestBadReplies(t *testing.T) {
-	good, hashes := values("a")
+	good, hashes := configValues("a")
 	name := rules.PartName(hashes[0])
 	cases := []struct {
 		name  string
@@ -206,9 +206,9 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			stood := stand.NewPlatform(stand.PlatformConfig{})
-			stood.Publish(map[string][]byte{rules.IndexKey: []byte(c.index), name: []byte(c.part)})
-			got, err := reader(t, stood).Config(context.Background(), shed.ReadConfig{})
+			fake := stand.NewPlatform(stand.PlatformConfig{})
+			fake.Publish(map[string][]byte{rules.IndexKey: []byte(c.index), name: []byte(c.part)})
+			got, err := newReader(t, fake).Config(context.Background(), shed.ReadConfig{})
 			require.ErrorIs(t, err, plat.ErrBadReply)
 			require.Equal(t, shed.ConfigRead{Failed: true}, got)
 		})
@@ -219,16 +219,16 @@
 // is over before all parts are there. It gets those that came, and asks for the others
 // the next time: were they thrown away, it would begin anew each time, and never serve.
 func TestTimeIsOverBeforeAllPartsCame(t *testing.T) {
-	stood := stand.NewPlatform(stand.PlatformConfig{})
-	content, hashes := values("a", "b", "c")
-	revision := stood.Publish(content)
+	fake := stand.NewPlatform(stand.PlatformConfig{})
+	content, hashes := configValues("a", "b", "c")
+	revision := fake.Publish(content)
 	last := strings.TrimPrefix(rules.PartName(hashes[2]), "/")
-	p := reader(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	p := newReader(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if strings.Contains(r.URL.Path, last) {
 			<-r.Context().Done()
 			return
 		}
-		stood.ServeHTTP(w, r)
+		fake.ServeHTTP(w, r)
 	}))
 	ctx, cancel := context.WithTimeout(t.Context(), 200*time.Millisecond)
 	defer cancel()
