--- a/internal/plat/plat.go
+++ b/internal/plat/plat.go
@@ -1,5 +1,5 @@
-// Package plat implements shed.Platform over HTTP: it reads the configuration
-// and the VM list, and can write nothing.
+// Package plat implements shed.Platform over HTTP: it reads the configuration and the VM list,
+// and writes nothing.
 package plat
 
 import (
@@ -21,46 +21,45 @@
 	"jasmineshed/internal/wire"
 )
 
-// Limits on what the platform may answer.
+// Limits on the platform's answers.
 const (
-	// maxValueBytes is the largest value in bytes, as the platform promises.
+	// maxValueBytes is the platform's documented maximum size of a value.
 	maxValueBytes = 1 << 20
-	// maxVMListBytes bounds the VM list, in bytes.
+	// maxVMListBytes bounds the VM list.
 	maxVMListBytes = 1 << 20
-	// defaultTimeout bounds a call beyond the time that it waits on purpose.
+	// defaultTimeout bounds a call in addition to its requested wait.
 	defaultTimeout = 3 * time.Second
 )
 
-// Errors of the platform's reader.
+// Errors of a Platform.
 var (
-	// ErrUnreachable: no answer came, or it was cut off.
+	// ErrUnreachable: no answer came, or it broke off.
 	ErrUnreachable = errors.New("platform unreachable")
-	// ErrBudget: the call budget of all readers is spent.
-	ErrBudget = errors.New("platform call budget spent")
+	// ErrBudget: the call budget, which all readers share, is exhausted.
+	ErrBudget = errors.New("platform call budget exhausted")
 	// ErrAbsent: the platform has no such value.
-	ErrAbsent = errors.New("value absent on the platform")
-	// ErrBadReply: the answer makes no sense, or a part is not what its hash says.
-	ErrBadReply = errors.New("bad reply of the platform")
+	ErrAbsent = errors.New("value not found on the platform")
+	// ErrBadReply: the answer is malformed, or a part doesn't match its hash.
+	ErrBadReply = errors.New("bad reply from the platform")
 )
 
 // Config configures a Platform.
 type Config struct {
-	// URL is the base of the platform's HTTP interface.
+	// URL is the base URL of the platform's HTTP interface.
 	URL string
-	// Timeout bounds a call beyond the time that it waits on purpose; 0 means
-	// three seconds.
+	// Timeout bounds a call in addition to its requested wait; 0 means three seconds.
 	Timeout time.Duration
 	// Dial opens connections; nil means TCP.
 	Dial func(ctx context.Context, network, addr string) (net.Conn, error)
 }
 
-// Platform reads the platform. It is safe for use by many goroutines.
+// Platform is a client of the platform. It is safe for concurrent use.
 type Platform struct {
 	cfg    Config
 	client *http.Client
 }
 
-// New returns a reader of the platform at cfg.URL.
+// New returns a client of the platform at cfg.URL.
 func New(cfg Config) *Platform {
 	if cfg.Timeout == 0 {
 		cfg.Timeout = defaultTimeout
@@ -89,11 +88,11 @@
 // Close closes idle connections.
 func (p *Platform) Close() { p.client.CloseIdleConnections() }
 
-// Config reads the index and those parts that read.Have lacks. If there is
-// nothing newer than read.After, the result has no parts, and its revision is
-// what the platform holds: equal to read.After confirms it, a lower one shows
-// that the platform is stale. Parts that came before an error are in the result beside
-// it, so that the next read has fewer to ask for.
+// Config reads the index and those parts that read.Have lacks. If nothing is newer than
+// read.After, the result has no parts, and its revision is the one that the platform holds: a
+// revision equal to read.After confirms it, a lower one shows that the platform is stale. If
+// an error occurs, the result contains the parts read before it, so that the next read
+// requests fewer.
 func (p *Platform) Config(ctx context.Context, read shed.ReadConfig) (shed.ConfigRead, error) {
 	got, err := p.readValue(ctx, rules.IndexKey, read.After, read.Wait)
 	if err != nil {
@@ -113,7 +112,7 @@
 	return shed.ConfigRead{Index: index, Parts: parts}, err
 }
 
-// readParts reads those that are not held, up to the first error.
+// readParts reads the parts not in have, up to the first error.
 func (p *Platform) readParts(ctx context.Context, want, have []shed.PartHash) (map[shed.PartHash][]byte, error) {
 	parts := map[shed.PartHash][]byte{}
 	for _, hash := range want {
@@ -125,14 +124,14 @@
 			return parts, err
 		}
 		if sha256.Sum256(got.data) != hash {
-			return parts, fmt.Errorf("%w: part %x has other contents", ErrBadReply, hash[:4])
+			return parts, fmt.Errorf("%w: contents of part %x do not match its hash", ErrBadReply, hash[:4])
 		}
 		parts[hash] = got.data
 	}
 	return parts, nil
 }
 
-// VMs reads the lagging list of VMs.
+// VMs reads the list of VMs, which may lag behind.
 func (p *Platform) VMs(ctx context.Context) ([]shed.VMEntry, error) {
 	ctx, cancel := context.WithTimeout(ctx, p.cfg.Timeout)
 	defer cancel()
@@ -171,7 +170,7 @@
 	}
 	n, err := strconv.ParseUint(got.header.Get(wire.HeaderRevision), 10, 64)
 	if err != nil {
-		return versionedValue{}, fmt.Errorf("%w: no %s", ErrBadReply, wire.HeaderRevision)
+		return versionedValue{}, fmt.Errorf("%w: missing or invalid header %s", ErrBadReply, wire.HeaderRevision)
 	}
 	return versionedValue{revision: shed.Revision(n), data: got.data, newer: got.status == http.StatusOK}, nil
 }
@@ -182,11 +181,11 @@
 	data   []byte
 }
 
-// get makes one call and reads its whole answer, up to limit bytes.
+// get makes one call and reads its complete answer, up to limit bytes.
 func (p *Platform) get(ctx context.Context, path string, limit int64) (response, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, p.cfg.URL+path, nil)
 	if err != nil {
-		return response{}, fmt.Errorf("platform address: %w", err)
+		return response{}, fmt.Errorf("creating the platform request: %w", err)
 	}
 	resp, err := p.client.Do(req)
 	if err != nil {
@@ -198,7 +197,7 @@
 		return response{}, fmt.Errorf("%w: %w", ErrUnreachable, err)
 	}
 	if int64(len(data)) > limit {
-		return response{}, fmt.Errorf("%w: over %d bytes", ErrBadReply, limit)
+		return response{}, fmt.Errorf("%w: longer than %d bytes", ErrBadReply, limit)
 	}
 	return response{status: resp.StatusCode, header: resp.Header, data: data}, statusError(resp.StatusCode)
 }
--- a/internal/plat/plat_test.go
+++ b/internal/plat/plat_test.go
@@ -22,7 +22,7 @@
 
 const platformURL = "http://platform:1"
 
-// newReader is a Platform before a stand-in on a network in memory.
+// newReader returns a Platform client of h on an in-memory network.
 func newReader(t *testing.T, h http.Handler) *plat.Platform {
 	t.Helper()
 	n := stand.NewNet()
@@ -37,7 +37,7 @@
 	return p
 }
 
-// configValues are the index of some parts, and the parts.
+// configValues returns an index and its parts by key, and the parts' hashes.
 func configValues(parts ...string) (map[string][]byte, []shed.PartHash) {
 	out := map[string][]byte{}
 	var hashes []shed.PartHash
@@ -104,9 +104,8 @@
 	})
 }
 
-// A daemon keeps its newer configuration. The platform falls back to an older
-// state and answers reads with it; the reader must show that revision, and not
-// take the answer for a confirmation of the newer one.
+// The platform falls back to an older state than the daemon's configuration and answers reads
+// from it. The read must return that revision and not confirm the newer one.
 func TestStalePlatformShows(t *testing.T) {
 	fake := stand.NewPlatform(stand.PlatformConfig{})
 	p := newReader(t, fake)
@@ -124,8 +123,8 @@
 	require.EqualValues(t, 2, got.Index.Revision)
 }
 
-// The daemon goes on with what it has. The platform hangs or dies under a watch
-// or a read; each ends with an error within its time, and the next one works.
+// The platform hangs or dies during a watch or a read. Each must fail within its timeout, and
+// the next one must work.
 func TestPlatformDownAndMute(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fake := stand.NewPlatform(stand.PlatformConfig{})
@@ -187,8 +186,8 @@
 	})
 }
 
-// Nothing of a configuration is taken when one of its parts is wrong, so that
-// every daemon has the whole revision or the one before.
+// A configuration with an invalid part is rejected, so that every daemon has either the
+// complete revision or the previous one.
 func TestBadReplies(t *testing.T) {
 	good, hashes := configValues("a")
 	name := rules.PartName(hashes[0])
@@ -215,9 +214,9 @@
 	}
 }
 
-// A daemon that sees no peer reads a large configuration over a small link, and its time
-// is over before all parts are there. It gets those that came, and asks for the others
-// the next time: were they thrown away, it would begin anew each time, and never serve.
+// A daemon without peers reads a large configuration over a low-bandwidth link, and its time
+// is over before all parts have arrived. It must get those that did and request only the
+// others next time: if it discarded them, it would start over each time and never serve.
 func TestTimeIsOverBeforeAllPartsCame(t *testing.T) {
 	fake := stand.NewPlatform(stand.PlatformConfig{})
 	content, hashes := configValues("a", "b", "c")
