--- a/internal/design/design.go
+++ b/internal/design/design.go
@@ -85,9 +85,9 @@
 
 // requestPattern is longer: a ticket's id holds the address of its home, which
 // may be one of IPv6.
-const requestPattern = `^[A-Za-z0-9._-]{1,128}$`
+const requestIDPattern = `^[A-Za-z0-9._-]{1,128}$`
 
-func credentials() {
+func credentialAttributes() {
 	Attribute("workspace", String, func() { Pattern(idPattern) })
 	Attribute("token", String, "Authorization: Bearer TOKEN")
 	Required("workspace")
@@ -103,12 +103,12 @@
 	Required("pipeline")
 }
 
-func idAttribute() {
-	Attribute("request_id", String, "The ticket's id.", func() { Pattern(requestPattern) })
+func requestIDAttribute() {
+	Attribute("request_id", String, "The ticket's id.", func() { Pattern(requestIDPattern) })
 	Required("request_id")
 }
 
-func work() {
+func payloadAttributes() {
 	Attribute("input", String)
 	Attribute("max_tokens", UInt32, "Bounds what a generate stage produces; 0 leaves it to the engine.")
 	Attribute("budget_ms", Int64, "The caller's own time limit; bounded by the pipeline's deadline.", func() {
@@ -149,9 +149,9 @@
 	Method("run", func() {
 		Description("Runs an idempotent pipeline and answers with the whole result.")
 		Payload(func() {
-			credentials()
+			credentialAttributes()
 			pipelineAttribute()
-			work()
+			payloadAttributes()
 		})
 		Result(Answer)
 		HTTP(func() {
@@ -162,9 +162,9 @@
 	Method("stream", func() {
 		Description("Runs an idempotent pipeline and streams what goes on: stage, text, reset, beat, answer.")
 		Payload(func() {
-			credentials()
+			credentialAttributes()
 			pipelineAttribute()
-			work()
+			payloadAttributes()
 		})
 		StreamingResult(func() {
 			Attribute("kind", String)
@@ -183,7 +183,7 @@
 	Method("issue", func() {
 		Description("Gives out a ticket for one run of a non-idempotent pipeline.")
 		Payload(func() {
-			credentials()
+			credentialAttributes()
 			pipelineAttribute()
 		})
 		Result(Ticket)
@@ -196,10 +196,10 @@
 	Method("once", func() {
 		Description("Runs a pipeline at most once for its ticket; a repeat gets the same answer.")
 		Payload(func() {
-			credentials()
-			idAttribute()
+			credentialAttributes()
+			requestIDAttribute()
 			pipelineAttribute()
-			work()
+			payloadAttributes()
 		})
 		Result(Answer)
 		HTTP(func() {
@@ -210,8 +210,8 @@
 	Method("result", func() {
 		Description("The answer to a ticketed request; waits for it if it runs.")
 		Payload(func() {
-			credentials()
-			idAttribute()
+			credentialAttributes()
+			requestIDAttribute()
 		})
 		Result(Answer)
 		HTTP(func() {
