--- a/internal/design/design.go
+++ b/internal/design/design.go
@@ -1,4 +1,4 @@
-// Package design describes the callers' interface; goa generates from it.
+// Package design describes the HTTP interface for callers; goa generates code from it.
 package design
 
 import . "goa.design/goa/v3/dsl"
@@ -7,7 +7,7 @@
 	Title("jasmineshed callers' interface")
 })
 
-// idPattern is what every id from outside has to match before it is used.
+// idPattern is the pattern that every id from outside must match before it is used.
 const idPattern = `^[A-Za-z0-9._-]{1,64}$`
 
 var Rule = Type("Rule", func() {
@@ -83,8 +83,8 @@
 	Required("status")
 })
 
-// requestPattern is longer: a ticket's id holds the address of its home, which
-// may be one of IPv6.
+// requestIDPattern allows longer ids: a ticket's id contains the address of its home, which
+// may be an IPv6 address.
 const requestIDPattern = `^[A-Za-z0-9._-]{1,128}$`
 
 func credentialAttributes() {
