--- a/internal/front/fake_test.go
+++ b/internal/front/fake_test.go
@@ -71,10 +71,10 @@
 
 func newTestFront(s shed.Serving, change func(*Config)) *Front {
 	cfg := Config{
-		Serving: s,
-		Limits:  prefs.Defaults().Limits,
-		Drain:   time.Minute,
-		Log:     discardLogger(),
+		Serving:      s,
+		Limits:       prefs.Defaults().Limits,
+		DrainTimeout: time.Minute,
+		Log:          discardLogger(),
 	}
 	if change != nil {
 		change(&cfg)
--- a/internal/front/wire_test.go
+++ b/internal/front/wire_test.go
@@ -191,7 +191,7 @@
 // that a stop always terminates.
 func TestDrainIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := startServer(t, delayedServing(time.Hour), func(cfg *Config) { cfg.Drain = 3 * time.Second })
+		r := startServer(t, delayedServing(time.Hour), func(cfg *Config) { cfg.DrainTimeout = 3 * time.Second })
 		start := time.Now()
 		time.AfterFunc(time.Second, r.stop)
 		_, err := r.client.Do(newCall("POST", runPath, `{"input":"x"}`))
--- a/internal/httpd/httpd.go
+++ b/internal/httpd/httpd.go
@@ -29,12 +29,12 @@
 	TLS     *tls.Config
 	Handler http.Handler
 	Limits  prefs.Limits
-	// Call bounds a complete call, request body and response, for handlers of short calls; 0
+	// CallTimeout bounds a complete call, request body and response, for handlers of short calls; 0
 	// for a handler that sets its own deadlines.
-	Call time.Duration
-	// Drain bounds how long Serve waits for requests in flight when it stops.
-	Drain time.Duration
-	Log   logrus.FieldLogger
+	CallTimeout time.Duration
+	// DrainTimeout bounds how long Serve waits for requests in flight when it stops.
+	DrainTimeout time.Duration
+	Log          logrus.FieldLogger
 }
 
 // Server serves one HTTP listener. It can serve only once.
@@ -50,8 +50,8 @@
 		MaxHeaderBytes:    cfg.Limits.HeaderBytes,
 		ReadHeaderTimeout: cfg.Limits.HeaderTimeout,
 		IdleTimeout:       cfg.Limits.IdleTimeout,
-		ReadTimeout:       cfg.Call,
-		WriteTimeout:      cfg.Call,
+		ReadTimeout:       cfg.CallTimeout,
+		WriteTimeout:      cfg.CallTimeout,
 		ErrorLog:          log.New(telem.LogWriter{Log: cfg.Log}, "", 0),
 	}}
 }
@@ -99,9 +99,9 @@
 	return g.Wait()
 }
 
-// Shut stops accepting connections and waits for the requests in flight until ctx ends, then
+// Shutdown stops accepting connections and waits for the requests in flight until ctx ends, then
 // aborts them. Serve returns.
-func (s *Server) Shut(ctx context.Context) error {
+func (s *Server) Shutdown(ctx context.Context) error {
 	if err := s.http.Shutdown(ctx); err == nil {
 		return nil
 	}
@@ -115,7 +115,7 @@
 // drain lets requests in flight finish, up to the limit. Their contexts are not derived from
 // Serve's, so its end aborts none of them.
 func (s *Server) drain() error {
-	ctx, cancel := context.WithTimeout(context.Background(), s.cfg.Drain)
+	ctx, cancel := context.WithTimeout(context.Background(), s.cfg.DrainTimeout)
 	defer cancel()
-	return s.Shut(ctx)
+	return s.Shutdown(ctx)
 }
--- a/internal/httpd/listen.go
+++ b/internal/httpd/listen.go
@@ -66,23 +66,23 @@
 	return optErr
 }
 
-// Opening is a listener to open at Addr, unless *To is already set.
-type Opening struct {
-	To   *net.Listener
-	Addr string
+// ListenSpec is a listener to open at Addr, unless *To is already set.
+type ListenSpec struct {
+	Listener *net.Listener
+	Addr     string
 }
 
 // ListenAll opens listeners as Listen does. If one fails, those before it stay open.
-func ListenAll(ctx context.Context, userTimeout time.Duration, all []Opening) error {
+func ListenAll(ctx context.Context, userTimeout time.Duration, all []ListenSpec) error {
 	for _, o := range all {
-		if *o.To != nil {
+		if *o.Listener != nil {
 			continue
 		}
 		l, err := Listen(ctx, o.Addr, userTimeout)
 		if err != nil {
 			return err
 		}
-		*o.To = l
+		*o.Listener = l
 	}
 	return nil
 }
--- a/internal/plat/plat.go
+++ b/internal/plat/plat.go
@@ -35,10 +35,10 @@
 var (
 	// ErrUnreachable: no answer came, or it broke off.
 	ErrUnreachable = errors.New("platform unreachable")
-	// ErrBudget: the call budget, which all readers share, is exhausted.
-	ErrBudget = errors.New("platform call budget exhausted")
-	// ErrAbsent: the platform has no such value.
-	ErrAbsent = errors.New("value not found on the platform")
+	// ErrBudgetExhausted: the call budget, which all readers share, is exhausted.
+	ErrBudgetExhausted = errors.New("platform call budget exhausted")
+	// ErrNotFound: the platform has no such value.
+	ErrNotFound = errors.New("value not found on the platform")
 	// ErrBadReply: the answer is malformed, or a part doesn't match its hash.
 	ErrBadReply = errors.New("bad reply from the platform")
 )
@@ -207,9 +207,9 @@
 	case http.StatusOK, http.StatusNotModified:
 		return nil
 	case http.StatusNotFound:
-		return ErrAbsent
+		return ErrNotFound
 	case http.StatusTooManyRequests:
-		return ErrBudget
+		return ErrBudgetExhausted
 	default:
 		return fmt.Errorf("%w: status %d", ErrBadReply, code)
 	}
--- a/internal/plat/plat_test.go
+++ b/internal/plat/plat_test.go
@@ -57,7 +57,7 @@
 	p := newReader(t, fake)
 	ctx := t.Context()
 	_, err := p.Config(ctx, shed.ReadConfig{})
-	require.ErrorIs(t, err, plat.ErrAbsent)
+	require.ErrorIs(t, err, plat.ErrNotFound)
 
 	first, hashes := configValues("a", "b")
 	revision := fake.Publish(first)
@@ -162,7 +162,7 @@
 			require.NoError(t, err)
 		}
 		_, err := p.VMs(t.Context())
-		require.ErrorIs(t, err, plat.ErrBudget)
+		require.ErrorIs(t, err, plat.ErrBudgetExhausted)
 		time.Sleep(time.Second)
 		_, err = p.VMs(t.Context())
 		require.NoError(t, err)
