--- a/internal/httpd/httpd.go
+++ b/internal/httpd/httpd.go
@@ -79,7 +79,7 @@
 		err := s.http.Serve(s.listener())
 		if errors.Is(err, http.ErrServerClosed) {
 			if ctx.Err() == nil {
-				// Shut was called; the supervisor must not restart the server.
+				// Shutdown was called; the supervisor must not restart the server.
 				return suture.ErrDoNotRestart
 			}
 			return nil
--- a/internal/httpd/listen.go
+++ b/internal/httpd/listen.go
@@ -66,7 +66,7 @@
 	return optErr
 }
 
-// ListenSpec is a listener to open at Addr, unless *To is already set.
+// ListenSpec is a listener to open at Addr, unless *Listener is already set.
 type ListenSpec struct {
 	Listener *net.Listener
 	Addr     string
