--- a/internal/engine/fault_test.go
+++ b/internal/engine/fault_test.go
@@ -312,9 +312,9 @@
 // after the request counts as one that may have run.
 func TestOverTLS(t *testing.T) {
 	eng := stand.NewEngine(stand.EngineConfig{ID: "s1"})
-	var cut atomic.Bool
+	var abort atomic.Bool
 	s := httptest.NewTLSServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if cut.Load() {
+		if abort.Load() {
 			panic(http.ErrAbortHandler)
 		}
 		eng.ServeHTTP(w, r)
@@ -329,7 +329,7 @@
 	end = e.Call(t.Context(), start, shed.Payload{Input: "x"}, ignoreFrame)
 	require.Equal(t, shed.EndNotStarted, end.End)
 	start.SendBy = time.Time{}
-	cut.Store(true)
+	abort.Store(true)
 	end = e.Call(t.Context(), start, shed.Payload{Input: "x"}, ignoreFrame)
 	require.Equal(t, shed.EndBroken, end.End)
 }
--- a/internal/engine/reply.go
+++ b/internal/engine/reply.go
@@ -143,22 +143,22 @@
 
 // readRanks puts the passages in the reply's order. Each must occur exactly once: a reranker
 // that drops or duplicates one has not answered this request.
-func readRanks(data []byte, asked []shed.Passage) ([]shed.Passage, error) {
+func readRanks(data []byte, passages []shed.Passage) ([]shed.Passage, error) {
 	var reply wire.Reranked
 	if err := unmarshal(data, &reply); err != nil {
 		return nil, err
 	}
-	if len(reply.Results) != len(asked) {
-		return nil, fmt.Errorf("%w: %d ranks for %d passages", errBadReply, len(reply.Results), len(asked))
+	if len(reply.Results) != len(passages) {
+		return nil, fmt.Errorf("%w: %d ranks for %d passages", errBadReply, len(reply.Results), len(passages))
 	}
-	ranked := make([]shed.Passage, 0, len(asked))
-	seen := make([]bool, len(asked))
+	ranked := make([]shed.Passage, 0, len(passages))
+	seen := make([]bool, len(passages))
 	for _, r := range reply.Results {
-		if r.Index < 0 || r.Index >= len(asked) || seen[r.Index] {
+		if r.Index < 0 || r.Index >= len(passages) || seen[r.Index] {
 			return nil, fmt.Errorf("%w: invalid or repeated index %d", errBadReply, r.Index)
 		}
 		seen[r.Index] = true
-		p := asked[r.Index]
+		p := passages[r.Index]
 		p.Score = r.Score
 		ranked = append(ranked, p)
 	}
--- a/internal/engine/sender.go
+++ b/internal/engine/sender.go
@@ -27,8 +27,8 @@
 // request that may run only once gets a new connection: the server may close a reused one just
 // as the request is sent, and then it is unknown whether the request ran. If sent is false, no
 // byte has been sent, nor will be.
-func (s *Sender) Do(req *http.Request, once bool, until time.Time) (resp *http.Response, sent bool, err error) {
-	return s.do(req, once, &sendTracker{sendBy: until})
+func (s *Sender) Do(req *http.Request, once bool, sendBy time.Time) (resp *http.Response, sent bool, err error) {
+	return s.do(req, once, &sendTracker{sendBy: sendBy})
 }
 
 func (s *Sender) do(req *http.Request, once bool, tracker *sendTracker) (*http.Response, bool, error) {
--- a/internal/front/wire_test.go
+++ b/internal/front/wire_test.go
@@ -140,12 +140,12 @@
 func TestCallerStopsReading(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		serving := servingWith(complete)
-		var gone time.Time
+		var cancelledAt time.Time
 		serving.serve = func(ctx context.Context, _ shed.Request, update func(shed.Update)) shed.Answer {
 			for ctx.Err() == nil {
 				update(shed.Update{Stage: "draft", Text: "more "})
 			}
-			gone = time.Now()
+			cancelledAt = time.Now()
 			return shed.Answer{Finish: shed.Finish{Outcome: shed.OutcomeCancelled, Reason: shed.ReasonCallerGone}}
 		}
 		r := startServer(t, serving, nil)
@@ -154,8 +154,8 @@
 		start := time.Now()
 		time.Sleep(time.Minute)
 		synctest.Wait()
-		require.LessOrEqual(t, gone.Sub(start), 10*time.Second)
-		require.False(t, gone.IsZero())
+		require.LessOrEqual(t, cancelledAt.Sub(start), 10*time.Second)
+		require.False(t, cancelledAt.IsZero())
 		require.NoError(t, res.Body.Close())
 	})
 }
--- a/internal/httpd/listen.go
+++ b/internal/httpd/listen.go
@@ -73,16 +73,16 @@
 }
 
 // ListenAll opens listeners as Listen does. If one fails, those before it stay open.
-func ListenAll(ctx context.Context, userTimeout time.Duration, all []ListenSpec) error {
-	for _, o := range all {
-		if *o.Listener != nil {
+func ListenAll(ctx context.Context, userTimeout time.Duration, specs []ListenSpec) error {
+	for _, spec := range specs {
+		if *spec.Listener != nil {
 			continue
 		}
-		l, err := Listen(ctx, o.Addr, userTimeout)
+		l, err := Listen(ctx, spec.Addr, userTimeout)
 		if err != nil {
 			return err
 		}
-		*o.Listener = l
+		*spec.Listener = l
 	}
 	return nil
 }
