--- a/internal/engine/sender.go
+++ b/internal/engine/sender.go
@@ -23,7 +23,7 @@
 	return s
 }
 
-// Do makes one exchange. Unless until is zero, the first byte is never sent after it. A
+// Do makes one exchange. Unless sendBy is zero, the first byte is never sent after it. A
 // request that may run only once gets a new connection: the server may close a reused one just
 // as the request is sent, and then it is unknown whether the request ran. If sent is false, no
 // byte has been sent, nor will be.
--- a/internal/engine/stream.go
+++ b/internal/engine/stream.go
@@ -16,7 +16,7 @@
 const (
 	// maxLine bounds one line of a stream in bytes.
 	maxLine = 16 << 10
-	// maxText bounds the text of a whole stream in bytes.
+	// maxText bounds the text of a complete stream in bytes.
 	maxText = 4 << 20
 	// maxFrameText bounds the text that is merged into one frame, in bytes.
 	maxFrameText = 4 << 10
