--- a/internal/engine/reply.go
+++ b/internal/engine/reply.go
@@ -31,15 +31,15 @@
 func (c *call) request() (path string, payload any) {
 	switch c.start.Stage.Kind {
 	case shed.KindEncode:
-		return wire.PathEmbeddings, wire.Embed{Model: string(c.start.Model), Input: c.in.Input}
+		return wire.PathEmbeddings, wire.EmbeddingRequest{Model: string(c.start.Model), Input: c.in.Input}
 	case shed.KindRetrieve:
-		return wire.PathRetrieve, wire.Retrieve{Query: c.in.Input, Vector: c.in.Vector, Limit: retrieveLimit}
+		return wire.PathRetrieve, wire.RetrieveRequest{Query: c.in.Input, Vector: c.in.Vector, Limit: retrieveLimit}
 	case shed.KindRerank:
 		return wire.PathRerank, c.rerankRequest()
 	case shed.KindGenerate:
 		return wire.PathChat, c.chatRequest()
 	default:
-		return wire.PathCall, wire.ServiceCall{
+		return wire.PathCall, wire.ServiceRequest{
 			Request: c.start.Call.Request,
 			Input:   c.in.Input,
 			Text:    c.in.Text,
@@ -47,8 +47,8 @@
 	}
 }
 
-func (c *call) rerankRequest() wire.Rerank {
-	req := wire.Rerank{
+func (c *call) rerankRequest() wire.RerankRequest {
+	req := wire.RerankRequest{
 		Model:     string(c.start.Model),
 		Query:     c.in.Input,
 		Documents: make([]string, len(c.in.Passages)),
@@ -61,8 +61,8 @@
 
 // chatRequest puts the passages first, so that prompts about the same passages share a prefix,
 // then the text of an earlier stage, and the caller's input last.
-func (c *call) chatRequest() wire.Chat {
-	req := wire.Chat{
+func (c *call) chatRequest() wire.ChatRequest {
+	req := wire.ChatRequest{
 		Model:         string(c.start.Model),
 		MaxTokens:     c.in.MaxTokens,
 		Stream:        true,
@@ -116,7 +116,7 @@
 }
 
 func readVector(data []byte) ([]float32, error) {
-	var reply wire.Embedded
+	var reply wire.EmbeddingResponse
 	if err := unmarshal(data, &reply); err != nil {
 		return nil, err
 	}
@@ -131,7 +131,7 @@
 }
 
 func readPassages(data []byte) ([]shed.Passage, error) {
-	var reply wire.Retrieved
+	var reply wire.RetrieveResponse
 	if err := unmarshal(data, &reply); err != nil {
 		return nil, err
 	}
@@ -144,7 +144,7 @@
 // readRanks puts the passages in the reply's order. Each must occur exactly once: a reranker
 // that drops or duplicates one has not answered this request.
 func readRanks(data []byte, passages []shed.Passage) ([]shed.Passage, error) {
-	var reply wire.Reranked
+	var reply wire.RerankResponse
 	if err := unmarshal(data, &reply); err != nil {
 		return nil, err
 	}
@@ -166,7 +166,7 @@
 }
 
 func readReceipt(data []byte) (string, error) {
-	var reply wire.ServiceDone
+	var reply wire.ServiceResponse
 	if err := unmarshal(data, &reply); err != nil {
 		return "", err
 	}
