--- a/internal/engine/conn.go
+++ b/internal/engine/conn.go
@@ -16,146 +16,144 @@
 )
 
 var (
-	errTooLate = errors.New("too late to send")
-	errSealed  = errors.New("connection sealed")
+	errTooLate       = errors.New("send deadline passed")
+	errWritesBlocked = errors.New("writes on this connection are blocked")
 )
 
-// conn knows whether a byte of the call that uses it can have left.
+// conn tracks whether a byte of its current call may have been sent.
 //
-// net/http may return an error while its writing goroutine is still about to
-// write; a count of bytes read at that moment would say "nothing left", and
-// the call would run all the same while it is started elsewhere too. So the
-// question seals the connection in the same step: what has not been written
-// by then never will be.
+// net/http may return an error while its writing goroutine is still about to write. A byte
+// count read at that moment would say "nothing sent", and the call would run although it is
+// also started elsewhere. So the check blocks further writes in the same step: what has not
+// been written by then is never written.
 type conn struct {
 	net.Conn
 
-	mu     sync.Mutex
-	until  time.Time
-	wrote  bool
-	sealed bool
+	mu      sync.Mutex
+	sendBy  time.Time
+	wrote   bool
+	blocked bool
 }
 
-// arm hands the connection to one call, which may open its writing until then.
-func (c *conn) arm(until time.Time) {
+// assign gives the connection to one call, whose first write is allowed until sendBy.
+func (c *conn) assign(until time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.until = until
+	c.sendBy = until
 	c.wrote = false
 }
 
-// seal tells whether a byte can have left since arm. If none has, none will.
-func (c *conn) seal() (wrote bool) {
+// blockUnlessWritten reports whether a byte may have been sent since assign. If none has, none
+// will be.
+func (c *conn) blockUnlessWritten() (wrote bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.wrote {
-		c.sealed = true
+		c.blocked = true
 	}
 	return c.wrote
 }
 
-// Write checks the call's last moment to be sent right before its first bytes
-// go. A process that was paused after it had decided to send, while dialling
-// or in net/http, is caught here; what is left of the gap is one system call.
+// Write checks the call's send deadline immediately before its first bytes. This catches a
+// process that was paused after it had decided to send, while dialling or in net/http; the
+// remaining gap is one system call.
 func (c *conn) Write(b []byte) (int, error) {
-	if err := c.mayWrite(); err != nil {
+	if err := c.checkWrite(); err != nil {
 		return 0, err
 	}
 	return c.Conn.Write(b)
 }
 
-func (c *conn) mayWrite() error {
+func (c *conn) checkWrite() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.sealed {
-		return errSealed
+	if c.blocked {
+		return errWritesBlocked
 	}
 	if c.wrote {
 		return nil
 	}
-	if !c.until.IsZero() && time.Now().After(c.until) {
-		c.sealed = true
+	if !c.sendBy.IsZero() && time.Now().After(c.sendBy) {
+		c.blocked = true
 		return errTooLate
 	}
 	c.wrote = true
 	return nil
 }
 
-func dialer(cfg Config) func(context.Context, string, string) (net.Conn, error) {
+func newDialFunc(cfg Config) func(context.Context, string, string) (net.Conn, error) {
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
 		ctx, cancel := context.WithTimeout(ctx, cfg.ConnectTimeout)
 		defer cancel()
 		c, err := cfg.Dial(ctx, network, addr)
 		if err != nil {
-			return nil, fmt.Errorf("connect: %w", err)
+			return nil, fmt.Errorf("connecting: %w", err)
 		}
-		// The handshake of TLS writes before the call is armed; wrote starts
-		// true so that it passes.
+		// The TLS handshake writes before assign; wrote starts as true to allow that.
 		return &conn{Conn: c, wrote: true}, nil
 	}
 }
 
-// sending follows one call through net/http.
-type sending struct {
-	until time.Time
-	// accepted is told of the boot that an early answer names.
-	accepted func(boot string)
+// sendTracker follows one call through net/http.
+type sendTracker struct {
+	sendBy time.Time
+	// onAccepted is called with the boot id of an early (103) response.
+	onAccepted func(boot string)
 
 	mu   sync.Mutex
 	conn *conn
-	// unknown: the call got a connection that can't tell what left.
-	unknown bool
+	// untracked: the call got a connection that can't tell what was sent.
+	untracked bool
 }
 
-// trace returns ctx with a hook that arms the connection that the call gets.
-func (s *sending) trace(ctx context.Context) context.Context {
+// withTrace returns ctx with a hook that assigns the connection to the call.
+func (s *sendTracker) withTrace(ctx context.Context) context.Context {
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: s.gotConn,
 		Got1xxResponse: func(code int, h textproto.MIMEHeader) error {
-			if code == http.StatusEarlyHints && s.accepted != nil {
-				s.accepted(h.Get(wire.HeaderBoot))
+			if code == http.StatusEarlyHints && s.onAccepted != nil {
+				s.onAccepted(h.Get(wire.HeaderBoot))
 			}
 			return nil
 		},
 	})
 }
 
-// gotConn runs before the first byte of the call is written. net/http comes
-// here a second time only if it repeats the call by itself, which would run it
-// twice without anyone's knowledge; the second connection is sealed, so that
-// not a byte of the repetition leaves.
-func (s *sending) gotConn(info httptrace.GotConnInfo) {
-	c := unwrap(info.Conn)
+// gotConn runs before the first byte of the call is written. net/http calls it again only if
+// it repeats the call by itself, which would run the call twice unnoticed; writes on the
+// second connection are blocked, so that no byte of the repetition is sent.
+func (s *sendTracker) gotConn(info httptrace.GotConnInfo) {
+	c := trackedConn(info.Conn)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if c == nil {
-		s.unknown = true
+		s.untracked = true
 		return
 	}
 	if s.conn != nil {
-		c.arm(time.Time{})
-		c.seal()
+		c.assign(time.Time{})
+		c.blockUnlessWritten()
 		return
 	}
-	c.arm(s.until)
+	c.assign(s.sendBy)
 	s.conn = c
 }
 
-// mayHaveLeft tells whether a byte of the call can have left, and makes sure
-// that none will if none has.
-func (s *sending) mayHaveLeft() bool {
+// mayHaveSent reports whether a byte of the call may have been sent, and ensures that none
+// will be if none has.
+func (s *sendTracker) mayHaveSent() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.unknown {
+	if s.untracked {
 		return true
 	}
-	return s.conn != nil && s.conn.seal()
+	return s.conn != nil && s.conn.blockUnlessWritten()
 }
 
-func unwrap(c net.Conn) *conn {
+func trackedConn(c net.Conn) *conn {
 	if t, ok := c.(*tls.Conn); ok {
 		c = t.NetConn()
 	}
-	own, _ := c.(*conn)
-	return own
+	tracked, _ := c.(*conn)
+	return tracked
 }
--- a/internal/engine/reply.go
+++ b/internal/engine/reply.go
@@ -15,29 +15,29 @@
 const (
 	// maxReply bounds a reply that isn't streamed, in bytes.
 	maxReply = 4 << 20
-	// maxVector bounds an embedding.
-	maxVector = 16 << 10
-	// maxPassages bounds what a retriever gives.
+	// maxVectorLength bounds the length of an embedding.
+	maxVectorLength = 16 << 10
+	// maxPassages bounds the number of passages that a retriever returns.
 	maxPassages = 1000
 	// maxReceipt bounds a service's receipt in bytes.
 	maxReceipt = 64 << 10
-	// passages is how many a retriever is asked for.
-	passages = 8
+	// retrieveLimit is the number of passages requested from a retriever.
+	retrieveLimit = 8
 )
 
-var errBadReply = errors.New("reply makes no sense")
+var errBadReply = errors.New("malformed reply")
 
-// question is where the call goes and what it asks.
-func (c *call) question() (path string, ask any) {
+// request returns the path and payload of the call's request.
+func (c *call) request() (path string, payload any) {
 	switch c.start.Stage.Kind {
 	case shed.KindEncode:
 		return wire.PathEmbeddings, wire.EmbeddingRequest{Model: string(c.start.Model), Input: c.in.Input}
 	case shed.KindRetrieve:
-		return wire.PathRetrieve, wire.RetrieveRequest{Query: c.in.Input, Vector: c.in.Vector, Limit: passages}
+		return wire.PathRetrieve, wire.RetrieveRequest{Query: c.in.Input, Vector: c.in.Vector, Limit: retrieveLimit}
 	case shed.KindRerank:
-		return wire.PathRerank, c.rerank()
+		return wire.PathRerank, c.rerankRequest()
 	case shed.KindGenerate:
-		return wire.PathChat, c.chat()
+		return wire.PathChat, c.chatRequest()
 	default:
 		return wire.PathCall, wire.ServiceRequest{
 			Request: c.start.Call.Request,
@@ -47,58 +47,58 @@
 	}
 }
 
-func (c *call) rerank() wire.RerankRequest {
-	ask := wire.RerankRequest{
+func (c *call) rerankRequest() wire.RerankRequest {
+	req := wire.RerankRequest{
 		Model:     string(c.start.Model),
 		Query:     c.in.Input,
 		Documents: make([]string, len(c.in.Passages)),
 	}
 	for i, p := range c.in.Passages {
-		ask.Documents[i] = p.Text
+		req.Documents[i] = p.Text
 	}
-	return ask
+	return req
 }
 
-// chat puts the passages first, so that prompts about the same passages share
-// a prefix, then the text of an earlier stage, and the caller's input last.
-func (c *call) chat() wire.ChatRequest {
-	ask := wire.ChatRequest{
+// chatRequest puts the passages first, so that prompts about the same passages share a prefix,
+// then the text of an earlier stage, and the caller's input last.
+func (c *call) chatRequest() wire.ChatRequest {
+	req := wire.ChatRequest{
 		Model:         string(c.start.Model),
 		MaxTokens:     c.in.MaxTokens,
 		Stream:        true,
 		StreamOptions: wire.StreamOptions{IncludeUsage: true},
 	}
 	for _, p := range c.in.Passages {
-		ask.Messages = append(ask.Messages, wire.Message{Role: wire.RoleSystem, Content: p.Text})
+		req.Messages = append(req.Messages, wire.Message{Role: wire.RoleSystem, Content: p.Text})
 	}
 	if c.in.Text != "" {
-		ask.Messages = append(ask.Messages, wire.Message{Role: wire.RoleAssistant, Content: c.in.Text})
+		req.Messages = append(req.Messages, wire.Message{Role: wire.RoleAssistant, Content: c.in.Text})
 	}
-	ask.Messages = append(ask.Messages, wire.Message{Role: wire.RoleUser, Content: c.in.Input})
-	return ask
+	req.Messages = append(req.Messages, wire.Message{Role: wire.RoleUser, Content: c.in.Input})
+	return req
 }
 
-// answer reads a reply of status 200.
-func (c *call) answer(ctx context.Context, reply io.Reader) shed.CallEnded {
+// readReply reads a reply of status 200.
+func (c *call) readReply(ctx context.Context, reply io.Reader) shed.CallEnded {
 	if c.start.Stage.Kind == shed.KindGenerate {
 		return c.stream(ctx, reply)
 	}
 	data, err := io.ReadAll(io.LimitReader(reply, maxReply+1))
 	if err != nil {
-		return c.failed(ctx, err, true)
+		return c.endFailed(ctx, err, true)
 	}
 	result, err := c.result(data)
 	if err != nil {
-		return c.end(shed.EndBadReply, shed.ReasonBadReply)
+		return c.newEnd(shed.EndBadReply, shed.ReasonBadReply)
 	}
 	c.tokens = 1
-	return c.complete(result, reply)
+	return c.endComplete(result, reply)
 }
 
-// result is the payload after the stage, or errBadReply.
+// result returns the payload after the stage, or errBadReply.
 func (c *call) result(data []byte) (shed.Payload, error) {
 	if len(data) > maxReply {
-		return shed.Payload{}, fmt.Errorf("%w: over %d bytes", errBadReply, maxReply)
+		return shed.Payload{}, fmt.Errorf("%w: longer than %d bytes", errBadReply, maxReply)
 	}
 	out := c.in
 	var err error
@@ -124,7 +124,7 @@
 		return nil, fmt.Errorf("%w: %d embeddings for one input", errBadReply, len(reply.Data))
 	}
 	v := reply.Data[0].Embedding
-	if len(v) == 0 || len(v) > maxVector {
+	if len(v) == 0 || len(v) > maxVectorLength {
 		return nil, fmt.Errorf("%w: embedding of %d numbers", errBadReply, len(v))
 	}
 	return v, nil
@@ -141,24 +141,24 @@
 	return reply.Passages, nil
 }
 
-// readRanks puts the passages in the reply's order. Each must come once: a
-// reranker that drops or doubles one has answered another question.
-func readRanks(data []byte, asked []shed.Passage) ([]shed.Passage, error) {
+// readRanks puts the passages in the reply's order. Each must occur exactly once: a reranker
+// that drops or duplicates one has not answered this request.
+func readRanks(data []byte, passages []shed.Passage) ([]shed.Passage, error) {
 	var reply wire.RerankResponse
 	if err := unmarshal(data, &reply); err != nil {
 		return nil, err
 	}
-	if len(reply.Results) != len(asked) {
-		return nil, fmt.Errorf("%w: %d ranks for %d passages", errBadReply, len(reply.Results), len(asked))
+	if len(reply.Results) != len(passages) {
+		return nil, fmt.Errorf("%w: %d ranks for %d passages", errBadReply, len(reply.Results), len(passages))
 	}
-	ranked := make([]shed.Passage, 0, len(asked))
-	seen := make([]bool, len(asked))
+	ranked := make([]shed.Passage, 0, len(passages))
+	seen := make([]bool, len(passages))
 	for _, r := range reply.Results {
-		if r.Index < 0 || r.Index >= len(asked) || seen[r.Index] {
-			return nil, fmt.Errorf("%w: rank of passage %d", errBadReply, r.Index)
+		if r.Index < 0 || r.Index >= len(passages) || seen[r.Index] {
+			return nil, fmt.Errorf("%w: invalid or repeated index %d", errBadReply, r.Index)
 		}
 		seen[r.Index] = true
-		p := asked[r.Index]
+		p := passages[r.Index]
 		p.Score = r.Score
 		ranked = append(ranked, p)
 	}
--- a/internal/engine/sender.go
+++ b/internal/engine/sender.go
@@ -5,46 +5,46 @@
 	"time"
 )
 
-// Sender makes single HTTP exchanges with backend servers. It never sends a
-// request twice, and it says truthfully whether a byte of it may have left.
+// Sender makes single HTTP exchanges with backend servers. It never sends a request twice, and
+// it reports reliably whether a byte of it may have been sent.
 type Sender struct {
-	// reuse keeps connections; fresh opens one for each request, for what may
-	// run only once.
-	reuse *http.Transport
-	fresh *http.Transport
+	// pooled keeps connections; unpooled opens one per request, for requests that may run only
+	// once.
+	pooled   *http.Transport
+	unpooled *http.Transport
 }
 
-// NewSender returns a Sender without connections. It uses the fields Dial,
-// ConnectTimeout and TLS of cfg.
+// NewSender returns a Sender without connections. It uses the fields Dial, ConnectTimeout and
+// TLS of cfg.
 func NewSender(cfg Config) *Sender {
 	cfg = cfg.withDefaults()
-	s := &Sender{reuse: transport(cfg), fresh: transport(cfg)}
-	s.fresh.DisableKeepAlives = true
+	s := &Sender{pooled: newTransport(cfg), unpooled: newTransport(cfg)}
+	s.unpooled.DisableKeepAlives = true
 	return s
 }
 
-// Do makes one exchange. Unless until is zero, no first byte leaves after it. A
-// request that may run once only goes out on a connection of its own: on a
-// reused one, the server may close it at the moment of sending, and nobody can
-// tell whether the request ran. If sent is false, not a byte has left, nor will.
-func (s *Sender) Do(req *http.Request, once bool, until time.Time) (resp *http.Response, sent bool, err error) {
-	return s.do(req, once, &sending{until: until})
+// Do makes one exchange. Unless sendBy is zero, the first byte is never sent after it. A
+// request that may run only once gets a new connection: the server may close a reused one just
+// as the request is sent, and then it is unknown whether the request ran. If sent is false, no
+// byte has been sent, nor will be.
+func (s *Sender) Do(req *http.Request, once bool, sendBy time.Time) (resp *http.Response, sent bool, err error) {
+	return s.do(req, once, &sendTracker{sendBy: sendBy})
 }
 
-func (s *Sender) do(req *http.Request, once bool, send *sending) (*http.Response, bool, error) {
-	t := s.reuse
+func (s *Sender) do(req *http.Request, once bool, tracker *sendTracker) (*http.Response, bool, error) {
+	t := s.pooled
 	if once {
-		t = s.fresh
+		t = s.unpooled
 	}
-	resp, err := t.RoundTrip(req.WithContext(send.trace(req.Context())))
+	resp, err := t.RoundTrip(req.WithContext(tracker.withTrace(req.Context())))
 	if err != nil {
-		return nil, send.mayHaveLeft(), err
+		return nil, tracker.mayHaveSent(), err
 	}
 	return resp, true, nil
 }
 
 // Close closes idle connections.
 func (s *Sender) Close() {
-	s.reuse.CloseIdleConnections()
-	s.fresh.CloseIdleConnections()
+	s.pooled.CloseIdleConnections()
+	s.unpooled.CloseIdleConnections()
 }
--- a/internal/front/answer.go
+++ b/internal/front/answer.go
@@ -9,7 +9,7 @@
 	"jasmineshed/internal/telem"
 )
 
-// Names of the HTTP statuses; the design maps each to its number.
+// Names of the HTTP statuses; the design maps each to its code.
 const (
 	statusComplete        = "complete"
 	statusBadRequest      = "bad_request"
@@ -25,9 +25,9 @@
 	statusDeadline        = "deadline_exceeded"
 )
 
-// callerFaults are the reasons that the caller has to mend; coming back later
-// won't help.
-var callerFaults = map[shed.Reason]string{
+// clientErrorStatuses holds the statuses of refusals that a retry can't fix: the caller has to
+// change the request.
+var clientErrorStatuses = map[shed.Reason]string{
 	shed.ReasonUnknownPipeline:  statusNotFound,
 	shed.ReasonUnknownWorkspace: statusUnauthenticated,
 	shed.ReasonNotAllowed:       statusForbidden,
@@ -36,8 +36,8 @@
 	shed.ReasonTicketExpired:    statusGone,
 }
 
-// status of an answer.
-func status(fin *shed.Finish) string {
+// statusOf returns the name of the HTTP status for an answer.
+func statusOf(fin *shed.Finish) string {
 	switch fin.Outcome {
 	case shed.OutcomeComplete:
 		return statusComplete
@@ -48,27 +48,27 @@
 	case shed.OutcomeDeadline:
 		return statusDeadline
 	case shed.OutcomeNotRun:
-		if s, ok := callerFaults[fin.Reason]; ok {
+		if s, ok := clientErrorStatuses[fin.Reason]; ok {
 			return s
 		}
 	}
 	return statusUnavailable
 }
 
-// leastRetryAfter is one second since the header has no smaller unit, and since
-// a caller that is told 0 comes back at once.
-const leastRetryAfter = time.Second
+// minRetryAfter is one second: the Retry-After header has no smaller unit, and a caller that
+// gets 0 retries at once.
+const minRetryAfter = time.Second
 
 func retryAfter(d time.Duration) (seconds int, ms int64) {
-	d = max(d, leastRetryAfter)
+	d = max(d, minRetryAfter)
 	return int((d + time.Second - 1) / time.Second), d.Milliseconds()
 }
 
-// newAnswer turns an answer into the design's type.
+// newAnswer converts an answer to the design's type.
 func newAnswer(ctx context.Context, a *shed.Answer) *pipelines.Answer {
-	out := newRefusal(ctx, &a.Finish)
+	out := newAnswerHead(ctx, &a.Finish)
 	if a.Trace != "" {
-		out.TraceID = text(a.Trace)
+		out.TraceID = optionalString(a.Trace)
 	}
 	if a.Outcome == shed.OutcomeComplete {
 		out.Payload = newOutput(&a.Payload)
@@ -76,15 +76,15 @@
 	return out
 }
 
-// newRefusal is an answer without a payload.
-func newRefusal(ctx context.Context, fin *shed.Finish) *pipelines.Answer {
+// newAnswerHead returns the answer without its payload.
+func newAnswerHead(ctx context.Context, fin *shed.Finish) *pipelines.Answer {
 	out := &pipelines.Answer{
-		Status:    status(fin),
+		Status:    statusOf(fin),
 		Outcome:   fin.Outcome.String(),
-		Reason:    text(string(fin.Reason)),
-		Message:   text(message(fin)),
-		RequestID: text(string(fin.Request)),
-		TraceID:   text(telem.TraceID(ctx)),
+		Reason:    optionalString(string(fin.Reason)),
+		Message:   optionalString(message(fin)),
+		RequestID: optionalString(string(fin.Request)),
+		TraceID:   optionalString(telem.TraceID(ctx)),
 		Stages:    newStages(fin.Stages),
 	}
 	if fin.Rule.Line > 0 {
@@ -109,8 +109,8 @@
 func newStage(r *shed.StageReport) *pipelines.Stage {
 	return &pipelines.Stage{
 		Stage:    string(r.Stage),
-		Server:   text(string(r.Server)),
-		Zone:     text(string(r.Zone)),
+		Server:   optionalString(string(r.Server)),
+		Zone:     optionalString(string(r.Zone)),
 		Attempts: uint(r.Attempts),
 		Ran:      r.Ran,
 		TookMs:   float64(r.Took.Microseconds()) / 1000,
@@ -121,8 +121,8 @@
 
 func newOutput(p *shed.Payload) *pipelines.Output {
 	out := &pipelines.Output{
-		Text:    text(p.Text),
-		Receipt: text(p.Receipt),
+		Text:    optionalString(p.Text),
+		Receipt: optionalString(p.Receipt),
 		Vector:  p.Vector,
 	}
 	for i := range p.Passages {
@@ -132,8 +132,8 @@
 	return out
 }
 
-// text is nil for an empty string, which JSON then leaves out.
-func text(s string) *string {
+// optionalString returns nil for an empty string, so that JSON omits it.
+func optionalString(s string) *string {
 	if s == "" {
 		return nil
 	}
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -1,5 +1,4 @@
-// Package front is the callers' listener: goa's HTTP server before
-// shed.Serving, which is all of the system that it sees.
+// Package front is the HTTP interface for callers: a goa server in front of shed.Serving.
 package front
 
 import (
@@ -25,31 +24,31 @@
 	"jasmineshed/internal/prefs"
 )
 
-// Config of a Front.
+// Config configures a Front.
 type Config struct {
-	// Listener takes the callers' connections; Serve closes it.
+	// Listener accepts the callers' connections; Serve closes it.
 	Listener net.Listener
 	// TLS is nil for plain TCP.
 	TLS     *tls.Config
 	Serving shed.Serving
 	Limits  prefs.Limits
-	// Drain bounds how long Serve waits for requests in flight at its end.
-	Drain time.Duration
-	Log   logrus.FieldLogger
+	// DrainTimeout bounds how long Serve waits for requests in flight when it stops.
+	DrainTimeout time.Duration
+	Log          logrus.FieldLogger
 	// Scope may be nil.
 	Scope tally.Scope
 	// Tracer may be nil.
 	Tracer trace.TracerProvider
 }
 
-// Front is the callers' listener as a service of the supervisor tree.
+// Front is the callers' HTTP server as a service of the supervisor tree.
 type Front struct {
 	cfg     Config
 	handler http.Handler
 	server  *httpd.Server
 }
 
-// New builds the listener's server; nothing runs before Serve.
+// New builds the server; nothing runs before Serve.
 func New(cfg Config) *Front {
 	if cfg.Scope == nil {
 		cfg.Scope = tally.NoopScope
@@ -60,31 +59,31 @@
 	f := &Front{cfg: cfg}
 	f.handler = f.newHandler()
 	f.server = httpd.New(httpd.Config{
-		Name:     "callers",
-		Listener: cfg.Listener,
-		TLS:      cfg.TLS,
-		Handler:  f.handler,
-		Limits:   cfg.Limits,
-		Drain:    cfg.Drain,
-		Log:      cfg.Log,
+		Name:         "callers",
+		Listener:     cfg.Listener,
+		TLS:          cfg.TLS,
+		Handler:      f.handler,
+		Limits:       cfg.Limits,
+		DrainTimeout: cfg.DrainTimeout,
+		Log:          cfg.Log,
 	})
 	return f
 }
 
 func (f *Front) newHandler() http.Handler {
 	mux := goahttp.NewMuxer()
-	count := newCounts(f.cfg.Scope)
-	svc := &service{serving: f.cfg.Serving, beat: f.cfg.Limits.Beat, count: count}
-	pipes := pipehttp.New(pipelines.NewEndpoints(svc), mux, newDecoder, newEncoder, f.logEncoding, format)
+	m := newMetrics(f.cfg.Scope)
+	svc := &service{serving: f.cfg.Serving, heartbeatInterval: f.cfg.Limits.Beat, metrics: m}
+	pipes := pipehttp.New(pipelines.NewEndpoints(svc), mux, newDecoder, newEncoder, f.logEncoding, formatError)
 	probes := healthhttp.New(health.NewEndpoints(svc), mux, newDecoder, newEncoder, f.logEncoding, nil)
-	nowhere(mux)
+	handleUnknownRoutes(mux)
 	pipehttp.Mount(mux, pipes)
 	healthhttp.Mount(mux, probes)
-	return newGuard(f.cfg, count, mux)
+	return newGuard(f.cfg, m, mux)
 }
 
-// nowhere answers calls without a route in the same form as all others.
-func nowhere(mux goahttp.Muxer) {
+// handleUnknownRoutes answers unrouted calls in the same form as all others.
+func handleUnknownRoutes(mux goahttp.Muxer) {
 	router, ok := mux.(interface {
 		NotFound(http.HandlerFunc)
 		MethodNotAllowed(http.HandlerFunc)
@@ -92,26 +91,26 @@
 	if !ok {
 		return
 	}
-	router.NotFound(plainFault(http.StatusNotFound, statusNotFound, "no such path"))
-	router.MethodNotAllowed(plainFault(http.StatusMethodNotAllowed, statusBadRequest, "no such method on this path"))
+	router.NotFound(errorHandler(http.StatusNotFound, statusNotFound, "no such path"))
+	router.MethodNotAllowed(errorHandler(http.StatusMethodNotAllowed, statusBadRequest, "no such method on this path"))
 }
 
-func plainFault(code int, status, message string) http.HandlerFunc {
+func errorHandler(code int, status, message string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		enc := newEncoder(r.Context(), w)
 		w.WriteHeader(code)
-		_ = enc.Encode(newFault(badCall(status, message), code))
+		_ = enc.Encode(newErrorResponse(newRejection(status, message), code))
 	}
 }
 
-// logEncoding is told when an answer could not be written, mostly since the
-// caller has gone.
+// logEncoding logs a response that could not be written, usually because the caller
+// disconnected.
 func (f *Front) logEncoding(_ context.Context, _ http.ResponseWriter, err error) {
-	f.cfg.Log.WithError(err).Debug("answer not written")
+	f.cfg.Log.WithError(err).Debug("could not write the response")
 }
 
 // String names the service in the supervisor's log.
 func (f *Front) String() string { return "front" }
 
-// Serve takes calls until ctx ends, then waits for those in flight.
+// Serve accepts calls until ctx ends, then waits for those in flight.
 func (f *Front) Serve(ctx context.Context) error { return f.server.Serve(ctx) }
--- a/internal/front/tls_test.go
+++ b/internal/front/tls_test.go
@@ -10,21 +10,21 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A client that offers HTTP/2 gets HTTP/1.1: with the former all its calls would
-// share one connection, and hang with it.
+// A client that offers HTTP/2 gets HTTP/1.1: over HTTP/2 all its calls would share one
+// connection, and a stalled connection would stall them all.
 func TestTLSWithoutHTTP2(t *testing.T) {
-	// The test server is there for its certificate only.
-	donor := httptest.NewUnstartedServer(http.NotFoundHandler())
-	donor.StartTLS()
-	defer donor.Close()
+	// The test server only provides its certificate.
+	certServer := httptest.NewUnstartedServer(http.NotFoundHandler())
+	certServer.StartTLS()
+	defer certServer.Close()
 	pool := x509.NewCertPool()
-	pool.AddCert(donor.Certificate())
+	pool.AddCert(certServer.Certificate())
 
-	r := run(t, finished(complete), func(cfg *Config) {
-		cfg.TLS = &tls.Config{Certificates: donor.TLS.Certificates, NextProtos: []string{"h2", "http/1.1"}}
+	r := startServer(t, servingWith(complete), func(cfg *Config) {
+		cfg.TLS = &tls.Config{Certificates: certServer.TLS.Certificates, NextProtos: []string{"h2", "http/1.1"}}
 	})
 	transport := &http.Transport{
-		DialContext:       r.pipes.dial,
+		DialContext:       r.listener.dial,
 		TLSClientConfig:   &tls.Config{RootCAs: pool, ServerName: "example.com"},
 		ForceAttemptHTTP2: true,
 	}
--- a/internal/httpd/httpd_test.go
+++ b/internal/httpd/httpd_test.go
@@ -21,17 +21,17 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	return New(Config{
-		Name:     "test",
-		Listener: l,
-		Handler:  http.NotFoundHandler(),
-		Limits:   prefs.Defaults().Limits,
-		Drain:    time.Second,
-		Log:      log,
+		Name:         "test",
+		Listener:     l,
+		Handler:      http.NotFoundHandler(),
+		Limits:       prefs.Defaults().Limits,
+		DrainTimeout: time.Second,
+		Log:          log,
 	})
 }
 
-// Someone closes the listener under the server. A restart could not open it
-// again, so the error asks the supervisor to end the tree.
+// The listener is closed while the server uses it. A restart could not reopen it, so the error
+// must ask the supervisor to end the tree.
 func TestLostListenerEndsTheTree(t *testing.T) {
 	l, err := Listen(t.Context(), "127.0.0.1:0", time.Second)
 	require.NoError(t, err)
@@ -53,17 +53,17 @@
 	require.NoError(t, g.Wait())
 }
 
-func TestAcceptedConnectionsDieOfSilence(t *testing.T) {
+func TestAcceptedConnectionsHaveTimeouts(t *testing.T) {
 	l, err := Listen(t.Context(), "127.0.0.1:0", 7*time.Second)
 	require.NoError(t, err)
 	defer func() { _ = l.Close() }()
-	near, err := net.Dial("tcp", l.Addr().String())
+	client, err := net.Dial("tcp", l.Addr().String())
 	require.NoError(t, err)
-	defer func() { _ = near.Close() }()
-	far, err := l.Accept()
+	defer func() { _ = client.Close() }()
+	accepted, err := l.Accept()
 	require.NoError(t, err)
-	defer func() { _ = far.Close() }()
-	raw, err := far.(*net.TCPConn).SyscallConn()
+	defer func() { _ = accepted.Close() }()
+	raw, err := accepted.(*net.TCPConn).SyscallConn()
 	require.NoError(t, err)
 	options := map[int]int{unix.TCP_USER_TIMEOUT: 7000, unix.TCP_KEEPIDLE: 5, unix.TCP_KEEPINTVL: 3, unix.TCP_KEEPCNT: 3}
 	for option, want := range options {
