--- a/internal/config/bench_test.go
+++ b/internal/config/bench_test.go
@@ -8,14 +8,14 @@
 	shed "jasmineshed"
 )
 
-// steady is one daemon's configuration among quiet peers, fed without a sim.
-type steady struct {
+// steadyState is one daemon's configuration among quiet peers, fed without a sim.
+type steadyState struct {
 	s     *State
 	now   time.Time
 	bytes int
 }
 
-func newSteady(zones, perZone, level int) *steady {
+func newSteady(zones, perZone, level int) *steadyState {
 	peers := map[shed.ZoneID][]shed.Peer{}
 	for z := range zones {
 		for i := range perZone {
@@ -26,20 +26,20 @@
 	for _, self := range peers[zoneName(0)] {
 		s = New(Config{Self: self, Zone: zoneName(0), Compile: simCompile})
 		s.SetPeers(peers[zoneName(0)], peers)
-		if s.near.level == level {
+		if s.topology.level == level {
 			break
 		}
 	}
 	world := &sim{}
 	world.publish(true, designParts)
 	r := world.published[0]
-	s.held = held{rules: &shed.Rules{Revision: 1}, index: r.index, parts: r.parts, list: sortedHashes(r.parts)}
-	return &steady{s: s, now: time.Unix(simStart, 0)}
+	s.current = current{rules: &shed.Rules{Revision: 1}, index: r.index, parts: r.parts, hashes: sortedHashes(r.parts)}
+	return &steadyState{s: s, now: time.Unix(simStart, 0)}
 }
 
 // second lets one second pass: ticks, own asks and reads answered at once, and
 // as many asks of peers as a daemon gets.
-func (st *steady) second(asked int) {
+func (st *steadyState) second(asked int) {
 	for i := range 10 {
 		st.now = st.now.Add(shed.TickEvery)
 		st.do(shed.Tick{Wall: st.now, Mono: st.now.Sub(time.Unix(simStart, 0))})
@@ -49,11 +49,11 @@
 	}
 }
 
-func (st *steady) do(ev shed.Event) {
+func (st *steadyState) do(ev shed.Event) {
 	for _, a := range st.s.Handle(st.now, ev) {
 		switch a := a.(type) {
 		case shed.ReadConfig:
-			st.do(shed.ConfigRead{Index: st.s.held.index})
+			st.do(shed.ConfigRead{Index: st.s.current.index})
 		case shed.SendPeer:
 			st.bytes += messageBytes(a.Message)
 			if m, ok := a.Message.(shed.ConfigDigest); ok && m.WantReply {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -74,28 +74,28 @@
 // State is the one decision on configurations. It is not safe for use by many
 // goroutines.
 type State struct {
-	cfg    Config
-	rng    *rand.Rand
-	held   held
-	near   near
-	clock  clock
-	fresh  fresh
-	reads  reads
-	fetch  fetch
-	start  start
-	counts Counts
+	cfg      Config
+	rng      *rand.Rand
+	current  current
+	topology topology
+	clock    clock
+	fresh    fresh
+	reads    reads
+	fetch    fetch
+	start    start
+	counts   Counts
 }
 
-// held is the revision in force.
-type held struct {
+// current is the revision in force.
+type current struct {
 	// rules is nil until the first revision was taken.
 	rules *shed.Rules
 	index shed.ConfigIndex
 	// parts are exactly those of index.
 	parts map[shed.PartHash][]byte
-	// list are the hashes of parts, sorted. It goes along with reads and pulls
+	// hashes are the hashes of parts, sorted. It goes along with reads and pulls
 	// and is never changed.
-	list []shed.PartHash
+	hashes []shed.PartHash
 }
 
 // New makes a State that holds no configuration.
@@ -113,61 +113,61 @@
 // Handle takes in one event and says what to do.
 func (s *State) Handle(now time.Time, ev shed.Event) []shed.Action {
 	var out []shed.Action
-	if s.clock.woke(now, ev) {
-		out = s.wake(now)
+	if s.clock.observe(now, ev) {
+		out = s.resync(now)
 	}
 	switch ev := ev.(type) {
 	case shed.Tick:
-		return append(out, s.tick(now)...)
+		return append(out, s.handleTick(now)...)
 	case shed.ConfigRead:
-		return append(out, s.read(now, ev)...)
+		return append(out, s.handleRead(now, ev)...)
 	case shed.PeerMessage:
-		return append(out, s.message(now, ev)...)
+		return append(out, s.handleMessage(now, ev)...)
 	}
 	return out
 }
 
-func (s *State) tick(now time.Time) []shed.Action {
+func (s *State) handleTick(now time.Time) []shed.Action {
 	out := s.startTick(now)
-	out = append(out, s.readDue(now)...)
-	out = append(out, s.askDue(now)...)
-	return append(out, s.pullDue(now)...)
+	out = append(out, s.readIfDue(now)...)
+	out = append(out, s.queryIfDue(now)...)
+	return append(out, s.pullIfDue(now)...)
 }
 
-func (s *State) message(now time.Time, ev shed.PeerMessage) []shed.Action {
+func (s *State) handleMessage(now time.Time, ev shed.PeerMessage) []shed.Action {
 	switch m := ev.Message.(type) {
 	case shed.ConfigDigest:
-		return s.digest(now, ev.From.VM, m)
+		return s.handleDigest(now, ev.From.VM, m)
 	case shed.ConfigPull:
-		return s.serve(now, ev.From.VM, m)
+		return s.handlePull(now, ev.From.VM, m)
 	case shed.ConfigPush:
-		return s.pushed(now, ev.From.VM, m)
+		return s.handlePush(now, ev.From.VM, m)
 	}
 	return nil
 }
 
 // Rules is the configuration in force; nil if there is none yet.
-func (s *State) Rules() *shed.Rules { return s.held.rules }
+func (s *State) Rules() *shed.Rules { return s.current.rules }
 
 // Fresh tells whether the revision in force was the newest within FreshFor. A
 // daemon that is not fresh hands no new work to other zones.
 func (s *State) Fresh(now time.Time) bool {
-	if s.clock.leapt(now) {
+	if s.clock.jumped(now) {
 		return false
 	}
 	age, known := s.fresh.age(now)
-	return s.held.rules != nil && known && age <= s.cfg.FreshFor
+	return s.current.rules != nil && known && age <= s.cfg.FreshFor
 }
 
 // Ready tells whether there is a configuration in force that was held against
 // what the peers have, since the start and since the last pause.
-func (s *State) Ready() bool { return s.held.rules != nil && s.start.done }
+func (s *State) Ready() bool { return s.current.rules != nil && s.start.done }
 
 // Digest says what is in force here, for sending along with other messages.
 func (s *State) Digest(now time.Time) shed.ConfigDigest {
 	age, known := s.fresh.age(now)
 	return shed.ConfigDigest{
-		Revision:       s.held.index.Revision,
+		Revision:       s.current.index.Revision,
 		ConfirmedAgo:   age,
 		NeverConfirmed: !known,
 	}
@@ -225,9 +225,9 @@
 		Fresh:     s.Fresh(now),
 		Confirmed: digest.ConfirmedAgo,
 		Never:     digest.NeverConfirmed,
-		Watching:  s.near.level == 0,
-		Asked:     len(s.start.asked),
-		Heard:     s.start.heard,
+		Watching:  s.topology.level == 0,
+		Asked:     len(s.start.queried),
+		Heard:     s.start.replies,
 		Invalid:   s.reads.invalid,
 		Faults:    s.reads.faults,
 		Counts:    s.counts,
--- a/internal/config/fault_test.go
+++ b/internal/config/fault_test.go
@@ -14,7 +14,7 @@
 	t.Helper()
 	s := newSim(seed, zones, perZone, nil)
 	s.publish(true, parts)
-	_, ok := s.until(30*time.Second, func() bool { return s.everywhere(1) && s.allFresh() })
+	_, ok := s.runUntil(30*time.Second, func() bool { return s.everywhere(1) && s.allFresh() })
 	require.True(t, ok)
 	return s
 }
@@ -37,7 +37,7 @@
 		t.Run(name, func(t *testing.T) {
 			s := settled(t, 3, 3, 5, 4)
 			s.publish(true, 4)
-			_, ok := s.until(5*time.Second, func() bool { return s.everywhere(2) })
+			_, ok := s.runUntil(5*time.Second, func() bool { return s.everywhere(2) })
 			require.True(t, ok)
 			s.setStale(true)
 			for i := range restarted {
@@ -63,15 +63,15 @@
 // confirmation of revision 1 before its peers could tell it of revision 2.
 func TestMissedRevisionBeforeAnInvalidOne(t *testing.T) {
 	s := settled(t, 4, 3, 3, 4)
-	s.noPlat[0] = true
-	s.cut[[2]int{0, 1}], s.cut[[2]int{0, 2}] = true, true
+	s.platformDown[0] = true
+	s.partitions[[2]int{0, 1}], s.partitions[[2]int{0, 2}] = true, true
 	s.publish(true, 4)
 	s.run(5*time.Second, nil)
 	s.publish(false, 4)
 	s.run(time.Second, nil)
-	s.noPlat[0] = false
+	s.platformDown[0] = false
 	s.run(1500*time.Millisecond, nil)
-	s.cut = map[[2]int]bool{}
+	s.partitions = map[[2]int]bool{}
 	s.run(5*time.Second, func() {
 		for _, n := range s.nodes {
 			require.False(t, n.inForce() == 1 && n.state.Fresh(s.now), "node %d", n.id)
@@ -97,9 +97,9 @@
 		})
 	}
 	s.run(3*time.Second, nil)
-	s.noPlat[1], s.noPlat[2] = true, true
+	s.platformDown[1], s.platformDown[2] = true, true
 	rev := s.publish(true, 4)
-	took, ok := s.until(5*time.Second, func() bool { return s.everywhere(rev) })
+	took, ok := s.runUntil(5*time.Second, func() bool { return s.everywhere(rev) })
 	require.True(t, ok)
 	t.Logf("everywhere after %s", took)
 }
@@ -117,7 +117,7 @@
 	s.publish(true, 4)
 	s.run(time.Minute, nil)
 	require.False(t, n.state.Fresh(s.now), "before its first event")
-	s.wakeUp(n)
+	s.unpause(n)
 	require.False(t, n.state.Fresh(s.now), "after its old messages")
 	require.False(t, n.state.Ready())
 	s.run(4*time.Second, func() { require.False(t, n.inForce() == 1 && n.state.Fresh(s.now)) })
@@ -135,7 +135,7 @@
 			s := New(Config{Self: shed.Peer{VM: "a"}, Compile: simCompile})
 			now := time.Unix(simStart, 0)
 			s.Handle(now, shed.Tick{Wall: now, Mono: 0})
-			s.held.rules = &shed.Rules{}
+			s.current.rules = &shed.Rules{}
 			s.confirm(0, now)
 			require.True(t, s.Fresh(now))
 			actions := s.Handle(now.Add(shed.TickEvery), step)
@@ -150,8 +150,8 @@
 func TestReadInPieces(t *testing.T) {
 	s := newSim(13, 1, 2, nil)
 	s.publish(true, 40)
-	s.atOnce = 7
-	took, ok := s.until(20*time.Second, func() bool { return s.everywhere(1) })
+	s.partsPerAnswer = 7
+	took, ok := s.runUntil(20*time.Second, func() bool { return s.everywhere(1) })
 	require.True(t, ok)
 	t.Logf("everywhere after %s", took)
 }
@@ -161,8 +161,8 @@
 func TestPullInPieces(t *testing.T) {
 	s := newSim(8, 2, 1, nil)
 	s.publishText(20, 200<<10)
-	s.noPlat[1] = true
-	took, ok := s.until(20*time.Second, func() bool { return s.everywhere(1) })
+	s.platformDown[1] = true
+	took, ok := s.runUntil(20*time.Second, func() bool { return s.everywhere(1) })
 	require.True(t, ok)
 	require.Greater(t, s.nodes[1].state.counts.Pulls, 5)
 	t.Logf("everywhere after %s", took)
@@ -179,16 +179,16 @@
 	world := &sim{now: now}
 	world.publish(true, 2)
 	world.publish(true, 2)
-	tell := func(from shed.VM, m shed.Message) {
+	deliver := func(from shed.VM, m shed.Message) {
 		s.Handle(now, shed.PeerMessage{From: shed.Peer{VM: from}, Message: m})
 	}
 	answer := func(from shed.VM, rev shed.Revision) {
-		for _, a := range append([]ask(nil), s.fresh.asks...) {
+		for _, a := range append([]query(nil), s.fresh.queries...) {
 			if a.to == from {
-				tell(from, shed.ConfigDigest{Revision: rev, Sequence: a.sequence})
+				deliver(from, shed.ConfigDigest{Revision: rev, Sequence: a.sequence})
 			}
 		}
-		tell(from, shed.ConfigPush{Index: world.published[rev-1].index, Parts: world.published[rev-1].parts})
+		deliver(from, shed.ConfigPush{Index: world.published[rev-1].index, Parts: world.published[rev-1].parts})
 	}
 	tick := func() {
 		now = now.Add(shed.TickEvery)
@@ -211,11 +211,11 @@
 func TestWatchersGone(t *testing.T) {
 	s := settled(t, 12, 13, 20, designParts)
 	for _, n := range s.nodes {
-		n.paused = n.state.near.level == 0
+		n.paused = n.state.topology.level == 0
 	}
-	s.forgetReads()
+	s.resetCounts()
 	rev := s.publish(true, designParts)
-	took, ok := s.until(15*time.Second, func() bool { return s.everywhere(rev) && s.allFresh() })
+	took, ok := s.runUntil(15*time.Second, func() bool { return s.everywhere(rev) && s.allFresh() })
 	require.True(t, ok)
 	require.LessOrEqual(t, took, 9*time.Second)
 	require.Less(t, s.peak(), platformReads)
@@ -230,16 +230,16 @@
 	s.publish(false, 4)
 	var unfresh time.Duration
 	for range 100 {
-		s.run(100*time.Millisecond, func() { s.judge(t) })
+		s.run(100*time.Millisecond, func() { s.check(t) })
 		if !s.allFresh() {
 			unfresh += 100 * time.Millisecond
 		}
 	}
 	require.True(t, s.everywhere(1))
-	require.LessOrEqual(t, unfresh, settleFor)
+	require.LessOrEqual(t, unfresh, settleTime)
 	require.Equal(t, shed.Revision(2), s.watcher().state.Status(s.now).Invalid)
 	s.publish(true, 4)
-	took, ok := s.until(2*time.Second, func() bool { return s.everywhere(3) })
+	took, ok := s.runUntil(2*time.Second, func() bool { return s.everywhere(3) })
 	require.True(t, ok)
 	require.Zero(t, s.watcher().state.Status(s.now).Invalid)
 	t.Logf("some daemon was not fresh for %s; mended everywhere after %s", unfresh, took)
--- a/internal/config/fetch.go
+++ b/internal/config/fetch.go
@@ -15,44 +15,44 @@
 const (
 	pullTimeout = 400 * time.Millisecond
 	maxClaims   = 16
-	claimForget = time.Minute
-	// patience is how many pulls in a row may bring nothing before the next
+	claimTTL    = time.Minute
+	// maxFreeFails is how many pulls in a row may bring nothing before the next
 	// ones wait longer and longer; messages are lost, too.
-	patience = 3
-	maxFails = 4
-	maxParts = 4096
-	maxBytes = 32 << 20
+	maxFreeFails        = 3
+	maxPullBackoffShift = 4
+	maxParts            = 4096
+	maxBytes            = 32 << 20
 	// pushBytes bounds the parts of one push; the puller asks for the rest. A push has
 	// to pass a link of 10 Mbit/s well within pullTimeout: one that doesn't is asked of
 	// the next peer before it has come, is no longer wanted when it does, and a large
 	// configuration never gets through.
 	pushBytes = 64 << 10
-	// servesASecond bounds how much a fleet that restarts can ask of one peer.
-	servesASecond = 256
-	maxRefused    = 8
+	// maxServesPerSecond bounds how much a fleet that restarts can ask of one peer.
+	maxServesPerSecond = 256
+	maxRefused         = 8
 )
 
 // fetch is what the daemon knows of revisions that peers have.
 type fetch struct {
 	// claims are peers that said they have a higher revision; at most maxClaims.
 	claims []claim
-	// to is the peer that was asked to push; "" if none.
-	to    shed.VM
-	asked time.Time
+	// pullPeer is the peer that was asked to push; "" if none.
+	pullPeer shed.VM
+	pulledAt time.Time
 	// parts already fetched of a revision that is not whole yet. Each was
 	// checked against its hash, and the last index to come in lists it.
 	parts map[shed.PartHash][]byte
 	// refused are the part lists that failed to compile, oldest first.
-	refused []verdict
+	refused []refusal
 	// served counts pushes since second.
-	served int
-	second time.Time
+	served      int
+	windowStart time.Time
 }
 
-// verdict is why a list of parts was refused.
-type verdict struct {
-	list [sha256.Size]byte
-	err  error
+// refusal is why a list of parts was refused.
+type refusal struct {
+	listHash [sha256.Size]byte
+	err      error
 }
 
 // claim is a peer's word that it has a revision. It may be false: only parts
@@ -65,10 +65,10 @@
 	fails int
 }
 
-// claim notes that a peer says it has a revision.
-func (s *State) claim(now time.Time, from shed.VM, rev shed.Revision) {
-	if rev <= s.held.index.Revision {
-		s.unclaim(from)
+// addClaim notes that a peer says it has a revision.
+func (s *State) addClaim(now time.Time, from shed.VM, rev shed.Revision) {
+	if rev <= s.current.index.Revision {
+		s.removeClaim(from)
 		return
 	}
 	for i := range s.fetch.claims {
@@ -100,7 +100,7 @@
 	})
 }
 
-func (s *State) unclaim(from shed.VM) {
+func (s *State) removeClaim(from shed.VM) {
 	kept := s.fetch.claims[:0]
 	for _, c := range s.fetch.claims {
 		if c.from != from {
@@ -110,11 +110,11 @@
 	s.fetch.claims = kept
 }
 
-// behind tells whether a peer has, as it says, a higher revision.
-func (s *State) behind() bool { return len(s.fetch.claims) > 0 }
+// isStale tells whether a peer has, as it says, a higher revision.
+func (s *State) isStale() bool { return len(s.fetch.claims) > 0 }
 
-// failed counts a pull against the peer that was asked.
-func (s *State) failed(from shed.VM) {
+// recordFailure counts a pull against the peer that was asked.
+func (s *State) recordFailure(from shed.VM) {
 	for i := range s.fetch.claims {
 		if s.fetch.claims[i].from == from {
 			s.fetch.claims[i].fails++
@@ -122,33 +122,33 @@
 	}
 }
 
-// pullDue asks the most promising peer for its revision, one at a time.
-func (s *State) pullDue(now time.Time) []shed.Action {
+// pullIfDue asks the most promising peer for its revision, one at a time.
+func (s *State) pullIfDue(now time.Time) []shed.Action {
 	f := &s.fetch
-	if f.to != "" && now.Sub(f.asked) < pullTimeout {
+	if f.pullPeer != "" && now.Sub(f.pulledAt) < pullTimeout {
 		return nil
 	}
-	if f.to != "" {
-		s.failed(f.to)
-		f.to = ""
+	if f.pullPeer != "" {
+		s.recordFailure(f.pullPeer)
+		f.pullPeer = ""
 	}
-	s.forgetClaims(now)
+	s.pruneClaims(now)
 	if len(f.claims) == 0 {
 		return nil
 	}
 	s.sortClaims()
 	best := f.claims[0]
-	tired := max(0, best.fails-patience)
-	if now.Sub(f.asked) < pullTimeout<<min(tired, maxFails) && tired > 0 {
+	backoffShift := max(0, best.fails-maxFreeFails)
+	if now.Sub(f.pulledAt) < pullTimeout<<min(backoffShift, maxPullBackoffShift) && backoffShift > 0 {
 		return nil
 	}
 	return s.pull(now, best.from)
 }
 
-func (s *State) forgetClaims(now time.Time) {
+func (s *State) pruneClaims(now time.Time) {
 	kept := s.fetch.claims[:0]
 	for _, c := range s.fetch.claims {
-		if now.Sub(c.at) < claimForget && c.revision > s.held.index.Revision {
+		if now.Sub(c.at) < claimTTL && c.revision > s.current.index.Revision {
 			kept = append(kept, c)
 		}
 	}
@@ -156,8 +156,8 @@
 }
 
 func (s *State) pull(now time.Time, to shed.VM) []shed.Action {
-	s.fetch.to = to
-	s.fetch.asked = now
+	s.fetch.pullPeer = to
+	s.fetch.pulledAt = now
 	s.counts.Pulls++
 	return []shed.Action{shed.SendPeer{To: to, Message: shed.ConfigPull{Have: s.have()}}}
 }
@@ -165,9 +165,9 @@
 // have lists the parts that need not be sent again, sorted.
 func (s *State) have() []shed.PartHash {
 	if len(s.fetch.parts) == 0 {
-		return s.held.list
+		return s.current.hashes
 	}
-	list := append(sortedHashes(s.fetch.parts), s.held.list...)
+	list := append(sortedHashes(s.fetch.parts), s.current.hashes...)
 	slices.SortFunc(list, compareHashes)
 	return slices.Compact(list)
 }
@@ -183,16 +183,16 @@
 
 func compareHashes(a, b shed.PartHash) int { return bytes.Compare(a[:], b[:]) }
 
-// serve answers a pull with the revision in force.
-func (s *State) serve(now time.Time, to shed.VM, m shed.ConfigPull) []shed.Action {
+// handlePull answers a pull with the revision in force.
+func (s *State) handlePull(now time.Time, to shed.VM, m shed.ConfigPull) []shed.Action {
 	f := &s.fetch
-	if s.held.rules == nil || len(m.Have) > 2*maxParts {
+	if s.current.rules == nil || len(m.Have) > 2*maxParts {
 		return nil
 	}
-	if now.Sub(f.second) >= time.Second {
-		f.second, f.served = now, 0
+	if now.Sub(f.windowStart) >= time.Second {
+		f.windowStart, f.served = now, 0
 	}
-	if f.served >= servesASecond {
+	if f.served >= maxServesPerSecond {
 		return nil
 	}
 	f.served++
@@ -201,10 +201,10 @@
 	for _, hash := range m.Have {
 		have[hash] = true
 	}
-	push := shed.ConfigPush{Index: s.held.index, Parts: map[shed.PartHash][]byte{}}
+	push := shed.ConfigPush{Index: s.current.index, Parts: map[shed.PartHash][]byte{}}
 	size := 0
-	for _, hash := range s.held.index.Parts {
-		part := s.held.parts[hash]
+	for _, hash := range s.current.index.Parts {
+		part := s.current.parts[hash]
 		if have[hash] || size > 0 && size+len(part) > pushBytes {
 			continue
 		}
@@ -215,90 +215,90 @@
 	return []shed.Action{shed.SendPeer{To: to, Message: push}}
 }
 
-// pushed takes in a peer's revision, or some parts of it.
-func (s *State) pushed(now time.Time, from shed.VM, m shed.ConfigPush) []shed.Action {
+// handlePush takes in a peer's revision, or some parts of it.
+func (s *State) handlePush(now time.Time, from shed.VM, m shed.ConfigPush) []shed.Action {
 	f := &s.fetch
-	if m.Index.Revision <= s.held.index.Revision {
+	if m.Index.Revision <= s.current.index.Revision {
 		return nil
 	}
-	if from != f.to || len(m.Index.Parts) == 0 || len(m.Index.Parts) > maxParts {
+	if from != f.pullPeer || len(m.Index.Parts) == 0 || len(m.Index.Parts) > maxParts {
 		s.counts.BadPushes++
 		return nil
 	}
-	f.to = ""
+	f.pullPeer = ""
 	before := len(f.parts)
-	parts, whole := s.collect(m.Index, m.Parts)
-	f.parts = s.apart(parts)
-	if whole {
-		return s.takePushed(now, from, m.Index, parts)
+	parts, complete := s.collectParts(m.Index, m.Parts)
+	f.parts = s.missingParts(parts)
+	if complete {
+		return s.applyPushed(now, from, m.Index, parts)
 	}
 	if len(f.parts) <= before {
 		s.counts.BadPushes++
-		s.failed(from)
-		return s.pullDue(now)
+		s.recordFailure(from)
+		return s.pullIfDue(now)
 	}
 	return s.pull(now, from)
 }
 
-// apart are the parts that the revision in force does not hold already.
-func (s *State) apart(parts map[shed.PartHash][]byte) map[shed.PartHash][]byte {
-	list := map[shed.PartHash][]byte{}
+// missingParts are the parts that the revision in force does not hold already.
+func (s *State) missingParts(parts map[shed.PartHash][]byte) map[shed.PartHash][]byte {
+	missing := map[shed.PartHash][]byte{}
 	for hash, part := range parts {
-		if _, held := s.held.parts[hash]; !held {
-			list[hash] = part
+		if _, held := s.current.parts[hash]; !held {
+			missing[hash] = part
 		}
 	}
-	return list
+	return missing
 }
 
-// collect puts together what is at hand of an index's parts, and tells whether
+// collectParts puts together what is at hand of an index's parts, and tells whether
 // that is all of them. A part that is not what its hash says is left out.
-func (s *State) collect(index shed.ConfigIndex, fresh map[shed.PartHash][]byte) (map[shed.PartHash][]byte, bool) {
+func (s *State) collectParts(index shed.ConfigIndex, received map[shed.PartHash][]byte) (map[shed.PartHash][]byte, bool) {
 	parts := make(map[shed.PartHash][]byte, len(index.Parts))
 	if len(index.Parts) == 0 || len(index.Parts) > maxParts {
 		return parts, false
 	}
-	whole := true
+	complete := true
 	size := 0
 	for _, hash := range index.Parts {
-		if _, twice := parts[hash]; twice {
+		if _, duplicate := parts[hash]; duplicate {
 			continue
 		}
-		part, ok := s.part(hash, fresh)
+		part, ok := s.findPart(hash, received)
 		size += len(part)
 		if !ok || size > maxBytes {
-			whole = false
+			complete = false
 			continue
 		}
 		parts[hash] = part
 	}
-	return parts, whole
+	return parts, complete
 }
 
-func (s *State) part(hash shed.PartHash, fresh map[shed.PartHash][]byte) ([]byte, bool) {
-	if part, ok := s.held.parts[hash]; ok {
+func (s *State) findPart(hash shed.PartHash, received map[shed.PartHash][]byte) ([]byte, bool) {
+	if part, ok := s.current.parts[hash]; ok {
 		return part, true
 	}
 	if part, ok := s.fetch.parts[hash]; ok {
 		return part, true
 	}
-	part, ok := fresh[hash]
+	part, ok := received[hash]
 	if !ok || sha256.Sum256(part) != hash {
 		return nil, false
 	}
 	return part, true
 }
 
-// takePushed takes a whole revision from a peer, if it compiles.
-func (s *State) takePushed(now time.Time, from shed.VM, index shed.ConfigIndex, parts map[shed.PartHash][]byte) []shed.Action {
+// applyPushed takes a whole revision from a peer, if it compiles.
+func (s *State) applyPushed(now time.Time, from shed.VM, index shed.ConfigIndex, parts map[shed.PartHash][]byte) []shed.Action {
 	compiled, err := s.compile(index, parts)
 	if err != nil {
 		s.counts.BadPushes++
-		s.failed(from)
+		s.recordFailure(from)
 		s.fetch.parts = nil
-		return append([]shed.Action{shed.Note{Reason: shed.ReasonConfigInvalid, Peer: from}}, s.pullDue(now)...)
+		return append([]shed.Action{shed.Note{Reason: shed.ReasonConfigInvalid, Peer: from}}, s.pullIfDue(now)...)
 	}
-	return s.take(now, index, parts, compiled, from)
+	return s.apply(now, index, parts, compiled, from)
 }
 
 // compile judges a text once: the same parts get the same verdict, so a peer
@@ -306,7 +306,7 @@
 func (s *State) compile(index shed.ConfigIndex, parts map[shed.PartHash][]byte) (*shed.Rules, error) {
 	id := listHash(index)
 	for _, refused := range s.fetch.refused {
-		if refused.list == id {
+		if refused.listHash == id {
 			return nil, refused.err
 		}
 	}
@@ -318,7 +318,7 @@
 	if err == nil {
 		return compiled, nil
 	}
-	s.fetch.refused = append(s.fetch.refused, verdict{id, err})
+	s.fetch.refused = append(s.fetch.refused, refusal{id, err})
 	if len(s.fetch.refused) > maxRefused {
 		s.fetch.refused = s.fetch.refused[1:]
 	}
@@ -333,39 +333,39 @@
 	return [sha256.Size]byte(h.Sum(nil))
 }
 
-// take puts a whole, compiled revision in force and tells the peers. From is
+// apply puts a whole, compiled revision in force and tells the peers. From is
 // the peer that it came from, or "" for the platform.
-func (s *State) take(now time.Time, index shed.ConfigIndex, parts map[shed.PartHash][]byte, compiled *shed.Rules, from shed.VM) []shed.Action {
-	s.held = held{rules: compiled, index: index, parts: parts, list: sortedHashes(parts)}
+func (s *State) apply(now time.Time, index shed.ConfigIndex, parts map[shed.PartHash][]byte, compiled *shed.Rules, from shed.VM) []shed.Action {
+	s.current = current{rules: compiled, index: index, parts: parts, hashes: sortedHashes(parts)}
 	s.counts.Taken++
 	if s.reads.invalid < index.Revision {
 		s.reads.invalid, s.reads.faults = 0, ""
-		s.reads.settled = time.Time{}
+		s.reads.settledAt = time.Time{}
 	}
 	s.fetch.parts = nil
-	s.forgetClaims(now)
-	if p := s.fresh.promise; p.revision != 0 && p.revision <= index.Revision {
-		s.fresh.promise = promise{}
+	s.pruneClaims(now)
+	if p := s.fresh.pending; p.revision != 0 && p.revision <= index.Revision {
+		s.fresh.pending = pendingConfirmation{}
 		s.confirm(p.revision, p.at)
 	}
 	out := []shed.Action{shed.RulesInForce{Rules: compiled}}
-	out = append(out, s.spread(now, from)...)
-	return append(out, s.pullDue(now)...)
+	out = append(out, s.announce(now, from)...)
+	return append(out, s.pullIfDue(now)...)
 }
 
-// spread tells of a new revision: each daemon tells its children, and whoever
+// announce tells of a new revision: each daemon tells its children, and whoever
 // got it from outside the zone also tells the watchers and the other zones.
-func (s *State) spread(now time.Time, from shed.VM) []shed.Action {
-	to := append([]shed.VM(nil), s.near.below...)
-	if s.near.level == 0 || !has(s.near.ring, from) {
-		to = append(to, s.near.watchers(s.cfg.Watchers)...)
-		to = append(to, s.farContacts(everyZone)...)
+func (s *State) announce(now time.Time, from shed.VM) []shed.Action {
+	to := append([]shed.VM(nil), s.topology.children...)
+	if s.topology.level == 0 || !contains(s.topology.ranked, from) {
+		to = append(to, s.topology.watchers(s.cfg.Watchers)...)
+		to = append(to, s.remoteContacts(allZones)...)
 	}
-	told := map[shed.VM]bool{s.cfg.Self.VM: true, from: true, "": true}
+	notified := map[shed.VM]bool{s.cfg.Self.VM: true, from: true, "": true}
 	var out []shed.Action
 	for _, vm := range to {
-		if !told[vm] {
-			told[vm] = true
+		if !notified[vm] {
+			notified[vm] = true
 			out = append(out, shed.SendPeer{To: vm, Message: s.Digest(now)})
 		}
 	}
--- a/internal/config/fresh.go
+++ b/internal/config/fresh.go
@@ -9,15 +9,15 @@
 
 // wakeAfter is how long a gap between events tells that the process slept: ten
 // ticks, so that a busy machine alone hardly makes one.
-const wakeAfter = 10 * shed.TickEvery
+const pauseThreshold = 10 * shed.TickEvery
 
 // Bounds on what is remembered of asks.
 const (
-	askEvery   = 400 * time.Millisecond
-	askForget  = 5 * time.Second
-	maxAsks    = 64
-	farAsks    = 2
-	maxClaimed = 24 * time.Hour
+	queryInterval   = 400 * time.Millisecond
+	queryTTL        = 5 * time.Second
+	maxQueries      = 64
+	remoteQueries   = 2
+	maxConfirmedAge = 24 * time.Hour
 )
 
 // clock notices that the process was paused.
@@ -32,30 +32,30 @@
 	tick shed.Tick
 }
 
-// woke tells whether there was a pause before ev.
-func (c *clock) woke(now time.Time, ev shed.Event) bool {
-	woke := c.leapt(now)
-	if now.After(c.last) || woke {
+// observe tells whether there was a pause before ev.
+func (c *clock) observe(now time.Time, ev shed.Event) bool {
+	paused := c.jumped(now)
+	if now.After(c.last) || paused {
 		c.last = now
 	}
 	tick, ok := ev.(shed.Tick)
 	if !ok {
-		return woke
+		return paused
 	}
 	if !c.tick.Wall.IsZero() {
 		wall := tick.Wall.Round(0).Sub(c.tick.Wall.Round(0))
-		woke = woke || wall > wakeAfter || tick.Mono-c.tick.Mono > wakeAfter
+		paused = paused || wall > pauseThreshold || tick.Mono-c.tick.Mono > pauseThreshold
 	}
 	c.tick = tick
-	return woke
+	return paused
 }
 
-// leapt tells whether now is long after the last event.
-func (c *clock) leapt(now time.Time) bool {
+// jumped tells whether now is long after the last event.
+func (c *clock) jumped(now time.Time) bool {
 	if c.last.IsZero() {
 		return false
 	}
-	return now.Sub(c.last) > wakeAfter || now.Round(0).Sub(c.last.Round(0)) > wakeAfter
+	return now.Sub(c.last) > pauseThreshold || now.Round(0).Sub(c.last.Round(0)) > pauseThreshold
 }
 
 // fresh is what the daemon knows of the age of its revision.
@@ -63,22 +63,22 @@
 	// confirmed is a time at which the platform had no revision above the one
 	// held here; zero if there was none. It stays true when the revision grows.
 	confirmed time.Time
-	// promise is a confirmation for a revision not yet held.
-	promise promise
-	// asks without an answer yet, oldest first; at most maxAsks.
-	asks     []ask
-	sequence uint64
-	nextAsk  time.Time
+	// pending is a confirmation for a revision not yet held.
+	pending pendingConfirmation
+	// queries without an answer yet, oldest first; at most maxAsks.
+	queries   []query
+	sequence  uint64
+	nextQuery time.Time
 }
 
-// promise becomes a confirmation once the revision is held.
-type promise struct {
+// pendingConfirmation becomes a confirmation once the revision is held.
+type pendingConfirmation struct {
 	revision shed.Revision
 	at       time.Time
 }
 
-// ask is a digest that was asked for.
-type ask struct {
+// query is a digest that was asked for.
+type query struct {
 	to       shed.VM
 	at       time.Time
 	sequence uint64
@@ -93,11 +93,11 @@
 
 // confirm notes that at time at the platform had nothing above rev.
 func (s *State) confirm(rev shed.Revision, at time.Time) {
-	if rev > s.held.index.Revision {
-		s.fresh.promise = promise{rev, at}
+	if rev > s.current.index.Revision {
+		s.fresh.pending = pendingConfirmation{rev, at}
 		return
 	}
-	if s.held.rules == nil {
+	if s.current.rules == nil {
 		return
 	}
 	if at.After(s.fresh.confirmed) {
@@ -105,10 +105,10 @@
 	}
 }
 
-// askAt is the age from which a daemon asks for a newer confirmation. Each
+// queryAge is the age from which a daemon asks for a newer confirmation. Each
 // level leaves the one above time to get its own.
-func (s *State) askAt() time.Duration {
-	switch s.near.level {
+func (s *State) queryAge() time.Duration {
+	switch s.topology.level {
 	case 0:
 		return s.cfg.FreshFor * 2 / 5
 	case 1:
@@ -117,43 +117,43 @@
 	return s.cfg.FreshFor * 7 / 10
 }
 
-// askDue asks for digests if the confirmation grows old.
-func (s *State) askDue(now time.Time) []shed.Action {
+// queryIfDue asks for digests if the confirmation grows old.
+func (s *State) queryIfDue(now time.Time) []shed.Action {
 	age, known := s.fresh.age(now)
-	if known && age < s.askAt() || now.Before(s.fresh.nextAsk) {
+	if known && age < s.queryAge() || now.Before(s.fresh.nextQuery) {
 		return nil
 	}
-	s.fresh.nextAsk = now.Add(s.jitter(askEvery))
+	s.fresh.nextQuery = now.Add(s.jitter(queryInterval))
 	var to []shed.VM
-	if s.near.level == 0 {
-		to = append(s.farContacts(farAsks), s.pick(s.near.watchers(s.cfg.Watchers)))
+	if s.topology.level == 0 {
+		to = append(s.remoteContacts(remoteQueries), s.pickPeer(s.topology.watchers(s.cfg.Watchers)))
 	} else {
-		to = append(to, s.pick(s.near.above))
+		to = append(to, s.pickPeer(s.topology.parents))
 	}
-	if s.near.level > 0 && (!known || age > s.cfg.FreshFor) {
-		to = append(to, s.farContacts(1)...)
+	if s.topology.level > 0 && (!known || age > s.cfg.FreshFor) {
+		to = append(to, s.remoteContacts(1)...)
 	}
-	return s.askAll(now, to)
+	return s.queryAll(now, to)
 }
 
-func (s *State) askAll(now time.Time, to []shed.VM) []shed.Action {
+func (s *State) queryAll(now time.Time, to []shed.VM) []shed.Action {
 	var out []shed.Action
 	for _, vm := range to {
 		if vm != "" && vm != s.cfg.Self.VM {
-			out = append(out, s.ask(now, vm))
+			out = append(out, s.sendQuery(now, vm))
 		}
 	}
 	return out
 }
 
-// ask sends a digest that wants an answer.
-func (s *State) ask(now time.Time, to shed.VM) shed.Action {
+// sendQuery sends a digest that wants an answer.
+func (s *State) sendQuery(now time.Time, to shed.VM) shed.Action {
 	f := &s.fresh
-	for len(f.asks) > 0 && (len(f.asks) >= maxAsks || now.Sub(f.asks[0].at) > askForget) {
-		f.asks = f.asks[1:]
+	for len(f.queries) > 0 && (len(f.queries) >= maxQueries || now.Sub(f.queries[0].at) > queryTTL) {
+		f.queries = f.queries[1:]
 	}
 	f.sequence++
-	f.asks = append(f.asks, ask{to, now, f.sequence})
+	f.queries = append(f.queries, query{to, now, f.sequence})
 	s.counts.Asks++
 	m := s.Digest(now)
 	m.WantReply = true
@@ -161,61 +161,61 @@
 	return shed.SendPeer{To: to, Message: m}
 }
 
-// answered finds the ask that a digest answers.
-func (s *State) answered(from shed.VM, m shed.ConfigDigest) (ask, bool) {
+// matchQuery finds the ask that a digest answers.
+func (s *State) matchQuery(from shed.VM, m shed.ConfigDigest) (query, bool) {
 	if m.WantReply || m.Sequence == 0 {
-		return ask{}, false
+		return query{}, false
 	}
-	for i, a := range s.fresh.asks {
-		if a.sequence == m.Sequence && a.to == from {
-			s.fresh.asks = slices.Delete(s.fresh.asks, i, i+1)
-			return a, true
+	for i, q := range s.fresh.queries {
+		if q.sequence == m.Sequence && q.to == from {
+			s.fresh.queries = slices.Delete(s.fresh.queries, i, i+1)
+			return q, true
 		}
 	}
-	return ask{}, false
+	return query{}, false
 }
 
-// digest takes in what a peer says of its revision.
-func (s *State) digest(now time.Time, from shed.VM, m shed.ConfigDigest) []shed.Action {
-	s.claim(now, from, m.Revision)
+// handleDigest takes in what a peer says of its revision.
+func (s *State) handleDigest(now time.Time, from shed.VM, m shed.ConfigDigest) []shed.Action {
+	s.addClaim(now, from, m.Revision)
 	var out []shed.Action
-	a, answer := s.answered(from, m)
-	if answer {
-		s.startHeard(from, m)
+	q, isReply := s.matchQuery(from, m)
+	if isReply {
+		s.recordStartReply(from, m)
 		// The peer worked out its age after the ask had left, so counting back
 		// from the ask is safe however late the answer is. A digest that was
 		// not asked for confirms nothing: it may have waited in a socket.
-		if !m.NeverConfirmed && m.ConfirmedAgo >= 0 && m.ConfirmedAgo < maxClaimed {
-			s.confirm(m.Revision, a.at.Add(-m.ConfirmedAgo))
-			s.reads.alone = s.reads.alone && m.ConfirmedAgo > s.cfg.FreshFor
+		if !m.NeverConfirmed && m.ConfirmedAgo >= 0 && m.ConfirmedAgo < maxConfirmedAge {
+			s.confirm(m.Revision, q.at.Add(-m.ConfirmedAgo))
+			s.reads.selfReading = s.reads.selfReading && m.ConfirmedAgo > s.cfg.FreshFor
 		}
 	}
 	switch {
 	case m.WantReply:
-		back := s.Digest(now)
-		back.Sequence = m.Sequence
-		out = append(out, shed.SendPeer{To: from, Message: back})
-	case answer && m.Revision < s.held.index.Revision:
+		reply := s.Digest(now)
+		reply.Sequence = m.Sequence
+		out = append(out, shed.SendPeer{To: from, Message: reply})
+	case isReply && m.Revision < s.current.index.Revision:
 		out = append(out, shed.SendPeer{To: from, Message: s.Digest(now)})
 	}
-	return append(out, s.pullDue(now)...)
+	return append(out, s.pullIfDue(now)...)
 }
 
-// wake forgets what a pause may have made untrue and asks anew, as at a start.
-func (s *State) wake(now time.Time) []shed.Action {
+// resync forgets what a pause may have made untrue and asks anew, as at a start.
+func (s *State) resync(now time.Time) []shed.Action {
 	s.counts.Woke++
 	s.fresh.confirmed = time.Time{}
-	s.fresh.promise = promise{}
-	s.fresh.asks = nil
-	s.fresh.nextAsk = now
-	s.reads.wake(now)
+	s.fresh.pending = pendingConfirmation{}
+	s.fresh.queries = nil
+	s.fresh.nextQuery = now
+	s.reads.invalidate(now)
 	s.start = start{}
 	return []shed.Action{shed.Note{Reason: shed.ReasonWoke}}
 }
 
 // Doubt makes the daemon ask anew what its peers have, as after a pause. Core
 // calls it when a daemon that heard nobody hears somebody again.
-func (s *State) Doubt(now time.Time) []shed.Action { return s.wake(now) }
+func (s *State) Doubt(now time.Time) []shed.Action { return s.resync(now) }
 
 // jitter draws a time within a quarter of d, to either side.
 func (s *State) jitter(d time.Duration) time.Duration {
--- a/internal/config/sim_test.go
+++ b/internal/config/sim_test.go
@@ -31,21 +31,21 @@
 	lastStale time.Time
 
 	// corrupt changes one byte of each part that travels.
-	corrupt  bool
-	loss     float64
-	delay    time.Duration
-	cut      map[[2]int]bool // zones that can't reach each other
-	noPlat   map[int]bool    // zones that can't reach the platform
-	atOnce   int             // how many parts the platform gives in one answer; 0 for all
-	late     time.Duration   // how long the platform's answers are on their way
-	reads    int
-	readings map[int64]int // reads by second
-	bytes    int
-	weigh    bool // counts bytes
+	corrupt        bool
+	loss           float64
+	delay          time.Duration
+	partitions     map[[2]int]bool // zones that can't reach each other
+	platformDown   map[int]bool    // zones that can't reach the platform
+	partsPerAnswer int             // how many parts the platform gives in one answer; 0 for all
+	platformDelay  time.Duration   // how long the platform's answers are on their way
+	reads          int
+	readsBySecond  map[int64]int // reads by second
+	bytes          int
+	countBytes     bool // counts bytes
 	// linkRate is how many bytes a second come to a node; 0 means no limit.
 	linkRate float64
-	// blind is how long a new process knows no peer.
-	blind time.Duration
+	// noPeersFor is how long a new process knows no peer.
+	noPeersFor time.Duration
 }
 
 // revision is what was published, and when.
@@ -67,8 +67,8 @@
 	paused bool
 	// linkFree is when all that is on the way to it will have passed its link.
 	linkFree time.Time
-	// kept holds what came in during a pause.
-	kept []shed.Event
+	// queued holds what came in during a pause.
+	queued []shed.Event
 	// highest revision in force within one process.
 	highest shed.Revision
 }
@@ -77,15 +77,15 @@
 
 func newSim(seed uint64, zones, perZone int, tweak func(*sim)) *sim {
 	s := &sim{
-		rng:      rand.New(rand.NewPCG(seed, 1)),
-		now:      time.Unix(simStart, 0),
-		zones:    zones,
-		delay:    2 * time.Millisecond,
-		cut:      map[[2]int]bool{},
-		noPlat:   map[int]bool{},
-		readings: map[int64]int{},
-		byVM:     map[shed.VM]*node{},
-		peers:    map[shed.ZoneID][]shed.Peer{},
+		rng:           rand.New(rand.NewPCG(seed, 1)),
+		now:           time.Unix(simStart, 0),
+		zones:         zones,
+		delay:         2 * time.Millisecond,
+		partitions:    map[[2]int]bool{},
+		platformDown:  map[int]bool{},
+		readsBySecond: map[int64]int{},
+		byVM:          map[shed.VM]*node{},
+		peers:         map[shed.ZoneID][]shed.Peer{},
 	}
 	if tweak != nil {
 		tweak(s)
@@ -108,7 +108,7 @@
 // boot starts a new process on the node's VM.
 func (s *sim) boot(n *node) {
 	n.boots++
-	n.highest, n.kept, n.paused = 0, nil, false
+	n.highest, n.queued, n.paused = 0, nil, false
 	cfg := Config{
 		Self:    shed.Peer{VM: n.vm, Incarnation: shed.Incarnation(n.boots << 40)},
 		Zone:    zoneName(n.zone),
@@ -117,12 +117,12 @@
 		Compile: simCompile,
 	}
 	n.state = New(cfg)
-	if s.blind == 0 {
+	if s.noPeersFor == 0 {
 		n.state.SetPeers(s.view(n))
 		return
 	}
 	state := n.state
-	s.after(s.blind, func() { state.SetPeers(s.view(n)) })
+	s.after(s.noPeersFor, func() { state.SetPeers(s.view(n)) })
 }
 
 // view is every VM, as a membership that has not noticed any death.
@@ -159,16 +159,16 @@
 func (s *sim) tickLater(n *node, d time.Duration) {
 	s.after(d, func() {
 		if !n.paused {
-			s.give(n, shed.Tick{Wall: s.now, Mono: s.now.Sub(time.Unix(simStart, 0))})
+			s.deliverEvent(n, shed.Tick{Wall: s.now, Mono: s.now.Sub(time.Unix(simStart, 0))})
 		}
 		s.tickLater(n, shed.TickEvery)
 	})
 }
 
-// give hands the event to the node, or keeps it while the node is paused.
-func (s *sim) give(n *node, ev shed.Event) {
+// deliverEvent hands the event to the node, or keeps it while the node is paused.
+func (s *sim) deliverEvent(n *node, ev shed.Event) {
 	if n.paused {
-		n.kept = append(n.kept, ev)
+		n.queued = append(n.queued, ev)
 		return
 	}
 	s.perform(n, n.state.Handle(s.now, ev))
@@ -178,48 +178,48 @@
 	for _, a := range actions {
 		switch a := a.(type) {
 		case shed.SendPeer:
-			s.deliver(n, a)
+			s.sendMessage(n, a)
 		case shed.ReadConfig:
 			s.platform(n, a)
 		}
 	}
 }
 
-// wakeUp ends a pause; what waited in the sockets comes before the first tick.
-func (s *sim) wakeUp(n *node) {
+// unpause ends a pause; what waited in the sockets comes before the first tick.
+func (s *sim) unpause(n *node) {
 	n.paused = false
-	kept := n.kept
-	n.kept = nil
+	kept := n.queued
+	n.queued = nil
 	for _, ev := range kept {
-		s.give(n, ev)
+		s.deliverEvent(n, ev)
 	}
 }
 
-func (s *sim) apart(a, b int) bool { return s.cut[[2]int{min(a, b), max(a, b)}] }
+func (s *sim) partitioned(a, b int) bool { return s.partitions[[2]int{min(a, b), max(a, b)}] }
 
 func (s *sim) latency() time.Duration {
 	return s.delay/2 + time.Duration(s.rng.Int64N(int64(s.delay)))
 }
 
-func (s *sim) deliver(from *node, a shed.SendPeer) {
-	if s.weigh {
+func (s *sim) sendMessage(from *node, a shed.SendPeer) {
+	if s.countBytes {
 		s.bytes += messageBytes(a.Message)
 	}
 	boots := from.boots
 	if push, ok := a.Message.(shed.ConfigPush); ok && s.corrupt {
-		push.Parts = spoilt(push.Parts)
+		push.Parts = corrupted(push.Parts)
 		a.Message = push
 	}
 	to := s.byVM[a.To]
-	if to == nil || s.apart(from.zone, to.zone) || s.rng.Float64() < s.loss {
+	if to == nil || s.partitioned(from.zone, to.zone) || s.rng.Float64() < s.loss {
 		return
 	}
-	wait, ok := s.pass(to, a.Message)
+	wait, ok := s.linkDelay(to, a.Message)
 	if !ok {
 		return
 	}
 	s.after(s.latency()+wait, func() {
-		s.give(to, shed.PeerMessage{From: shed.Peer{VM: from.vm, Incarnation: shed.Incarnation(boots << 40)}, Message: a.Message})
+		s.deliverEvent(to, shed.PeerMessage{From: shed.Peer{VM: from.vm, Incarnation: shed.Incarnation(boots << 40)}, Message: a.Message})
 	})
 }
 
@@ -227,25 +227,25 @@
 func (s *sim) platform(n *node, a shed.ReadConfig) {
 	boots := n.boots
 	reply := func(ev shed.ConfigRead) {
-		s.after(s.latency()+s.late, func() {
+		s.after(s.latency()+s.platformDelay, func() {
 			if n.boots == boots {
-				s.give(n, ev)
+				s.deliverEvent(n, ev)
 			}
 		})
 	}
-	s.count(1)
+	s.countReads(1)
 	var poll func(end time.Time)
 	poll = func(end time.Time) {
-		if s.noPlat[n.zone] {
+		if s.platformDown[n.zone] {
 			reply(shed.ConfigRead{Failed: true})
 			return
 		}
-		shown, any := s.shown()
-		if any && (shown.rev > a.After || !s.now.Before(end)) {
-			reply(s.contents(shown, a))
+		shown, published := s.shown()
+		if published && (shown.rev > a.After || !s.now.Before(end)) {
+			reply(s.readReply(shown, a))
 			return
 		}
-		if !any && !s.now.Before(end) {
+		if !published && !s.now.Before(end) {
 			reply(shed.ConfigRead{})
 			return
 		}
@@ -255,13 +255,13 @@
 	s.after(s.latency(), func() { poll(end) })
 }
 
-func (s *sim) count(n int) {
+func (s *sim) countReads(n int) {
 	s.reads += n
-	s.readings[s.now.Unix()] += n
+	s.readsBySecond[s.now.Unix()] += n
 }
 
-// contents counts a read for each part that the reader lacks.
-func (s *sim) contents(r revision, a shed.ReadConfig) shed.ConfigRead {
+// readReply counts a read for each part that the reader lacks.
+func (s *sim) readReply(r revision, a shed.ReadConfig) shed.ConfigRead {
 	ev := shed.ConfigRead{Index: r.index, Parts: map[shed.PartHash][]byte{}}
 	if r.rev == a.After {
 		return ev
@@ -272,15 +272,15 @@
 	}
 	for _, hash := range r.index.Parts {
 		part := r.parts[hash]
-		if !have[hash] && (s.atOnce == 0 || len(ev.Parts) < s.atOnce) {
-			s.count(1)
+		if !have[hash] && (s.partsPerAnswer == 0 || len(ev.Parts) < s.partsPerAnswer) {
+			s.countReads(1)
 			ev.Parts[hash] = part
 		}
 	}
 	return ev
 }
 
-func spoilt(parts map[shed.PartHash][]byte) map[shed.PartHash][]byte {
+func corrupted(parts map[shed.PartHash][]byte) map[shed.PartHash][]byte {
 	list := map[shed.PartHash][]byte{}
 	for hash, part := range parts {
 		list[hash] = append([]byte("x"), part...)
@@ -352,7 +352,7 @@
 		return false
 	}
 	next := s.published[rev]
-	return !next.good && next.at.Sub(s.published[rev-1].at) < settleFor
+	return !next.good && next.at.Sub(s.published[rev-1].at) < settleTime
 }
 
 // inForce is the node's revision; 0 if it has none.
@@ -373,14 +373,14 @@
 	return true
 }
 
-// until runs until done holds, and gives the time that it took.
-func (s *sim) until(most time.Duration, done func() bool) (time.Duration, bool) {
+// runUntil runs until done holds, and gives the time that it took.
+func (s *sim) runUntil(limit time.Duration, done func() bool) (time.Duration, bool) {
 	began := s.now
-	for s.now.Sub(began) < most {
+	for s.now.Sub(began) < limit {
 		if done() {
 			return s.now.Sub(began), true
 		}
 		s.run(10*time.Millisecond, nil)
 	}
-	return most, done()
+	return limit, done()
 }
--- a/internal/config/spread_test.go
+++ b/internal/config/spread_test.go
@@ -17,15 +17,15 @@
 
 // peak is the most reads in any one second.
 func (s *sim) peak() int {
-	most := 0
-	for _, n := range s.readings {
-		most = max(most, n)
+	highest := 0
+	for _, n := range s.readsBySecond {
+		highest = max(highest, n)
 	}
-	return most
+	return highest
 }
 
-func (s *sim) forgetReads() {
-	s.reads, s.bytes, s.readings = 0, 0, map[int64]int{}
+func (s *sim) resetCounts() {
+	s.reads, s.bytes, s.readsBySecond = 0, 0, map[int64]int{}
 }
 
 // TestSpread measures how long a change takes to be in force everywhere, and
@@ -38,8 +38,8 @@
 	}{
 		"today":                          {3, 3, nil, 2 * time.Second},
 		"design size":                    {13, 52, nil, 2 * time.Second},
-		"one zone without platform":      {13, 52, func(s *sim) { s.noPlat[4] = true }, 2 * time.Second},
-		"only one zone has the platform": {13, 52, func(s *sim) { s.onlyZone(0) }, 2 * time.Second},
+		"one zone without platform":      {13, 52, func(s *sim) { s.platformDown[4] = true }, 2 * time.Second},
+		"only one zone has the platform": {13, 52, func(s *sim) { s.onlyZonePlatform(0) }, 2 * time.Second},
 		"one message in five lost":       {13, 52, func(s *sim) { s.loss = 0.2 }, 4 * time.Second},
 	}
 	for name, c := range cases {
@@ -49,13 +49,13 @@
 				c.fault(s)
 			}
 			s.run(4*time.Second, nil)
-			s.forgetReads()
-			s.weigh = true
+			s.resetCounts()
+			s.countBytes = true
 			s.run(10*time.Second, nil)
 			quiet, quietBytes := s.reads/10, s.bytes/10/len(s.nodes)
-			s.forgetReads()
+			s.resetCounts()
 			rev := s.publish(true, designParts)
-			took, ok := s.until(10*time.Second, func() bool { return s.everywhere(rev) })
+			took, ok := s.runUntil(10*time.Second, func() bool { return s.everywhere(rev) })
 			require.True(t, ok)
 			require.LessOrEqual(t, took, c.bound)
 			require.Less(t, s.peak(), platformReads)
@@ -65,10 +65,10 @@
 	}
 }
 
-// onlyZone leaves one zone its platform.
-func (s *sim) onlyZone(zone int) {
+// onlyZonePlatform leaves one zone its platform.
+func (s *sim) onlyZonePlatform(zone int) {
 	for z := range s.zones {
-		s.noPlat[z] = z != zone
+		s.platformDown[z] = z != zone
 	}
 }
 
@@ -90,8 +90,8 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			s := settled(t, 10, 13, 52, designParts)
-			s.forgetReads()
-			s.blind = c.blind
+			s.resetCounts()
+			s.noPeersFor = c.blind
 			restarted := 0
 			for _, n := range s.nodes {
 				if c.restarted(n) {
@@ -99,7 +99,7 @@
 					restarted++
 				}
 			}
-			took, ok := s.until(40*time.Second, s.allFresh)
+			took, ok := s.runUntil(40*time.Second, s.allFresh)
 			require.True(t, ok)
 			require.Less(t, s.peak(), platformReads)
 			t.Logf("%d restarted: all ready and fresh after %s; %d reads, at most %d in a second",
@@ -110,11 +110,11 @@
 
 // messageLimit is how long a control message between daemons may take; a longer one is
 // lost, though it has taken its time of the link.
-const messageLimit = time.Second
+const messageTimeout = time.Second
 
-// pass is how long a message takes over the link to a node, behind those before it;
+// linkDelay is how long a message takes over the link to a node, behind those before it;
 // false if that is too long.
-func (s *sim) pass(to *node, msg shed.Message) (time.Duration, bool) {
+func (s *sim) linkDelay(to *node, msg shed.Message) (time.Duration, bool) {
 	if s.linkRate == 0 {
 		return 0, true
 	}
@@ -123,7 +123,7 @@
 	}
 	to.linkFree = to.linkFree.Add(time.Duration(float64(messageBytes(msg)) / s.linkRate * float64(time.Second)))
 	wait := to.linkFree.Sub(s.now)
-	return wait, wait <= messageLimit
+	return wait, wait <= messageTimeout
 }
 
 // A daemon with a link of 10 Mbit/s starts in a zone that has lost the platform, and
@@ -132,12 +132,12 @@
 	s := settled(t, 11, 3, 3, 3)
 	s.publishText(250, 16_000)
 	rev := s.published[len(s.published)-1].rev
-	_, ok := s.until(20*time.Second, func() bool { return s.everywhere(rev) })
+	_, ok := s.runUntil(20*time.Second, func() bool { return s.everywhere(rev) })
 	require.True(t, ok)
 	s.linkRate = 10e6 / 8
-	s.noPlat[0] = true
+	s.platformDown[0] = true
 	s.boot(s.nodes[0])
-	took, ok := s.until(40*time.Second, func() bool { return s.nodes[0].inForce() == rev })
+	took, ok := s.runUntil(40*time.Second, func() bool { return s.nodes[0].inForce() == rev })
 	require.True(t, ok)
 	require.Less(t, took, 9*time.Second, "changes have to be in force within 9 s")
 	t.Logf("250 parts, 4 MB, at 10 Mbit/s: in force after %s", took)
--- a/internal/config/state_test.go
+++ b/internal/config/state_test.go
@@ -22,13 +22,13 @@
 	return len(data)
 }
 
-// judge is the oracle: it knows what was published and when, and what each
+// check is the oracle: it knows what was published and when, and what each
 // daemon follows, and nothing of how they found it.
-func (s *sim) judge(t require.TestingT) {
-	due, good := s.newest(s.now.Add(-defaultFreshFor))
+func (s *sim) check(t require.TestingT) {
+	expected, good := s.newest(s.now.Add(-defaultFreshFor))
 	// While the platform itself is stale, or its newest revision is invalid, no
 	// daemon can know how old its own is.
-	told := !s.stale && good && !s.shortLived(due) && s.now.Sub(s.lastStale) > 2*defaultFreshFor
+	knowable := !s.stale && good && !s.shortLived(expected) && s.now.Sub(s.lastStale) > 2*defaultFreshFor
 	for _, n := range s.nodes {
 		rev := n.inForce()
 		fresh := n.state.Fresh(s.now)
@@ -36,27 +36,27 @@
 		if rev < n.highest {
 			require.Fail(t, "went back", "node %d from %d to %d", n.id, n.highest, rev)
 		}
-		took := rev != n.highest
+		changed := rev != n.highest
 		n.highest = rev
 		if rev == 0 && (fresh || ready) {
 			require.Fail(t, "ready with nothing in force", "node %d", n.id)
 		}
-		if took && (!s.published[rev-1].good || !n.holds(s.published[rev-1])) {
+		if changed && (!s.published[rev-1].good || !n.hasPartsOf(s.published[rev-1])) {
 			require.Fail(t, "follows what was never published", "node %d, revision %d", n.id, rev)
 		}
-		if told && fresh && rev < due {
-			require.Fail(t, "calls an old revision fresh", "node %d: %d, not %d", n.id, rev, due)
+		if knowable && fresh && rev < expected {
+			require.Fail(t, "calls an old revision fresh", "node %d: %d, not %d", n.id, rev, expected)
 		}
 	}
 }
 
-// holds tells whether the node has the very parts that were published.
-func (n *node) holds(r revision) bool {
-	if len(n.state.held.parts) != len(r.parts) {
+// hasPartsOf tells whether the node has the very parts that were published.
+func (n *node) hasPartsOf(r revision) bool {
+	if len(n.state.current.parts) != len(r.parts) {
 		return false
 	}
 	for hash, part := range r.parts {
-		if string(n.state.held.parts[hash]) != string(part) {
+		if string(n.state.current.parts[hash]) != string(part) {
 			return false
 		}
 	}
@@ -73,10 +73,10 @@
 		s.publish(true, 4)
 		for range *steps {
 			s.step(t)
-			s.run(time.Duration(rapid.IntRange(1, 1500).Draw(t, "ms"))*time.Millisecond, func() { s.judge(t) })
+			s.run(time.Duration(rapid.IntRange(1, 1500).Draw(t, "ms"))*time.Millisecond, func() { s.check(t) })
 		}
-		s.mend()
-		s.run(12*time.Second, func() { s.judge(t) })
+		s.clearFaults()
+		s.run(12*time.Second, func() { s.check(t) })
 		want, _ := s.newest(s.now)
 		for _, n := range s.nodes {
 			require.Equal(t, want, n.inForce(), "node %d", n.id)
@@ -96,10 +96,10 @@
 	case 1:
 		s.publish(rapid.Bool().Draw(t, "good"), 4)
 	case 2:
-		s.noPlat[zone] = !s.noPlat[zone]
+		s.platformDown[zone] = !s.platformDown[zone]
 	case 3:
 		key := [2]int{min(n.zone, zone), max(n.zone, zone)}
-		s.cut[key] = !s.cut[key]
+		s.partitions[key] = !s.partitions[key]
 	case 4:
 		s.loss = float64(rapid.IntRange(0, 50).Draw(t, "loss")) / 100
 	case 5:
@@ -110,7 +110,7 @@
 		n.paused = true
 	case 8:
 		if n.paused {
-			s.wakeUp(n)
+			s.unpause(n)
 		}
 	case 9:
 		s.setStale(!s.stale)
@@ -122,17 +122,17 @@
 	case 11:
 		s.corrupt = !s.corrupt
 	case 12:
-		s.late = time.Duration(rapid.IntRange(0, 6000).Draw(t, "late")) * time.Millisecond
+		s.platformDelay = time.Duration(rapid.IntRange(0, 6000).Draw(t, "late")) * time.Millisecond
 	}
 }
 
 // forge sends a false digest and a false push from one node to another.
 func (s *sim) forge(from, to *node) {
 	far := shed.Revision(1 << 60)
-	s.deliver(from, shed.SendPeer{To: to.vm, Message: shed.ConfigDigest{Revision: far}})
+	s.sendMessage(from, shed.SendPeer{To: to.vm, Message: shed.ConfigDigest{Revision: far}})
 	index := shed.ConfigIndex{Revision: far, Parts: []shed.PartHash{{1}}}
 	parts := map[shed.PartHash][]byte{{1}: []byte("forged")}
-	s.deliver(from, shed.SendPeer{To: to.vm, Message: shed.ConfigPush{Index: index, Parts: parts}})
+	s.sendMessage(from, shed.SendPeer{To: to.vm, Message: shed.ConfigPush{Index: index, Parts: parts}})
 }
 
 func (s *sim) setStale(stale bool) {
@@ -140,15 +140,15 @@
 	s.lastStale = s.now
 }
 
-// mend ends all faults and publishes a good revision.
-func (s *sim) mend() {
-	s.cut, s.noPlat = map[[2]int]bool{}, map[int]bool{}
+// clearFaults ends all faults and publishes a good revision.
+func (s *sim) clearFaults() {
+	s.partitions, s.platformDown = map[[2]int]bool{}, map[int]bool{}
 	s.loss, s.delay = 0, 2*time.Millisecond
 	s.setStale(false)
-	s.corrupt, s.late = false, 0
+	s.corrupt, s.platformDelay = false, 0
 	for _, n := range s.nodes {
 		if n.paused {
-			s.wakeUp(n)
+			s.unpause(n)
 		}
 	}
 	s.publish(true, 4)
