--- a/internal/config/bench_test.go
+++ b/internal/config/bench_test.go
@@ -8,7 +8,7 @@
 	shed "jasmineshed"
 )
 
-// steadyState is one daemon's configuration among quiet peers, fed without a sim.
+// steadyState drives the configuration of one daemon among quiet peers, without a sim.
 type steadyState struct {
 	s     *State
 	now   time.Time
@@ -37,8 +37,8 @@
 	return &steadyState{s: s, now: time.Unix(simStart, 0)}
 }
 
-// second lets one second pass: ticks, own asks and reads answered at once, and
-// as many asks of peers as a daemon gets.
+// second simulates one second: ticks, immediate answers to the daemon's own queries and
+// reads, and as many queries from peers as a daemon gets.
 func (st *steadyState) second(asked int) {
 	for i := range 10 {
 		st.now = st.now.Add(shed.TickEvery)
@@ -63,7 +63,7 @@
 	}
 }
 
-// BenchmarkQuietSecond is what a second without a change costs a daemon.
+// BenchmarkQuietSecond measures the cost of a second without a change for one daemon.
 func BenchmarkQuietSecond(b *testing.B) {
 	for _, perZone := range []int{3, 13, 26, 52} {
 		for level, role := range []string{"watcher", "middle", "leaf"} {
@@ -84,7 +84,7 @@
 	}
 }
 
-// BenchmarkSetPeers is what a change of the view costs.
+// BenchmarkSetPeers measures the cost of a change of the view.
 func BenchmarkSetPeers(b *testing.B) {
 	for _, perZone := range []int{3, 13, 26, 52} {
 		b.Run(fmt.Sprintf("daemons=%d", 13*perZone), func(b *testing.B) {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,9 +1,10 @@
 // Package config decides which revision of the rules is in force on this
-// daemon, and how revisions spread over the fleet.
+// daemon, and distributes revisions over the fleet.
 //
-// Few daemons of each zone watch the platform; the rest hear of a revision from
-// peers and pull it. The revision in force only ever grows, a revision is taken
-// whole or not at all, and a daemon knows how long ago its own was the newest.
+// A few daemons of each zone watch the platform; the others learn of a revision
+// from peers and pull it. The revision in force only ever grows, a revision is
+// applied as a whole or not at all, and a daemon knows how long ago its own was
+// last confirmed to be the newest.
 package config
 
 import (
@@ -27,25 +28,25 @@
 type Config struct {
 	Self shed.Peer
 	Zone shed.ZoneID
-	// Compile turns a text into rules. It depends on nothing but its arguments.
+	// Compile turns a text into rules. It must depend on nothing but its arguments.
 	Compile func(text []byte, rev shed.Revision) (*shed.Rules, error)
 	// Seed of the package's random choices.
 	Seed uint64
-	// Seeds is how many peers the settings name. With some, a daemon that sees
-	// no peer yet waits longer before it reads the whole configuration itself.
+	// Seeds is the number of peer addresses in the settings. If it is above 0, a daemon
+	// that sees no peer yet waits longer before it reads the whole configuration itself.
 	Seeds int
 	// Watchers is how many daemons of a zone watch the platform.
 	Watchers int
-	// Fanout is how many daemons ask one daemon of the level above.
+	// Fanout is the number of children of each daemon in its zone's tree.
 	Fanout int
-	// FreshFor is how long a confirmation counts.
+	// FreshFor is how long after a confirmation the revision counts as fresh.
 	FreshFor time.Duration
-	// WatchFor is how long one watch of the platform waits.
+	// WatchFor is the longest time that one watch of the platform waits for a change.
 	WatchFor time.Duration
 	// StartWait bounds how long a starting daemon waits for its peers' answers.
 	StartWait time.Duration
-	// ColdSpan, times the number of zones, is the time over which the zones'
-	// first whole reads spread when nobody has a configuration.
+	// ColdSpan, multiplied by the number of zones, is the time over which the zones' first
+	// whole reads spread when no daemon has a configuration.
 	ColdSpan time.Duration
 }
 
@@ -71,8 +72,8 @@
 	return c
 }
 
-// State is the one decision on configurations. It is not safe for use by many
-// goroutines.
+// State is the state machine that decides on configurations. It is not safe for
+// concurrent use.
 type State struct {
 	cfg      Config
 	rng      *rand.Rand
@@ -88,17 +89,17 @@
 
 // current is the revision in force.
 type current struct {
-	// rules is nil until the first revision was taken.
+	// rules is nil until the first revision was applied.
 	rules *shed.Rules
 	index shed.ConfigIndex
-	// parts are exactly those of index.
+	// parts holds exactly the parts that index lists.
 	parts map[shed.PartHash][]byte
-	// hashes are the hashes of parts, sorted. It goes along with reads and pulls
-	// and is never changed.
+	// hashes are the sorted hashes of parts. The slice is shared with reads and pulls and
+	// never modified.
 	hashes []shed.PartHash
 }
 
-// New makes a State that holds no configuration.
+// New returns a State without a configuration.
 func New(cfg Config) *State {
 	cfg = cfg.withDefaults()
 	s := &State{
@@ -110,7 +111,7 @@
 	return s
 }
 
-// Handle takes in one event and says what to do.
+// Handle processes one event and returns the actions to perform.
 func (s *State) Handle(now time.Time, ev shed.Event) []shed.Action {
 	var out []shed.Action
 	if s.clock.observe(now, ev) {
@@ -146,11 +147,11 @@
 	return nil
 }
 
-// Rules is the configuration in force; nil if there is none yet.
+// Rules returns the configuration in force; nil if there is none yet.
 func (s *State) Rules() *shed.Rules { return s.current.rules }
 
-// Fresh tells whether the revision in force was the newest within FreshFor. A
-// daemon that is not fresh hands no new work to other zones.
+// Fresh reports whether the revision in force was confirmed to be the newest within
+// FreshFor. A daemon that is not fresh assigns no new work to other zones.
 func (s *State) Fresh(now time.Time) bool {
 	if s.clock.jumped(now) {
 		return false
@@ -159,11 +160,11 @@
 	return s.current.rules != nil && known && age <= s.cfg.FreshFor
 }
 
-// Ready tells whether there is a configuration in force that was held against
-// what the peers have, since the start and since the last pause.
+// Ready reports whether there is a configuration in force that was compared with those
+// of the peers since the start and since the last pause.
 func (s *State) Ready() bool { return s.current.rules != nil && s.start.done }
 
-// Digest says what is in force here, for sending along with other messages.
+// Digest describes the revision in force, to be sent along with other messages.
 func (s *State) Digest(now time.Time) shed.ConfigDigest {
 	age, known := s.fresh.age(now)
 	return shed.ConfigDigest{
@@ -173,41 +174,41 @@
 	}
 }
 
-// Counts of what happened since the start.
+// Counts counts events since the start.
 type Counts struct {
-	// Reads of the platform, ReadErrors among them.
+	// Reads of the platform, including ReadErrors.
 	Reads, ReadErrors int
-	// StaleReads gave an older revision than was seen before.
+	// StaleReads returned an older revision than was seen before.
 	StaleReads int
 	// PartialReads lacked a part.
 	PartialReads int
-	// Invalid revisions that the platform gave.
+	// Invalid revisions received from the platform.
 	Invalid int
-	// Taken revisions.
+	// Taken counts the revisions applied.
 	Taken int
-	// Pulls sent, and served to others.
+	// Pulls sent to peers, and Served pulls of peers.
 	Pulls, Served int
-	// BadPushes were refused: not asked for, a part not what its hash says, or
-	// rules with faults.
+	// BadPushes were refused: not requested, with a part that doesn't match its hash, or
+	// with rules that have faults.
 	BadPushes int
-	// Asks sent for a digest.
+	// Asks counts digests sent that request one back.
 	Asks int
 	// Woke counts pauses of the process.
 	Woke int
 }
 
-// Status is what the daemon believes of its configuration.
+// Status describes the daemon's configuration.
 type Status struct {
 	Revision shed.Revision
 	Ready    bool
 	Fresh    bool
-	// Confirmed is how long ago the revision was known to be the newest; void
-	// if Never.
+	// Confirmed is how long ago the revision was known to be the newest; undefined if Never.
 	Confirmed time.Duration
 	Never     bool
-	// Watching: this daemon is one of its zone's readers.
+	// Watching is true if this daemon is one of its zone's watchers.
 	Watching bool
-	// Asked and Heard count peers at the last start or wake.
+	// Asked and Heard count the peers queried, and those that replied, since the last start
+	// or pause.
 	Asked, Heard int
 	// Invalid is the platform's newest revision if it has faults, else 0.
 	Invalid shed.Revision
@@ -216,7 +217,7 @@
 	Counts Counts
 }
 
-// Status for operators.
+// Status returns the state for operators.
 func (s *State) Status(now time.Time) Status {
 	digest := s.Digest(now)
 	return Status{
--- a/internal/config/fault_test.go
+++ b/internal/config/fault_test.go
@@ -9,7 +9,7 @@
 	shed "jasmineshed"
 )
 
-// settled is a fleet that follows revision 1.
+// settled returns a fleet in which all daemons have revision 1 in force.
 func settled(t *testing.T, seed uint64, zones, perZone, parts int) *sim {
 	t.Helper()
 	s := newSim(seed, zones, perZone, nil)
@@ -28,10 +28,10 @@
 	return true
 }
 
-// An operator takes a zone out with revision 2. Then the platform falls back to
-// revision 1, and VMs are replaced. A new process knows nothing; were it to
-// believe the platform, it would send work into the zone again. It has to come
-// up with revision 2, or not at all.
+// Guards against a restarted daemon taking an old revision from a stale platform. Revision
+// 2 takes a zone out of service, the platform falls back to revision 1, and VMs are
+// replaced. A daemon that relied on the platform would send work into the zone again; it
+// has to come up with revision 2, or not at all.
 func TestRestartWhileThePlatformIsStale(t *testing.T) {
 	for name, restarted := range map[string]int{"one VM": 1, "a zone but one VM": 12, "all but one VM": 14} {
 		t.Run(name, func(t *testing.T) {
@@ -57,10 +57,10 @@
 	}
 }
 
-// Revision 2 takes a zone out and is replaced within seconds by revision 3,
-// which has a slip in it. A zone that had lost the platform meanwhile sees only
-// revision 3 and keeps revision 1. It must not take the platform's answer for a
-// confirmation of revision 1 before its peers could tell it of revision 2.
+// Guards against confirming an old revision after a missed one. Revision 2 takes a zone
+// out of service and is replaced within seconds by the invalid revision 3. A zone without
+// the platform meanwhile sees only revision 3 and keeps revision 1; the platform's answer
+// must not confirm revision 1 before peers could send revision 2.
 func TestMissedRevisionBeforeAnInvalidOne(t *testing.T) {
 	s := settled(t, 4, 3, 3, 4)
 	s.platformDown[0] = true
@@ -83,9 +83,8 @@
 	require.NotEmpty(t, status.Faults)
 }
 
-// A peer gone wrong claims the highest revision there can be, again and again,
-// and has nothing to show for it. Each daemon tries it, finds nothing, and has
-// to take the next true revision in time all the same.
+// A faulty peer repeatedly claims the highest possible revision and has no parts of it.
+// Each daemon pulls in vain and still has to apply the next valid revision in time.
 func TestForgedClaimsDoNotBlock(t *testing.T) {
 	s := settled(t, 5, 3, 3, 4)
 	liar := s.nodes[0]
@@ -104,10 +103,9 @@
 	t.Logf("everywhere after %s", took)
 }
 
-// A daemon is frozen for a minute, during which a zone is taken out. It wakes
-// with messages of a minute ago in its sockets, which say that its revision is
-// the newest, and handles them before its first tick. It must not call its
-// revision fresh on their word.
+// A daemon is paused for a minute, during which a zone is taken out of service. It resumes
+// with old messages in its sockets that confirm its revision and handles them before its
+// first tick. They must not make its revision fresh.
 func TestWakeAfterAPause(t *testing.T) {
 	s := settled(t, 6, 3, 3, 4)
 	n := s.nodes[4]
@@ -116,16 +114,16 @@
 	s.run(time.Second, nil)
 	s.publish(true, 4)
 	s.run(time.Minute, nil)
-	require.False(t, n.state.Fresh(s.now), "before its first event")
+	require.False(t, n.state.Fresh(s.now), "before the first event")
 	s.unpause(n)
-	require.False(t, n.state.Fresh(s.now), "after its old messages")
+	require.False(t, n.state.Fresh(s.now), "after the old messages")
 	require.False(t, n.state.Ready())
 	s.run(4*time.Second, func() { require.False(t, n.inForce() == 1 && n.state.Fresh(s.now)) })
 	require.True(t, n.state.Ready() && n.state.Fresh(s.now))
 }
 
-// The VM is suspended: its monotonic clock stands still, so only the wall clock
-// shows that an hour has gone. Else the beliefs of an hour ago would count.
+// The VM is suspended and its monotonic clock stands still, so only the wall clock shows
+// that an hour has passed. Without that check, a confirmation from an hour ago would count.
 func TestSuspendedVM(t *testing.T) {
 	for name, step := range map[string]shed.Tick{
 		"wall clock leaps":      {Wall: time.Unix(simStart+3600, 0), Mono: 200 * time.Millisecond},
@@ -145,8 +143,8 @@
 	}
 }
 
-// The platform is slow, and each read ends with only some of the parts. Were
-// they thrown away, a starting fleet would read the same ones for ever.
+// The platform is slow, and each read returns only some of the parts. If they were
+// discarded, a starting fleet would read the same ones for ever.
 func TestReadInPieces(t *testing.T) {
 	s := newSim(13, 1, 2, nil)
 	s.publish(true, 40)
@@ -156,8 +154,8 @@
 	t.Logf("everywhere after %s", took)
 }
 
-// A whole configuration is larger than one push may be. The puller asks for
-// the rest, part by part, and follows nothing until it has all.
+// A whole configuration exceeds the limit of one push. The puller has to request the
+// rest, part by part, and apply nothing until it has all.
 func TestPullInPieces(t *testing.T) {
 	s := newSim(8, 2, 1, nil)
 	s.publishText(20, 200<<10)
@@ -168,10 +166,9 @@
 	t.Logf("everywhere after %s", took)
 }
 
-// A restarted daemon hears first from a neighbour that lags behind at revision
-// 1, and takes it. The other zones have revision 2, which takes a zone out, and
-// their answers are slower. The daemon must not serve by revision 1 before it
-// has heard them.
+// A restarted daemon first gets revision 1 from a stale neighbour and applies it. The other
+// zones have revision 2, which takes a zone out of service, and reply later. The daemon must
+// not be ready with revision 1 before they have replied.
 func TestStartHearsTheOthersFirst(t *testing.T) {
 	now := time.Unix(simStart, 0)
 	s := New(Config{Self: shed.Peer{VM: "self"}, Zone: "a", Compile: simCompile})
@@ -198,16 +195,16 @@
 	answer("near", 1)
 	tick()
 	require.Equal(t, shed.Revision(1), s.Rules().Revision)
-	require.False(t, s.Ready(), "the other zone was not heard")
+	require.False(t, s.Ready(), "the other zone has not replied")
 	answer("far", 2)
 	tick()
 	require.Equal(t, shed.Revision(2), s.Rules().Revision)
 	require.True(t, s.Ready())
 }
 
-// All watchers freeze at once, and nobody has noticed their deaths yet. The
-// other daemons hear nothing new from them, so each has to read for itself, at
-// random times and within the platform's rate.
+// All watchers pause at once, and no daemon has detected it yet. The other daemons get no
+// confirmation from them, so each has to read from the platform itself, at random times
+// and within the platform's rate.
 func TestWatchersGone(t *testing.T) {
 	s := settled(t, 12, 13, 20, designParts)
 	for _, n := range s.nodes {
@@ -222,9 +219,8 @@
 	t.Logf("everywhere and fresh after %s; %d reads, at most %d in a second", took, s.reads, s.peak())
 }
 
-// An operator publishes a revision with a slip in it. Everybody goes on by the
-// last good one, the watchers say what is wrong, and the mended revision comes
-// into force at once.
+// An operator publishes an invalid revision. All daemons keep the last valid one, the
+// watchers report the faults, and the corrected revision comes into force at once.
 func TestInvalidRevision(t *testing.T) {
 	s := settled(t, 14, 3, 5, 4)
 	s.publish(false, 4)
@@ -242,7 +238,7 @@
 	took, ok := s.runUntil(2*time.Second, func() bool { return s.everywhere(3) })
 	require.True(t, ok)
 	require.Zero(t, s.watcher().state.Status(s.now).Invalid)
-	t.Logf("some daemon was not fresh for %s; mended everywhere after %s", unfresh, took)
+	t.Logf("some daemon was not fresh for %s; corrected everywhere after %s", unfresh, took)
 }
 
 func (s *sim) watcher() *node {
--- a/internal/config/fetch.go
+++ b/internal/config/fetch.go
@@ -16,35 +16,35 @@
 	pullTimeout = 400 * time.Millisecond
 	maxClaims   = 16
 	claimTTL    = time.Minute
-	// maxFreeFails is how many pulls in a row may bring nothing before the next
-	// ones wait longer and longer; messages are lost, too.
+	// maxFreeFails is how many pulls in a row may fail before backoff begins; messages get
+	// lost, too.
 	maxFreeFails        = 3
 	maxPullBackoffShift = 4
 	maxParts            = 4096
 	maxBytes            = 32 << 20
-	// pushBytes bounds the parts of one push; the puller asks for the rest. A push has
-	// to pass a link of 10 Mbit/s well within pullTimeout: one that doesn't is asked of
-	// the next peer before it has come, is no longer wanted when it does, and a large
-	// configuration never gets through.
+	// pushBytes bounds the parts of one push; the puller requests the rest. A push has to
+	// pass a link of 10 Mbit/s well within pullTimeout: one that doesn't is requested from
+	// the next peer before it arrives and refused when it does, and a large configuration
+	// never gets through.
 	pushBytes = 64 << 10
-	// maxServesPerSecond bounds how much a fleet that restarts can ask of one peer.
+	// maxServesPerSecond bounds the load that a restarting fleet puts on one peer.
 	maxServesPerSecond = 256
 	maxRefused         = 8
 )
 
-// fetch is what the daemon knows of revisions that peers have.
+// fetch is what the daemon knows of the revisions of its peers.
 type fetch struct {
-	// claims are peers that said they have a higher revision; at most maxClaims.
+	// claims lists the peers that claim to have a higher revision; at most maxClaims.
 	claims []claim
-	// pullPeer is the peer that was asked to push; "" if none.
+	// pullPeer is the peer with an unanswered pull; "" if none.
 	pullPeer shed.VM
 	pulledAt time.Time
-	// parts already fetched of a revision that is not whole yet. Each was
-	// checked against its hash, and the last index to come in lists it.
+	// parts already fetched of a revision that is not complete yet. Each was checked against
+	// its hash, and the last received index lists it.
 	parts map[shed.PartHash][]byte
 	// refused are the part lists that failed to compile, oldest first.
 	refused []refusal
-	// served counts pushes since second.
+	// served counts pushes since windowStart.
 	served      int
 	windowStart time.Time
 }
@@ -55,17 +55,17 @@
 	err      error
 }
 
-// claim is a peer's word that it has a revision. It may be false: only parts
-// that are what their hashes say, and that compile, make it true.
+// claim is a peer's statement that it has a revision. It may be false: it counts only
+// once parts that match their hashes were received and compiled.
 type claim struct {
 	from     shed.VM
 	revision shed.Revision
 	at       time.Time
-	// fails counts pulls that brought nothing, in a row.
+	// fails counts consecutive failed pulls.
 	fails int
 }
 
-// addClaim notes that a peer says it has a revision.
+// addClaim records that a peer claims to have a revision.
 func (s *State) addClaim(now time.Time, from shed.VM, rev shed.Revision) {
 	if rev <= s.current.index.Revision {
 		s.removeClaim(from)
@@ -85,8 +85,8 @@
 	}
 }
 
-// sortClaims puts the most promising first: few failures before a high number,
-// so that a number which nobody can make good never holds up the others.
+// sortClaims puts the most promising claims first: few failures before a high revision,
+// so that a claimed revision which no peer can deliver never delays the others.
 func (s *State) sortClaims() {
 	sort.Slice(s.fetch.claims, func(i, j int) bool {
 		a, b := s.fetch.claims[i], s.fetch.claims[j]
@@ -110,10 +110,10 @@
 	s.fetch.claims = kept
 }
 
-// isStale tells whether a peer has, as it says, a higher revision.
+// isStale reports whether a peer claims to have a higher revision.
 func (s *State) isStale() bool { return len(s.fetch.claims) > 0 }
 
-// recordFailure counts a pull against the peer that was asked.
+// recordFailure counts a failed pull against the peer.
 func (s *State) recordFailure(from shed.VM) {
 	for i := range s.fetch.claims {
 		if s.fetch.claims[i].from == from {
@@ -122,7 +122,7 @@
 	}
 }
 
-// pullIfDue asks the most promising peer for its revision, one at a time.
+// pullIfDue pulls from the most promising peer, one pull at a time.
 func (s *State) pullIfDue(now time.Time) []shed.Action {
 	f := &s.fetch
 	if f.pullPeer != "" && now.Sub(f.pulledAt) < pullTimeout {
@@ -215,7 +215,7 @@
 	return []shed.Action{shed.SendPeer{To: to, Message: push}}
 }
 
-// handlePush takes in a peer's revision, or some parts of it.
+// handlePush processes a push with a peer's revision or some parts of it.
 func (s *State) handlePush(now time.Time, from shed.VM, m shed.ConfigPush) []shed.Action {
 	f := &s.fetch
 	if m.Index.Revision <= s.current.index.Revision {
@@ -240,7 +240,7 @@
 	return s.pull(now, from)
 }
 
-// missingParts are the parts that the revision in force does not hold already.
+// missingParts returns the parts that the revision in force doesn't contain.
 func (s *State) missingParts(parts map[shed.PartHash][]byte) map[shed.PartHash][]byte {
 	missing := map[shed.PartHash][]byte{}
 	for hash, part := range parts {
@@ -251,8 +251,8 @@
 	return missing
 }
 
-// collectParts puts together what is at hand of an index's parts, and tells whether
-// that is all of them. A part that is not what its hash says is left out.
+// collectParts returns the available parts of an index and whether these are all of
+// them. A part that doesn't match its hash is left out.
 func (s *State) collectParts(index shed.ConfigIndex, received map[shed.PartHash][]byte) (map[shed.PartHash][]byte, bool) {
 	parts := make(map[shed.PartHash][]byte, len(index.Parts))
 	if len(index.Parts) == 0 || len(index.Parts) > maxParts {
@@ -289,7 +289,7 @@
 	return part, true
 }
 
-// applyPushed takes a whole revision from a peer, if it compiles.
+// applyPushed applies a complete revision from a peer if it compiles.
 func (s *State) applyPushed(now time.Time, from shed.VM, index shed.ConfigIndex, parts map[shed.PartHash][]byte) []shed.Action {
 	compiled, err := s.compile(index, parts)
 	if err != nil {
@@ -301,8 +301,8 @@
 	return s.apply(now, index, parts, compiled, from)
 }
 
-// compile judges a text once: the same parts get the same verdict, so a peer
-// that pushes what was refused costs no second compilation.
+// compile compiles the parts. Refusals are remembered by the list of parts, so a peer
+// that pushes a refused revision again causes no second compilation.
 func (s *State) compile(index shed.ConfigIndex, parts map[shed.PartHash][]byte) (*shed.Rules, error) {
 	id := listHash(index)
 	for _, refused := range s.fetch.refused {
@@ -333,8 +333,8 @@
 	return [sha256.Size]byte(h.Sum(nil))
 }
 
-// apply puts a whole, compiled revision in force and tells the peers. From is
-// the peer that it came from, or "" for the platform.
+// apply puts a complete, compiled revision in force and announces it. From is the peer
+// that sent it, or "" for the platform.
 func (s *State) apply(now time.Time, index shed.ConfigIndex, parts map[shed.PartHash][]byte, compiled *shed.Rules, from shed.VM) []shed.Action {
 	s.current = current{rules: compiled, index: index, parts: parts, hashes: sortedHashes(parts)}
 	s.counts.Taken++
@@ -353,8 +353,8 @@
 	return append(out, s.pullIfDue(now)...)
 }
 
-// announce tells of a new revision: each daemon tells its children, and whoever
-// got it from outside the zone also tells the watchers and the other zones.
+// announce sends the new revision's digest: each daemon notifies its children, and a
+// daemon that got it from outside the zone also the watchers and the other zones.
 func (s *State) announce(now time.Time, from shed.VM) []shed.Action {
 	to := append([]shed.VM(nil), s.topology.children...)
 	if s.topology.level == 0 || !contains(s.topology.ranked, from) {
--- a/internal/config/fresh.go
+++ b/internal/config/fresh.go
@@ -7,11 +7,11 @@
 	shed "jasmineshed"
 )
 
-// wakeAfter is how long a gap between events tells that the process slept: ten
-// ticks, so that a busy machine alone hardly makes one.
+// pauseThreshold is the gap between events above which the process counts as paused: ten
+// ticks, so that a busy machine alone rarely causes one.
 const pauseThreshold = 10 * shed.TickEvery
 
-// Bounds on what is remembered of asks.
+// Bounds on queries.
 const (
 	queryInterval   = 400 * time.Millisecond
 	queryTTL        = 5 * time.Second
@@ -20,19 +20,19 @@
 	maxConfirmedAge = 24 * time.Hour
 )
 
-// clock notices that the process was paused.
+// clock detects that the process was paused.
 //
-// A paused process wakes with the beliefs of long ago and acts on them; a zone
-// that was taken out meanwhile would get work from it. Every event, not only a
-// tick, is held against the one before, since the first event after a pause may
-// be a message that waited in a socket. Wall and monotonic time are both
-// compared: the monotonic clock may stand still while a VM is suspended.
+// A paused process resumes with outdated state and acts on it: it would send work to a
+// zone that was taken out of service meanwhile. Every event, not only a tick, is compared
+// with the previous one, since the first event after a pause may be a message that waited
+// in a socket. Both wall and monotonic time are compared: the monotonic clock may stand
+// still while a VM is suspended.
 type clock struct {
 	last time.Time
 	tick shed.Tick
 }
 
-// observe tells whether there was a pause before ev.
+// observe records the time of ev and reports whether there was a pause before it.
 func (c *clock) observe(now time.Time, ev shed.Event) bool {
 	paused := c.jumped(now)
 	if now.After(c.last) || paused {
@@ -50,7 +50,7 @@
 	return paused
 }
 
-// jumped tells whether now is long after the last event.
+// jumped reports whether now is more than pauseThreshold after the last event.
 func (c *clock) jumped(now time.Time) bool {
 	if c.last.IsZero() {
 		return false
@@ -60,24 +60,24 @@
 
 // fresh is what the daemon knows of the age of its revision.
 type fresh struct {
-	// confirmed is a time at which the platform had no revision above the one
-	// held here; zero if there was none. It stays true when the revision grows.
+	// confirmed is a time at which the platform had no revision above the current one; zero
+	// if unknown. It stays true when the revision grows.
 	confirmed time.Time
-	// pending is a confirmation for a revision not yet held.
+	// pending is a confirmation for a revision not yet in force.
 	pending pendingConfirmation
-	// queries without an answer yet, oldest first; at most maxAsks.
+	// queries without an answer yet, oldest first; at most maxQueries.
 	queries   []query
 	sequence  uint64
 	nextQuery time.Time
 }
 
-// pendingConfirmation becomes a confirmation once the revision is held.
+// pendingConfirmation becomes a confirmation once the revision is in force.
 type pendingConfirmation struct {
 	revision shed.Revision
 	at       time.Time
 }
 
-// query is a digest that was asked for.
+// query is a request for a peer's digest.
 type query struct {
 	to       shed.VM
 	at       time.Time
@@ -91,7 +91,7 @@
 	return max(0, now.Sub(f.confirmed)), true
 }
 
-// confirm notes that at time at the platform had nothing above rev.
+// confirm records that the platform had nothing above rev at the given time.
 func (s *State) confirm(rev shed.Revision, at time.Time) {
 	if rev > s.current.index.Revision {
 		s.fresh.pending = pendingConfirmation{rev, at}
@@ -105,8 +105,8 @@
 	}
 }
 
-// queryAge is the age from which a daemon asks for a newer confirmation. Each
-// level leaves the one above time to get its own.
+// queryAge is the age from which a daemon requests a newer confirmation. Each level
+// leaves the one above time to get its own.
 func (s *State) queryAge() time.Duration {
 	switch s.topology.level {
 	case 0:
@@ -117,7 +117,7 @@
 	return s.cfg.FreshFor * 7 / 10
 }
 
-// queryIfDue asks for digests if the confirmation grows old.
+// queryIfDue requests digests if the confirmation grows old.
 func (s *State) queryIfDue(now time.Time) []shed.Action {
 	age, known := s.fresh.age(now)
 	if known && age < s.queryAge() || now.Before(s.fresh.nextQuery) {
@@ -146,7 +146,7 @@
 	return out
 }
 
-// sendQuery sends a digest that wants an answer.
+// sendQuery sends a digest that requests a reply.
 func (s *State) sendQuery(now time.Time, to shed.VM) shed.Action {
 	f := &s.fresh
 	for len(f.queries) > 0 && (len(f.queries) >= maxQueries || now.Sub(f.queries[0].at) > queryTTL) {
@@ -161,7 +161,7 @@
 	return shed.SendPeer{To: to, Message: m}
 }
 
-// matchQuery finds the ask that a digest answers.
+// matchQuery finds and removes the query that a digest answers.
 func (s *State) matchQuery(from shed.VM, m shed.ConfigDigest) (query, bool) {
 	if m.WantReply || m.Sequence == 0 {
 		return query{}, false
@@ -175,16 +175,16 @@
 	return query{}, false
 }
 
-// handleDigest takes in what a peer says of its revision.
+// handleDigest processes a peer's statement of its revision.
 func (s *State) handleDigest(now time.Time, from shed.VM, m shed.ConfigDigest) []shed.Action {
 	s.addClaim(now, from, m.Revision)
 	var out []shed.Action
 	q, isReply := s.matchQuery(from, m)
 	if isReply {
 		s.recordStartReply(from, m)
-		// The peer worked out its age after the ask had left, so counting back
-		// from the ask is safe however late the answer is. A digest that was
-		// not asked for confirms nothing: it may have waited in a socket.
+		// The peer computed its age after the query was sent, so subtracting the age from the
+		// time of the query is safe however late the answer is. An unsolicited digest confirms
+		// nothing: it may have waited in a socket.
 		if !m.NeverConfirmed && m.ConfirmedAgo >= 0 && m.ConfirmedAgo < maxConfirmedAge {
 			s.confirm(m.Revision, q.at.Add(-m.ConfirmedAgo))
 			s.reads.selfReading = s.reads.selfReading && m.ConfirmedAgo > s.cfg.FreshFor
@@ -201,7 +201,7 @@
 	return append(out, s.pullIfDue(now)...)
 }
 
-// resync forgets what a pause may have made untrue and asks anew, as at a start.
+// resync discards what a pause may have made outdated and queries peers as at a start.
 func (s *State) resync(now time.Time) []shed.Action {
 	s.counts.Woke++
 	s.fresh.confirmed = time.Time{}
@@ -213,11 +213,11 @@
 	return []shed.Action{shed.Note{Reason: shed.ReasonWoke}}
 }
 
-// Doubt makes the daemon ask anew what its peers have, as after a pause. Core
-// calls it when a daemon that heard nobody hears somebody again.
+// Doubt queries the peers again, as after a pause. Core calls it when a daemon that was
+// isolated has contact again.
 func (s *State) Doubt(now time.Time) []shed.Action { return s.resync(now) }
 
-// jitter draws a time within a quarter of d, to either side.
+// jitter returns a random time within a quarter of d, to either side.
 func (s *State) jitter(d time.Duration) time.Duration {
 	return d*3/4 + time.Duration(s.rng.Int64N(int64(d/2)+1))
 }
--- a/internal/config/near.go
+++ b/internal/config/near.go
@@ -8,17 +8,17 @@
 	"jasmineshed/internal/rank"
 )
 
-// topology is where this daemon stands among its peers. The daemons of a zone are
-// put in the order of a rendezvous hash: the first few watch the platform, and
-// below them each daemon has a few children. Daemons whose views differ see
-// different trees, which costs messages but breaks nothing: whom one asks never
-// matters for what one may believe.
+// topology is this daemon's place in the distribution tree. The daemons of a zone are
+// ordered by a rendezvous hash: the first few watch the platform, and each daemon has a
+// few children in the levels below. Daemons whose views differ see different trees, which
+// costs messages but breaks nothing: which peer is queried never affects what is accepted
+// as confirmed.
 type topology struct {
-	// ranked is the zone's daemons in rank order, this one included.
+	// ranked lists the zone's daemons in rank order, this one included.
 	ranked []shed.VM
-	// rank is this daemon's place in ring.
+	// rank is this daemon's index in ranked.
 	rank int
-	// level is 0 for a watcher, and grows downwards.
+	// level is 0 for a watcher and increases downwards.
 	level int
 	// parents are the daemons of the next level up; empty for a watcher.
 	parents []shed.VM
@@ -30,7 +30,7 @@
 	contacts map[shed.ZoneID][]shed.VM
 }
 
-// SetPeers tells which daemons are alive, in this zone and in each other one.
+// SetPeers sets the live daemons of this zone and of each other one.
 func (s *State) SetPeers(zone []shed.Peer, others map[shed.ZoneID][]shed.Peer) {
 	vms := vmsOf(zone)
 	if !contains(vms, s.cfg.Self.VM) {
@@ -59,7 +59,7 @@
 
 func rankKey(zone shed.ZoneID) string { return "config/" + string(zone) }
 
-// setLevels finds the daemon's level, the level above it, and its children.
+// setLevels determines the daemon's level, its possible parents, and its children.
 func (n *topology) setLevels(watchers, fanout int) {
 	first, width := 0, watchers
 	for n.rank >= first+width {
@@ -74,7 +74,7 @@
 	}
 }
 
-// watchers of this zone.
+// watchers returns the watchers of this zone.
 func (n *topology) watchers(limit int) []shed.VM {
 	return n.ranked[:min(limit, len(n.ranked))]
 }
@@ -96,7 +96,7 @@
 	return false
 }
 
-// pickPeer draws one of the list other than this daemon; "" if there is none.
+// pickPeer returns a random VM of the list other than this one; "" if there is none.
 func (s *State) pickPeer(list []shed.VM) shed.VM {
 	others := make([]shed.VM, 0, len(list))
 	for _, vm := range list {
@@ -110,7 +110,7 @@
 	return others[s.rng.IntN(len(others))]
 }
 
-// remoteContacts draws one contact in each of at most n other zones.
+// remoteContacts returns one random contact in each of at most n other zones.
 func (s *State) remoteContacts(n int) []shed.VM {
 	zones := append([]shed.ZoneID(nil), s.topology.otherZones...)
 	s.rng.Shuffle(len(zones), func(i, j int) { zones[i], zones[j] = zones[j], zones[i] })
--- a/internal/config/read.go
+++ b/internal/config/read.go
@@ -16,43 +16,43 @@
 	readMinGap          = 50 * time.Millisecond
 	maxReads            = 4
 	maxReadBackoffShift = 4
-	// settleTime is how long after an invalid revision the platform's answers
-	// confirm nothing.
+	// settleTime is how long after an invalid revision the platform's answers confirm
+	// nothing.
 	settleTime = 2 * time.Second
 )
 
-// reads is what the daemon knows of its reads of the platform.
+// reads is the state of the daemon's reads of the platform.
 type reads struct {
-	// sent are the reads since there was last none without an answer, oldest
-	// first; at most maxReads. Answered counts the answers to them.
+	// sent holds the reads since the last time none was unanswered, oldest first; at most
+	// maxReads. Answered counts the answers to them.
 	sent     []sentRead
 	answered int
 	// nextRead is the earliest time of the next read.
 	nextRead time.Time
-	// fails counts errors in a row.
+	// fails counts consecutive errors.
 	fails int
-	// highestSeen is the highest revision that the platform has shown.
+	// highestSeen is the highest revision that the platform has returned.
 	highestSeen shed.Revision
 	// invalid is the platform's newest revision if it has faults.
 	invalid   shed.Revision
 	faults    string
 	settledAt time.Time
-	// stale is set while the platform answers with an older revision.
+	// stale is true while the platform returns an older revision.
 	stale bool
-	// selfReading is set while this daemon, though no watcher, reads for itself
-	// because no peer confirmed anything.
+	// selfReading is true while this daemon, though not a watcher, reads from the platform
+	// because no peer confirmed its revision.
 	selfReading bool
 }
 
-// sentRead is a read that left.
+// sentRead is a read that was sent.
 type sentRead struct {
 	at time.Time
-	// validSince is at, or zero if there was a pause after it: such a read confirms
-	// nothing, since clocks may have stood still.
+	// validSince is at, or zero if there was a pause after it: such a read confirms nothing,
+	// since clocks may have stood still.
 	validSince time.Time
 }
 
-// invalidate takes the worth from the reads sent before a pause.
+// invalidate marks the reads sent before a pause as confirming nothing.
 func (r *reads) invalidate(now time.Time) {
 	for i := range r.sent {
 		r.sent[i].validSince = time.Time{}
@@ -60,13 +60,12 @@
 	r.nextRead = now
 }
 
-// recordAnswer gives a time since which the answer may have been on its way.
+// recordAnswer returns the time since which the answer may have been in flight.
 //
-// Answers carry no number, and a late one may come after that of a later read.
-// Were it taken for the later read's, an old revision would count as confirmed
-// just now. So every answer counts from the oldest read, until there were as
-// many answers as reads. Usually there is one read at a time, and nothing is
-// lost by it.
+// Answers carry no number, and a late one may arrive after that of a later read. If it
+// were matched with the later read, an old revision would count as confirmed just now. So
+// every answer counts from the oldest read until there were as many answers as reads.
+// Usually there is one read at a time, and nothing is lost by it.
 func (r *reads) recordAnswer(now time.Time) (since time.Time, expected bool) {
 	r.dropExpired(now)
 	if len(r.sent) == 0 {
@@ -80,15 +79,15 @@
 	return since, true
 }
 
-// dropExpired gives up on the answers once nothing was sent for so long that no
-// driver can still be waiting for one.
+// dropExpired discards unanswered reads once the last one was sent so long ago that no
+// driver can still be waiting for an answer.
 func (r *reads) dropExpired(now time.Time) {
 	if n := len(r.sent); n > 0 && now.Sub(r.sent[n-1].at) > readTTL {
 		r.sent, r.answered = nil, 0
 	}
 }
 
-// readIfDue reads from the platform if it is this daemon's turn.
+// readIfDue reads from the platform if this daemon has to do so now.
 func (s *State) readIfDue(now time.Time) []shed.Action {
 	r := &s.reads
 	r.dropExpired(now)
@@ -101,8 +100,8 @@
 	if s.topology.level == 0 {
 		return s.sendRead(now, s.cfg.WatchFor)
 	}
-	// Neither platform nor a fresh peer was heard: read for oneself, and keep
-	// at it until a peer confirms again, so as to stay fresh.
+	// No recent confirmation, neither from the platform nor from a peer: read from the
+	// platform until a peer confirms again, so as to stay fresh.
 	age, known := s.fresh.age(now)
 	bound := s.cfg.FreshFor
 	if r.selfReading {
@@ -112,8 +111,8 @@
 		return nil
 	}
 	if !r.selfReading {
-		// The first such read waits a random time, since a whole zone may have
-		// lost its watchers in the same moment.
+		// The first such read waits a random time, since a whole zone may have lost its
+		// watchers at the same moment.
 		r.selfReading = true
 		r.nextRead = now.Add(time.Duration(s.rng.Int64N(int64(s.cfg.FreshFor))))
 		return nil
@@ -129,7 +128,7 @@
 	return s.sendRead(now, 0)
 }
 
-// readInFlight tells whether a read is on its way that may still be answered.
+// readInFlight reports whether a read may still be answered.
 func (s *State) readInFlight(now time.Time) bool {
 	if len(s.reads.sent) == 0 {
 		return false
@@ -151,7 +150,7 @@
 	}}
 }
 
-// handleRead takes in the platform's answer.
+// handleRead processes the platform's answer.
 func (s *State) handleRead(now time.Time, ev shed.ConfigRead) []shed.Action {
 	sent, expected := s.reads.recordAnswer(now)
 	if ev.Failed {
@@ -168,7 +167,7 @@
 	return append(out, s.readIfDue(now)...)
 }
 
-// newest is the highest revision that this daemon has judged.
+// newest is the highest revision that this daemon has evaluated.
 func (s *State) newest() shed.Revision {
 	return max(s.current.index.Revision, s.reads.invalid)
 }
@@ -181,7 +180,7 @@
 	return nil
 }
 
-// evaluate decides on the revision that the platform gave.
+// evaluate decides on the revision that the platform returned.
 func (s *State) evaluate(now time.Time, ev shed.ConfigRead) []shed.Action {
 	rev := ev.Index.Revision
 	if rev < s.newest() || rev < s.reads.highestSeen {
@@ -194,8 +193,8 @@
 	}
 	parts, complete := s.collectParts(ev.Index, ev.Parts)
 	if !complete {
-		// What came is kept, so that a slow platform that gives a few parts
-		// before each timeout still gives all of them in the end.
+		// Received parts are kept, so that a slow platform that returns a few parts before
+		// each timeout still delivers all of them in the end.
 		s.fetch.parts = s.missingParts(parts)
 		s.counts.PartialReads++
 		s.reads.nextRead = now.Add(s.jitter(readRetry))
@@ -208,7 +207,7 @@
 	return s.apply(now, ev.Index, parts, rules, "")
 }
 
-// ignoreStale ignores an answer from before what is known already.
+// ignoreStale ignores an answer that is older than what is known already.
 func (s *State) ignoreStale(now time.Time) []shed.Action {
 	s.counts.StaleReads++
 	s.reads.nextRead = now.Add(s.jitter(readRetry))
@@ -219,13 +218,13 @@
 	return []shed.Action{shed.Note{Reason: shed.ReasonConfigStale}}
 }
 
-// rejectInvalid keeps the last good revision in force, loudly.
+// rejectInvalid keeps the last valid revision in force and reports the invalid one.
 //
-// This daemon may have missed a good revision between the one it holds and the
-// invalid one, and the platform no longer gives it. Were the platform's answer
-// to confirm the older one at once, a zone taken out by the missed revision
-// would go on getting work from here. So the platform confirms nothing until
-// peers that saw the missed one had time to spread it.
+// This daemon may have missed a valid revision between its own and the invalid one, and
+// the platform no longer returns it. If the platform's answer confirmed the older one at
+// once, a zone taken out of service by the missed revision would still get work from
+// here. So the platform confirms nothing until peers that received the missed one had
+// time to send it.
 func (s *State) rejectInvalid(now time.Time, rev shed.Revision, err error) []shed.Action {
 	s.counts.Invalid++
 	s.reads.invalid = rev
--- a/internal/config/sim_test.go
+++ b/internal/config/sim_test.go
@@ -12,8 +12,8 @@
 	"jasmineshed/internal/vclock"
 )
 
-// sim is a handful of daemons' configurations, a platform and the network
-// between them, in virtual time and with one source of chance.
+// sim simulates the configurations of some daemons, a platform and the network between
+// them, in virtual time and with one random source.
 type sim struct {
 	rng   *rand.Rand
 	now   time.Time
@@ -26,29 +26,29 @@
 
 	// published texts by revision; the last one is the newest.
 	published []revision
-	// stale makes the platform answer as before its newest revision.
+	// stale makes the platform return the revision before its newest.
 	stale     bool
 	lastStale time.Time
 
-	// corrupt changes one byte of each part that travels.
+	// corrupt makes each part sent between daemons differ from its hash.
 	corrupt        bool
 	loss           float64
 	delay          time.Duration
-	partitions     map[[2]int]bool // zones that can't reach each other
+	partitions     map[[2]int]bool // pairs of zones that can't reach each other
 	platformDown   map[int]bool    // zones that can't reach the platform
-	partsPerAnswer int             // how many parts the platform gives in one answer; 0 for all
-	platformDelay  time.Duration   // how long the platform's answers are on their way
+	partsPerAnswer int             // most parts in one answer of the platform; 0 for all
+	platformDelay  time.Duration   // delay of the platform's answers
 	reads          int
-	readsBySecond  map[int64]int // reads by second
+	readsBySecond  map[int64]int // by Unix second
 	bytes          int
-	countBytes     bool // counts bytes
-	// linkRate is how many bytes a second come to a node; 0 means no limit.
+	countBytes     bool // count bytes sent
+	// linkRate is the rate of each node's inbound link in bytes per second; 0 means no limit.
 	linkRate float64
 	// noPeersFor is how long a new process knows no peer.
 	noPeersFor time.Duration
 }
 
-// revision is what was published, and when.
+// revision is a published revision.
 type revision struct {
 	rev   shed.Revision
 	index shed.ConfigIndex
@@ -65,9 +65,9 @@
 	state  *State
 	boots  uint64
 	paused bool
-	// linkFree is when all that is on the way to it will have passed its link.
+	// linkFree is when all messages in flight to the node will have passed its link.
 	linkFree time.Time
-	// queued holds what came in during a pause.
+	// queued holds the events received during a pause.
 	queued []shed.Event
 	// highest revision in force within one process.
 	highest shed.Revision
@@ -125,7 +125,7 @@
 	s.after(s.noPeersFor, func() { state.SetPeers(s.view(n)) })
 }
 
-// view is every VM, as a membership that has not noticed any death.
+// view returns every VM, as a membership that has not detected any death.
 func (s *sim) view(n *node) ([]shed.Peer, map[shed.ZoneID][]shed.Peer) {
 	return s.peers[zoneName(n.zone)], s.peers
 }
@@ -143,7 +143,7 @@
 	s.queue.Add(s.now.Add(d), do)
 }
 
-// run lets time pass.
+// run advances the virtual time.
 func (s *sim) run(d time.Duration, each func()) {
 	end := s.now.Add(d)
 	for at, do := range s.queue.Until(end) {
@@ -165,7 +165,7 @@
 	})
 }
 
-// deliverEvent hands the event to the node, or keeps it while the node is paused.
+// deliverEvent passes the event to the node, or queues it while the node is paused.
 func (s *sim) deliverEvent(n *node, ev shed.Event) {
 	if n.paused {
 		n.queued = append(n.queued, ev)
@@ -185,7 +185,7 @@
 	}
 }
 
-// unpause ends a pause; what waited in the sockets comes before the first tick.
+// unpause ends a pause; queued events are handled before the first tick.
 func (s *sim) unpause(n *node) {
 	n.paused = false
 	kept := n.queued
@@ -260,7 +260,7 @@
 	s.readsBySecond[s.now.Unix()] += n
 }
 
-// readReply counts a read for each part that the reader lacks.
+// readReply returns the answer and counts a read for each part that the reader lacks.
 func (s *sim) readReply(r revision, a shed.ReadConfig) shed.ConfigRead {
 	ev := shed.ConfigRead{Index: r.index, Parts: map[shed.PartHash][]byte{}}
 	if r.rev == a.After {
@@ -299,7 +299,7 @@
 	return s.published[last], true
 }
 
-// publish makes a revision of some parts, of which one differs from the last.
+// publish publishes a revision with one part changed.
 func (s *sim) publish(good bool, parts int) shed.Revision {
 	rev := shed.Revision(len(s.published) + 1)
 	r := revision{rev: rev, good: good, at: s.now, parts: map[shed.PartHash][]byte{}}
@@ -318,7 +318,7 @@
 	return rev
 }
 
-// publishText makes a revision of parts of some bytes each.
+// publishText publishes a revision of parts of the given size.
 func (s *sim) publishText(parts, size int) {
 	rev := shed.Revision(len(s.published) + 1)
 	r := revision{rev: rev, good: true, at: s.now, parts: map[shed.PartHash][]byte{}}
@@ -335,7 +335,7 @@
 	r.index.Parts = append(r.index.Parts, hash)
 }
 
-// newest is the last revision published at or before t.
+// newest returns the last revision published at or before t.
 func (s *sim) newest(t time.Time) (rev shed.Revision, good bool) {
 	for i := len(s.published) - 1; i >= 0; i-- {
 		if r := s.published[i]; !r.at.After(t) {
@@ -345,8 +345,8 @@
 	return 0, false
 }
 
-// shortLived tells whether an invalid revision took the place of rev before
-// rev had time to spread: then it may never have reached any daemon.
+// shortLived reports whether an invalid revision replaced rev before rev had time to
+// spread: then it may never have reached any daemon.
 func (s *sim) shortLived(rev shed.Revision) bool {
 	if int(rev) == 0 || int(rev) >= len(s.published) {
 		return false
@@ -355,7 +355,7 @@
 	return !next.good && next.at.Sub(s.published[rev-1].at) < settleTime
 }
 
-// inForce is the node's revision; 0 if it has none.
+// inForce returns the node's revision; 0 if it has none.
 func (n *node) inForce() shed.Revision {
 	if r := n.state.Rules(); r != nil {
 		return r.Revision
@@ -363,7 +363,7 @@
 	return 0
 }
 
-// everywhere tells whether all running nodes follow the revision.
+// everywhere reports whether all running nodes have the revision in force.
 func (s *sim) everywhere(rev shed.Revision) bool {
 	for _, n := range s.nodes {
 		if !n.paused && n.inForce() != rev {
@@ -373,7 +373,7 @@
 	return true
 }
 
-// runUntil runs until done holds, and gives the time that it took.
+// runUntil runs until done returns true, and returns the time that it took.
 func (s *sim) runUntil(limit time.Duration, done func() bool) (time.Duration, bool) {
 	began := s.now
 	for s.now.Sub(began) < limit {
--- a/internal/config/spread_test.go
+++ b/internal/config/spread_test.go
@@ -9,13 +9,13 @@
 	shed "jasmineshed"
 )
 
-// The platform gives about so many reads a second to everyone together.
+// platformReads is about the number of reads per second that the platform serves in all.
 const platformReads = 2_000
 
-// designParts is about how many parts the rules have at the design size.
+// designParts is about the number of parts of the rules at the design size.
 const designParts = 300
 
-// peak is the most reads in any one second.
+// peak returns the largest number of reads in any one second.
 func (s *sim) peak() int {
 	highest := 0
 	for _, n := range s.readsBySecond {
@@ -28,8 +28,8 @@
 	s.reads, s.bytes, s.readsBySecond = 0, 0, map[int64]int{}
 }
 
-// TestSpread measures how long a change takes to be in force everywhere, and
-// what it costs, with and without faults.
+// TestSpread measures how long a change takes to be in force everywhere, and what it
+// costs, with and without faults.
 func TestSpread(t *testing.T) {
 	cases := map[string]struct {
 		zones, perZone int
@@ -65,16 +65,16 @@
 	}
 }
 
-// onlyZonePlatform leaves one zone its platform.
+// onlyZonePlatform disconnects all zones but one from the platform.
 func (s *sim) onlyZonePlatform(zone int) {
 	for z := range s.zones {
 		s.platformDown[z] = z != zone
 	}
 }
 
-// Many VMs are replaced at once, each with nothing. If each read the whole
-// configuration for itself, the platform would refuse most, and readiness would
-// take minutes. The reads of any one second have to stay within its rate.
+// Many VMs are replaced at once and start without a configuration. If each read all of it
+// from the platform, the platform would refuse most reads, and readiness would take
+// minutes. The reads of any one second have to stay within the platform's rate.
 func TestReadsOfARestartStorm(t *testing.T) {
 	cases := map[string]struct {
 		restarted func(*node) bool
@@ -108,12 +108,12 @@
 	}
 }
 
-// messageLimit is how long a control message between daemons may take; a longer one is
-// lost, though it has taken its time of the link.
+// messageTimeout is how long a control message between daemons may take; a longer one is
+// lost, though it has used its time of the link.
 const messageTimeout = time.Second
 
-// linkDelay is how long a message takes over the link to a node, behind those before it;
-// false if that is too long.
+// linkDelay returns how long a message takes over the link to a node, behind those before
+// it; false if that is too long.
 func (s *sim) linkDelay(to *node, msg shed.Message) (time.Duration, bool) {
 	if s.linkRate == 0 {
 		return 0, true
@@ -126,8 +126,8 @@
 	return wait, wait <= messageTimeout
 }
 
-// A daemon with a link of 10 Mbit/s starts in a zone that has lost the platform, and
-// needs the whole configuration of the design size from its peers.
+// A daemon with a link of 10 Mbit/s starts in a zone without the platform and needs the
+// whole configuration of the design size from its peers.
 func TestLargeRevisionOverSmallLinks(t *testing.T) {
 	s := settled(t, 11, 3, 3, 3)
 	s.publishText(250, 16_000)
--- a/internal/config/start.go
+++ b/internal/config/start.go
@@ -15,21 +15,21 @@
 	coldStagger        = time.Second
 )
 
-// start is the time in which a daemon that has just started, or woken, asks its
-// peers what they have.
+// start is the phase in which a daemon that has just started, or resumed after a pause,
+// queries its peers for their revisions.
 //
-// VMs keep nothing, so a restarted daemon knows no revision, and the platform
-// may be stale: taking the platform's word would bring back an old revision
-// that the rest of the fleet has left, such as one from before a zone was taken
-// out. So it asks in and out of its zone first and takes the highest.
+// VMs store nothing, so a restarted daemon knows no revision, and the platform may be
+// stale: relying on it alone would bring back an old revision that the rest of the fleet
+// has left, such as one from before a zone was taken out of service. So the daemon first
+// queries peers in and out of its zone and takes the highest revision.
 type start struct {
 	startedAt time.Time
 	done      bool
-	// queried peers, and whether they have answered.
+	// queried peers, and whether they have replied.
 	queried map[shed.VM]bool
-	// replies counts those that have.
+	// replies counts the peers that have replied.
 	replies int
-	// revisionKnown is set once one of them had a revision.
+	// revisionKnown is true once one of them had a revision.
 	revisionKnown bool
 	nextQuery     time.Time
 	// coldJitter spreads the first whole reads; drawn once.
@@ -54,8 +54,8 @@
 	return out
 }
 
-// startQueries asks a few peers of the zone and one in each other zone, and those
-// again that have not answered.
+// startQueries queries a few peers of the zone and one in each other zone, and repeats
+// the queries without a reply.
 func (s *State) startQueries(now time.Time) []shed.Action {
 	st := &s.start
 	if now.Before(st.nextQuery) {
@@ -77,8 +77,8 @@
 	return out
 }
 
-// addStartPeer bounds whom to ask; a peer that does not answer is made up for by
-// another one, up to three for each place.
+// addStartPeer adds a peer to query, up to three for each place: a peer that doesn't
+// reply is replaced by another one.
 func (s *State) addStartPeer(vm shed.VM) {
 	limit := 3 * (startZonePeers + len(s.topology.otherZones))
 	if _, known := s.start.queried[vm]; vm == "" || known || len(s.start.queried) >= limit {
@@ -97,8 +97,8 @@
 	s.start.revisionKnown = s.start.revisionKnown || m.Revision > 0
 }
 
-// startComplete tells whether enough was heard. Every wait is bounded: a zone that is
-// cut off from everyone still has to serve.
+// startComplete reports whether enough peers have replied. Every wait is bounded: a zone
+// that is partitioned off from all others still has to serve.
 func (s *State) startComplete(now time.Time) bool {
 	if s.current.rules == nil {
 		return false
@@ -112,18 +112,17 @@
 	return !s.isStale() || elapsed >= startMaxWaits*s.cfg.StartWait
 }
 
-// coldReadAt is when a daemon without any configuration reads the whole of it from
-// the platform. At the design size that is some three hundred reads, so a restart
-// of the fleet must not make every daemon do it at once: the zones start at
-// random times, and within a zone one daemon after the other, as long as none
-// has succeeded.
+// coldReadAt is when a daemon without any configuration reads the whole of it from the
+// platform. At the design size that is some three hundred reads, so after a restart of
+// the fleet the daemons must not all do it at once: the zones start at random times, and
+// within a zone one daemon after the other, as long as none has succeeded.
 func (s *State) coldReadAt() time.Time {
 	st := &s.start
 	zones := time.Duration(len(s.topology.otherZones) + 1)
 	wait := s.cfg.StartWait + st.coldJitter*zones
 	if len(s.topology.otherZones) == 0 && len(s.topology.ranked) == 1 && s.cfg.Seeds > 0 {
-		// Peers are expected but not seen yet. To read now would make each
-		// daemon of a restarted fleet believe that it is the first.
+		// Peers are expected but not seen yet. With a read now, each daemon of a restarted
+		// fleet would act as if it were the first.
 		wait = isolatedWaits * wait
 	}
 	stagger := s.cfg.ColdSpan*zones + coldStagger
--- a/internal/config/state_test.go
+++ b/internal/config/state_test.go
@@ -22,12 +22,12 @@
 	return len(data)
 }
 
-// check is the oracle: it knows what was published and when, and what each
-// daemon follows, and nothing of how they found it.
+// check is the oracle: it knows what was published and when, and which revision each
+// daemon has in force, and nothing of how they got it.
 func (s *sim) check(t require.TestingT) {
 	expected, good := s.newest(s.now.Add(-defaultFreshFor))
-	// While the platform itself is stale, or its newest revision is invalid, no
-	// daemon can know how old its own is.
+	// While the platform is stale, or its newest revision is invalid, no daemon can know
+	// how old its own is.
 	knowable := !s.stale && good && !s.shortLived(expected) && s.now.Sub(s.lastStale) > 2*defaultFreshFor
 	for _, n := range s.nodes {
 		rev := n.inForce()
@@ -42,7 +42,7 @@
 			require.Fail(t, "ready with nothing in force", "node %d", n.id)
 		}
 		if changed && (!s.published[rev-1].good || !n.hasPartsOf(s.published[rev-1])) {
-			require.Fail(t, "follows what was never published", "node %d, revision %d", n.id, rev)
+			require.Fail(t, "applied a revision that was never published", "node %d, revision %d", n.id, rev)
 		}
 		if knowable && fresh && rev < expected {
 			require.Fail(t, "calls an old revision fresh", "node %d: %d, not %d", n.id, rev, expected)
@@ -50,7 +50,7 @@
 	}
 }
 
-// hasPartsOf tells whether the node has the very parts that were published.
+// hasPartsOf reports whether the node has exactly the published parts.
 func (n *node) hasPartsOf(r revision) bool {
 	if len(n.state.current.parts) != len(r.parts) {
 		return false
@@ -63,10 +63,10 @@
 	return true
 }
 
-// TestStateMachine publishes, cuts, loses, restarts and pauses at random.
-// What the operators see: a daemon never goes back, never follows half a
-// revision or an invalid one, never calls a revision fresh that was replaced
-// more than FreshFor ago, and once all is mended all follow the newest.
+// TestStateMachine publishes, partitions, drops messages, restarts and pauses at random.
+// A daemon must never go back, apply a partial or invalid revision, or call a revision
+// fresh that was replaced more than FreshFor ago, and once all faults have ended all
+// daemons follow the newest.
 func TestStateMachine(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSim(rapid.Uint64().Draw(t, "seed"), 3, 3, nil)
@@ -86,7 +86,7 @@
 	})
 }
 
-// step does one random thing to the fleet.
+// step applies one random change or fault to the fleet.
 func (s *sim) step(t *rapid.T) {
 	n := s.nodes[rapid.IntRange(0, len(s.nodes)-1).Draw(t, "node")]
 	zone := rapid.IntRange(0, s.zones-1).Draw(t, "zone")
@@ -115,8 +115,8 @@
 	case 9:
 		s.setStale(!s.stale)
 	case 10:
-		// A peer gone wrong claims a revision that nobody can make good, and
-		// pushes parts that are not what their hashes say.
+		// A faulty peer claims a revision that no peer can deliver, and pushes parts that
+		// don't match their hashes.
 		to := s.nodes[rapid.IntRange(0, len(s.nodes)-1).Draw(t, "to")]
 		s.forge(n, to)
 	case 11:
@@ -140,7 +140,7 @@
 	s.lastStale = s.now
 }
 
-// clearFaults ends all faults and publishes a good revision.
+// clearFaults ends all faults and publishes a valid revision.
 func (s *sim) clearFaults() {
 	s.partitions, s.platformDown = map[[2]int]bool{}, map[int]bool{}
 	s.loss, s.delay = 0, 2*time.Millisecond
