--- a/internal/rules/big_test.go
+++ b/internal/rules/big_test.go
@@ -16,8 +16,8 @@
 // designSize is what the users plan for in the next two years.
 var designSize = size{workspaces: 27_000, servers: 2_500}
 
-// bigText makes a rules file of some size, with 13 zones and 9 pipelines.
-func bigText(s size) []byte {
+// makeText makes a rules file of some size, with 13 zones and 9 pipelines.
+func makeText(s size) []byte {
 	var b bytes.Buffer
 	b.WriteString("[zones]\n")
 	for i := range 13 {
@@ -56,7 +56,7 @@
 }
 
 func TestPackJoins(t *testing.T) {
-	text := bigText(size{workspaces: 2_000, servers: 200})
+	text := makeText(size{workspaces: 2_000, servers: 200})
 	index, parts := Pack(text)
 	require.Greater(t, len(parts), 1)
 	list, err := ParseIndex(3, index)
@@ -73,7 +73,7 @@
 func BenchmarkRecompile(b *testing.B) {
 	for _, s := range sizes {
 		b.Run(fmt.Sprintf("workspaces=%d/servers=%d", s.workspaces, s.servers), func(b *testing.B) {
-			texts := [][]byte{bigText(s), nil}
+			texts := [][]byte{makeText(s), nil}
 			texts[1] = bytes.Replace(texts[0], []byte("region region-1 "), []byte("region region-1, out yes "), 1)
 			c := NewCompiler()
 			_, err := c.Compile(texts[0], 1)
@@ -90,7 +90,7 @@
 func BenchmarkParse(b *testing.B) {
 	for _, s := range sizes {
 		b.Run(fmt.Sprintf("workspaces=%d/servers=%d", s.workspaces, s.servers), func(b *testing.B) {
-			text := bigText(s)
+			text := makeText(s)
 			b.SetBytes(int64(len(text)))
 			b.ReportAllocs()
 			for b.Loop() {
@@ -104,7 +104,7 @@
 // A change of one line has to cost readers little: the index and one part.
 func TestPackCostOfAChange(t *testing.T) {
 	for _, s := range sizes {
-		text := bigText(s)
+		text := makeText(s)
 		index, parts := Pack(text)
 		most := 0
 		for _, part := range parts {
@@ -136,14 +136,14 @@
 	for _, s := range sizes {
 		b.Run(fmt.Sprintf("workspaces=%d/servers=%d", s.workspaces, s.servers), func(b *testing.B) {
 			for b.Loop() {
-				before := heap()
-				text := bigText(s)
+				before := heapBytes()
+				text := makeText(s)
 				_, parts := Pack(bytes.Clone(text))
 				c := NewCompiler()
 				r, err := c.Compile(text, 1)
 				require.NoError(b, err)
 				text = nil
-				b.ReportMetric(float64(heap()-before), "B/held")
+				b.ReportMetric(float64(heapBytes()-before), "B/held")
 				runtime.KeepAlive(parts)
 				runtime.KeepAlive(r)
 				runtime.KeepAlive(c)
@@ -153,7 +153,7 @@
 	}
 }
 
-func heap() int64 {
+func heapBytes() int64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
--- a/internal/rules/build.go
+++ b/internal/rules/build.go
@@ -27,7 +27,7 @@
 	"service":  shed.KindService,
 }
 
-const kindMend = "use encode, retrieve, rerank, generate or service"
+const kindFix = "use encode, retrieve, rerank, generate or service"
 
 // sectionNames in the order in which a file usually has them.
 var sectionNames = []string{
@@ -58,13 +58,13 @@
 
 // builder collects what the rows say, then links them.
 type builder struct {
-	rules  *shed.Rules
-	faults Faults
-	first  map[ruleName]int
+	rules      *shed.Rules
+	faults     Faults
+	firstLines map[ruleName]int
 	// stages by name, until link puts them into their pipelines.
 	stages map[stageName]*shed.Stage
-	// wants are the stages that a pipeline lists.
-	wants map[shed.PipelineID][]shed.StageID
+	// stageIDs are the stages that a pipeline lists.
+	stageIDs map[shed.PipelineID][]shed.StageID
 	// rows in the order of the file, so that faults found by link have an order.
 	rows []row
 }
@@ -82,31 +82,31 @@
 			Models:         map[shed.ModelID]*shed.Model{},
 			MaxWeightLoads: 1,
 		},
-		faults: faults,
-		first:  make(map[ruleName]int, rows),
-		rows:   make([]row, 0, rows),
-		stages: map[stageName]*shed.Stage{},
-		wants:  map[shed.PipelineID][]shed.StageID{},
+		faults:     faults,
+		firstLines: make(map[ruleName]int, rows),
+		rows:       make([]row, 0, rows),
+		stages:     map[stageName]*shed.Stage{},
+		stageIDs:   map[shed.PipelineID][]shed.StageID{},
 	}
 }
 
-func (b *builder) fault(r row, reason, mend string) {
+func (b *builder) fault(r row, reason, fix string) {
 	b.faults = append(b.faults, Fault{
-		Line: r.Line, Section: r.section, Key: r.key, Reason: reason, Mend: mend,
+		Line: r.Line, Section: r.section, Key: r.key, Reason: reason, Mend: fix,
 	})
 }
 
-func (b *builder) add(r row) {
+func (b *builder) addRow(r row) {
 	if !isID(r.key) {
-		b.fault(r, "the key is no id", idMend)
+		b.fault(r, "the key is no id", idFix)
 		return
 	}
 	name := ruleName{r.section, r.key}
-	if line, twice := b.first[name]; twice {
+	if line, duplicate := b.firstLines[name]; duplicate {
 		b.fault(r, fmt.Sprintf("already given on line %d", line), "keep one of the two lines")
 		return
 	}
-	b.first[name] = r.Line
+	b.firstLines[name] = r.Line
 	b.rows = append(b.rows, r)
 	if r.section == sectionLimits {
 		sections[r.section](b, &fields{row: r, faults: &b.faults})
@@ -118,15 +118,15 @@
 func (b *builder) zone(f *fields) {
 	z := &shed.Zone{Origin: f.row.Origin, ID: shed.ZoneID(f.row.key)}
 	z.Region = f.id("region")
-	z.OutOfService = f.yes("out", false)
-	f.done("region", "out")
+	z.OutOfService = f.yesNo("out", false)
+	f.rejectUnknown("region", "out")
 	b.rules.Zones[z.ID] = z
 }
 
 func (b *builder) supplier(f *fields) {
 	s := &shed.Supplier{Origin: f.row.Origin, ID: shed.SupplierID(f.row.key)}
-	s.Leaving = f.yes("leaving", false)
-	f.done("leaving")
+	s.Leaving = f.yesNo("leaving", false)
+	f.rejectUnknown("leaving")
 	b.rules.Suppliers[s.ID] = s
 }
 
@@ -134,7 +134,7 @@
 	m := &shed.Model{Origin: f.row.Origin, ID: shed.ModelID(f.row.key)}
 	m.Version = f.id("version")
 	m.Adapters = f.ids("adapters")
-	f.done("version", "adapters")
+	f.rejectUnknown("version", "adapters")
 	b.rules.Models[m.ID] = m
 }
 
@@ -145,18 +145,18 @@
 		p.Model = shed.ModelID(f.id("model"))
 	}
 	p.UnitPrice = f.price("unit", maxUnit)
-	f.done("kind", "model", "unit")
+	f.rejectUnknown("kind", "model", "unit")
 	b.rules.Pools[p.ID] = p
 }
 
 func (f *fields) kind() shed.StageKind {
-	value, ok := f.must("kind")
+	value, ok := f.required("kind")
 	if !ok {
 		return 0
 	}
 	kind, known := kinds[value]
 	if !known {
-		f.fault(fmt.Sprintf("unknown kind %q", value), kindMend)
+		f.fault(fmt.Sprintf("unknown kind %q", value), kindFix)
 	}
 	return kind
 }
@@ -166,23 +166,23 @@
 	s.Pool = shed.PoolID(f.id("pool"))
 	s.Zone = shed.ZoneID(f.id("zone"))
 	s.Supplier = shed.SupplierID(f.id("supplier"))
-	s.URL = f.base("url")
+	s.URL = f.baseURL("url")
 	s.Capacity = f.count("capacity", 0, maxCapacity)
 	s.ColdCapacity = f.count("cold_bears", 0, maxCapacity)
 	if s.Capacity > 0 && s.ColdCapacity > s.Capacity {
 		f.fault(fmt.Sprintf("cold_bears %d is above capacity %d", s.ColdCapacity, s.Capacity),
 			"a cold server never bears more than a warm one; lower cold_bears")
 	}
-	s.ChecksCaller = f.yes("checks_caller", false)
-	s.Fenced = f.yes("fenced", false)
-	s.Leaving = f.yes("leaving", false)
-	if role, ok := f.take("role"); ok {
+	s.ChecksCaller = f.yesNo("checks_caller", false)
+	s.Fenced = f.yesNo("fenced", false)
+	s.Leaving = f.yesNo("leaving", false)
+	if role, ok := f.value("role"); ok {
 		s.Role = role
 		if role != "prefill" && role != "decode" {
 			f.fault(fmt.Sprintf("unknown role %q", role), "use prefill or decode, or leave it out")
 		}
 	}
-	f.done("pool", "zone", "supplier", "url", "capacity", "cold_bears",
+	f.rejectUnknown("pool", "zone", "supplier", "url", "capacity", "cold_bears",
 		"checks_caller", "fenced", "leaving", "role")
 	b.rules.Servers[s.ID] = s
 }
@@ -195,9 +195,9 @@
 		f.fault(fmt.Sprintf("the pipeline lists %d stages", len(list)),
 			fmt.Sprintf("write `stages first second`, with 1 to %d stages", maxStages))
 	}
-	f.done("deadline", "stages")
+	f.rejectUnknown("deadline", "stages")
 	b.rules.Pipelines[p.ID] = p
-	b.wants[p.ID] = typedIDs[shed.StageID](list)
+	b.stageIDs[p.ID] = typedIDs[shed.StageID](list)
 }
 
 func (b *builder) stage(f *fields) {
@@ -218,22 +218,22 @@
 	if s.Kind == shed.KindService && !f.has("idempotent") {
 		f.fault("nothing says whether the service call may be repeated", "add `idempotent no`, or `idempotent yes` if it may")
 	}
-	s.Idempotent = f.yes("idempotent", true)
-	f.done("kind", "pool", "zones", "minimum", "idempotent")
+	s.Idempotent = f.yesNo("idempotent", true)
+	f.rejectUnknown("kind", "pool", "zones", "minimum", "idempotent")
 	b.stages[stageName{pipeline, s.ID}] = s
 }
 
 func (b *builder) workspace(f *fields) {
 	w := &shed.Workspace{Origin: f.row.Origin, ID: shed.WorkspaceID(f.row.key)}
 	w.Share = f.count("share", 1, maxShare)
-	if hash, ok := f.must("token_sha256"); ok {
+	if hash, ok := f.required("token_sha256"); ok {
 		w.TokenHash = hash
 		if !isHash(hash) {
 			f.fault("token_sha256 is no SHA-256", "write the 64 small hex digits that `printf %s TOKEN | sha256sum` prints")
 		}
 	}
 	w.Pipelines = sortedIDs[shed.PipelineID](f.ids("pipelines"))
-	f.done("share", "token_sha256", "pipelines")
+	f.rejectUnknown("share", "token_sha256", "pipelines")
 	b.rules.Workspaces[w.ID] = w
 }
 
--- a/internal/rules/explain.go
+++ b/internal/rules/explain.go
@@ -93,18 +93,18 @@
 func (e *explainer) stage(p *shed.Pipeline, s *shed.Stage) {
 	where := "in every zone"
 	if len(s.Zones) > 0 {
-		where = "only in " + joined(s.Zones)
+		where = "only in " + joinIDs(s.Zones)
 	}
-	often := "may be repeated"
+	repetition := "may be repeated"
 	if !s.Idempotent {
-		often = "runs at most once"
+		repetition = "runs at most once"
 	}
-	e.add(s.Origin, "stage %s/%s runs on pool %s %s, takes at least %s and %s", p.ID, s.ID, s.Pool, where, s.MinDuration, often)
+	e.add(s.Origin, "stage %s/%s runs on pool %s %s, takes at least %s and %s", p.ID, s.ID, s.Pool, where, s.MinDuration, repetition)
 	pool := e.rules.Pools[s.Pool]
 	e.pool(pool)
 	for _, server := range pool.Servers {
 		if s.MayRunIn(server.Zone) {
-			e.closed(server)
+			e.whyClosed(server)
 		}
 	}
 }
@@ -119,8 +119,8 @@
 	e.add(m.Origin, "model %s is of version %s", m.ID, m.Version)
 }
 
-// closed names the lines that keep new work from a server.
-func (e *explainer) closed(s *shed.Server) {
+// whyClosed names the lines that keep new work from a server.
+func (e *explainer) whyClosed(s *shed.Server) {
 	if s.Leaving {
 		e.add(s.Origin, "server %s is leaving and gets no new work", s.ID)
 	}
@@ -144,15 +144,15 @@
 	}
 	e.add(s.Origin, "server %s %s and %s", s.ID, orders, fence)
 	e.pool(e.rules.Pools[s.Pool])
-	e.closed(s)
+	e.whyClosed(s)
 }
 
 func (e *explainer) workspace(w *shed.Workspace) {
-	may := "every pipeline"
+	allowed := "every pipeline"
 	if len(w.Pipelines) > 0 {
-		may = joined(w.Pipelines)
+		allowed = joinIDs(w.Pipelines)
 	}
-	e.add(w.Origin, "workspace %s has share %d and may run %s", w.ID, w.Share, may)
+	e.add(w.Origin, "workspace %s has share %d and may run %s", w.ID, w.Share, allowed)
 	for _, id := range w.Pipelines {
 		p := e.rules.Pipelines[id]
 		e.add(p.Origin, "pipeline %s answers within %s", p.ID, p.Deadline)
@@ -160,21 +160,21 @@
 }
 
 func (e *explainer) zone(z *shed.Zone) {
-	e.add(z.Origin, "zone %s is of region %s and is %s", z.ID, z.Region, choose(z.OutOfService, "out: no new work", "in service"))
+	e.add(z.Origin, "zone %s is of region %s and is %s", z.ID, z.Region, ifElse(z.OutOfService, "out: no new work", "in service"))
 }
 
 func (e *explainer) supplier(s *shed.Supplier) {
-	e.add(s.Origin, "supplier %s %s", s.ID, choose(s.Leaving, "is leaving: its servers get no new work", "stays"))
+	e.add(s.Origin, "supplier %s %s", s.ID, ifElse(s.Leaving, "is leaving: its servers get no new work", "stays"))
 }
 
-func choose(yes bool, a, b string) string {
+func ifElse(yes bool, a, b string) string {
 	if yes {
 		return a
 	}
 	return b
 }
 
-func joined[T ~string](list []T) string {
+func joinIDs[T ~string](list []T) string {
 	words := make([]string, len(list))
 	for i, x := range list {
 		words[i] = string(x)
--- a/internal/rules/field.go
+++ b/internal/rules/field.go
@@ -42,7 +42,7 @@
 	return true
 }
 
-const idMend = "use 1 to 64 letters, digits, dots, dashes, underscores or slashes"
+const idFix = "use 1 to 64 letters, digits, dots, dashes, underscores or slashes"
 
 // fields reads the `name value` fields of one row and notes what is wrong with
 // them. Once all that a section knows were read, done refuses the rest.
@@ -55,14 +55,14 @@
 // field is one `name value` of a row. Taken is set once it was read.
 type field struct {
 	name, value string
-	taken       bool
+	used        bool
 }
 
 // maxUsual is how many fields a row usually has at the most.
-const maxUsual = 10
+const usualFields = 10
 
 func splitFields(r row, faults *Faults) *fields {
-	f := &fields{row: r, list: make([]field, 0, maxUsual), faults: faults}
+	f := &fields{row: r, list: make([]field, 0, usualFields), faults: faults}
 	if strings.TrimSpace(r.value) == "" {
 		return f
 	}
@@ -81,9 +81,9 @@
 	return f
 }
 
-func (f *fields) fault(reason, mend string) {
+func (f *fields) fault(reason, fix string) {
 	*f.faults = append(*f.faults, Fault{
-		Line: f.row.Line, Section: f.row.section, Key: f.row.key, Reason: reason, Mend: mend,
+		Line: f.row.Line, Section: f.row.section, Key: f.row.key, Reason: reason, Mend: fix,
 	})
 }
 
@@ -99,13 +99,13 @@
 // has tells whether the row gives the field.
 func (f *fields) has(name string) bool { return f.find(name) != nil }
 
-// take returns a field's value; done does not refuse it any more.
-func (f *fields) take(name string) (string, bool) {
+// value returns a field's value; done does not refuse it any more.
+func (f *fields) value(name string) (string, bool) {
 	found := f.find(name)
 	if found == nil {
 		return "", false
 	}
-	found.taken = true
+	found.used = true
 	if found.value == "" {
 		f.fault(fmt.Sprintf("field %s has no value", name), fmt.Sprintf("write `%s value`", name))
 		return "", false
@@ -113,27 +113,27 @@
 	return found.value, true
 }
 
-// must is take for a field that has to be there.
-func (f *fields) must(name string) (string, bool) {
-	value, ok := f.take(name)
+// required is take for a field that has to be there.
+func (f *fields) required(name string) (string, bool) {
+	value, ok := f.value(name)
 	if !f.has(name) {
 		f.fault(fmt.Sprintf("field %s is missing", name), fmt.Sprintf("add `%s value`", name))
 	}
 	return value, ok
 }
 
-// done refuses the fields that nobody took.
-func (f *fields) done(known ...string) {
-	for _, left := range f.list {
-		if !left.taken {
-			f.fault(fmt.Sprintf("unknown field %s", left.name), "use: "+strings.Join(known, ", "))
+// rejectUnknown refuses the fields that nobody took.
+func (f *fields) rejectUnknown(known ...string) {
+	for _, unused := range f.list {
+		if !unused.used {
+			f.fault(fmt.Sprintf("unknown field %s", unused.name), "use: "+strings.Join(known, ", "))
 		}
 	}
 }
 
 // id reads an id that has to be there.
 func (f *fields) id(name string) string {
-	value, ok := f.must(name)
+	value, ok := f.required(name)
 	if !ok {
 		return ""
 	}
@@ -142,7 +142,7 @@
 
 func (f *fields) checkID(name, value string) string {
 	if !isID(value) {
-		f.fault(fmt.Sprintf("%s %q is no id", name, value), idMend)
+		f.fault(fmt.Sprintf("%s %q is no id", name, value), idFix)
 		return ""
 	}
 	return value
@@ -150,7 +150,7 @@
 
 // ids reads a list of ids, in the order of the file.
 func (f *fields) ids(name string) []string {
-	value, ok := f.take(name)
+	value, ok := f.value(name)
 	if !ok {
 		return nil
 	}
@@ -171,88 +171,88 @@
 }
 
 // count reads a whole number within 1 and most; when 0 it has to be there.
-func (f *fields) count(name string, otherwise, most int) int {
-	if !f.has(name) && otherwise > 0 {
-		return otherwise
+func (f *fields) count(name string, fallback, limit int) int {
+	if !f.has(name) && fallback > 0 {
+		return fallback
 	}
-	value, ok := f.must(name)
+	value, ok := f.required(name)
 	if !ok {
 		return 0
 	}
-	return f.checkCount(name, value, most)
+	return f.checkCount(name, value, limit)
 }
 
-func (f *fields) checkCount(name, value string, most int) int {
+func (f *fields) checkCount(name, value string, limit int) int {
 	n, err := strconv.Atoi(value)
-	if err != nil || n < 1 || n > most {
-		f.fault(fmt.Sprintf("%s %q is out of range", name, value), fmt.Sprintf("write a whole number from 1 to %d", most))
+	if err != nil || n < 1 || n > limit {
+		f.fault(fmt.Sprintf("%s %q is out of range", name, value), fmt.Sprintf("write a whole number from 1 to %d", limit))
 		return 0
 	}
 	return n
 }
 
 // price reads a number that is not negative; 1 if it is not there.
-func (f *fields) price(name string, most float64) float64 {
-	value, ok := f.take(name)
+func (f *fields) price(name string, limit float64) float64 {
+	value, ok := f.value(name)
 	if !ok {
 		return 1
 	}
 	x, err := strconv.ParseFloat(value, 64)
 	// A NaN fails both comparisons, so the test asks for what is right.
-	if err != nil || !(x >= 0 && x <= most) {
-		f.fault(fmt.Sprintf("%s %q is out of range", name, value), fmt.Sprintf("write a number from 0 to %g", most))
+	if err != nil || !(x >= 0 && x <= limit) {
+		f.fault(fmt.Sprintf("%s %q is out of range", name, value), fmt.Sprintf("write a number from 0 to %g", limit))
 		return 1
 	}
 	return x
 }
 
-// yes reads yes or no; otherwise if it is not there.
-func (f *fields) yes(name string, otherwise bool) bool {
-	value, ok := f.take(name)
+// yesNo reads yes or no; otherwise if it is not there.
+func (f *fields) yesNo(name string, fallback bool) bool {
+	value, ok := f.value(name)
 	if !ok {
-		return otherwise
+		return fallback
 	}
 	if value != "yes" && value != "no" {
 		f.fault(fmt.Sprintf("%s %q is neither yes nor no", name, value), fmt.Sprintf("write `%s yes` or `%s no`", name, name))
-		return otherwise
+		return fallback
 	}
 	return value == "yes"
 }
 
 // duration reads a time within least and most.
-func (f *fields) duration(name string, least, most time.Duration) time.Duration {
-	value, ok := f.must(name)
+func (f *fields) duration(name string, shortest, longest time.Duration) time.Duration {
+	value, ok := f.required(name)
 	if !ok {
 		return 0
 	}
 	d, err := time.ParseDuration(value)
-	if err != nil || d < least || d > most {
+	if err != nil || d < shortest || d > longest {
 		f.fault(fmt.Sprintf("%s %q is out of range", name, value),
-			fmt.Sprintf("write a time from %s to %s, such as 20ms or 6s", least, most))
+			fmt.Sprintf("write a time from %s to %s, such as 20ms or 6s", shortest, longest))
 		return 0
 	}
 	return d
 }
 
-// base reads the base URL of a server. Its host is an IP number: daemons ask no
+// baseURL reads the base URL of a server. Its host is an IP number: daemons ask no
 // name service, so a name would fail only when the first call is sent.
-func (f *fields) base(name string) string {
-	const mend = "write http://IP:PORT, with a path if the server needs one"
-	value, ok := f.must(name)
+func (f *fields) baseURL(name string) string {
+	const fix = "write http://IP:PORT, with a path if the server needs one"
+	value, ok := f.required(name)
 	if !ok {
 		return ""
 	}
 	u, err := url.Parse(value)
 	if err != nil || (u.Scheme != "http" && u.Scheme != "https") {
-		f.fault(fmt.Sprintf("%s %q is no HTTP address", name, value), mend)
+		f.fault(fmt.Sprintf("%s %q is no HTTP address", name, value), fix)
 		return ""
 	}
 	if u.User != nil || u.RawQuery != "" || u.Fragment != "" || u.Opaque != "" {
-		f.fault(fmt.Sprintf("%s %q holds more than a server and a path", name, value), mend)
+		f.fault(fmt.Sprintf("%s %q holds more than a server and a path", name, value), fix)
 		return ""
 	}
 	if _, err := netip.ParseAddrPort(u.Host); err != nil {
-		f.fault(fmt.Sprintf("%s %q has no IP number and port", name, value), mend)
+		f.fault(fmt.Sprintf("%s %q has no IP number and port", name, value), fix)
 		return ""
 	}
 	return strings.TrimSuffix(value, "/")
--- a/internal/rules/link.go
+++ b/internal/rules/link.go
@@ -36,12 +36,12 @@
 	for _, pool := range b.rules.Pools {
 		sort.Slice(pool.Servers, func(i, j int) bool { return pool.Servers[i].ID < pool.Servers[j].ID })
 	}
-	b.notEmpty()
+	b.checkNotEmpty()
 }
 
-// notEmpty refuses a file that would stop everything: an empty one is far more
+// checkNotEmpty refuses a file that would stop everything: an empty one is far more
 // often a slip in publishing than a wish.
-func (b *builder) notEmpty() {
+func (b *builder) checkNotEmpty() {
 	if len(b.faults) > 0 {
 		return
 	}
@@ -53,9 +53,9 @@
 	}
 }
 
-// dangling notes a reference to a rule that is not there. An empty id already
+// missingReference notes a reference to a rule that is not there. An empty id already
 // had a fault where it was read.
-func (b *builder) dangling(r row, what, id, section string) {
+func (b *builder) missingReference(r row, what, id, section string) {
 	if id == "" {
 		return
 	}
@@ -66,7 +66,7 @@
 func (b *builder) linkPool(r row) {
 	p := b.rules.Pools[shed.PoolID(r.key)]
 	if p.Model != "" && b.rules.Models[p.Model] == nil {
-		b.dangling(r, "model", string(p.Model), sectionModels)
+		b.missingReference(r, "model", string(p.Model), sectionModels)
 	}
 	if p.Kind == shed.KindGenerate && p.Model == "" {
 		b.fault(r, "a pool of kind generate names no model", "add `model NAME`")
@@ -80,7 +80,7 @@
 	s := b.rules.Servers[shed.ServerID(r.key)]
 	pool := b.rules.Pools[s.Pool]
 	if pool == nil {
-		b.dangling(r, "pool", string(s.Pool), sectionPools)
+		b.missingReference(r, "pool", string(s.Pool), sectionPools)
 	} else {
 		pool.Servers = append(pool.Servers, s)
 		if s.Role != "" && pool.Kind != shed.KindGenerate {
@@ -88,16 +88,16 @@
 		}
 	}
 	if b.rules.Zones[s.Zone] == nil {
-		b.dangling(r, "zone", string(s.Zone), sectionZones)
+		b.missingReference(r, "zone", string(s.Zone), sectionZones)
 	}
 	if b.rules.Suppliers[s.Supplier] == nil {
-		b.dangling(r, "supplier", string(s.Supplier), sectionSuppliers)
+		b.missingReference(r, "supplier", string(s.Supplier), sectionSuppliers)
 	}
 	if s.URL == "" {
 		return
 	}
 	// Two names for one server would double what it is thought to bear cold.
-	if other, twice := urls[s.URL]; twice {
+	if other, duplicate := urls[s.URL]; duplicate {
 		b.fault(r, fmt.Sprintf("url is that of %s on line %d", other.key, other.Line), "keep one of the two servers")
 		return
 	}
@@ -105,24 +105,24 @@
 }
 
 func (b *builder) linkStage(r row) {
-	name, s := b.stageOf(r)
+	name, s := b.findStage(r)
 	if s == nil {
 		return
 	}
 	if b.rules.Pipelines[name.pipeline] == nil {
-		b.dangling(r, "pipeline", string(name.pipeline), sectionPipelines)
-	} else if !slices.Contains(b.wants[name.pipeline], s.ID) {
+		b.missingReference(r, "pipeline", string(name.pipeline), sectionPipelines)
+	} else if !slices.Contains(b.stageIDs[name.pipeline], s.ID) {
 		b.fault(r, fmt.Sprintf("pipeline %s does not list stage %s", name.pipeline, s.ID),
 			"add it to the pipeline's stages, or take the line out")
 	}
 	for _, z := range s.Zones {
 		if b.rules.Zones[z] == nil {
-			b.dangling(r, "zone", string(z), sectionZones)
+			b.missingReference(r, "zone", string(z), sectionZones)
 		}
 	}
 	pool := b.rules.Pools[s.Pool]
 	if pool == nil {
-		b.dangling(r, "pool", string(s.Pool), sectionPools)
+		b.missingReference(r, "pool", string(s.Pool), sectionPools)
 		return
 	}
 	if pool.Kind != s.Kind && pool.Kind != 0 && s.Kind != 0 {
@@ -131,8 +131,8 @@
 	}
 }
 
-// stageOf finds the stage that the row gave, or nil if its key was refused.
-func (b *builder) stageOf(r row) (stageName, *shed.Stage) {
+// findStage finds the stage that the row gave, or nil if its key was refused.
+func (b *builder) findStage(r row) (stageName, *shed.Stage) {
 	for i := len(r.key) - 1; i > 0; i-- {
 		if r.key[i] != '/' {
 			continue
@@ -147,13 +147,13 @@
 	w := b.rules.Workspaces[shed.WorkspaceID(r.key)]
 	for _, id := range w.Pipelines {
 		if b.rules.Pipelines[id] == nil {
-			b.dangling(r, "pipeline", string(id), sectionPipelines)
+			b.missingReference(r, "pipeline", string(id), sectionPipelines)
 		}
 	}
 	if w.TokenHash == "" {
 		return
 	}
-	if other, twice := tokens[w.TokenHash]; twice {
+	if other, duplicate := tokens[w.TokenHash]; duplicate {
 		b.fault(r, fmt.Sprintf("the token is that of %s on line %d", other.key, other.Line), "give each workspace its own token")
 		return
 	}
@@ -162,25 +162,25 @@
 
 func (b *builder) linkPipeline(r row) {
 	p := b.rules.Pipelines[shed.PipelineID(r.key)]
-	var least time.Duration
-	for _, id := range b.wants[p.ID] {
+	var minimum time.Duration
+	for _, id := range b.stageIDs[p.ID] {
 		s := b.stages[stageName{p.ID, id}]
 		if s == nil {
-			b.dangling(r, "stage", string(p.ID)+"/"+string(id), sectionStages)
+			b.missingReference(r, "stage", string(p.ID)+"/"+string(id), sectionStages)
 			continue
 		}
-		least += s.MinDuration
+		minimum += s.MinDuration
 		p.Stages = append(p.Stages, *s)
-		b.runnable(r, s)
+		b.checkRunnable(r, s)
 	}
-	if p.Deadline > 0 && p.Deadline < least {
-		b.fault(r, fmt.Sprintf("deadline %s is below %s, the sum of the stages' minimums", p.Deadline, least),
+	if p.Deadline > 0 && p.Deadline < minimum {
+		b.fault(r, fmt.Sprintf("deadline %s is below %s, the sum of the stages' minimums", p.Deadline, minimum),
 			"raise the deadline or lower a minimum")
 	}
 }
 
-// runnable refuses a stage that no server could ever carry.
-func (b *builder) runnable(r row, s *shed.Stage) {
+// checkRunnable refuses a stage that no server could ever carry.
+func (b *builder) checkRunnable(r row, s *shed.Stage) {
 	pool := b.rules.Pools[s.Pool]
 	if pool == nil {
 		return
--- a/internal/rules/pack.go
+++ b/internal/rules/pack.go
@@ -26,8 +26,8 @@
 	// MaxPart is the most bytes of a part: well below the platform's megabyte.
 	MaxPart = 64 << 10
 	minPart = 4 << 10
-	// endOneIn: one line in so many ends a part.
-	endOneIn = 64
+	// endInterval: one line in so many ends a part.
+	endInterval = 64
 	// maxParts bounds what an index may list.
 	maxParts = 4096
 )
@@ -38,16 +38,16 @@
 	ErrPart  = errors.New("part of the rules is missing or not what its hash says")
 )
 
-// packed is the index as the platform holds it.
-type packed struct {
+// packedIndex is the index as the platform holds it.
+type packedIndex struct {
 	Parts []string `json:"parts"`
 }
 
 // Pack cuts the text into parts and makes the index that lists them.
 func Pack(text []byte) (index []byte, parts map[shed.PartHash][]byte) {
-	list := packed{Parts: []string{}}
+	list := packedIndex{Parts: []string{}}
 	parts = map[shed.PartHash][]byte{}
-	for _, part := range cut(text) {
+	for _, part := range split(text) {
 		hash := shed.PartHash(sha256.Sum256(part))
 		parts[hash] = part
 		list.Parts = append(list.Parts, hex.EncodeToString(hash[:]))
@@ -65,8 +65,8 @@
 	return PartKey + hex.EncodeToString(hash[:])
 }
 
-// cut splits the text at line ends chosen by their lines' content.
-func cut(text []byte) [][]byte {
+// split splits the text at line ends chosen by their lines' content.
+func split(text []byte) [][]byte {
 	var parts [][]byte
 	start := 0
 	for at := 0; at < len(text); {
@@ -94,14 +94,14 @@
 func endsPart(line []byte) bool {
 	h := fnv.New32a()
 	_, _ = h.Write(line)
-	return h.Sum32()%endOneIn == 0
+	return h.Sum32()%endInterval == 0
 }
 
 // ParseIndex reads the value of IndexKey.
 func ParseIndex(rev shed.Revision, data []byte) (shed.ConfigIndex, error) {
 	dec := json.NewDecoder(bytes.NewReader(data))
 	dec.DisallowUnknownFields()
-	var list packed
+	var list packedIndex
 	if err := dec.Decode(&list); err != nil {
 		return shed.ConfigIndex{}, fmt.Errorf("%w: %w", ErrIndex, err)
 	}
--- a/internal/rules/row.go
+++ b/internal/rules/row.go
@@ -34,7 +34,7 @@
 // first line that it can't read, lets a later duplicate overwrite an earlier
 // one and lets a quoted value run on over many lines; line by line, every fault
 // is found and has its number, and no value can swallow its neighbours.
-func readRows(text []byte, known *memory) ([]row, Faults) {
+func readRows(text []byte, cache *lineCache) ([]row, Faults) {
 	if len(text) > maxText {
 		return nil, Faults{{
 			Reason: fmt.Sprintf("the file has %d bytes", len(text)),
@@ -48,11 +48,11 @@
 			Mend:   fmt.Sprintf("keep it within %d lines", maxLines),
 		}}
 	}
-	rd := reader{rows: make([]row, 0, len(lines)), known: known}
+	rd := reader{rows: make([]row, 0, len(lines)), cache: cache}
 	for i, line := range lines {
-		rd.read(i+1, bytes.TrimSpace(line))
+		rd.readLine(i+1, bytes.TrimSpace(line))
 	}
-	known.turn()
+	cache.rotate()
 	return rd.rows, rd.faults
 }
 
@@ -65,69 +65,69 @@
 	// skip is set below a section header with a fault, so that one bad header
 	// does not bring a fault for each of its lines.
 	skip  bool
-	known *memory
+	cache *lineCache
 }
 
-func (rd *reader) fault(line int, key, reason, mend string) {
+func (rd *reader) fault(line int, key, reason, fix string) {
 	rd.faults = append(rd.faults, Fault{
-		Line: line, Section: rd.section, Key: key, Reason: reason, Mend: mend,
+		Line: line, Section: rd.section, Key: key, Reason: reason, Mend: fix,
 	})
 }
 
-func (rd *reader) read(n int, line []byte) {
+func (rd *reader) readLine(n int, line []byte) {
 	if len(line) == 0 {
 		return
 	}
-	p, seen := rd.known.line(line)
+	p, seen := rd.cache.get(line)
 	if !seen {
 		p = parseLine(line)
-		rd.known.keep(line, p)
+		rd.cache.put(line, p)
 	}
 	switch {
 	case p.reason != "":
-		rd.fault(n, "", p.reason, p.mend)
+		rd.fault(n, "", p.reason, p.fix)
 		// Below a header gone wrong nobody knows which section is meant.
 		rd.skip = rd.skip || line[0] == '['
-	case p.header:
-		rd.header(n, p.key)
+	case p.isHeader:
+		rd.addHeader(n, p.key)
 	case p.key != "":
-		rd.rule(n, p)
+		rd.addRule(n, p)
 	}
 }
 
-// parsed is what one line says by itself: a fault, a header, a rule or, with no
+// parsedLine is what one line says by itself: a fault, a header, a rule or, with no
 // key, nothing.
-type parsed struct {
-	reason, mend string
-	header       bool
-	key          string
-	value        string
-	asked        string
+type parsedLine struct {
+	reason, fix string
+	isHeader    bool
+	key         string
+	value       string
+	requestedBy string
 }
 
-func parseLine(line []byte) parsed {
-	if reason, mend := badText(line); reason != "" {
-		return parsed{reason: reason, mend: mend}
+func parseLine(line []byte) parsedLine {
+	if reason, fix := checkLine(line); reason != "" {
+		return parsedLine{reason: reason, fix: fix}
 	}
 	if line[0] == ';' || line[0] == '#' {
-		return parsed{}
+		return parsedLine{}
 	}
-	senseless := parsed{reason: "neither a section nor a rule", mend: "write `[section]` or `key = fields ; who asked`"}
+	malformed := parsedLine{reason: "neither a section nor a rule", fix: "write `[section]` or `key = fields ; who asked`"}
 	file, err := ini.LoadSources(iniOptions, line)
 	if err != nil {
-		return senseless
+		return malformed
 	}
 	if sections := file.Sections(); len(sections) > 1 {
-		return parsed{header: true, key: sections[1].Name()}
+		return parsedLine{isHeader: true, key: sections[1].Name()}
 	}
 	keys := file.Section("").Keys()
 	if len(keys) != 1 {
-		return senseless
+		return malformed
 	}
-	return parsed{
-		key:   keys[0].Name(),
-		value: keys[0].Value(),
-		asked: strings.TrimSpace(strings.TrimLeft(keys[0].Comment, ";# \t")),
+	return parsedLine{
+		key:         keys[0].Name(),
+		value:       keys[0].Value(),
+		requestedBy: strings.TrimSpace(strings.TrimLeft(keys[0].Comment, ";# \t")),
 	}
 }
 
@@ -140,8 +140,8 @@
 	UnparseableSections: nil,
 }
 
-// badText says why a line can't be given to the library, or nothing.
-func badText(line []byte) (reason, mend string) {
+// checkLine says why a line can't be given to the library, or nothing.
+func checkLine(line []byte) (reason, fix string) {
 	if len(line) > maxLine {
 		return fmt.Sprintf("the line has %d bytes", len(line)), fmt.Sprintf("keep lines within %d bytes", maxLine)
 	}
@@ -166,7 +166,7 @@
 	return "", ""
 }
 
-func (rd *reader) header(n int, name string) {
+func (rd *reader) addHeader(n int, name string) {
 	rd.section = name
 	_, known := sections[name]
 	rd.skip = !known
@@ -175,8 +175,8 @@
 	}
 }
 
-func (rd *reader) rule(n int, p parsed) {
-	name, asked := p.key, p.asked
+func (rd *reader) addRule(n int, p parsedLine) {
+	name, asked := p.key, p.requestedBy
 	if rd.skip {
 		return
 	}
--- a/internal/rules/rules.go
+++ b/internal/rules/rules.go
@@ -29,11 +29,11 @@
 	return parse(text, rev, nil)
 }
 
-func parse(text []byte, rev shed.Revision, known *memory) (*shed.Rules, Faults) {
-	rows, faults := readRows(text, known)
+func parse(text []byte, rev shed.Revision, cache *lineCache) (*shed.Rules, Faults) {
+	rows, faults := readRows(text, cache)
 	b := newBuilder(rev, len(rows), faults)
 	for _, row := range rows {
-		b.add(row)
+		b.addRow(row)
 	}
 	b.link()
 	if len(b.faults) > 0 {
--- a/internal/rules/rules_test.go
+++ b/internal/rules/rules_test.go
@@ -34,12 +34,12 @@
 caption/draft = kind generate, pool draft, minimum 200ms ; captions desk
 caption/publish = kind service, pool playout, minimum 50ms, idempotent no, zones nl-west-a ; playout desk
 [workspaces]
-noord-tv = share 4, token_sha256 ` + someHash + `, pipelines caption ; noord-tv
+noord-tv = share 4, token_sha256 ` + sampleHash + `, pipelines caption ; noord-tv
 [limits]
 weight_loads = 4 ; platform group
 `
 
-const someHash = "0123456789abcdef0123456789abcdef0123456789abcdef0123456789abcdef"
+const sampleHash = "0123456789abcdef0123456789abcdef0123456789abcdef0123456789abcdef"
 
 func TestParseSmall(t *testing.T) {
 	r, faults := Parse([]byte(small), 7)
@@ -101,7 +101,7 @@
 		"url of another kind":      {"http://127.0.0.1:9001", "ftp://127.0.0.1:9001", "no HTTP address"},
 		"url with a query":         {"http://127.0.0.1:9001", "http://127.0.0.1:9001/?a", "more than a server and a path"},
 		"url twice":                {"http://127.0.0.1:9001", "http://127.0.0.1:9002", "url is that of gen-a-1"},
-		"token in the clear":       {someHash, "demo-token", "no SHA-256"},
+		"token in the clear":       {sampleHash, "demo-token", "no SHA-256"},
 		"unknown limit":            {"weight_loads =", "weight_lads =", "unknown limit"},
 		"limit out of range":       {"weight_loads = 4", "weight_loads = 0", "out of range"},
 		"control character":        {"region nl ;", "region nl\x00 ;", "control character U+0000"},
