--- a/internal/rules/big_test.go
+++ b/internal/rules/big_test.go
@@ -10,13 +10,13 @@
 	"github.com/stretchr/testify/require"
 )
 
-// size is how large a made-up rules file is.
+// size is the size of a generated rules file.
 type size struct{ workspaces, servers int }
 
-// designSize is what the users plan for in the next two years.
+// designSize is the size that the users plan for in the next two years.
 var designSize = size{workspaces: 27_000, servers: 2_500}
 
-// makeText makes a rules file of some size, with 13 zones and 9 pipelines.
+// makeText generates a rules file of the given size, with 13 zones and 9 pipelines.
 func makeText(s size) []byte {
 	var b bytes.Buffer
 	b.WriteString("[zones]\n")
@@ -66,7 +66,7 @@
 	require.Equal(t, text, back)
 }
 
-// sizes for the slopes, up to the design size.
+// sizes for measuring how the cost grows, up to the design size.
 var sizes = []size{{270, 25}, {2_700, 250}, {9_000, 833}, designSize}
 
 // BenchmarkRecompile changes one line of a text that was compiled before.
@@ -101,7 +101,7 @@
 	}
 }
 
-// A change of one line has to cost readers little: the index and one part.
+// A change of one line must cost readers little: the index and at most two parts.
 func TestPackCostOfAChange(t *testing.T) {
 	for _, s := range sizes {
 		text := makeText(s)
@@ -130,8 +130,8 @@
 	}
 }
 
-// BenchmarkHeld measures the memory that one configuration holds: its parts,
-// the compiled rules and what the compiler remembers.
+// BenchmarkHeld measures the memory used by one configuration: its parts, the compiled
+// rules and the compiler's cache.
 func BenchmarkHeld(b *testing.B) {
 	for _, s := range sizes {
 		b.Run(fmt.Sprintf("workspaces=%d/servers=%d", s.workspaces, s.servers), func(b *testing.B) {
--- a/internal/rules/build.go
+++ b/internal/rules/build.go
@@ -29,7 +29,7 @@
 
 const kindFix = "use encode, retrieve, rerank, generate or service"
 
-// sectionNames in the order in which a file usually has them.
+// sectionNames lists the sections in the usual order of a file.
 var sectionNames = []string{
 	sectionZones, sectionSuppliers, sectionModels, sectionPools, sectionServers,
 	sectionPipelines, sectionStages, sectionWorkspaces, sectionLimits,
@@ -47,21 +47,21 @@
 	sectionLimits:     (*builder).limit,
 }
 
-// ruleName tells one rule from another within a file.
+// ruleName identifies a rule within a file.
 type ruleName struct{ section, key string }
 
-// stageName is a stage of a pipeline, as `pipeline/stage` in the file.
+// stageName is a stage of a pipeline, written as `pipeline/stage` in the file.
 type stageName struct {
 	pipeline shed.PipelineID
 	stage    shed.StageID
 }
 
-// builder collects what the rows say, then links them.
+// builder collects the content of the rows, then links it.
 type builder struct {
 	rules      *shed.Rules
 	faults     Faults
 	firstLines map[ruleName]int
-	// stages by name, until link puts them into their pipelines.
+	// stages by name, until link adds them to their pipelines.
 	stages map[stageName]*shed.Stage
 	// stageIDs are the stages that a pipeline lists.
 	stageIDs map[shed.PipelineID][]shed.StageID
@@ -213,8 +213,8 @@
 	s.Pool = shed.PoolID(f.id("pool"))
 	s.Zones = sortedIDs[shed.ZoneID](f.ids("zones"))
 	s.MinDuration = f.duration("minimum", minTime, maxDeadline)
-	// A service call that is repeated unasked may push a warning twice, so
-	// whoever writes the rule has to say that it may.
+	// A repeated service call may push a warning twice, so the author of the rule has to
+	// state whether that is allowed.
 	if s.Kind == shed.KindService && !f.has("idempotent") {
 		f.fault("nothing says whether the service call may be repeated", "add `idempotent no`, or `idempotent yes` if it may")
 	}
--- a/internal/rules/explain.go
+++ b/internal/rules/explain.go
@@ -8,22 +8,21 @@
 	shed "jasmineshed"
 )
 
-// Line is one line of the rules file that decides about a subject.
+// Line is one line of the rules file that affects a subject.
 type Line struct {
 	shed.Origin
-	// Effect says what the line does to the subject.
+	// Effect is what the line does to the subject.
 	Effect string
 }
 
-// String gives the line as it is shown to operators.
+// String returns the line as it is shown to operators.
 func (l Line) String() string {
 	return fmt.Sprintf("line %d: %s (asked for by %s)", l.Line, l.Effect, l.RequestedBy)
 }
 
-// Explain lists the lines that decide about a subject, sorted by line. The
-// subject is the id of a pipeline, `pipeline/stage`, workspace, server, pool,
-// zone or supplier; one that several have gets the lines of all. No line means
-// that nothing has that id.
+// Explain lists the lines that affect a subject, sorted by line. The subject is the id of a
+// pipeline, `pipeline/stage`, workspace, server, pool, zone or supplier; an id shared by
+// several of them gets the lines of all. The result is empty if nothing has that id.
 func Explain(r *shed.Rules, subject string) []Line {
 	e := explainer{rules: r, seen: map[Line]bool{}}
 	if p := r.Pipelines[shed.PipelineID(subject)]; p != nil {
@@ -119,7 +118,7 @@
 	e.add(m.Origin, "model %s is of version %s", m.ID, m.Version)
 }
 
-// whyClosed names the lines that keep new work from a server.
+// whyClosed adds the lines because of which a server gets no new work.
 func (e *explainer) whyClosed(s *shed.Server) {
 	if s.Leaving {
 		e.add(s.Origin, "server %s is leaving and gets no new work", s.ID)
--- a/internal/rules/fault.go
+++ b/internal/rules/fault.go
@@ -6,9 +6,9 @@
 	"strings"
 )
 
-// Fault is one reason why a rules file is refused.
+// Fault is one reason why a rules file is rejected.
 type Fault struct {
-	// Line in the rules file, from 1; 0 if the fault is about the whole file.
+	// Line in the rules file, from 1; 0 if the fault concerns the whole file.
 	Line    int
 	Section string
 	Key     string
@@ -17,7 +17,7 @@
 	Mend string
 }
 
-// String gives the fault on one line.
+// String returns the fault on one line.
 func (f Fault) String() string {
 	var b strings.Builder
 	if f.Line > 0 {
@@ -33,11 +33,10 @@
 	return b.String()
 }
 
-// Faults is every fault of a rules file, sorted by line. An empty one means
-// that the file is accepted.
+// Faults are all faults of a rules file, sorted by line. If it is empty, the file is valid.
 type Faults []Fault
 
-// Error lists all faults, one a line.
+// Error lists all faults, one per line.
 func (f Faults) Error() string {
 	lines := make([]string, len(f))
 	for i, fault := range f {
--- a/internal/rules/field.go
+++ b/internal/rules/field.go
@@ -13,8 +13,8 @@
 
 const maxID = 64
 
-// isID and isHash are written out, since a large file has a hundred thousand
-// of them and a regular expression took a sixth of the time to read it.
+// isID and isHash are written out: a large file has a hundred thousand of them, and regular
+// expressions took a sixth of the time to read it.
 func isID(s string) bool {
 	if len(s) == 0 || len(s) > maxID {
 		return false
@@ -44,21 +44,21 @@
 
 const idFix = "use 1 to 64 letters, digits, dots, dashes, underscores or slashes"
 
-// fields reads the `name value` fields of one row and notes what is wrong with
-// them. Once all that a section knows were read, done refuses the rest.
+// fields reads the `name value` fields of one row and records their faults. Once all fields
+// known to a section were read, rejectUnknown reports the others.
 type fields struct {
 	row    row
 	list   []field
 	faults *Faults
 }
 
-// field is one `name value` of a row. Taken is set once it was read.
+// field is one `name value` of a row. Used is set once it was read.
 type field struct {
 	name, value string
 	used        bool
 }
 
-// maxUsual is how many fields a row usually has at the most.
+// usualFields is the usual maximum of fields in a row.
 const usualFields = 10
 
 func splitFields(r row, faults *Faults) *fields {
@@ -96,10 +96,10 @@
 	return nil
 }
 
-// has tells whether the row gives the field.
+// has reports whether the row has the field.
 func (f *fields) has(name string) bool { return f.find(name) != nil }
 
-// value returns a field's value; done does not refuse it any more.
+// value returns a field's value and marks it as used.
 func (f *fields) value(name string) (string, bool) {
 	found := f.find(name)
 	if found == nil {
@@ -113,7 +113,7 @@
 	return found.value, true
 }
 
-// required is take for a field that has to be there.
+// required is value for a field that must be present.
 func (f *fields) required(name string) (string, bool) {
 	value, ok := f.value(name)
 	if !f.has(name) {
@@ -122,7 +122,7 @@
 	return value, ok
 }
 
-// rejectUnknown refuses the fields that nobody took.
+// rejectUnknown reports the fields that were not used.
 func (f *fields) rejectUnknown(known ...string) {
 	for _, unused := range f.list {
 		if !unused.used {
@@ -131,7 +131,7 @@
 	}
 }
 
-// id reads an id that has to be there.
+// id reads a required id.
 func (f *fields) id(name string) string {
 	value, ok := f.required(name)
 	if !ok {
@@ -170,7 +170,7 @@
 	return list
 }
 
-// count reads a whole number within 1 and most; when 0 it has to be there.
+// count reads a whole number from 1 to limit; it is required if fallback is 0.
 func (f *fields) count(name string, fallback, limit int) int {
 	if !f.has(name) && fallback > 0 {
 		return fallback
@@ -191,14 +191,14 @@
 	return n
 }
 
-// price reads a number that is not negative; 1 if it is not there.
+// price reads a number that is not negative; 1 if it is missing.
 func (f *fields) price(name string, limit float64) float64 {
 	value, ok := f.value(name)
 	if !ok {
 		return 1
 	}
 	x, err := strconv.ParseFloat(value, 64)
-	// A NaN fails both comparisons, so the test asks for what is right.
+	// A NaN fails both comparisons, so the condition is the negation of the valid range.
 	if err != nil || !(x >= 0 && x <= limit) {
 		f.fault(fmt.Sprintf("%s %q is out of range", name, value), fmt.Sprintf("write a number from 0 to %g", limit))
 		return 1
@@ -206,7 +206,7 @@
 	return x
 }
 
-// yesNo reads yes or no; otherwise if it is not there.
+// yesNo reads yes or no; fallback if it is missing.
 func (f *fields) yesNo(name string, fallback bool) bool {
 	value, ok := f.value(name)
 	if !ok {
@@ -219,7 +219,7 @@
 	return value == "yes"
 }
 
-// duration reads a time within least and most.
+// duration reads a time from shortest to longest.
 func (f *fields) duration(name string, shortest, longest time.Duration) time.Duration {
 	value, ok := f.required(name)
 	if !ok {
@@ -234,7 +234,7 @@
 	return d
 }
 
-// baseURL reads the base URL of a server. Its host is an IP number: daemons ask no
+// baseURL reads the base URL of a server. Its host has to be an IP address: daemons use no
 // name service, so a name would fail only when the first call is sent.
 func (f *fields) baseURL(name string) string {
 	const fix = "write http://IP:PORT, with a path if the server needs one"
--- a/internal/rules/link.go
+++ b/internal/rules/link.go
@@ -9,11 +9,11 @@
 	shed "jasmineshed"
 )
 
-// link checks every reference between rules and joins what belongs together.
-// It goes through the rows in the order of the file, never through a map.
+// link checks all references between rules and resolves them. It adds faults in the order
+// of the rows, never in that of a map, so that their order is fixed.
 func (b *builder) link() {
-	// The faults so far may come from lines that a reference needs; what is
-	// found here is listed all the same, since it may be a fault of its own.
+	// Faults so far may concern lines that a reference needs; the faults found here are
+	// listed all the same, since they may be independent.
 	urls := map[string]row{}
 	tokens := map[string]row{}
 	for _, r := range b.rows {
@@ -39,8 +39,8 @@
 	b.checkNotEmpty()
 }
 
-// checkNotEmpty refuses a file that would stop everything: an empty one is far more
-// often a slip in publishing than a wish.
+// checkNotEmpty rejects a file that would stop all work: an empty one is far more often an
+// error in publishing than intended.
 func (b *builder) checkNotEmpty() {
 	if len(b.faults) > 0 {
 		return
@@ -53,7 +53,7 @@
 	}
 }
 
-// missingReference notes a reference to a rule that is not there. An empty id already
+// missingReference records a reference to a rule that doesn't exist. An empty id already
 // had a fault where it was read.
 func (b *builder) missingReference(r row, what, id, section string) {
 	if id == "" {
@@ -96,7 +96,7 @@
 	if s.URL == "" {
 		return
 	}
-	// Two names for one server would double what it is thought to bear cold.
+	// Two names for one server would double its assumed capacity while cold.
 	if other, duplicate := urls[s.URL]; duplicate {
 		b.fault(r, fmt.Sprintf("url is that of %s on line %d", other.key, other.Line), "keep one of the two servers")
 		return
@@ -131,7 +131,7 @@
 	}
 }
 
-// findStage finds the stage that the row gave, or nil if its key was refused.
+// findStage returns the stage of the row, or nil if its key was rejected.
 func (b *builder) findStage(r row) (stageName, *shed.Stage) {
 	for i := len(r.key) - 1; i > 0; i-- {
 		if r.key[i] != '/' {
@@ -179,7 +179,7 @@
 	}
 }
 
-// checkRunnable refuses a stage that no server could ever carry.
+// checkRunnable rejects a stage that no server could ever run.
 func (b *builder) checkRunnable(r row, s *shed.Stage) {
 	pool := b.rules.Pools[s.Pool]
 	if pool == nil {
--- a/internal/rules/memory.go
+++ b/internal/rules/memory.go
@@ -2,16 +2,15 @@
 
 import shed "jasmineshed"
 
-// Compiler compiles one revision after the other and remembers how the lines of
-// the last one read, so that a change of one line in a large file costs little.
-// Its verdicts are those of Parse: what a line says by itself depends on
-// nothing else. It is not safe for use by many goroutines.
+// Compiler compiles successive revisions and caches the parsed lines of the last one, so
+// that a change of one line in a large file costs little. Its results are those of Parse:
+// how a line is parsed depends on nothing else. It is not safe for concurrent use.
 type Compiler struct{ cache lineCache }
 
-// NewCompiler makes a Compiler that remembers nothing yet.
+// NewCompiler returns a Compiler with an empty cache.
 func NewCompiler() *Compiler { return &Compiler{} }
 
-// Compile is the function Compile, faster for a text much like the last one.
+// Compile works like the function Compile, but faster for a text similar to the last one.
 func (c *Compiler) Compile(text []byte, rev shed.Revision) (*shed.Rules, error) {
 	r, faults := parse(text, rev, &c.cache)
 	if len(faults) > 0 {
@@ -20,9 +19,9 @@
 	return r, nil
 }
 
-// lineCache holds how lines read. A nil one remembers nothing.
+// lineCache holds parsed lines. A nil cache stores nothing.
 type lineCache struct {
-	// last are the lines of the last text, now those of the one being read.
+	// last holds the lines of the last text, current those of the one being read.
 	last, current map[string]parsedLine
 }
 
@@ -47,7 +46,7 @@
 	m.current[string(line)] = p
 }
 
-// rotate forgets what the text just read did not have, so that the memory never
+// rotate drops the lines that the text just read did not contain, so that the cache never
 // holds more than one text.
 func (m *lineCache) rotate() {
 	if m == nil {
--- a/internal/rules/pack.go
+++ b/internal/rules/pack.go
@@ -14,36 +14,36 @@
 
 // Keys of the platform's configuration service.
 const (
-	// IndexKey holds the index of the parts.
+	// IndexKey is the key of the index of the parts.
 	IndexKey = "rules"
-	// PartKey followed by the hex SHA-256 of a part holds the part.
+	// PartKey followed by the hex SHA-256 of a part is the key of the part.
 	PartKey = "part-"
 )
 
-// Sizes of parts. A part ends after a line whose hash says so, so that a
-// changed line moves no other part's ends; the bounds hold whatever the lines.
+// Sizes of parts. A part ends after a line chosen by the line's hash, so that a changed
+// line moves no other part's end; the bounds hold for any content.
 const (
-	// MaxPart is the most bytes of a part: well below the platform's megabyte.
+	// MaxPart is the largest size of a part in bytes: well below the platform's limit of 1 MB.
 	MaxPart = 64 << 10
 	minPart = 4 << 10
-	// endInterval: one line in so many ends a part.
+	// endInterval: one line in this many may end a part.
 	endInterval = 64
-	// maxParts bounds what an index may list.
+	// maxParts bounds the length of an index.
 	maxParts = 4096
 )
 
-// The ways in which packed rules are refused.
+// Errors of packed rules.
 var (
 	ErrIndex = errors.New("index of the rules can't be read")
 	ErrPart  = errors.New("part of the rules is missing or not what its hash says")
 )
 
-// packedIndex is the index as the platform holds it.
+// packedIndex is the index as stored by the platform.
 type packedIndex struct {
 	Parts []string `json:"parts"`
 }
 
-// Pack cuts the text into parts and makes the index that lists them.
+// Pack splits the text into parts and returns the index that lists them.
 func Pack(text []byte) (index []byte, parts map[shed.PartHash][]byte) {
 	list := packedIndex{Parts: []string{}}
 	parts = map[shed.PartHash][]byte{}
@@ -60,12 +60,12 @@
 	return index, parts
 }
 
-// PartName is the platform's key of a part.
+// PartName returns the platform's key of a part.
 func PartName(hash shed.PartHash) string {
 	return PartKey + hex.EncodeToString(hash[:])
 }
 
-// split splits the text at line ends chosen by their lines' content.
+// split splits the text at line ends chosen by the content of the lines.
 func split(text []byte) [][]byte {
 	var parts [][]byte
 	start := 0
@@ -97,7 +97,7 @@
 	return h.Sum32()%endInterval == 0
 }
 
-// ParseIndex reads the value of IndexKey.
+// ParseIndex parses the value of IndexKey.
 func ParseIndex(rev shed.Revision, data []byte) (shed.ConfigIndex, error) {
 	dec := json.NewDecoder(bytes.NewReader(data))
 	dec.DisallowUnknownFields()
@@ -119,8 +119,7 @@
 	return index, nil
 }
 
-// Join puts the text together again. Each part must be what its hash says, so
-// a text is whole or there is none.
+// Join reassembles the text. It fails unless all parts are present and match their hashes.
 func Join(index shed.ConfigIndex, parts map[shed.PartHash][]byte) ([]byte, error) {
 	size := 0
 	for i, hash := range index.Parts {
--- a/internal/rules/row.go
+++ b/internal/rules/row.go
@@ -20,7 +20,7 @@
 	maxComment = 200
 )
 
-// row is one rule as it stands in the file.
+// row is one rule as it is written in the file.
 type row struct {
 	shed.Origin
 	section string
@@ -28,12 +28,12 @@
 	value   string
 }
 
-// readRows reads the text into rows, in the order of the file.
+// readRows splits the text into rows, in the order of the file.
 //
-// The library reads each line by itself. It keeps no line numbers, stops at the
-// first line that it can't read, lets a later duplicate overwrite an earlier
-// one and lets a quoted value run on over many lines; line by line, every fault
-// is found and has its number, and no value can swallow its neighbours.
+// The INI library parses each line separately. It keeps no line numbers, stops at the first
+// line that it can't read, lets a later duplicate overwrite an earlier one and lets a quoted
+// value continue over many lines; line by line, every fault is found and has its number, and
+// no value can include the lines after it.
 func readRows(text []byte, cache *lineCache) ([]row, Faults) {
 	if len(text) > maxText {
 		return nil, Faults{{
@@ -56,14 +56,14 @@
 	return rd.rows, rd.faults
 }
 
-// reader goes through the lines of a file.
+// reader reads the lines of a file.
 type reader struct {
 	rows   []row
 	faults Faults
 	// section that the next line belongs to.
 	section string
-	// skip is set below a section header with a fault, so that one bad header
-	// does not bring a fault for each of its lines.
+	// skip is true below a section header with a fault, so that one bad header doesn't cause
+	// a fault for each of its lines.
 	skip  bool
 	cache *lineCache
 }
@@ -86,7 +86,7 @@
 	switch {
 	case p.reason != "":
 		rd.fault(n, "", p.reason, p.fix)
-		// Below a header gone wrong nobody knows which section is meant.
+		// The section of the lines below a malformed header is unknown.
 		rd.skip = rd.skip || line[0] == '['
 	case p.isHeader:
 		rd.addHeader(n, p.key)
@@ -95,8 +95,8 @@
 	}
 }
 
-// parsedLine is what one line says by itself: a fault, a header, a rule or, with no
-// key, nothing.
+// parsedLine is the result for one line: a fault, a header, a rule or, without a key,
+// nothing.
 type parsedLine struct {
 	reason, fix string
 	isHeader    bool
@@ -131,8 +131,8 @@
 	}
 }
 
-// iniOptions keep the library from joining lines and from giving meaning to
-// characters that URLs need.
+// iniOptions keep the library from joining lines and from interpreting characters that URLs
+// need.
 var iniOptions = ini.LoadOptions{
 	IgnoreContinuation:  true,
 	KeyValueDelimiters:  "=",
@@ -140,7 +140,7 @@
 	UnparseableSections: nil,
 }
 
-// checkLine says why a line can't be given to the library, or nothing.
+// checkLine returns why a line can't be passed to the library, or "".
 func checkLine(line []byte) (reason, fix string) {
 	if len(line) > maxLine {
 		return fmt.Sprintf("the line has %d bytes", len(line)), fmt.Sprintf("keep lines within %d bytes", maxLine)
@@ -190,8 +190,8 @@
 	if len(asked) > maxComment {
 		rd.fault(n, name, fmt.Sprintf("the comment has %d bytes", len(asked)), fmt.Sprintf("keep it within %d bytes", maxComment))
 	}
-	// A rule without its comment is refused but still read, so that the rules
-	// that refer to it bring no faults of their own.
+	// A rule without its comment is reported but still read, so that rules that refer to it
+	// cause no faults of their own.
 	rd.rows = append(rd.rows, row{
 		Origin:  shed.Origin{Line: n, RequestedBy: asked},
 		section: rd.section,
--- a/internal/rules/rules.go
+++ b/internal/rules/rules.go
@@ -1,8 +1,8 @@
-// Package rules turns the text of the operators' rules file into shed.Rules.
+// Package rules compiles the text of the operators' rules file into shed.Rules.
 //
-// The file is INI, one rule a line, and each line ends in a comment that names
-// who asked for it. Parse is the one judge of such a file: the command line and
-// every daemon use it, so the same text gets the same verdict everywhere.
+// The file is INI with one rule per line; each line ends in a comment that names who
+// requested it. The command line and every daemon validate such a file with Parse, so the
+// same text gets the same result everywhere.
 package rules
 
 import (
@@ -22,9 +22,8 @@
 	sectionLimits     = "limits"
 )
 
-// Parse compiles the text of a rules file. If it has any fault, the rules are
-// nil and the faults list every one of them, sorted by line. The verdict
-// depends on nothing but the text.
+// Parse compiles the text of a rules file. If it has any fault, the rules are nil and all
+// faults are returned, sorted by line. The result depends on nothing but the text.
 func Parse(text []byte, rev shed.Revision) (*shed.Rules, Faults) {
 	return parse(text, rev, nil)
 }
@@ -42,7 +41,7 @@
 	return b.rules, nil
 }
 
-// Compile is Parse for callers that want a plain error; it is a Faults.
+// Compile is Parse for callers that need an error; it is a Faults.
 func Compile(text []byte, rev shed.Revision) (*shed.Rules, error) {
 	r, faults := Parse(text, rev)
 	if len(faults) > 0 {
--- a/internal/rules/rules_test.go
+++ b/internal/rules/rules_test.go
@@ -54,7 +54,7 @@
 	require.Equal(t, "http://127.0.0.1:9001", r.Servers["gen-a-1"].URL)
 }
 
-// edited is the small file with one piece changed.
+// edited returns the small file with one piece replaced.
 func edited(t *testing.T, from, to string) []byte {
 	t.Helper()
 	require.Contains(t, small, from)
@@ -190,7 +190,7 @@
 	}
 }
 
-// FuzzParse gives random bytes to all that reads what others wrote.
+// FuzzParse passes random bytes to everything that parses external input.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(small))
 	for _, name := range sample.Names() {
