--- a/internal/prefs/docs.go
+++ b/internal/prefs/docs.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-const docsHead = `# Settings of a daemon
+const docsHeader = `# Settings of a daemon
 
 Settings are an INI file, named by ` + "`--settings`" + `. An option that the file leaves
 out has its default. Every fault is told at once, each with section, key and
@@ -19,7 +19,7 @@
 // WriteDocs prints the page on all options, in Markdown.
 func WriteDocs(w io.Writer) error {
 	var b strings.Builder
-	b.WriteString(docsHead)
+	b.WriteString(docsHeader)
 	p := Defaults()
 	for i := range sections {
 		writeSection(&b, p, &sections[i])
@@ -39,11 +39,11 @@
 	b.WriteString("\n| option | unit | default | bounds | meaning |\n|---|---|---|---|---|\n")
 	for i := range s.options {
 		o := &s.options[i]
-		fmt.Fprintf(b, "| `%s` | %s | %s | %s | %s |\n", o.key, o.unit, quoted(o.text(p)), o.bounds(), o.doc)
+		fmt.Fprintf(b, "| `%s` | %s | %s | %s | %s |\n", o.key, o.unit, quoteValue(o.text(p)), o.bounds(), o.doc)
 	}
 }
 
-func quoted(text string) string {
+func quoteValue(text string) string {
 	if text == "" {
 		return "empty"
 	}
@@ -68,7 +68,7 @@
 	if arg != "" {
 		bounds = "one of " + strings.Join(strings.Fields(arg), ", ")
 	}
-	if o.empty {
+	if o.allowEmpty {
 		bounds += ", or empty"
 	}
 	return bounds
--- a/internal/prefs/option.go
+++ b/internal/prefs/option.go
@@ -12,10 +12,10 @@
 	min, max     string
 	// check is the name of the check on the text, with its argument after "=".
 	check string
-	// empty: the option may be left empty, and is then not checked.
-	empty bool
-	// at is the path of the field in Prefs.
-	at []int
+	// allowEmpty: the option may be left empty, and is then not checked.
+	allowEmpty bool
+	// index is the path of the field in Prefs.
+	index []int
 }
 
 // section is a group of options.
@@ -25,37 +25,37 @@
 }
 
 // sections are all options in the order of the struct.
-var sections = describe(reflect.TypeOf(Prefs{}))
+var sections = describeSections(reflect.TypeOf(Prefs{}))
 
-func describe(t reflect.Type) []section {
-	var all []section
+func describeSections(t reflect.Type) []section {
+	var list []section
 	for i := range t.NumField() {
 		f := t.Field(i)
 		s := section{name: f.Tag.Get("ini"), doc: f.Tag.Get("doc")}
 		for j := range f.Type.NumField() {
 			s.options = append(s.options, describeOption(s.name, f.Type.Field(j), []int{i, j}))
 		}
-		all = append(all, s)
+		list = append(list, s)
 	}
-	return all
+	return list
 }
 
-func describeOption(section string, f reflect.StructField, at []int) option {
-	check, rest, _ := strings.Cut(f.Tag.Get("check"), ",")
+func describeOption(section string, f reflect.StructField, index []int) option {
+	check, modifier, _ := strings.Cut(f.Tag.Get("check"), ",")
 	return option{
-		section: section,
-		key:     f.Tag.Get("ini"),
-		unit:    f.Tag.Get("unit"),
-		doc:     f.Tag.Get("doc"),
-		min:     f.Tag.Get("min"),
-		max:     f.Tag.Get("max"),
-		check:   check,
-		empty:   rest == "empty",
-		at:      at,
+		section:    section,
+		key:        f.Tag.Get("ini"),
+		unit:       f.Tag.Get("unit"),
+		doc:        f.Tag.Get("doc"),
+		min:        f.Tag.Get("min"),
+		max:        f.Tag.Get("max"),
+		check:      check,
+		allowEmpty: modifier == "empty",
+		index:      index,
 	}
 }
 
 // field of p that holds the option.
 func (o *option) field(p *Prefs) reflect.Value {
-	return reflect.ValueOf(p).Elem().FieldByIndex(o.at)
+	return reflect.ValueOf(p).Elem().FieldByIndex(o.index)
 }
--- a/internal/prefs/parse.go
+++ b/internal/prefs/parse.go
@@ -51,10 +51,10 @@
 	p := Defaults()
 	var faults []error
 	for _, s := range file.Sections() {
-		faults = append(faults, take(p, s)...)
+		faults = append(faults, applySection(p, s)...)
 	}
 	if len(faults) == 0 {
-		faults = p.check()
+		faults = p.checkCombinations()
 	}
 	if len(faults) > 0 {
 		return nil, errors.Join(faults...)
@@ -62,10 +62,10 @@
 	return p, nil
 }
 
-// take puts one section of the file into p.
-func take(p *Prefs, s *ini.Section) []error {
-	known := slices.IndexFunc(sections, func(k section) bool { return k.name == s.Name() })
-	if known < 0 {
+// applySection puts one section of the file into p.
+func applySection(p *Prefs, s *ini.Section) []error {
+	index := slices.IndexFunc(sections, func(k section) bool { return k.name == s.Name() })
+	if index < 0 {
 		if s.Name() == ini.DefaultSection && len(s.Keys()) == 0 {
 			return nil
 		}
@@ -73,16 +73,16 @@
 	}
 	var faults []error
 	for _, k := range s.Keys() {
-		if err := takeKey(p, sections[known].options, k); err != nil {
+		if err := applyKey(p, sections[index].options, k); err != nil {
 			faults = append(faults, Fault{Section: s.Name(), Key: k.Name(), Reason: err.Error()})
 		}
 	}
 	return faults
 }
 
-func takeKey(p *Prefs, options []option, k *ini.Key) error {
-	at := slices.IndexFunc(options, func(o option) bool { return o.key == k.Name() })
-	if at < 0 {
+func applyKey(p *Prefs, options []option, k *ini.Key) error {
+	i := slices.IndexFunc(options, func(o option) bool { return o.key == k.Name() })
+	if i < 0 {
 		return errors.New("unknown key")
 	}
 	values := k.ValueWithShadows()
@@ -90,13 +90,13 @@
 		return errors.New("given more than once")
 	}
 	if len(values) == 0 {
-		return options[at].set(p, "")
+		return options[i].set(p, "")
 	}
-	return options[at].set(p, strings.TrimSpace(values[0]))
+	return options[i].set(p, strings.TrimSpace(values[0]))
 }
 
-// check finds what is wrong between options.
-func (p *Prefs) check() []error {
+// checkCombinations finds what is wrong between options.
+func (p *Prefs) checkCombinations() []error {
 	var faults []error
 	fault := func(section, key, reason string) {
 		faults = append(faults, Fault{Section: section, Key: key, Reason: reason})
--- a/internal/prefs/value.go
+++ b/internal/prefs/value.go
@@ -20,7 +20,7 @@
 
 // oddCharacters mean something to INI itself; a value with one could not be
 // shown so that it reads back the same.
-var oddCharacters = regexp.MustCompile("[\\x00-\\x1f\\x7f\"'`;#\\\\]")
+var reservedCharacters = regexp.MustCompile("[\\x00-\\x1f\\x7f\"'`;#\\\\]")
 
 // set writes text into the field after its checks.
 func (o *option) set(p *Prefs, text string) error {
@@ -28,7 +28,7 @@
 	if f.Kind() == reflect.Slice {
 		return o.setList(f, text)
 	}
-	v, err := o.value(f.Type(), text)
+	v, err := o.parse(f.Type(), text)
 	if err != nil {
 		return err
 	}
@@ -52,8 +52,8 @@
 	return nil
 }
 
-// value turns text into a value of type t, within the option's bounds.
-func (o *option) value(t reflect.Type, text string) (reflect.Value, error) {
+// parse turns text into a value of type t, within the option's bounds.
+func (o *option) parse(t reflect.Type, text string) (reflect.Value, error) {
 	v, err := convert(t, text)
 	if err != nil {
 		return v, err
@@ -121,10 +121,10 @@
 }
 
 func (o *option) checkText(text string) error {
-	if text == "" && (o.empty || o.check == "") {
+	if text == "" && (o.allowEmpty || o.check == "") {
 		return nil
 	}
-	if oddCharacters.MatchString(text) || !utf8.ValidString(text) {
+	if reservedCharacters.MatchString(text) || !utf8.ValidString(text) {
 		return fmt.Errorf("%q holds quotes, a backslash, ; # or characters that can't be printed", text)
 	}
 	name, arg, _ := strings.Cut(o.check, "=")
