--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -16,12 +16,12 @@
 
 // Defaults of Config.
 const (
-	defaultWatchers  = 3
-	defaultFanout    = 4
-	defaultFreshFor  = 3 * time.Second
-	defaultWatchFor  = 500 * time.Millisecond
-	defaultStartWait = time.Second
-	defaultColdSpan  = 150 * time.Millisecond
+	defaultWatchers        = 3
+	defaultFanout          = 4
+	defaultConfirmationTTL = 3 * time.Second
+	defaultWatchTimeout    = 500 * time.Millisecond
+	defaultStartWait       = time.Second
+	defaultColdReadSpread  = 150 * time.Millisecond
 )
 
 // Config builds a State.
@@ -58,16 +58,16 @@
 		c.Fanout = defaultFanout
 	}
 	if c.FreshFor == 0 {
-		c.FreshFor = defaultFreshFor
+		c.FreshFor = defaultConfirmationTTL
 	}
 	if c.WatchFor == 0 {
-		c.WatchFor = defaultWatchFor
+		c.WatchFor = defaultWatchTimeout
 	}
 	if c.StartWait == 0 {
 		c.StartWait = defaultStartWait
 	}
 	if c.ColdSpan == 0 {
-		c.ColdSpan = defaultColdSpan
+		c.ColdSpan = defaultColdReadSpread
 	}
 	return c
 }
--- a/internal/config/state_test.go
+++ b/internal/config/state_test.go
@@ -25,10 +25,10 @@
 // check is the oracle: it knows what was published and when, and which revision each
 // daemon has in force, and nothing of how they got it.
 func (s *sim) check(t require.TestingT) {
-	expected, good := s.newest(s.now.Add(-defaultFreshFor))
+	expected, good := s.newest(s.now.Add(-defaultConfirmationTTL))
 	// While the platform is stale, or its newest revision is invalid, no daemon can know
 	// how old its own is.
-	knowable := !s.stale && good && !s.shortLived(expected) && s.now.Sub(s.lastStale) > 2*defaultFreshFor
+	knowable := !s.stale && good && !s.shortLived(expected) && s.now.Sub(s.lastStale) > 2*defaultConfirmationTTL
 	for _, n := range s.nodes {
 		rev := n.inForce()
 		fresh := n.state.Fresh(s.now)
