--- a/internal/prefs/docs.go
+++ b/internal/prefs/docs.go
@@ -50,7 +50,7 @@
 	return "`" + text + "`"
 }
 
-// checkDocs tell what a check on a text wants.
+// checkDocs describe what a check on a text requires.
 var checkDocs = map[string]string{
 	"address": "an IP number and a port above 0",
 	"listen":  "an IP number and a port",
--- a/internal/prefs/option.go
+++ b/internal/prefs/option.go
@@ -5,14 +5,14 @@
 	"strings"
 )
 
-// option is one setting, as the tags of its field describe it.
+// option is one setting, as described by the tags of its field.
 type option struct {
 	section, key string
 	unit, doc    string
 	min, max     string
 	// check is the name of the check on the text, with its argument after "=".
 	check string
-	// allowEmpty: the option may be left empty, and is then not checked.
+	// allowEmpty is true if the option may be empty, and is then not checked.
 	allowEmpty bool
 	// index is the path of the field in Prefs.
 	index []int
@@ -24,7 +24,7 @@
 	options   []option
 }
 
-// sections are all options in the order of the struct.
+// sections lists all options in the order of the struct.
 var sections = describeSections(reflect.TypeOf(Prefs{}))
 
 func describeSections(t reflect.Type) []section {
@@ -55,7 +55,7 @@
 	}
 }
 
-// field of p that holds the option.
+// field returns the field of p that holds the option.
 func (o *option) field(p *Prefs) reflect.Value {
 	return reflect.ValueOf(p).Elem().FieldByIndex(o.index)
 }
--- a/internal/prefs/parse.go
+++ b/internal/prefs/parse.go
@@ -11,14 +11,14 @@
 	"gopkg.in/ini.v1"
 )
 
-// Fault is one wrong setting.
+// Fault is one invalid setting.
 type Fault struct {
-	// Section and Key name the setting; Key is empty if the section is wrong.
+	// Section and Key name the setting; Key is empty if the section is invalid.
 	Section, Key string
 	Reason       string
 }
 
-// Error gives section, key and reason.
+// Error returns section, key and reason.
 func (f Fault) Error() string {
 	if f.Key == "" {
 		return fmt.Sprintf("[%s]: %s", f.Section, f.Reason)
@@ -26,8 +26,8 @@
 	return fmt.Sprintf("[%s] %s: %s", f.Section, f.Key, f.Reason)
 }
 
-// Load reads the settings in the file at path. The error joins all faults; each
-// one is a Fault, unless the file can't be read or is no INI.
+// Load reads the settings in the file at path. The error joins all faults; each one is a
+// Fault, unless the file can't be read or is not INI.
 func Load(path string) (*Prefs, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -40,9 +40,9 @@
 	return p, nil
 }
 
-// Parse reads the settings in text; see Load for the error.
+// Parse parses the settings in text; see Load for the error.
 func Parse(text string) (*Prefs, error) {
-	// Shadows keep a doubled key, which would else win without a word.
+	// Shadows keep a duplicate key, which would otherwise override the first one silently.
 	opts := ini.LoadOptions{AllowShadows: true, AllowDuplicateShadowValues: true}
 	file, err := ini.LoadSources(opts, []byte(text))
 	if err != nil {
@@ -62,7 +62,7 @@
 	return p, nil
 }
 
-// applySection puts one section of the file into p.
+// applySection applies one section of the file to p.
 func applySection(p *Prefs, s *ini.Section) []error {
 	index := slices.IndexFunc(sections, func(k section) bool { return k.name == s.Name() })
 	if index < 0 {
@@ -95,7 +95,7 @@
 	return options[i].set(p, strings.TrimSpace(values[0]))
 }
 
-// checkCombinations finds what is wrong between options.
+// checkCombinations checks the options against each other.
 func (p *Prefs) checkCombinations() []error {
 	var faults []error
 	fault := func(section, key, reason string) {
@@ -123,7 +123,7 @@
 	return faults
 }
 
-// Show prints the settings in force, as a file that Parse takes.
+// Show prints the settings in force, as a file that Parse accepts.
 func Show(w io.Writer, p *Prefs) error {
 	for i := range sections {
 		s := &sections[i]
--- a/internal/prefs/prefs.go
+++ b/internal/prefs/prefs.go
@@ -1,8 +1,7 @@
 // Package prefs holds the settings of one daemon, which are written in INI.
 //
-// Each option is one field: its tags give the key, the unit, the check and the
-// text for the docs, so the parser, the printed settings and docs/options.md
-// can't drift apart.
+// Each option is one field whose tags give the key, the unit, the check and the text for
+// the docs, so the parser, the printed settings and docs/options.md can't differ.
 package prefs
 
 import (
@@ -24,7 +23,7 @@
 	Faults   Faults   `ini:"faults" doc:"Faults for tests, never for a fleet that serves."`
 }
 
-// Node says who the daemon is.
+// Node identifies the daemon.
 type Node struct {
 	Peer      string   `ini:"peer" unit:"ip:port" check:"listen" doc:"Address to listen on for peers."`
 	Advertise string   `ini:"advertise" unit:"ip:port" check:"address,empty" doc:"Address that peers use to reach this daemon; empty takes that of peer."`
@@ -32,14 +31,14 @@
 	Seeds     []string `ini:"seeds" unit:"ip:port, ..." check:"address,empty" doc:"Peer addresses to ask first, in and out of the zone."`
 }
 
-// Listen says where callers and operators reach the daemon.
+// Listen holds the addresses for callers and operators.
 type Listen struct {
 	Callers   string `ini:"callers" unit:"ip:port" check:"listen" doc:"Callers' HTTP listener."`
 	Operators string `ini:"operators" unit:"ip:port" check:"listen" doc:"Operators' HTTP listener: status, metrics, explain."`
 	Profile   bool   `ini:"profile" unit:"true or false" doc:"Serve runtime profiles at /debug/pprof on the operators' listener."`
 }
 
-// Platform says how to read from the platform.
+// Platform configures reads from the platform.
 type Platform struct {
 	URL         string        `ini:"url" unit:"URL" check:"url" doc:"Base URL of the platform's configuration service."`
 	Watch       time.Duration `ini:"watch" unit:"duration" min:"100ms" max:"2s" doc:"Longest time that one watch waits for a change. An answer also confirms the configuration, which counts for 3 s."`
@@ -47,7 +46,7 @@
 	ReadTimeout time.Duration `ini:"read_timeout" unit:"duration" min:"10ms" max:"1m" doc:"Longest time for one read; a watch has this beyond its wait. In the relay it bounds the silence in a read, not the whole."`
 }
 
-// Limits bound what one daemon takes in.
+// Limits bound the load that one daemon accepts.
 type Limits struct {
 	HeaderBytes    int           `ini:"header_bytes" unit:"bytes" min:"1024" max:"1048576" doc:"Largest header of a call."`
 	BodyBytes      int64         `ini:"body_bytes" unit:"bytes" min:"1024" max:"1073741824" doc:"Largest body of a call."`
@@ -74,7 +73,7 @@
 	Reload     time.Duration `ini:"reload" unit:"duration" min:"1s" max:"24h" doc:"How often the files are looked at for a change."`
 }
 
-// Trace says where spans go.
+// Trace configures the export of spans.
 type Trace struct {
 	Exporter string  `ini:"exporter" unit:"none, file or otlp" check:"one_of=none file otlp" doc:"Where spans are sent."`
 	File     string  `ini:"file" unit:"file" check:"file,empty" doc:"File for the exporter file; JSON lines."`
@@ -82,7 +81,7 @@
 	Ratio    float64 `ini:"ratio" unit:"0 to 1" min:"0" max:"1" doc:"Share of traces kept that start here."`
 }
 
-// Log says what is logged.
+// Log configures logging.
 type Log struct {
 	Level string `ini:"level" unit:"debug, info, warning or error" check:"one_of=debug info warning error" doc:"Least severity that is written."`
 }
@@ -93,7 +92,7 @@
 	Drain  time.Duration `ini:"drain" unit:"duration" min:"1s" max:"1h" doc:"Longest time for requests in flight to end after that."`
 }
 
-// Relay sets up a daemon that passes requests on unread.
+// Relay configures a daemon that forwards requests without interpreting them.
 type Relay struct {
 	Ready       string        `ini:"ready" unit:"ip:port" check:"listen" doc:"Listener for the balancer's question whether this VM takes requests: 200 or 503 on any path."`
 	Watch       time.Duration `ini:"watch" unit:"duration" min:"100ms" max:"30s" doc:"Longest time that one watch of the store waits for a change. A connection that went silent is noticed after this and read_timeout of [platform]."`
@@ -111,21 +110,21 @@
 	Without     []string      `ini:"without" unit:"names" check:"one_of=late_start kv_fetch urgent_reserve,empty" doc:"Decisions to leave out, for experiments: late_start makes results that nothing but the request needs when its longest path is nearly done; kv_fetch lets engines fetch shared parts of prompts from each other; urgent_reserve keeps room in queues for more urgent routes."`
 }
 
-// What Relay.Without may name.
+// Values of Relay.Without.
 const (
 	LateStart     = "late_start"
 	KVFetch       = "kv_fetch"
 	UrgentReserve = "urgent_reserve"
 )
 
-// Has tells whether a decision is taken: whether Without doesn't name it.
+// Has reports whether an optional decision is enabled, that is not named by Without.
 func (r *Relay) Has(decision string) bool { return !slices.Contains(r.Without, decision) }
 
-// Faults are for tests. There are none to set: the section is known, so that a
-// key in it is refused by name rather than as a wrong section.
+// Faults are for tests. The section has no options: it is known only so that a key in it is
+// rejected by name rather than as part of an unknown section.
 type Faults struct{}
 
-// Defaults are the settings of an option that the file leaves out.
+// Defaults returns the settings of an empty file.
 func Defaults() *Prefs {
 	return &Prefs{
 		Node:   Node{Peer: "127.0.0.1:7401", Zone: "local"},
@@ -163,7 +162,7 @@
 	}
 }
 
-// Reach is the address at which peers reach this daemon.
+// Reach returns the address at which peers reach this daemon.
 func (n *Node) Reach() string {
 	if n.Advertise != "" {
 		return n.Advertise
--- a/internal/prefs/prefs_test.go
+++ b/internal/prefs/prefs_test.go
@@ -111,8 +111,7 @@
 	require.ErrorContains(t, err, path)
 }
 
-// Each option needs what the page on options prints, and bounds where it has a
-// number.
+// Each option needs what the page on options prints, and bounds if it is a number.
 func TestOptionsAreDescribed(t *testing.T) {
 	for _, s := range sections {
 		require.NotEmpty(t, s.name)
@@ -137,8 +136,8 @@
 	g.Assert(t, "options", b.Bytes())
 }
 
-// No text may bring the parser down, and what it takes must read back the same
-// from what Show prints.
+// No text may crash the parser, and settings that it accepts must read back the same from
+// what Show prints.
 func FuzzParse(f *testing.F) {
 	f.Add("")
 	f.Add("[node]\nseeds = 192.0.2.1:1, 192.0.2.2:2\n")
--- a/internal/prefs/value.go
+++ b/internal/prefs/value.go
@@ -18,11 +18,11 @@
 
 var namePattern = regexp.MustCompile(`^[A-Za-z0-9._-]{1,64}$`)
 
-// oddCharacters mean something to INI itself; a value with one could not be
-// shown so that it reads back the same.
+// reservedCharacters have a meaning in INI itself; a value with one could not be printed so
+// that it reads back the same.
 var reservedCharacters = regexp.MustCompile("[\\x00-\\x1f\\x7f\"'`;#\\\\]")
 
-// set writes text into the field after its checks.
+// set checks text and writes it into the field.
 func (o *option) set(p *Prefs, text string) error {
 	f := o.field(p)
 	if f.Kind() == reflect.Slice {
@@ -52,7 +52,7 @@
 	return nil
 }
 
-// parse turns text into a value of type t, within the option's bounds.
+// parse converts text into a value of type t, within the option's bounds.
 func (o *option) parse(t reflect.Type, text string) (reflect.Value, error) {
 	v, err := convert(t, text)
 	if err != nil {
@@ -72,7 +72,7 @@
 	if err != nil {
 		return v, err
 	}
-	// A negated test, so that a NaN fails it as well.
+	// The condition is negated, so that a NaN fails it as well.
 	if !atLeast(v, low) || !atLeast(high, v) {
 		return v, fmt.Errorf("%s is not within %s to %s", text, o.min, o.max)
 	}
@@ -147,8 +147,8 @@
 	return nil
 }
 
-// checkAddress takes IP numbers only: a name would need a resolver, which may
-// be cut off just when a daemon has to come up.
+// checkAddress accepts IP addresses only: a name would need a resolver, which may be
+// unreachable just when a daemon has to start.
 func checkAddress(text string, listen bool) error {
 	a, err := netip.ParseAddrPort(text)
 	if err != nil {
@@ -174,7 +174,7 @@
 	return nil
 }
 
-// text of the field's value, as it stands in a file.
+// text returns the field's value as it is written in a file.
 func (o *option) text(p *Prefs) string {
 	f := o.field(p)
 	if list, ok := f.Interface().([]string); ok {
