--- a/internal/config/fault_test.go
+++ b/internal/config/fault_test.go
@@ -87,11 +87,11 @@
 // Each daemon pulls in vain and still has to apply the next valid revision in time.
 func TestForgedClaimsDoNotBlock(t *testing.T) {
 	s := settled(t, 5, 3, 3, 4)
-	liar := s.nodes[0]
+	faulty := s.nodes[0]
 	for i := range 200 {
 		s.after(time.Duration(i)*50*time.Millisecond, func() {
 			for _, n := range s.nodes[1:] {
-				s.forge(liar, n)
+				s.forge(faulty, n)
 			}
 		})
 	}
--- a/internal/config/read.go
+++ b/internal/config/read.go
@@ -12,8 +12,8 @@
 	fullReadTimeout     = 10 * time.Second
 	readTTL             = 20 * time.Second
 	readRetry           = 250 * time.Millisecond
-	readMaxRetry        = 4 * time.Second
-	readMinGap          = 50 * time.Millisecond
+	maxReadRetry        = 4 * time.Second
+	minReadGap          = 50 * time.Millisecond
 	maxReads            = 4
 	maxReadBackoffShift = 4
 	// settleTime is how long after an invalid revision the platform's answers confirm
@@ -158,7 +158,7 @@
 	}
 	s.reads.fails = 0
 	if s.topology.level == 0 {
-		s.reads.nextRead = now.Add(readMinGap)
+		s.reads.nextRead = now.Add(minReadGap)
 	}
 	out := s.evaluate(now, ev)
 	if expected && ev.Index.Revision == s.newest() && !sent.Before(s.reads.settledAt) {
@@ -176,7 +176,7 @@
 	s.counts.ReadErrors++
 	wait := readRetry << min(s.reads.fails, maxReadBackoffShift)
 	s.reads.fails++
-	s.reads.nextRead = now.Add(s.jitter(min(wait, readMaxRetry)))
+	s.reads.nextRead = now.Add(s.jitter(min(wait, maxReadRetry)))
 	return nil
 }
 
--- a/internal/rules/explain.go
+++ b/internal/rules/explain.go
@@ -29,7 +29,7 @@
 		e.pipeline(p)
 	}
 	for _, p := range r.Pipelines {
-		e.stageOf(p, subject)
+		e.matchingStage(p, subject)
 	}
 	if w := r.Workspaces[shed.WorkspaceID(subject)]; w != nil {
 		e.workspace(w)
@@ -80,7 +80,7 @@
 	}
 }
 
-func (e *explainer) stageOf(p *shed.Pipeline, subject string) {
+func (e *explainer) matchingStage(p *shed.Pipeline, subject string) {
 	for i := range p.Stages {
 		if string(p.ID)+"/"+string(p.Stages[i].ID) == subject {
 			e.add(p.Origin, "pipeline %s answers within %s", p.ID, p.Deadline)
