--- a/internal/config/read.go
+++ b/internal/config/read.go
@@ -23,8 +23,8 @@
 
 // reads is the state of the daemon's reads of the platform.
 type reads struct {
-	// sent holds the reads since the last time none was unanswered, oldest first; at most
-	// maxReads. Answered counts the answers to them.
+	// sent holds the reads since all were last answered, oldest first; at most maxReads.
+	// Answered counts the answers to them.
 	sent     []sentRead
 	answered int
 	// nextRead is the earliest time of the next read.
