--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -32,22 +32,22 @@
 	Compile func(text []byte, rev shed.Revision) (*shed.Rules, error)
 	// Seed of the package's random choices.
 	Seed uint64
-	// Seeds is the number of peer addresses in the settings. If it is above 0, a daemon
+	// SeedPeers is the number of peer addresses in the settings. If it is above 0, a daemon
 	// that sees no peer yet waits longer before it reads the whole configuration itself.
-	Seeds int
+	SeedPeers int
 	// Watchers is how many daemons of a zone watch the platform.
 	Watchers int
 	// Fanout is the number of children of each daemon in its zone's tree.
 	Fanout int
-	// FreshFor is how long after a confirmation the revision counts as fresh.
-	FreshFor time.Duration
-	// WatchFor is the longest time that one watch of the platform waits for a change.
-	WatchFor time.Duration
+	// ConfirmationTTL is how long after a confirmation the revision counts as fresh.
+	ConfirmationTTL time.Duration
+	// WatchTimeout is the longest time that one watch of the platform waits for a change.
+	WatchTimeout time.Duration
 	// StartWait bounds how long a starting daemon waits for its peers' answers.
 	StartWait time.Duration
-	// ColdSpan, multiplied by the number of zones, is the time over which the zones' first
+	// ColdReadSpread, multiplied by the number of zones, is the time over which the zones' first
 	// whole reads spread when no daemon has a configuration.
-	ColdSpan time.Duration
+	ColdReadSpread time.Duration
 }
 
 func (c Config) withDefaults() Config {
@@ -57,17 +57,17 @@
 	if c.Fanout == 0 {
 		c.Fanout = defaultFanout
 	}
-	if c.FreshFor == 0 {
-		c.FreshFor = defaultConfirmationTTL
+	if c.ConfirmationTTL == 0 {
+		c.ConfirmationTTL = defaultConfirmationTTL
 	}
-	if c.WatchFor == 0 {
-		c.WatchFor = defaultWatchTimeout
+	if c.WatchTimeout == 0 {
+		c.WatchTimeout = defaultWatchTimeout
 	}
 	if c.StartWait == 0 {
 		c.StartWait = defaultStartWait
 	}
-	if c.ColdSpan == 0 {
-		c.ColdSpan = defaultColdReadSpread
+	if c.ColdReadSpread == 0 {
+		c.ColdReadSpread = defaultColdReadSpread
 	}
 	return c
 }
@@ -157,7 +157,7 @@
 		return false
 	}
 	age, known := s.fresh.age(now)
-	return s.current.rules != nil && known && age <= s.cfg.FreshFor
+	return s.current.rules != nil && known && age <= s.cfg.ConfirmationTTL
 }
 
 // Ready reports whether there is a configuration in force that was compared with those
@@ -184,17 +184,17 @@
 	PartialReads int
 	// Invalid revisions received from the platform.
 	Invalid int
-	// Taken counts the revisions applied.
-	Taken int
+	// Applied counts the revisions applied.
+	Applied int
 	// Pulls sent to peers, and Served pulls of peers.
 	Pulls, Served int
 	// BadPushes were refused: not requested, with a part that doesn't match its hash, or
 	// with rules that have faults.
 	BadPushes int
-	// Asks counts digests sent that request one back.
-	Asks int
-	// Woke counts pauses of the process.
-	Woke int
+	// Queries counts digests sent that request one back.
+	Queries int
+	// Pauses counts pauses of the process.
+	Pauses int
 }
 
 // Status describes the daemon's configuration.
@@ -202,14 +202,14 @@
 	Revision shed.Revision
 	Ready    bool
 	Fresh    bool
-	// Confirmed is how long ago the revision was known to be the newest; undefined if Never.
-	Confirmed time.Duration
-	Never     bool
+	// ConfirmedAgo is how long ago the revision was known to be the newest; undefined if Never.
+	ConfirmedAgo   time.Duration
+	NeverConfirmed bool
 	// Watching is true if this daemon is one of its zone's watchers.
 	Watching bool
-	// Asked and Heard count the peers queried, and those that replied, since the last start
+	// PeersAsked and PeersReplied count the peers queried, and those that replied, since the last start
 	// or pause.
-	Asked, Heard int
+	PeersAsked, PeersReplied int
 	// Invalid is the platform's newest revision if it has faults, else 0.
 	Invalid shed.Revision
 	// Faults of the invalid revision.
@@ -221,16 +221,16 @@
 func (s *State) Status(now time.Time) Status {
 	digest := s.Digest(now)
 	return Status{
-		Revision:  digest.Revision,
-		Ready:     s.Ready(),
-		Fresh:     s.Fresh(now),
-		Confirmed: digest.ConfirmedAgo,
-		Never:     digest.NeverConfirmed,
-		Watching:  s.topology.level == 0,
-		Asked:     len(s.start.queried),
-		Heard:     s.start.replies,
-		Invalid:   s.reads.invalid,
-		Faults:    s.reads.faults,
-		Counts:    s.counts,
+		Revision:       digest.Revision,
+		Ready:          s.Ready(),
+		Fresh:          s.Fresh(now),
+		ConfirmedAgo:   digest.ConfirmedAgo,
+		NeverConfirmed: digest.NeverConfirmed,
+		Watching:       s.topology.level == 0,
+		PeersAsked:     len(s.start.queried),
+		PeersReplied:   s.start.replies,
+		Invalid:        s.reads.invalid,
+		Faults:         s.reads.faults,
+		Counts:         s.counts,
 	}
 }
--- a/internal/config/fetch.go
+++ b/internal/config/fetch.go
@@ -337,7 +337,7 @@
 // that sent it, or "" for the platform.
 func (s *State) apply(now time.Time, index shed.ConfigIndex, parts map[shed.PartHash][]byte, compiled *shed.Rules, from shed.VM) []shed.Action {
 	s.current = current{rules: compiled, index: index, parts: parts, hashes: sortedHashes(parts)}
-	s.counts.Taken++
+	s.counts.Applied++
 	if s.reads.invalid < index.Revision {
 		s.reads.invalid, s.reads.faults = 0, ""
 		s.reads.settledAt = time.Time{}
--- a/internal/config/fresh.go
+++ b/internal/config/fresh.go
@@ -110,11 +110,11 @@
 func (s *State) queryAge() time.Duration {
 	switch s.topology.level {
 	case 0:
-		return s.cfg.FreshFor * 2 / 5
+		return s.cfg.ConfirmationTTL * 2 / 5
 	case 1:
-		return s.cfg.FreshFor / 2
+		return s.cfg.ConfirmationTTL / 2
 	}
-	return s.cfg.FreshFor * 7 / 10
+	return s.cfg.ConfirmationTTL * 7 / 10
 }
 
 // queryIfDue requests digests if the confirmation grows old.
@@ -130,7 +130,7 @@
 	} else {
 		to = append(to, s.pickPeer(s.topology.parents))
 	}
-	if s.topology.level > 0 && (!known || age > s.cfg.FreshFor) {
+	if s.topology.level > 0 && (!known || age > s.cfg.ConfirmationTTL) {
 		to = append(to, s.remoteContacts(1)...)
 	}
 	return s.queryAll(now, to)
@@ -154,7 +154,7 @@
 	}
 	f.sequence++
 	f.queries = append(f.queries, query{to, now, f.sequence})
-	s.counts.Asks++
+	s.counts.Queries++
 	m := s.Digest(now)
 	m.WantReply = true
 	m.Sequence = f.sequence
@@ -187,7 +187,7 @@
 		// nothing: it may have waited in a socket.
 		if !m.NeverConfirmed && m.ConfirmedAgo >= 0 && m.ConfirmedAgo < maxConfirmedAge {
 			s.confirm(m.Revision, q.at.Add(-m.ConfirmedAgo))
-			s.reads.selfReading = s.reads.selfReading && m.ConfirmedAgo > s.cfg.FreshFor
+			s.reads.selfReading = s.reads.selfReading && m.ConfirmedAgo > s.cfg.ConfirmationTTL
 		}
 	}
 	switch {
@@ -203,7 +203,7 @@
 
 // resync discards what a pause may have made outdated and queries peers as at a start.
 func (s *State) resync(now time.Time) []shed.Action {
-	s.counts.Woke++
+	s.counts.Pauses++
 	s.fresh.confirmed = time.Time{}
 	s.fresh.pending = pendingConfirmation{}
 	s.fresh.queries = nil
@@ -213,9 +213,9 @@
 	return []shed.Action{shed.Note{Reason: shed.ReasonWoke}}
 }
 
-// Doubt queries the peers again, as after a pause. Core calls it when a daemon that was
+// Resync queries the peers again, as after a pause. Core calls it when a daemon that was
 // isolated has contact again.
-func (s *State) Doubt(now time.Time) []shed.Action { return s.resync(now) }
+func (s *State) Resync(now time.Time) []shed.Action { return s.resync(now) }
 
 // jitter returns a random time within a quarter of d, to either side.
 func (s *State) jitter(d time.Duration) time.Duration {
--- a/internal/config/read.go
+++ b/internal/config/read.go
@@ -98,12 +98,12 @@
 		return s.readCold(now)
 	}
 	if s.topology.level == 0 {
-		return s.sendRead(now, s.cfg.WatchFor)
+		return s.sendRead(now, s.cfg.WatchTimeout)
 	}
 	// No recent confirmation, neither from the platform nor from a peer: read from the
 	// platform until a peer confirms again, so as to stay fresh.
 	age, known := s.fresh.age(now)
-	bound := s.cfg.FreshFor
+	bound := s.cfg.ConfirmationTTL
 	if r.selfReading {
 		bound /= 2
 	}
@@ -114,10 +114,10 @@
 		// The first such read waits a random time, since a whole zone may have lost its
 		// watchers at the same moment.
 		r.selfReading = true
-		r.nextRead = now.Add(time.Duration(s.rng.Int64N(int64(s.cfg.FreshFor))))
+		r.nextRead = now.Add(time.Duration(s.rng.Int64N(int64(s.cfg.ConfirmationTTL))))
 		return nil
 	}
-	r.nextRead = now.Add(s.jitter(s.cfg.FreshFor / 2))
+	r.nextRead = now.Add(s.jitter(s.cfg.ConfirmationTTL / 2))
 	return s.sendRead(now, 0)
 }
 
@@ -133,7 +133,7 @@
 	if len(s.reads.sent) == 0 {
 		return false
 	}
-	timeout := s.cfg.WatchFor + readTimeout
+	timeout := s.cfg.WatchTimeout + readTimeout
 	if s.current.rules == nil {
 		timeout = fullReadTimeout
 	}
--- a/internal/config/start.go
+++ b/internal/config/start.go
@@ -45,7 +45,7 @@
 		st.startedAt = now
 		st.nextQuery = now
 		st.queried = map[shed.VM]bool{}
-		st.coldJitter = time.Duration(s.rng.Int64N(int64(s.cfg.ColdSpan)))
+		st.coldJitter = time.Duration(s.rng.Int64N(int64(s.cfg.ColdReadSpread)))
 	}
 	out := s.startQueries(now)
 	if s.startComplete(now) {
@@ -120,11 +120,11 @@
 	st := &s.start
 	zones := time.Duration(len(s.topology.otherZones) + 1)
 	wait := s.cfg.StartWait + st.coldJitter*zones
-	if len(s.topology.otherZones) == 0 && len(s.topology.ranked) == 1 && s.cfg.Seeds > 0 {
+	if len(s.topology.otherZones) == 0 && len(s.topology.ranked) == 1 && s.cfg.SeedPeers > 0 {
 		// Peers are expected but not seen yet. With a read now, each daemon of a restarted
 		// fleet would act as if it were the first.
 		wait = isolatedWaits * wait
 	}
-	stagger := s.cfg.ColdSpan*zones + coldStagger
+	stagger := s.cfg.ColdReadSpread*zones + coldStagger
 	return st.startedAt.Add(wait + time.Duration(s.topology.rank)*stagger)
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -130,8 +130,8 @@
 	if cfg.MaxDrain == 0 {
 		cfg.MaxDrain = defaultMaxDrain
 	}
-	if cfg.Config.FreshFor == 0 {
-		cfg.Config.FreshFor = defaultSureFor
+	if cfg.Config.ConfirmationTTL == 0 {
+		cfg.Config.ConfirmationTTL = defaultSureFor
 	}
 	if cfg.Member.LeaseFor == 0 {
 		cfg.Member.LeaseFor = defaultSureFor
@@ -162,7 +162,7 @@
 	cfg := c.cfg
 	cfg.Config.Self, cfg.Config.Zone = cfg.Self, cfg.Zone
 	cfg.Config.Compile, cfg.Config.Seed = cfg.Compile, cfg.Seed
-	cfg.Config.Seeds = len(cfg.Seeds)
+	cfg.Config.SeedPeers = len(cfg.Seeds)
 	c.config = config.New(cfg.Config)
 	cfg.Member.Self, cfg.Member.Zone = cfg.Self, cfg.Zone
 	cfg.Member.Seeds, cfg.Member.Seed = cfg.Seeds, cfg.Seed
--- a/internal/core/place.go
+++ b/internal/core/place.go
@@ -76,7 +76,7 @@
 		c.alone = true
 	case !nobody && c.alone:
 		c.alone = false
-		c.take(c.config.Doubt(now))
+		c.take(c.config.Resync(now))
 	}
 }
 
--- a/internal/core/status.go
+++ b/internal/core/status.go
@@ -105,11 +105,11 @@
 func (c *Core) configStatus(now time.Time) ConfigStatus {
 	from := c.config.Status(now)
 	to := ConfigStatus{
-		Revision: from.Revision, Ready: from.Ready, Fresh: from.Fresh, Confirmed: from.Confirmed,
-		Watching: from.Watching, Asked: from.Asked, Heard: from.Heard,
-		Invalid: from.Invalid, Faults: from.Faults, Reads: from.Counts.Reads, Woke: from.Counts.Woke,
+		Revision: from.Revision, Ready: from.Ready, Fresh: from.Fresh, Confirmed: from.ConfirmedAgo,
+		Watching: from.Watching, Asked: from.PeersAsked, Heard: from.PeersReplied,
+		Invalid: from.Invalid, Faults: from.Faults, Reads: from.Counts.Reads, Woke: from.Counts.Pauses,
 	}
-	if from.Never {
+	if from.NeverConfirmed {
 		to.Confirmed = -1
 	}
 	return to
--- a/internal/rules/pack.go
+++ b/internal/rules/pack.go
@@ -16,16 +16,16 @@
 const (
 	// IndexKey is the key of the index of the parts.
 	IndexKey = "rules"
-	// PartKey followed by the hex SHA-256 of a part is the key of the part.
-	PartKey = "part-"
+	// PartKeyPrefix followed by the hex SHA-256 of a part is the key of the part.
+	PartKeyPrefix = "part-"
 )
 
 // Sizes of parts. A part ends after a line chosen by the line's hash, so that a changed
 // line moves no other part's end; the bounds hold for any content.
 const (
-	// MaxPart is the largest size of a part in bytes: well below the platform's limit of 1 MB.
-	MaxPart = 64 << 10
-	minPart = 4 << 10
+	// MaxPartBytes is the largest size of a part in bytes: well below the platform's limit of 1 MB.
+	MaxPartBytes = 64 << 10
+	minPart      = 4 << 10
 	// endInterval: one line in this many may end a part.
 	endInterval = 64
 	// maxParts bounds the length of an index.
@@ -34,8 +34,8 @@
 
 // Errors of packed rules.
 var (
-	ErrIndex = errors.New("index of the rules can't be read")
-	ErrPart  = errors.New("part of the rules is missing or not what its hash says")
+	ErrBadIndex = errors.New("index of the rules can't be read")
+	ErrBadPart  = errors.New("part of the rules is missing or not what its hash says")
 )
 
 // packedIndex is the index as stored by the platform.
@@ -62,7 +62,7 @@
 
 // PartName returns the platform's key of a part.
 func PartName(hash shed.PartHash) string {
-	return PartKey + hex.EncodeToString(hash[:])
+	return PartKeyPrefix + hex.EncodeToString(hash[:])
 }
 
 // split splits the text at line ends chosen by the content of the lines.
@@ -75,7 +75,7 @@
 			end = at + i + 1
 		}
 		line := text[at:end]
-		if at > start && end-start > MaxPart {
+		if at > start && end-start > MaxPartBytes {
 			parts = append(parts, text[start:at])
 			start = at
 		}
@@ -103,16 +103,16 @@
 	dec.DisallowUnknownFields()
 	var list packedIndex
 	if err := dec.Decode(&list); err != nil {
-		return shed.ConfigIndex{}, fmt.Errorf("%w: %w", ErrIndex, err)
+		return shed.ConfigIndex{}, fmt.Errorf("%w: %w", ErrBadIndex, err)
 	}
 	if len(list.Parts) == 0 || len(list.Parts) > maxParts {
-		return shed.ConfigIndex{}, fmt.Errorf("%w: it lists %d parts", ErrIndex, len(list.Parts))
+		return shed.ConfigIndex{}, fmt.Errorf("%w: it lists %d parts", ErrBadIndex, len(list.Parts))
 	}
 	index := shed.ConfigIndex{Revision: rev, Parts: make([]shed.PartHash, len(list.Parts))}
 	for i, name := range list.Parts {
 		raw, err := hex.DecodeString(name)
 		if err != nil || len(raw) != sha256.Size {
-			return shed.ConfigIndex{}, fmt.Errorf("%w: part %d has no hash", ErrIndex, i)
+			return shed.ConfigIndex{}, fmt.Errorf("%w: part %d has no hash", ErrBadIndex, i)
 		}
 		copy(index.Parts[i][:], raw)
 	}
@@ -125,12 +125,12 @@
 	for i, hash := range index.Parts {
 		part, ok := parts[hash]
 		if !ok || sha256.Sum256(part) != hash {
-			return nil, fmt.Errorf("%w: part %d, %s", ErrPart, i, hex.EncodeToString(hash[:]))
+			return nil, fmt.Errorf("%w: part %d, %s", ErrBadPart, i, hex.EncodeToString(hash[:]))
 		}
 		size += len(part)
 	}
 	if size > maxText {
-		return nil, fmt.Errorf("%w: the parts have %d bytes", ErrPart, size)
+		return nil, fmt.Errorf("%w: the parts have %d bytes", ErrBadPart, size)
 	}
 	text := make([]byte, 0, size)
 	for _, hash := range index.Parts {
--- a/internal/rules/rewrite.go
+++ b/internal/rules/rewrite.go
@@ -6,9 +6,9 @@
 	shed "jasmineshed"
 )
 
-// Rewrite replaces the URLs of servers and leaves the rest of the text as it is. Url returns
+// ReplaceURLs replaces the URLs of servers and leaves the rest of the text as it is. Url returns
 // a server's new URL, or "" to keep it. A text with faults is returned unchanged.
-func Rewrite(text []byte, url func(shed.ServerID) string) []byte {
+func ReplaceURLs(text []byte, url func(shed.ServerID) string) []byte {
 	r, faults := Parse(text, 0)
 	if len(faults) > 0 {
 		return text
