--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -32,8 +32,8 @@
 	Compile func(text []byte, rev shed.Revision) (*shed.Rules, error)
 	// Seed of the package's random choices.
 	Seed uint64
-	// SeedPeers is the number of peer addresses in the settings. If it is above 0, a daemon
-	// that sees no peer yet waits longer before it reads the whole configuration itself.
+	// SeedPeers is the number of peer addresses in the settings. If it is above 0, a daemon that
+	// sees no peer yet waits longer before it reads the whole configuration itself.
 	SeedPeers int
 	// Watchers is how many daemons of a zone watch the platform.
 	Watchers int
@@ -45,8 +45,8 @@
 	WatchTimeout time.Duration
 	// StartWait bounds how long a starting daemon waits for its peers' answers.
 	StartWait time.Duration
-	// ColdReadSpread, multiplied by the number of zones, is the time over which the zones' first
-	// whole reads spread when no daemon has a configuration.
+	// ColdReadSpread, multiplied by the number of zones, is the time over which the zones'
+	// first whole reads spread when no daemon has a configuration.
 	ColdReadSpread time.Duration
 }
 
@@ -151,7 +151,7 @@
 func (s *State) Rules() *shed.Rules { return s.current.rules }
 
 // Fresh reports whether the revision in force was confirmed to be the newest within
-// FreshFor. A daemon that is not fresh assigns no new work to other zones.
+// ConfirmationTTL. A daemon that is not fresh assigns no new work to other zones.
 func (s *State) Fresh(now time.Time) bool {
 	if s.clock.jumped(now) {
 		return false
@@ -184,14 +184,14 @@
 	PartialReads int
 	// Invalid revisions received from the platform.
 	Invalid int
-	// Applied counts the revisions applied.
+	// Applied counts the revisions put in force.
 	Applied int
 	// Pulls sent to peers, and Served pulls of peers.
 	Pulls, Served int
 	// BadPushes were refused: not requested, with a part that doesn't match its hash, or
 	// with rules that have faults.
 	BadPushes int
-	// Queries counts digests sent that request one back.
+	// Queries counts sent digests that request one back.
 	Queries int
 	// Pauses counts pauses of the process.
 	Pauses int
@@ -202,13 +202,14 @@
 	Revision shed.Revision
 	Ready    bool
 	Fresh    bool
-	// ConfirmedAgo is how long ago the revision was known to be the newest; undefined if Never.
+	// ConfirmedAgo is how long ago the revision was known to be the newest; undefined if
+	// NeverConfirmed.
 	ConfirmedAgo   time.Duration
 	NeverConfirmed bool
 	// Watching is true if this daemon is one of its zone's watchers.
 	Watching bool
-	// PeersAsked and PeersReplied count the peers queried, and those that replied, since the last start
-	// or pause.
+	// PeersAsked and PeersReplied count the peers queried, and those that replied, since the
+	// last start or pause.
 	PeersAsked, PeersReplied int
 	// Invalid is the platform's newest revision if it has faults, else 0.
 	Invalid shed.Revision
--- a/internal/config/state_test.go
+++ b/internal/config/state_test.go
@@ -65,8 +65,8 @@
 
 // TestStateMachine publishes, partitions, drops messages, restarts and pauses at random.
 // A daemon must never go back, apply a partial or invalid revision, or call a revision
-// fresh that was replaced more than FreshFor ago, and once all faults have ended all
-// daemons follow the newest.
+// fresh that was replaced more than ConfirmationTTL ago, and once all faults have ended
+// all daemons follow the newest.
 func TestStateMachine(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSim(rapid.Uint64().Draw(t, "seed"), 3, 3, nil)
--- a/internal/prefs/prefs.go
+++ b/internal/prefs/prefs.go
@@ -117,7 +117,7 @@
 	UrgentReserve = "urgent_reserve"
 )
 
-// Enabled reports whether an optional decision is enabled, that is not named by Without.
+// Enabled reports whether an optional decision is made: whether Without doesn't name it.
 func (r *Relay) Enabled(decision string) bool { return !slices.Contains(r.Without, decision) }
 
 // Faults are for tests. The section has no options: it is known only so that a key in it is
