--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -268,7 +268,7 @@
 // starts one call a step, so that each is booked before the next is placed.
 func (c *Core) flowOn(now time.Time) {
 	for {
-		acts := c.flow.Freed(now)
+		acts := c.flow.StartNext(now)
 		if !c.book(now, acts) {
 			return
 		}
--- a/internal/core/status.go
+++ b/internal/core/status.go
@@ -17,11 +17,11 @@
 	Config   ConfigStatus `json:"configuration"`
 	View     []ZoneStatus `json:"view"`
 	// ViewConfirmed: peers have confirmed the view since the last pause.
-	ViewConfirmed bool           `json:"view_confirmed"`
-	Servers       []ServerStatus `json:"servers"`
-	LiveRequests  int            `json:"live_requests"`
-	GuestCalls    int            `json:"guest_calls"`
-	Tickets       int            `json:"tickets"`
+	ViewConfirmed  bool           `json:"view_confirmed"`
+	Servers        []ServerStatus `json:"servers"`
+	LiveRequests   int            `json:"live_requests"`
+	ForwardedCalls int            `json:"guest_calls"`
+	Tickets        int            `json:"tickets"`
 	// Cost by stage since the start, in millionths of a server-second.
 	Cost []StageCost `json:"cost"`
 }
@@ -31,28 +31,28 @@
 	Revision shed.Revision `json:"revision"`
 	Ready    bool          `json:"ready"`
 	Fresh    bool          `json:"fresh"`
-	// Confirmed is how long ago the revision was known to be the newest; -1 if
+	// ConfirmedAgo is how long ago the revision was known to be the newest; -1 if
 	// it never was.
-	Confirmed time.Duration `json:"confirmed_ago_ns"`
+	ConfirmedAgo time.Duration `json:"confirmed_ago_ns"`
 	// Watching: this daemon reads the platform for its zone.
 	Watching bool `json:"watching"`
-	// Asked and Heard count peers at the last start or wake.
-	Asked int `json:"peers_asked"`
-	Heard int `json:"peers_heard"`
+	// PeersAsked and Heard count peers at the last start or wake.
+	PeersAsked   int `json:"peers_asked"`
+	PeersReplied int `json:"peers_heard"`
 	// Invalid is the platform's newest revision if it has faults.
-	Invalid shed.Revision `json:"invalid_revision,omitempty"`
-	Faults  string        `json:"faults,omitempty"`
-	Reads   int           `json:"platform_reads"`
-	Woke    int           `json:"woke"`
+	Invalid       shed.Revision `json:"invalid_revision,omitempty"`
+	Faults        string        `json:"faults,omitempty"`
+	PlatformReads int           `json:"platform_reads"`
+	Pauses        int           `json:"woke"`
 }
 
 // StageCost is what one stage has cost.
 type StageCost struct {
-	Pipeline shed.PipelineID `json:"pipeline"`
-	Stage    shed.StageID    `json:"stage"`
-	Calls    uint64          `json:"useful_calls"`
-	Useful   shed.Cost       `json:"useful"`
-	Wasted   shed.Cost       `json:"wasted"`
+	Pipeline    shed.PipelineID `json:"pipeline"`
+	Stage       shed.StageID    `json:"stage"`
+	UsefulCalls uint64          `json:"useful_calls"`
+	Useful      shed.Cost       `json:"useful"`
+	Wasted      shed.Cost       `json:"wasted"`
 }
 
 // ZoneStatus is the view of one zone.
@@ -66,8 +66,8 @@
 	Server    shed.ServerID `json:"server"`
 	Cold      bool          `json:"cold"`
 	Running   int           `json:"running"`
-	Own       int           `json:"own"`
-	Slots     int           `json:"free_slots"`
+	OwnCalls  int           `json:"own"`
+	FreeSlots int           `json:"free_slots"`
 	ReportAge time.Duration `json:"report_age_ns"`
 }
 
@@ -78,7 +78,7 @@
 	s := Status{
 		Peer: c.cfg.Self, Zone: c.cfg.Zone, Ready: c.ready, Stopping: c.stop.asked,
 		Config: c.configStatus(now), ViewConfirmed: c.member.Confirmed(now),
-		LiveRequests: c.flow.Live(), GuestCalls: len(c.guests), Tickets: c.tickets.Len(),
+		LiveRequests: c.flow.Live(), ForwardedCalls: len(c.guests), Tickets: c.tickets.Len(),
 		Cost: c.costs(),
 	}
 	v := c.member.View()
@@ -94,8 +94,8 @@
 		}
 		cand, _ := c.load.Candidate(now, id)
 		s.Servers = append(s.Servers, ServerStatus{
-			Server: id, Cold: cand.Cold, Running: cand.Running, Own: cand.OwnCalls,
-			Slots: c.slots.Free(now, id), ReportAge: cand.Age,
+			Server: id, Cold: cand.Cold, Running: cand.Running, OwnCalls: cand.OwnCalls,
+			FreeSlots: c.slots.Free(now, id), ReportAge: cand.Age,
 		})
 	}
 	sort.Slice(s.Servers, func(i, j int) bool { return s.Servers[i].Server < s.Servers[j].Server })
@@ -105,12 +105,12 @@
 func (c *Core) configStatus(now time.Time) ConfigStatus {
 	from := c.config.Status(now)
 	to := ConfigStatus{
-		Revision: from.Revision, Ready: from.Ready, Fresh: from.Fresh, Confirmed: from.ConfirmedAgo,
-		Watching: from.Watching, Asked: from.PeersAsked, Heard: from.PeersReplied,
-		Invalid: from.Invalid, Faults: from.Faults, Reads: from.Counts.Reads, Woke: from.Counts.Pauses,
+		Revision: from.Revision, Ready: from.Ready, Fresh: from.Fresh, ConfirmedAgo: from.ConfirmedAgo,
+		Watching: from.Watching, PeersAsked: from.PeersAsked, PeersReplied: from.PeersReplied,
+		Invalid: from.Invalid, Faults: from.Faults, PlatformReads: from.Counts.Reads, Pauses: from.Counts.Pauses,
 	}
 	if from.NeverConfirmed {
-		to.Confirmed = -1
+		to.ConfirmedAgo = -1
 	}
 	return to
 }
@@ -122,7 +122,7 @@
 		l := &lines[i]
 		out[i] = StageCost{
 			Pipeline: l.Pipeline, Stage: l.Stage,
-			Calls: l.Calls[cost.Useful], Useful: l.Cost[cost.Useful], Wasted: l.Wasted(),
+			UsefulCalls: l.Calls[cost.Useful], Useful: l.Cost[cost.Useful], Wasted: l.Wasted(),
 		}
 	}
 	return out
--- a/internal/flow/ends.go
+++ b/internal/flow/ends.go
@@ -18,7 +18,7 @@
 		return r
 	}
 	reason := shed.ReasonStaleAttempt
-	if r != nil && r.trail.Known(call) {
+	if r != nil && r.trail.HasCall(call) {
 		reason = shed.ReasonDuplicate
 	}
 	f.emit(shed.Note{Reason: reason, Request: call.Request, Server: server})
@@ -27,7 +27,7 @@
 
 func (f *Flow) progress(p shed.CallProgress) {
 	if r := f.live(p.Call, p.Server); r != nil {
-		r.trail.Progress(p)
+		r.trail.RecordProgress(p)
 	}
 }
 
@@ -41,7 +41,7 @@
 		r.gone = true
 		return
 	}
-	f.finish(now, r, trail.End{Cause: trail.CauseGone, Reason: shed.ReasonCallerGone})
+	f.finish(now, r, trail.End{Cause: trail.CauseCallerGone, Reason: shed.ReasonCallerGone})
 }
 
 // runsOn tells whether the request goes on without its caller. With a ticket
@@ -50,7 +50,7 @@
 // could be told is that it was. And where a stage that must run at most once
 // may have run, its end must become known. The deadline bounds both.
 func (f *Flow) runsOn(r *request) bool {
-	return r.arrived.Ticketed || r.trail.Bound()
+	return r.arrived.Ticketed || r.trail.MustReportOutcome()
 }
 
 func (f *Flow) callEnded(now time.Time, e shed.CallEnded) {
@@ -58,10 +58,10 @@
 	if r == nil {
 		return
 	}
-	r.trail.Ended(now, e)
+	r.trail.RecordEnd(now, e)
 	if f.rules != nil {
 		if s := f.rules.Servers[e.Server]; s != nil {
-			r.trail.Capacity(e.Call, s.Capacity)
+			r.trail.SetCapacity(e.Call, s.Capacity)
 		}
 	}
 	f.setState(r, stateNew, time.Time{})
@@ -76,7 +76,7 @@
 func (f *Flow) stageDone(now time.Time, r *request, e shed.CallEnded) {
 	f.cfg.Budget.Succeeded(now)
 	key := admit.StageKey{Pipeline: r.pipeline.ID, Stage: r.at().ID}
-	f.cfg.Admit.Observe(now, key, r.trail.Took(e.Call))
+	f.cfg.Admit.Observe(now, key, r.trail.Duration(e.Call))
 	if f.late(now, r) {
 		f.finish(now, r, trail.End{Cause: trail.CauseDeadline, Reason: shed.ReasonDeadline})
 		return
@@ -109,7 +109,7 @@
 // recover decides what follows a call that gave no result.
 func (f *Flow) recover(now time.Time, r *request, e shed.CallEnded) {
 	if r.gone && !f.runsOn(r) {
-		f.finish(now, r, trail.End{Cause: trail.CauseGone, Reason: shed.ReasonCallerGone})
+		f.finish(now, r, trail.End{Cause: trail.CauseCallerGone, Reason: shed.ReasonCallerGone})
 		return
 	}
 	if !now.Before(r.cutoff()) {
--- a/internal/flow/flow.go
+++ b/internal/flow/flow.go
@@ -20,8 +20,8 @@
 	DefaultMaxAttempts = 4
 	DefaultMaxSends    = 16
 	DefaultMaxResumes  = 2
-	DefaultSilence     = 2 * time.Second
-	DefaultLease       = 500 * time.Millisecond
+	DefaultIdleTimeout = 2 * time.Second
+	DefaultSendLease   = 500 * time.Millisecond
 	DefaultBackoff     = 50 * time.Millisecond
 )
 
@@ -48,10 +48,10 @@
 	MaxSends int
 	// MaxResumes bounds how often one stage's stream is resumed.
 	MaxResumes int
-	// Silence is StartCall.Silence.
-	Silence time.Duration
-	// Lease bounds the time between a decision to send and the send.
-	Lease time.Duration
+	// IdleTimeout is StartCall.IdleTimeout.
+	IdleTimeout time.Duration
+	// SendLease bounds the time between a decision to send and the send.
+	SendLease time.Duration
 	// Backoff is the wait before a repeat that has nowhere new to go; it
 	// doubles with each attempt.
 	Backoff time.Duration
@@ -105,11 +105,11 @@
 	if cfg.MaxResumes == 0 {
 		cfg.MaxResumes = DefaultMaxResumes
 	}
-	if cfg.Silence == 0 {
-		cfg.Silence = DefaultSilence
+	if cfg.IdleTimeout == 0 {
+		cfg.IdleTimeout = DefaultIdleTimeout
 	}
-	if cfg.Lease == 0 {
-		cfg.Lease = DefaultLease
+	if cfg.SendLease == 0 {
+		cfg.SendLease = DefaultSendLease
 	}
 	if cfg.Backoff == 0 {
 		cfg.Backoff = DefaultBackoff
@@ -149,9 +149,9 @@
 	return f.out
 }
 
-// Freed offers places that may have freed to those who wait, in queue order.
+// StartNext offers places that may have freed to those who wait, in queue order.
 // It starts one at the most.
-func (f *Flow) Freed(now time.Time) []shed.Action {
+func (f *Flow) StartNext(now time.Time) []shed.Action {
 	f.begin()
 	f.drain(now)
 	return f.out
@@ -237,7 +237,7 @@
 		f.emit(shed.CancelCall{Call: r.call, Reason: end.Reason})
 	}
 	f.emit(r.trail.Finish(now, end))
-	r.trail.Book(f.cfg.Ledger, r.pipeline.ID)
+	r.trail.AddCosts(f.cfg.Ledger, r.pipeline.ID)
 	f.cfg.Admit.Drop(r.arrived.Request)
 	f.setState(r, stateOver, time.Time{})
 	if !f.off.oneFinish {
--- a/internal/flow/flow_test.go
+++ b/internal/flow/flow_test.go
@@ -84,7 +84,7 @@
 		calls := only[shed.StartCall](acts)
 		require.Len(t, calls, 1)
 		require.Equal(t, shed.Call{Request: "r", Stage: stage, Attempt: 1}, calls[0].Call)
-		require.Equal(t, now.Add(DefaultLease), calls[0].SendBy)
+		require.Equal(t, now.Add(DefaultSendLease), calls[0].SendBy)
 		now = now.Add(400 * time.Millisecond)
 		acts = f.Handle(now, shed.CallEnded{Call: calls[0].Call, End: shed.EndComplete, Server: "s1", Zone: "a"})
 		require.Equal(t, []shed.StageDone{{Call: calls[0].Call}}, only[shed.StageDone](acts))
--- a/internal/flow/machine_test.go
+++ b/internal/flow/machine_test.go
@@ -98,7 +98,7 @@
 func (w *world) handle(ev shed.Event) {
 	w.did(w.f.Handle(w.now, ev))
 	for {
-		acts := w.f.Freed(w.now)
+		acts := w.f.StartNext(w.now)
 		w.did(acts)
 		if len(only[shed.StartCall](acts))+len(only[shed.ForwardStage](acts)) == 0 {
 			return
--- a/internal/flow/place.go
+++ b/internal/flow/place.go
@@ -117,7 +117,7 @@
 		SendBy:      f.until(now, r),
 		Deadline:    r.cutoff(),
 		Priority:    priority(r.cutoff().Sub(now)),
-		IdleTimeout: f.cfg.Silence,
+		IdleTimeout: f.cfg.IdleTimeout,
 	}
 	if f.rules == nil {
 		return a
@@ -139,12 +139,12 @@
 }
 
 func (f *Flow) hand(now time.Time, r *request, to shed.VM) {
-	a := r.trail.Hand(now, shed.ForwardStage{
+	a := r.trail.Forward(now, shed.ForwardStage{
 		To:          to,
 		Request:     f.question(now, r).StageRequest,
 		SendBy:      f.until(now, r),
 		Deadline:    r.cutoff(),
-		IdleTimeout: f.cfg.Silence,
+		IdleTimeout: f.cfg.IdleTimeout,
 	})
 	a.Request.Hops++
 	f.started = true
@@ -158,7 +158,7 @@
 // until bounds the time from here to the send, so that a process which was
 // paused in between does not send on what it knew before.
 func (f *Flow) until(now time.Time, r *request) time.Time {
-	until := now.Add(f.cfg.Lease)
+	until := now.Add(f.cfg.SendLease)
 	if cutoff := r.cutoff(); cutoff.Before(until) {
 		return cutoff
 	}
--- a/internal/flow/trail/finish.go
+++ b/internal/flow/trail/finish.go
@@ -22,8 +22,8 @@
 	CauseFailed
 	// CauseDeadline: the deadline passed.
 	CauseDeadline
-	// CauseGone: the caller went away.
-	CauseGone
+	// CauseCallerGone: the caller went away.
+	CauseCallerGone
 )
 
 // End is how and why a request ends.
@@ -74,7 +74,7 @@
 	switch {
 	case c == CauseDone && done:
 		return shed.OutcomeComplete
-	case c == CauseGone:
+	case c == CauseCallerGone:
 		return shed.OutcomeCancelled
 	case !reached:
 		return shed.OutcomeNotRun
@@ -124,7 +124,7 @@
 
 func wasteOf(c Cause) cost.Use {
 	switch c {
-	case CauseGone:
+	case CauseCallerGone:
 		return cost.Cancelled
 	case CauseDeadline:
 		return cost.Late
@@ -171,9 +171,9 @@
 	return r
 }
 
-// Book adds the cost of every call that reached a server to the ledger. It is
+// AddCosts adds the cost of every call that reached a server to the ledger. It is
 // called once, after Finish.
-func (t *Trail) Book(l *cost.Ledger, p shed.PipelineID) {
+func (t *Trail) AddCosts(l *cost.Ledger, p shed.PipelineID) {
 	for i := range t.stages {
 		s := &t.stages[i]
 		key := cost.Key{Pipeline: p, Stage: s.id}
--- a/internal/flow/trail/trail.go
+++ b/internal/flow/trail/trail.go
@@ -80,8 +80,8 @@
 	return a
 }
 
-// Hand records the call as sent, then returns the action that hands it over.
-func (t *Trail) Hand(now time.Time, a shed.ForwardStage) shed.ForwardStage {
+// Forward records the call as sent, then returns the action that hands it over.
+func (t *Trail) Forward(now time.Time, a shed.ForwardStage) shed.ForwardStage {
 	a.Request.Call = t.Next(int(a.Request.Call.Stage))
 	t.record(a.Request.Call, call{at: now})
 	return a
@@ -92,9 +92,9 @@
 	s.calls = append(s.calls, c)
 }
 
-// Progress notes which server runs the call, as a far daemon may have chosen
+// RecordProgress notes which server runs the call, as a far daemon may have chosen
 // it.
-func (t *Trail) Progress(p shed.CallProgress) {
+func (t *Trail) RecordProgress(p shed.CallProgress) {
 	c := t.find(p.Call)
 	if c == nil || c.end != 0 {
 		return
@@ -106,9 +106,9 @@
 	c.tokens = max(c.tokens, p.Tokens)
 }
 
-// Ended records a call's end. It returns false, and changes nothing, for a
+// RecordEnd records a call's end. It returns false, and changes nothing, for a
 // call that was never sent or has ended already.
-func (t *Trail) Ended(now time.Time, e shed.CallEnded) bool {
+func (t *Trail) RecordEnd(now time.Time, e shed.CallEnded) bool {
 	c := t.find(e.Call)
 	if c == nil || c.end != 0 {
 		return false
@@ -123,11 +123,11 @@
 	return true
 }
 
-// Known tells whether the call was sent by this trail.
-func (t *Trail) Known(id shed.Call) bool { return t.find(id) != nil }
+// HasCall tells whether the call was sent by this trail.
+func (t *Trail) HasCall(id shed.Call) bool { return t.find(id) != nil }
 
-// Capacity sets the places of the server that ran a handed call, for its cost.
-func (t *Trail) Capacity(id shed.Call, capacity int) {
+// SetCapacity sets the places of the server that ran a handed call, for its cost.
+func (t *Trail) SetCapacity(id shed.Call, capacity int) {
 	if c := t.find(id); c != nil && c.capacity == 0 {
 		c.capacity = capacity
 	}
@@ -158,8 +158,8 @@
 	return n
 }
 
-// Took is how long the call ran, once it has ended.
-func (t *Trail) Took(id shed.Call) time.Duration {
+// Duration is how long the call ran, once it has ended.
+func (t *Trail) Duration(id shed.Call) time.Duration {
 	if c := t.find(id); c != nil {
 		return c.took
 	}
@@ -173,9 +173,9 @@
 	return s.idempotent || !s.mayHaveRun()
 }
 
-// Bound tells whether a non-idempotent stage may have run, so that the
+// MustReportOutcome tells whether a non-idempotent stage may have run, so that the
 // request's end must become known even if its caller has gone.
-func (t *Trail) Bound() bool {
+func (t *Trail) MustReportOutcome() bool {
 	for i := range t.stages {
 		s := &t.stages[i]
 		if !s.idempotent && s.mayHaveRun() {
--- a/pkg/client/client.go
+++ b/pkg/client/client.go
@@ -26,7 +26,7 @@
 	// a negative one repeats nothing.
 	Repeats int
 	// Silence is the longest time that a stream may say nothing at all before
-	// its connection is given up; 0 takes DefaultSilence. The fleet sends beats
+	// its connection is given up; 0 takes DefaultIdleTimeout. The fleet sends beats
 	// far more often.
 	Silence time.Duration
 	// Transport carries the calls; nil takes one of the client's own.
