--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -133,8 +133,8 @@
 	if cfg.Config.ConfirmationTTL == 0 {
 		cfg.Config.ConfirmationTTL = defaultSureFor
 	}
-	if cfg.Member.LeaseFor == 0 {
-		cfg.Member.LeaseFor = defaultSureFor
+	if cfg.Member.LeaseDuration == 0 {
+		cfg.Member.LeaseDuration = defaultSureFor
 	}
 	policy, err := route.Named(cfg.Policy, cfg.Seed)
 	if err != nil {
--- a/internal/core/force.go
+++ b/internal/core/force.go
@@ -28,7 +28,7 @@
 		mine = append(mine, p.here...)
 	}
 	slices.SortFunc(mine, func(a, b *shed.Server) int { return cmp.Compare(a.ID, b.ID) })
-	c.slots.SetLongest(longest(rules))
+	c.slots.RaiseMaxCallDuration(longest(rules))
 	c.load.SetServers(now, mine)
 	c.take(c.slots.SetServers(now, mine))
 	c.take(c.orders.SetRules(now, rules))
--- a/internal/core/status.go
+++ b/internal/core/status.go
@@ -95,7 +95,7 @@
 		cand, _ := c.load.Candidate(now, id)
 		s.Servers = append(s.Servers, ServerStatus{
 			Server: id, Cold: cand.Cold, Running: cand.Running, OwnCalls: cand.OwnCalls,
-			FreeSlots: c.slots.Free(now, id), ReportAge: cand.Age,
+			FreeSlots: c.slots.FreeSlots(now, id), ReportAge: cand.Age,
 		})
 	}
 	sort.Slice(s.Servers, func(i, j int) bool { return s.Servers[i].Server < s.Servers[j].Server })
--- a/internal/member/clock.go
+++ b/internal/member/clock.go
@@ -23,8 +23,8 @@
 	return !first && gap > limit
 }
 
-// Woke tells whether the last Tick showed that the process had been paused.
-func (g *Group) Woke() bool { return g.woke }
+// WasPaused tells whether the last Tick showed that the process had been paused.
+func (g *Group) WasPaused() bool { return g.woke }
 
 // Overruled tells that a process with a later incarnation claims this VM's
 // address. This one should stop: peers drop all that it says.
@@ -39,17 +39,17 @@
 // of the few that share its fate.
 func (g *Group) toldDead(now time.Time) {
 	g.doubt(now)
-	g.doubtUntil = now.Add(g.cfg.DeadEvery + g.cfg.ProbeEvery)
+	g.doubtUntil = now.Add(g.cfg.DeadProbeInterval + g.cfg.ProbeInterval)
 }
 
 // Confirmed tells whether what this process believes can be relied on now. It
 // is false from the start, after a pause, and after word that others hold this
 // process dead, until peers have answered probes that were sent since. It is
 // false, too, while no Tick has come for so long that the process may just have
-// woken up, and once no peer has answered for LeaseFor: then this process may
+// woken up, and once no peer has answered for LeaseDuration: then this process may
 // be cut off without having noticed it.
 func (g *Group) Confirmed(now time.Time) bool {
-	if g.clock.wall.IsZero() || now.Sub(g.clock.now) > g.cfg.FreezeAfter {
+	if g.clock.wall.IsZero() || now.Sub(g.clock.now) > g.cfg.MaxTickGap {
 		return false
 	}
 	if now.Before(g.doubtUntil) {
@@ -65,7 +65,7 @@
 		if r.asked.After(g.unsure) {
 			answered++
 		}
-		lease = lease || now.Sub(r.acked) <= g.cfg.LeaseFor
+		lease = lease || now.Sub(r.acked) <= g.cfg.LeaseDuration
 	}
 	if peers == 0 {
 		// Nobody to ask. All that could be alive had the time to show it.
--- a/internal/member/cold_test.go
+++ b/internal/member/cold_test.go
@@ -54,7 +54,7 @@
 func (z *coldZone) join(n *node) {
 	cfg := slots.Config{Self: n.self.VM}
 	if z.weak.wait {
-		cfg.Settle, cfg.LongestCall = time.Second, time.Second
+		cfg.Settle, cfg.MaxCallDuration = time.Second, time.Second
 	}
 	z.tables[n] = slots.New(cfg)
 	z.tables[n].SetServers(z.now, coldServers)
--- a/internal/member/group.go
+++ b/internal/member/group.go
@@ -25,48 +25,48 @@
 	// Seed of the random source.
 	Seed uint64
 
-	// ProbeEvery is the length of a round.
-	ProbeEvery time.Duration
-	// AckAfter is how long an ack may take before others are asked to probe,
+	// ProbeInterval is the length of a round.
+	ProbeInterval time.Duration
+	// AckTimeout is how long an ack may take before others are asked to probe,
 	// and then how long theirs may take.
-	AckAfter time.Duration
-	// SuspectFor is how long a suspect may deny its death.
-	SuspectFor time.Duration
-	// DeadEvery is how often one VM that is dead or unknown is tried.
-	DeadEvery time.Duration
-	// VMsEvery is how often the platform's list is read.
-	VMsEvery time.Duration
-	// FreezeAfter is the longest gap between two ticks that is no freeze.
-	FreezeAfter time.Duration
-	// LeaseFor is how long an answer of a peer confirms the view.
-	LeaseFor time.Duration
-	// KeepDead is how long the dead and the heirs of those that left are
+	AckTimeout time.Duration
+	// SuspectTimeout is how long a suspect may deny its death.
+	SuspectTimeout time.Duration
+	// DeadProbeInterval is how often one VM that is dead or unknown is tried.
+	DeadProbeInterval time.Duration
+	// VMListInterval is how often the platform's list is read.
+	VMListInterval time.Duration
+	// MaxTickGap is the longest gap between two ticks that is no freeze.
+	MaxTickGap time.Duration
+	// LeaseDuration is how long an answer of a peer confirms the view.
+	LeaseDuration time.Duration
+	// DeadRetention is how long the dead and the heirs of those that left are
 	// remembered.
-	KeepDead time.Duration
-	// MaxAhead is how far an incarnation, which is a wall clock, may lie in
+	DeadRetention time.Duration
+	// MaxClockAhead is how far an incarnation, which is a wall clock, may lie in
 	// the future.
-	MaxAhead time.Duration
-	// JoinFor is how long a new process has rounds of JoinEvery, so that it knows
+	MaxClockAhead time.Duration
+	// JoinDuration is how long a new process has rounds of JoinInterval, so that it knows
 	// all others soon; 0 if it has none.
-	JoinFor, JoinEvery time.Duration
-	// SyncMost bounds the members in an answer to a peer whose view differs.
-	SyncMost int
+	JoinDuration, JoinInterval time.Duration
+	// MaxSyncMembers bounds the members in an answer to a peer whose view differs.
+	MaxSyncMembers int
 	// Power is how strong this VM is beside others, as it tells them.
 	Power float64
 }
 
 // Defaults for what a Config leaves at 0.
 const (
-	DefaultProbeEvery  = time.Second
-	DefaultAckAfter    = 500 * time.Millisecond
-	DefaultSuspectFor  = 3 * time.Second
-	DefaultDeadEvery   = 2 * time.Second
-	DefaultVMsEvery    = 30 * time.Second
-	DefaultFreezeAfter = time.Second
-	DefaultLeaseFor    = 5 * time.Second
-	DefaultKeepDead    = time.Hour
-	DefaultMaxAhead    = time.Hour
-	DefaultSyncMost    = 12
+	DefaultProbeInterval     = time.Second
+	DefaultAckTimeout        = 500 * time.Millisecond
+	DefaultSuspectTimeout    = 3 * time.Second
+	DefaultDeadProbeInterval = 2 * time.Second
+	DefaultVMListInterval    = 30 * time.Second
+	DefaultMaxTickGap        = time.Second
+	DefaultLeaseDuration     = 5 * time.Second
+	DefaultDeadRetention     = time.Hour
+	DefaultMaxClockAhead     = time.Hour
+	DefaultMaxSyncMembers    = 12
 )
 
 // How many are probed and told.
@@ -181,17 +181,17 @@
 
 // New returns a group that knows only itself.
 func New(cfg Config) *Group {
-	orDefault(&cfg.ProbeEvery, DefaultProbeEvery)
-	orDefault(&cfg.AckAfter, DefaultAckAfter)
-	orDefault(&cfg.SuspectFor, DefaultSuspectFor)
-	orDefault(&cfg.DeadEvery, DefaultDeadEvery)
-	orDefault(&cfg.VMsEvery, DefaultVMsEvery)
-	orDefault(&cfg.FreezeAfter, DefaultFreezeAfter)
-	orDefault(&cfg.LeaseFor, DefaultLeaseFor)
-	orDefault(&cfg.KeepDead, DefaultKeepDead)
-	orDefault(&cfg.MaxAhead, DefaultMaxAhead)
-	if cfg.SyncMost == 0 {
-		cfg.SyncMost = DefaultSyncMost
+	orDefault(&cfg.ProbeInterval, DefaultProbeInterval)
+	orDefault(&cfg.AckTimeout, DefaultAckTimeout)
+	orDefault(&cfg.SuspectTimeout, DefaultSuspectTimeout)
+	orDefault(&cfg.DeadProbeInterval, DefaultDeadProbeInterval)
+	orDefault(&cfg.VMListInterval, DefaultVMListInterval)
+	orDefault(&cfg.MaxTickGap, DefaultMaxTickGap)
+	orDefault(&cfg.LeaseDuration, DefaultLeaseDuration)
+	orDefault(&cfg.DeadRetention, DefaultDeadRetention)
+	orDefault(&cfg.MaxClockAhead, DefaultMaxClockAhead)
+	if cfg.MaxSyncMembers == 0 {
+		cfg.MaxSyncMembers = DefaultMaxSyncMembers
 	}
 	return &Group{
 		cfg:     cfg,
@@ -214,7 +214,7 @@
 // DetectBound is the longest time from the death of a process to the moment
 // when its watchers call it dead.
 func (c Config) DetectBound() time.Duration {
-	return c.ProbeEvery + 2*c.AckAfter + c.SuspectFor + shed.TickEvery
+	return c.ProbeInterval + 2*c.AckTimeout + c.SuspectTimeout + shed.TickEvery
 }
 
 // Handle takes Tick, VMsRead, PeerMessage, PeerLost and StopRequested.
@@ -253,7 +253,7 @@
 }
 
 func (g *Group) tick(now time.Time, tick shed.Tick) []shed.Action {
-	g.woke = g.clock.tick(now, tick, g.cfg.FreezeAfter)
+	g.woke = g.clock.tick(now, tick, g.cfg.MaxTickGap)
 	if g.woke || g.unsure.IsZero() && g.nextRound.IsZero() {
 		g.doubt(now)
 	}
@@ -267,8 +267,8 @@
 	}
 	if !now.Before(g.nextVMs) {
 		// Jitter, so that a fleet that starts at once doesn't read at once.
-		jitter := time.Duration(g.rng.Int64N(int64(g.cfg.VMsEvery/2) + 1))
-		g.nextVMs = now.Add(g.cfg.VMsEvery*3/4 + jitter)
+		jitter := time.Duration(g.rng.Int64N(int64(g.cfg.VMListInterval/2) + 1))
+		g.nextVMs = now.Add(g.cfg.VMListInterval*3/4 + jitter)
 		out = append(out, shed.ReadVMs{})
 	}
 	return out
@@ -280,10 +280,10 @@
 	if g.joined.IsZero() {
 		g.joined = now
 	}
-	if now.Sub(g.joined) < g.cfg.JoinFor {
-		return g.cfg.JoinEvery
+	if now.Sub(g.joined) < g.cfg.JoinDuration {
+		return g.cfg.JoinInterval
 	}
-	return g.cfg.ProbeEvery
+	return g.cfg.ProbeInterval
 }
 
 // afterFreeze forgets what the pause has made void. Acks that came in meanwhile
--- a/internal/member/group_test.go
+++ b/internal/member/group_test.go
@@ -96,7 +96,7 @@
 			require.Len(t, w.nodes[0].View().Zone(zoneA), 7)
 			dead := w.notes[member.ReasonPeerDead]
 			w.run(5 * time.Second)
-			require.True(t, n.Woke())
+			require.True(t, n.WasPaused())
 			require.False(t, n.Confirmed(w.now))
 			took, ok := w.until(5*time.Second, func() bool { return w.agree(zoneA) && n.Confirmed(w.now) })
 			require.True(t, ok)
@@ -238,13 +238,13 @@
 	}{
 		{"as zones", member.Config{}, 2 * time.Second, 20 * time.Second},
 		{"long answers, short rounds", member.Config{
-			SyncMost: 100, JoinFor: 1500 * time.Millisecond, JoinEvery: 200 * time.Millisecond,
+			MaxSyncMembers: 100, JoinDuration: 1500 * time.Millisecond, JoinInterval: 200 * time.Millisecond,
 		}, 0, 1500 * time.Millisecond},
 	} {
 		for seed := range uint64(5) {
 			w := newNetwork(seed+1, 78)
 			cfg := tc.cfg
-			cfg.ProbeEvery, cfg.AckAfter, cfg.SuspectFor = 500*time.Millisecond, 300*time.Millisecond, time.Second
+			cfg.ProbeInterval, cfg.AckTimeout, cfg.SuspectTimeout = 500*time.Millisecond, 300*time.Millisecond, time.Second
 			cfg.Seeds = []shed.VM{w.nodes[3].self.VM, w.nodes[30].self.VM, w.nodes[60].self.VM}
 			w.cfg = &cfg
 			for _, n := range w.nodes {
--- a/internal/member/merge.go
+++ b/internal/member/merge.go
@@ -82,7 +82,7 @@
 // sees another zone than this one does.
 func (g *Group) room(to shed.VM, view uint64) int {
 	if g.zoneOf(to) == g.cfg.Zone && view != g.currentView().Hash(g.cfg.Zone) {
-		return g.cfg.SyncMost
+		return g.cfg.MaxSyncMembers
 	}
 	return gossipMax
 }
@@ -188,7 +188,7 @@
 // plausible refuses what no process can rightly say. An incarnation far in the
 // future would lock the VM's true process out for good.
 func (g *Group) plausible(now time.Time, m shed.Member) bool {
-	ahead := shed.Incarnation(now.Add(g.cfg.MaxAhead).UnixNano())
+	ahead := shed.Incarnation(now.Add(g.cfg.MaxClockAhead).UnixNano())
 	return m.Peer.VM != "" && m.Zone != "" &&
 		m.Peer.Incarnation != 0 && m.Peer.Incarnation <= ahead &&
 		m.Status >= shed.StatusAlive && m.Status <= shed.StatusDead
@@ -238,7 +238,7 @@
 	}
 	g.heirs[m.Peer] = left{heir: m.Successor, at: now}
 	g.heirOrder = append(g.heirOrder, m.Peer)
-	for len(g.heirOrder) > 0 && (len(g.heirOrder) > heirsMax || now.Sub(g.heirs[g.heirOrder[0]].at) > g.cfg.KeepDead) {
+	for len(g.heirOrder) > 0 && (len(g.heirOrder) > heirsMax || now.Sub(g.heirs[g.heirOrder[0]].at) > g.cfg.DeadRetention) {
 		delete(g.heirs, g.heirOrder[0])
 		g.heirOrder = g.heirOrder[1:]
 	}
--- a/internal/member/probe.go
+++ b/internal/member/probe.go
@@ -101,7 +101,7 @@
 	}
 	g.lostAt += roundUnknown
 	if len(lost) > 0 && !now.Before(g.nextDead) {
-		g.nextDead = now.Add(g.cfg.DeadEvery)
+		g.nextDead = now.Add(g.cfg.DeadProbeInterval)
 		out = g.probe(now, out, lost[g.rng.IntN(len(lost))])
 	}
 	return out
@@ -155,11 +155,11 @@
 	for _, p := range waiting {
 		age := now.Sub(p.sent)
 		switch {
-		case age < g.cfg.AckAfter:
+		case age < g.cfg.AckTimeout:
 		case !p.relayed && p.asker == "":
 			p.relayed = true
 			out = g.askRelays(out, p)
-		case age < 2*g.cfg.AckAfter:
+		case age < 2*g.cfg.AckTimeout:
 		default:
 			out = g.unanswered(now, out, p)
 			continue
@@ -227,10 +227,10 @@
 		case r.Status == shed.StatusDead:
 			// One that the platform still lists may live behind a one-way cut:
 			// as long as it is told that it is dead, it keeps still.
-			if _, listed := g.listed[vm]; !listed && now.Sub(r.deadAt) > g.cfg.KeepDead {
+			if _, listed := g.listed[vm]; !listed && now.Sub(r.deadAt) > g.cfg.DeadRetention {
 				forget = append(forget, vm)
 			}
-		case !r.suspectAt.IsZero() && now.Sub(r.suspectAt) >= g.cfg.SuspectFor:
+		case !r.suspectAt.IsZero() && now.Sub(r.suspectAt) >= g.cfg.SuspectTimeout:
 			g.setDead(now, r)
 			g.spread(r.Member)
 			out = append(out, shed.Note{Reason: ReasonPeerDead, Peer: vm, Zone: r.Zone})
--- a/internal/member/view.go
+++ b/internal/member/view.go
@@ -151,9 +151,9 @@
 	return ok && g.clock.now.Sub(at) <= muteFor
 }
 
-// Since tells when the present process on a VM was first known to be there, or to
+// UpSince tells when the present process on a VM was first known to be there, or to
 // be back; zero if it isn't known.
-func (g *Group) Since(vm shed.VM) time.Time {
+func (g *Group) UpSince(vm shed.VM) time.Time {
 	if r := g.members[vm]; r != nil {
 		return r.since
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -195,7 +195,7 @@
 		Notice:   p.Stop.Notice,
 		MaxDrain: p.Stop.Notice + p.Stop.Drain,
 		Config:   config.Config{WatchTimeout: p.Platform.Watch},
-		Member:   member.Config{VMsEvery: p.Platform.VMPoll},
+		Member:   member.Config{VMListInterval: p.Platform.VMPoll},
 		Admit:    admit.Config{MostQueued: p.Limits.Queue},
 		Ticket:   ticket.Config{Most: p.Limits.Tickets, Life: p.Limits.TicketLifetime, Keep: p.Limits.TicketLifetime},
 	}
--- a/internal/order/decide.go
+++ b/internal/order/decide.go
@@ -108,7 +108,7 @@
 
 func (g *Giver) hold(now time.Time, e *entry) {
 	switch {
-	case !g.table.Holds(now, g.key, g.group(e.server.ID)):
+	case !g.table.MayUseSlot(now, g.key, g.group(e.server.ID)):
 		e.heldAt = time.Time{}
 	case e.heldAt.IsZero():
 		e.heldAt = now
--- a/internal/order/giver.go
+++ b/internal/order/giver.go
@@ -125,10 +125,10 @@
 		cfg:     cfg,
 		servers: map[shed.ServerID]*entry{},
 		table: slots.New(slots.Config{
-			Self:        cfg.Self,
-			Settle:      cfg.Settle,
-			LongestCall: cfg.LongestLoad,
-			ReleaseUpTo: -1,
+			Self:            cfg.Self,
+			Settle:          cfg.Settle,
+			MaxCallDuration: cfg.LongestLoad,
+			MaxReleaseZone:  -1,
 		}),
 	}
 }
--- a/internal/relay/coordinator.go
+++ b/internal/relay/coordinator.go
@@ -40,7 +40,7 @@
 // lastLoadAt returns when a VM last reported its load, or when it became known if that was
 // later: a new process reports none until settleTime has passed.
 func (r *Relay) lastLoadAt(vm shed.VM) time.Time {
-	return shed.Later(r.mesh.lastLoad[vm], r.group.Since(vm))
+	return shed.Later(r.mesh.lastLoad[vm], r.group.UpSince(vm))
 }
 
 // activeCacheTime is how long the list of active VMs is cached: each request asks for it
--- a/internal/relay/mesh.go
+++ b/internal/relay/mesh.go
@@ -107,9 +107,9 @@
 	r.client = peers.NewClient(peers.ClientConfig{Self: r.mesh.self, Dial: r.cfg.DialPeer})
 	r.group = member.New(member.Config{
 		Self: r.mesh.self, Zone: meshZone, Seeds: seedVMs(r.prefs.Load()),
-		Seed:       xxhash.Sum64String(string(r.mesh.self.VM)) ^ uint64(r.mesh.self.Incarnation),
-		ProbeEvery: probeEvery, AckAfter: ackAfter, SuspectFor: suspectFor,
-		JoinFor: joinFor, JoinEvery: joinEvery, SyncMost: syncMost, Power: r.prefs.Load().Relay.Power,
+		Seed:          xxhash.Sum64String(string(r.mesh.self.VM)) ^ uint64(r.mesh.self.Incarnation),
+		ProbeInterval: probeEvery, AckTimeout: ackAfter, SuspectTimeout: suspectFor,
+		JoinDuration: joinFor, JoinInterval: joinEvery, MaxSyncMembers: syncMost, Power: r.prefs.Load().Relay.Power,
 	})
 }
 
--- a/internal/slots/compare_test.go
+++ b/internal/slots/compare_test.go
@@ -58,7 +58,7 @@
 	}
 	for i := range n {
 		c.vms = append(c.vms, shed.VM(fmt.Sprintf("10.0.0.%d:1", i)))
-		t := New(Config{Self: c.vms[i], LongestCall: 2 * contestCall, ReleaseUpTo: -1})
+		t := New(Config{Self: c.vms[i], MaxCallDuration: 2 * contestCall, MaxReleaseZone: -1})
 		t.SetServers(c.now, []*shed.Server{{ID: "s1", ColdCapacity: bears, Capacity: 9}})
 		c.tables = append(c.tables, t)
 	}
@@ -112,7 +112,7 @@
 		}
 	case safeKeeper:
 		for j, t := range c.tables {
-			if c.reaches(i, j) && t.Holds(c.now, "s1", 0) && c.own(j) < contestBears {
+			if c.reaches(i, j) && t.MayUseSlot(c.now, "s1", 0) && c.own(j) < contestBears {
 				return j
 			}
 		}
--- a/internal/slots/early.go
+++ b/internal/slots/early.go
@@ -25,7 +25,7 @@
 	if t.off.noReport {
 		return mine
 	}
-	if e.reportAt.Before(since.Add(t.cfg.Flight)) {
+	if e.reportAt.Before(since.Add(t.cfg.MaxSendDelay)) {
 		return 0
 	}
 	return max(0, mine-e.running)
@@ -86,7 +86,7 @@
 // anyway, since it may be lost; in a large zone not at all, where a change
 // moves few slots and the messages would cost more than the wait.
 func (t *Table) tell(now time.Time) []shed.Action {
-	if now.Sub(t.toldAt) < t.cfg.ReleaseEvery || !t.mayTell(now) {
+	if now.Sub(t.toldAt) < t.cfg.ReleaseInterval || !t.mayTell(now) {
 		return nil
 	}
 	t.toldAt = now
@@ -109,7 +109,7 @@
 
 // mayTell tells whether a SlotRelease would be true and of use.
 func (t *Table) mayTell(now time.Time) bool {
-	if !t.trust(now) || len(t.view) > t.cfg.ReleaseUpTo {
+	if !t.trust(now) || len(t.view) > t.cfg.MaxReleaseZone {
 		return false
 	}
 	return now.Sub(t.changed) <= t.wait() && t.clean()
--- a/internal/slots/table.go
+++ b/internal/slots/table.go
@@ -25,28 +25,28 @@
 	// or its end is noticed, plus Flight. Twice, since a cut that ends before
 	// one side has noticed it is noticed as ended by the other side as late.
 	Settle time.Duration
-	// LongestCall is the longest time that a call can run on a server after
-	// its arrival there, by any rules; see SetLongest. Deadlines that travel
+	// MaxCallDuration is the longest time that a call can run on a server after
+	// its arrival there, by any rules; see RaiseMaxCallDuration. Deadlines that travel
 	// with the call enforce it.
-	LongestCall time.Duration
-	// Flight is the longest time from a decision to the call's arrival.
-	Flight time.Duration
-	// TickGap is the longest time without a Tick for which slots still count.
-	TickGap time.Duration
-	// ReleaseEvery is how often releases are sent again, since they may be
-	// lost; ReleaseUpTo is the largest zone in which they are sent at all.
-	ReleaseEvery time.Duration
-	ReleaseUpTo  int
+	MaxCallDuration time.Duration
+	// MaxSendDelay is the longest time from a decision to the call's arrival.
+	MaxSendDelay time.Duration
+	// MaxTickGap is the longest time without a Tick for which slots still count.
+	MaxTickGap time.Duration
+	// ReleaseInterval is how often releases are sent again, since they may be
+	// lost; MaxReleaseZone is the largest zone in which they are sent at all.
+	ReleaseInterval time.Duration
+	MaxReleaseZone  int
 }
 
 // Defaults for what a Config leaves at 0.
 const (
-	DefaultSettle       = 18 * time.Second
-	DefaultLongestCall  = 8 * time.Second
-	DefaultFlight       = 2 * time.Second
-	DefaultTickGap      = time.Second
-	DefaultReleaseEvery = 2 * time.Second
-	DefaultReleaseUpTo  = 12
+	DefaultSettle          = 18 * time.Second
+	DefaultMaxCallDuration = 8 * time.Second
+	DefaultMaxSendDelay    = 2 * time.Second
+	DefaultMaxTickGap      = time.Second
+	DefaultReleaseInterval = 2 * time.Second
+	DefaultMaxReleaseZone  = 12
 )
 
 // Table is one daemon's share of the slots of its zone's servers.
@@ -76,7 +76,7 @@
 	trusted   bool
 	trustedAt time.Time
 	changed   time.Time
-	// longest is LongestCall, or more if the rules allow more.
+	// longest is MaxCallDuration, or more if the rules allow more.
 	longest time.Duration
 	toldAt  time.Time
 }
@@ -121,44 +121,44 @@
 	ended time.Time
 }
 
-// Answer tells the kinds of Grant apart. The set is closed.
-type Answer uint8
+// GrantKind tells the kinds of Grant apart. The set is closed.
+type GrantKind uint8
 
 // The answers to Take.
 const (
 	// GrantNone: nobody is known who may send the call now.
-	GrantNone Answer = iota + 1
+	GrantNone GrantKind = iota + 1
 	// GrantOK: the call occupies a slot until Release.
 	GrantOK
-	// GrantAsk: this daemon has no free slot, but Peer has one by the view.
-	GrantAsk
+	// GrantAskPeer: this daemon has no free slot, but Peer has one by the view.
+	GrantAskPeer
 )
 
 // Grant is the answer to Take.
 type Grant struct {
-	Answer Answer
-	Peer   shed.VM
-	// Ripe is when one of this daemon's slots can first be used; zero if it
+	Kind GrantKind
+	Peer shed.VM
+	// UsableAt is when one of this daemon's slots can first be used; zero if it
 	// has none or doesn't trust its view.
-	Ripe time.Time
+	UsableAt time.Time
 }
 
 // OK tells whether the call may be sent from here.
-func (g Grant) OK() bool { return g.Answer == GrantOK }
+func (g Grant) OK() bool { return g.Kind == GrantOK }
 
 // New returns a table that knows nobody: it waits before it uses any slot.
 func New(cfg Config) *Table {
 	orDefault(&cfg.Settle, DefaultSettle)
-	orDefault(&cfg.LongestCall, DefaultLongestCall)
-	orDefault(&cfg.Flight, DefaultFlight)
-	orDefault(&cfg.TickGap, DefaultTickGap)
-	orDefault(&cfg.ReleaseEvery, DefaultReleaseEvery)
-	if cfg.ReleaseUpTo == 0 {
-		cfg.ReleaseUpTo = DefaultReleaseUpTo
+	orDefault(&cfg.MaxCallDuration, DefaultMaxCallDuration)
+	orDefault(&cfg.MaxSendDelay, DefaultMaxSendDelay)
+	orDefault(&cfg.MaxTickGap, DefaultMaxTickGap)
+	orDefault(&cfg.ReleaseInterval, DefaultReleaseInterval)
+	if cfg.MaxReleaseZone == 0 {
+		cfg.MaxReleaseZone = DefaultMaxReleaseZone
 	}
 	return &Table{
 		cfg:      cfg,
-		longest:  cfg.LongestCall,
+		longest:  cfg.MaxCallDuration,
 		lost:     map[shed.VM]time.Time{},
 		released: map[shed.VM]time.Time{},
 		heard:    map[shed.VM]uint64{},
@@ -176,11 +176,11 @@
 // wait is how long a gained slot stays unused.
 func (t *Table) wait() time.Duration { return t.cfg.Settle + t.longest }
 
-// SetLongest tells the longest deadline in the rules in force, if that is more
-// than LongestCall. It never gets shorter again, since calls under older rules
+// RaiseMaxCallDuration tells the longest deadline in the rules in force, if that is more
+// than MaxCallDuration. It never gets shorter again, since calls under older rules
 // may still run. Rules reach all daemons well within Settle, and a slot's wait
 // is worked out when it is to be used, so nobody goes by too short a time.
-func (t *Table) SetLongest(d time.Duration) { t.longest = max(t.longest, d) }
+func (t *Table) RaiseMaxCallDuration(d time.Duration) { t.longest = max(t.longest, d) }
 
 // SetServers tells which servers of this zone the rules name.
 func (t *Table) SetServers(now time.Time, servers []*shed.Server) []shed.Action {
@@ -239,18 +239,18 @@
 func (t *Table) Take(now time.Time, server shed.ServerID, call shed.Call) Grant {
 	e := t.servers[server]
 	if e == nil || !t.trust(now) {
-		return Grant{Answer: GrantNone}
+		return Grant{Kind: GrantNone}
 	}
 	if _, twice := t.calls[call]; twice {
-		return Grant{Answer: GrantNone}
+		return Grant{Kind: GrantNone}
 	}
-	if t.Free(now, server) > 0 {
+	if t.FreeSlots(now, server) > 0 {
 		t.hold(now, server, call, true)
-		return Grant{Answer: GrantOK}
+		return Grant{Kind: GrantOK}
 	}
-	grant := Grant{Answer: GrantNone, Ripe: t.ripe(e)}
+	grant := Grant{Kind: GrantNone, UsableAt: t.ripe(e)}
 	if peer, ok := t.other(e); ok {
-		grant.Answer = GrantAsk
+		grant.Kind = GrantAskPeer
 		grant.Peer = peer
 	}
 	return grant
@@ -270,8 +270,8 @@
 	t.calls[call] = &hold{server: server, cold: cold, started: now}
 }
 
-// Free returns how many more calls this daemon may send to the cold server.
-func (t *Table) Free(now time.Time, server shed.ServerID) int {
+// FreeSlots returns how many more calls this daemon may send to the cold server.
+func (t *Table) FreeSlots(now time.Time, server shed.ServerID) int {
 	e := t.servers[server]
 	if e == nil || !t.trust(now) {
 		return 0
@@ -279,10 +279,10 @@
 	return max(0, t.usable(now, e)-e.inFlight)
 }
 
-// Holds tells whether slot i of the server is this daemon's to use. One daemon
+// MayUseSlot tells whether slot i of the server is this daemon's to use. One daemon
 // at the most holds it at a time, so it also serves to choose who does a thing
 // that only one may do.
-func (t *Table) Holds(now time.Time, server shed.ServerID, i int) bool {
+func (t *Table) MayUseSlot(now time.Time, server shed.ServerID, i int) bool {
 	e := t.servers[server]
 	if e == nil || i >= len(e.slots) || !t.trust(now) {
 		return false
@@ -354,7 +354,7 @@
 	}
 	if stillRuns(end) && !t.off.forgetBroken {
 		h.ended = now
-		h.until = h.started.Add(t.cfg.Flight + t.longest)
+		h.until = h.started.Add(t.cfg.MaxSendDelay + t.longest)
 		return nil
 	}
 	t.drop(call, h)
@@ -374,9 +374,9 @@
 	}
 }
 
-// Ask returns a peer that may send a call to the cold server, by the view that
+// PeerWithSlot returns a peer that may send a call to the cold server, by the view that
 // this daemon trusts now.
-func (t *Table) Ask(now time.Time, server shed.ServerID) (shed.VM, bool) {
+func (t *Table) PeerWithSlot(now time.Time, server shed.ServerID) (shed.VM, bool) {
 	e := t.servers[server]
 	if e == nil || !t.trust(now) {
 		return "", false
--- a/internal/slots/table_test.go
+++ b/internal/slots/table_test.go
@@ -110,7 +110,7 @@
 				table.Handle(now, shed.PeerMessage{From: shed.Peer{VM: "b"}, Message: old})
 				table.Handle(now, shed.LoadReported{Server: "s1", Report: shed.LoadReport{Boot: "x"}})
 			}
-			require.Equal(t, min(tc.free, table.owned(table.servers["s1"])), table.Free(now, "s1"))
+			require.Equal(t, min(tc.free, table.owned(table.servers["s1"])), table.FreeSlots(now, "s1"))
 			require.Positive(t, table.owned(table.servers["s1"]))
 		})
 	}
@@ -122,7 +122,7 @@
 	for _, n := range []int{1, 2, 3, 9} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			took, free := restartZone(n)
-			wait := DefaultSettle + DefaultLongestCall
+			wait := DefaultSettle + DefaultMaxCallDuration
 			t.Logf("%d daemons use a cold server %s after the restart; full wait %s", n, took, wait)
 			require.Less(t, took, wait/2)
 			// Each daemon leaves one of its slots to the call of before, since
@@ -163,7 +163,7 @@
 			}
 		}
 		for _, vm := range vms {
-			free += tables[vm].Free(now, "s1")
+			free += tables[vm].FreeSlots(now, "s1")
 		}
 	}
 	return now.Sub(start), free
@@ -180,7 +180,7 @@
 
 func BenchmarkTable(b *testing.B) {
 	now := time.Unix(1000, 0)
-	table := New(Config{Self: "10.0.0.1:7400", TickGap: time.Hour})
+	table := New(Config{Self: "10.0.0.1:7400", MaxTickGap: time.Hour})
 	var vms []shed.VM
 	for i := range 52 {
 		vms = append(vms, shed.VM(fmt.Sprintf("10.0.0.%d:7400", i)))
--- a/internal/slots/view.go
+++ b/internal/slots/view.go
@@ -78,12 +78,12 @@
 
 // setTrust records whether the view may be relied on. While it could not be,
 // peers may have declared this daemon dead and taken its slots. They start to
-// use them after Settle + LongestCall at the soonest, and learn that it is back
-// within Settle; so after up to LongestCall the slots are still its own, and
+// use them after Settle + MaxCallDuration at the soonest, and learn that it is back
+// within Settle; so after up to MaxCallDuration the slots are still its own, and
 // after longer they count as just gained.
 func (t *Table) setTrust(now time.Time, trusted bool) {
 	last := t.trustedAt
-	if t.trusted && now.Sub(last) > t.cfg.TickGap && !t.off.noWake {
+	if t.trusted && now.Sub(last) > t.cfg.MaxTickGap && !t.off.noWake {
 		t.trusted = false
 	}
 	regained := trusted && !t.trusted
@@ -95,7 +95,7 @@
 	if !regained || t.off.noWake || t.off.noRegain {
 		return
 	}
-	if now.Sub(last) > t.cfg.LongestCall {
+	if now.Sub(last) > t.cfg.MaxCallDuration {
 		last = time.Time{}
 	}
 	t.regain(now, last)
@@ -134,7 +134,7 @@
 	if t.off.noWake {
 		return t.trusted
 	}
-	return t.trusted && now.Sub(t.trustedAt) <= t.cfg.TickGap
+	return t.trusted && now.Sub(t.trustedAt) <= t.cfg.MaxTickGap
 }
 
 // Handle takes Tick, SlotRelease, LoadReported and LoadDigest.
@@ -169,7 +169,7 @@
 func (t *Table) report(now time.Time, id shed.ServerID, r shed.LoadReport) {
 	e := t.servers[id]
 	// The report may have been on its way for as long as a call may.
-	at := now.Add(-r.Age - t.cfg.Flight)
+	at := now.Add(-r.Age - t.cfg.MaxSendDelay)
 	if e == nil || at.Before(e.reportAt) {
 		return
 	}
--- a/internal/slots/world_test.go
+++ b/internal/slots/world_test.go
@@ -8,7 +8,7 @@
 	shed "jasmineshed"
 )
 
-// The world's own bounds, which the tables are told as Settle and LongestCall.
+// The world's own bounds, which the tables are told as Settle and MaxCallDuration.
 const (
 	detect  = 2 * time.Second
 	flight  = 300 * time.Millisecond
@@ -91,11 +91,11 @@
 	p.unsure = w.now.Add(w.upTo(time.Second))
 	p.sees, p.gone, p.flips = map[shed.VM]bool{p.vm: true}, map[shed.VM]uint64{}, map[shed.VM]time.Time{}
 	p.table = New(Config{
-		Self:        p.vm,
-		Settle:      2*detect + flight,
-		LongestCall: longest,
-		Flight:      flight,
-		TickGap:     3 * step,
+		Self:            p.vm,
+		Settle:          2*detect + flight,
+		MaxCallDuration: longest,
+		MaxSendDelay:    flight,
+		MaxTickGap:      3 * step,
 	})
 	p.table.off = w.off
 	known := []*shed.Server{}
