--- a/internal/cmds/relay.go
+++ b/internal/cmds/relay.go
@@ -56,7 +56,7 @@
 		Prefs: p, Dialect: adapt.Dialect{}, Log: log, Lines: lines,
 		Metrics: telem.NewMetrics(log), Tracing: tracing, Listeners: listeners,
 		Store: adapt.NewStore(adapt.StoreConfig{
-			URL: p.Platform.URL, Timeout: p.Platform.ReadTimeout,
+			URL: p.Platform.URL, IdleTimeout: p.Platform.ReadTimeout,
 			Dial: httpd.Dialer(p.Relay.Connect, p.Relay.Silence).DialContext,
 		}),
 	}
