--- a/internal/certs/certs.go
+++ b/internal/certs/certs.go
@@ -22,9 +22,9 @@
 	CA string
 	// Name is the DNS name that the other side's certificate carries.
 	Name string
-	// Every is how often the files are looked at for a change.
-	Every time.Duration
-	Log   logrus.FieldLogger
+	// CheckInterval is how often the files are looked at for a change.
+	CheckInterval time.Duration
+	Log           logrus.FieldLogger
 	// Now is time.Now unless a test gives a clock of its own.
 	Now func() time.Time
 }
@@ -107,7 +107,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.cfg.Now()
-	if now.Sub(s.looked) < s.cfg.Every {
+	if now.Sub(s.looked) < s.cfg.CheckInterval {
 		return s.pair, s.pool
 	}
 	s.looked = now
@@ -127,8 +127,8 @@
 	return s.pair, s.pool
 }
 
-// Callers is the configuration of a listener that asks for no certificate.
-func (s *Store) Callers() *tls.Config {
+// CallerServer is the configuration of a listener that asks for no certificate.
+func (s *Store) CallerServer() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS12,
 		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) {
--- a/internal/certs/certs_test.go
+++ b/internal/certs/certs_test.go
@@ -60,12 +60,12 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	return Config{
-		Cert:  write(t, dir, "cert", "CERTIFICATE", der),
-		Key:   write(t, dir, "key", "EC PRIVATE KEY", secret),
-		CA:    write(t, dir, "ca", "CERTIFICATE", ca),
-		Name:  peerName,
-		Every: time.Minute,
-		Log:   log,
+		Cert:          write(t, dir, "cert", "CERTIFICATE", der),
+		Key:           write(t, dir, "key", "EC PRIVATE KEY", secret),
+		CA:            write(t, dir, "ca", "CERTIFICATE", ca),
+		Name:          peerName,
+		CheckInterval: time.Minute,
+		Log:           log,
 	}
 }
 
@@ -140,7 +140,7 @@
 }
 
 func serial(s *Store) int64 {
-	c, err := s.Callers().GetCertificate(nil)
+	c, err := s.CallerServer().GetCertificate(nil)
 	if err != nil || c.Leaf == nil {
 		return 0
 	}
--- a/internal/core/calls.go
+++ b/internal/core/calls.go
@@ -18,9 +18,9 @@
 
 func (c *Core) callProgress(now time.Time, e shed.CallProgress) {
 	if _, here := c.local[e.Call]; here {
-		c.take(c.load.Seen(now, e.Call, e.Boot))
+		c.take(c.load.RecordAccepted(now, e.Call, e.Boot))
 		if e.Tokens > 0 {
-			c.take(c.load.FirstToken(now, e.Call))
+			c.take(c.load.RecordFirstToken(now, e.Call))
 		}
 	}
 	if to, far := c.handed[e.Call]; far {
@@ -37,7 +37,7 @@
 	if id, here := c.local[e.Call]; here {
 		delete(c.local, e.Call)
 		e.Server = id
-		c.take(c.load.Ended(now, e.Call, e.End))
+		c.take(c.load.RecordEnd(now, e.Call, e.End))
 		c.take(c.slots.Release(now, e.Call, e.End))
 	}
 	if to, far := c.handed[e.Call]; far {
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -65,7 +65,7 @@
 	config  *config.State
 	member  *member.Group
 	slots   *slots.Table
-	load    *load.Book
+	load    *load.Tracker
 	orders  *order.Giver
 	flow    *flow.Flow
 	gate    *admit.Gate
@@ -190,7 +190,7 @@
 	awake := c.config.Ready()
 	c.take(c.config.Handle(now, ev))
 	if awake && !c.config.Ready() {
-		c.take(c.load.Doubt(now))
+		c.take(c.load.SuspectAll(now))
 	}
 	c.adopt(now)
 	c.dispatch(now, ev)
@@ -298,7 +298,7 @@
 func (c *Core) bookStart(now time.Time, a shed.StartCall) {
 	c.local[a.Call] = a.Server
 	cand, _ := c.load.Candidate(now, a.Server)
-	c.load.Sent(now, a.Server, a.Call)
+	c.load.RecordSent(now, a.Server, a.Call)
 	if cand.Cold {
 		c.slots.Take(now, a.Server, a.Call)
 		return
--- a/internal/core/place.go
+++ b/internal/core/place.go
@@ -88,7 +88,7 @@
 	}
 	open, _ := c.rules.ServerOpen(s)
 	cand, known := c.load.Candidate(now, id)
-	return open && known && (!cand.Cold || c.load.Settled(id) && c.slots.FreeSlots(now, id) > 0)
+	return open && known && (!cand.Cold || c.load.IsSettled(id) && c.slots.FreeSlots(now, id) > 0)
 }
 
 // placeHere looks at this zone only. not is a peer that must not get the call.
@@ -119,9 +119,9 @@
 		cand, known := c.load.Candidate(now, s.ID)
 		switch {
 		case !known:
-		case !cand.Cold && c.load.Room(s.ID) > 0 && c.load.MaySend(now, s.ID, unseenShare(s, sharers)):
+		case !cand.Cold && c.load.FreeCapacity(s.ID) > 0 && c.load.MaySend(now, s.ID, unseenShare(s, sharers)):
 			room = append(room, cand)
-		case cand.Cold && c.load.Settled(s.ID) && cand.Running < s.ColdCapacity && c.slots.FreeSlots(now, s.ID) > 0:
+		case cand.Cold && c.load.IsSettled(s.ID) && cand.Running < s.ColdCapacity && c.slots.FreeSlots(now, s.ID) > 0:
 			room = append(room, cand)
 		case cand.Cold:
 			cold = append(cold, s)
--- a/internal/daemon/call.go
+++ b/internal/daemon/call.go
@@ -120,7 +120,7 @@
 	c, ctx := d.newCall(a.Request.Call, shed.Call{}, 0)
 	in := d.input(c)
 	ctx, span := d.span(ctx, "peer_call", a.Request.Call, attribute.String("peer", string(a.To)))
-	msg := peers.StageCall{Ask: a.Request, Payload: in, Trace: map[string]string{}}
+	msg := peers.StageCall{Request: a.Request, Payload: in, Trace: map[string]string{}}
 	propagator.Inject(ctx, propagation.MapCarrier(msg.Trace))
 	fresh := !d.idempotent(a.Request)
 	d.work.Go(func() error {
--- a/internal/daemon/guest.go
+++ b/internal/daemon/guest.go
@@ -36,8 +36,8 @@
 func (d *Daemon) Stage(ctx context.Context, in peers.StageCall, send func(shed.Frame) error) shed.CallEnded {
 	ctx = propagator.Extract(ctx, propagation.MapCarrier(in.Trace))
 	g := &guest{ctx: ctx, payload: in.Payload, send: send, ended: make(chan struct{})}
-	id := in.Ask.Call
-	if !d.admit(id, g, shed.StageRequested{Request: in.Ask, From: in.From}) {
+	id := in.Request.Call
+	if !d.admit(id, g, shed.StageRequested{Request: in.Request, From: in.From}) {
 		// The same attempt is here already: a doubled message must not run twice.
 		return shed.CallEnded{Call: id, End: shed.EndNotStarted, Reason: shed.ReasonDuplicate}
 	}
--- a/internal/engine/reply.go
+++ b/internal/engine/reply.go
@@ -31,15 +31,15 @@
 func (c *call) question() (path string, ask any) {
 	switch c.start.Stage.Kind {
 	case shed.KindEncode:
-		return wire.PathEmbeddings, wire.Embed{Model: string(c.start.Model), Input: c.in.Input}
+		return wire.PathEmbeddings, wire.EmbeddingRequest{Model: string(c.start.Model), Input: c.in.Input}
 	case shed.KindRetrieve:
-		return wire.PathRetrieve, wire.Retrieve{Query: c.in.Input, Vector: c.in.Vector, Limit: passages}
+		return wire.PathRetrieve, wire.RetrieveRequest{Query: c.in.Input, Vector: c.in.Vector, Limit: passages}
 	case shed.KindRerank:
 		return wire.PathRerank, c.rerank()
 	case shed.KindGenerate:
 		return wire.PathChat, c.chat()
 	default:
-		return wire.PathCall, wire.ServiceCall{
+		return wire.PathCall, wire.ServiceRequest{
 			Request: c.start.Call.Request,
 			Input:   c.in.Input,
 			Text:    c.in.Text,
@@ -47,8 +47,8 @@
 	}
 }
 
-func (c *call) rerank() wire.Rerank {
-	ask := wire.Rerank{
+func (c *call) rerank() wire.RerankRequest {
+	ask := wire.RerankRequest{
 		Model:     string(c.start.Model),
 		Query:     c.in.Input,
 		Documents: make([]string, len(c.in.Passages)),
@@ -61,8 +61,8 @@
 
 // chat puts the passages first, so that prompts about the same passages share
 // a prefix, then the text of an earlier stage, and the caller's input last.
-func (c *call) chat() wire.Chat {
-	ask := wire.Chat{
+func (c *call) chat() wire.ChatRequest {
+	ask := wire.ChatRequest{
 		Model:         string(c.start.Model),
 		MaxTokens:     c.in.MaxTokens,
 		Stream:        true,
@@ -116,7 +116,7 @@
 }
 
 func readVector(data []byte) ([]float32, error) {
-	var reply wire.Embedded
+	var reply wire.EmbeddingResponse
 	if err := unmarshal(data, &reply); err != nil {
 		return nil, err
 	}
@@ -131,7 +131,7 @@
 }
 
 func readPassages(data []byte) ([]shed.Passage, error) {
-	var reply wire.Retrieved
+	var reply wire.RetrieveResponse
 	if err := unmarshal(data, &reply); err != nil {
 		return nil, err
 	}
@@ -144,7 +144,7 @@
 // readRanks puts the passages in the reply's order. Each must come once: a
 // reranker that drops or doubles one has answered another question.
 func readRanks(data []byte, asked []shed.Passage) ([]shed.Passage, error) {
-	var reply wire.Reranked
+	var reply wire.RerankResponse
 	if err := unmarshal(data, &reply); err != nil {
 		return nil, err
 	}
@@ -166,7 +166,7 @@
 }
 
 func readReceipt(data []byte) (string, error) {
-	var reply wire.ServiceDone
+	var reply wire.ServiceResponse
 	if err := unmarshal(data, &reply); err != nil {
 		return "", err
 	}
--- a/internal/engine/send.go
+++ b/internal/engine/send.go
@@ -86,7 +86,7 @@
 	h.Set(wire.HeaderCall, wire.CallID(c.start.Call))
 	h.Set(wire.HeaderPriority, strconv.Itoa(c.start.Priority))
 	if c.start.ResumeFrom > 0 {
-		h.Set(wire.HeaderResume, wire.Resume(c.start.Resumes, c.start.ResumeFrom))
+		h.Set(wire.HeaderResume, wire.FormatResume(c.start.Resumes, c.start.ResumeFrom))
 	}
 	if !c.start.Deadline.IsZero() {
 		left := max(time.Until(c.start.Deadline), 0)
--- a/internal/load/book.go
+++ b/internal/load/book.go
@@ -19,23 +19,23 @@
 	Self shed.VM
 	// Readers is how many daemons poll a server.
 	Readers int
-	// PollEvery is how often a reader polls a server.
-	PollEvery time.Duration
-	// DigestEvery is the shortest time between two digests.
-	DigestEvery time.Duration
-	// RefreshEvery is how often an unchanged report is told again.
-	RefreshEvery time.Duration
+	// PollInterval is how often a reader polls a server.
+	PollInterval time.Duration
+	// DigestInterval is the shortest time between two digests.
+	DigestInterval time.Duration
+	// RefreshInterval is how often an unchanged report is told again.
+	RefreshInterval time.Duration
 	// Threshold is the share of a server's Capacity by which its load must
 	// have changed to be told.
 	Threshold float64
 	// SilentAfter is the age of the last report, from any reader, after which
 	// a server that doesn't answer this one counts as silent.
 	SilentAfter time.Duration
-	// LeapFactor and LeapLeast: a first token that takes LeapFactor times the
-	// server's own median, and LeapLeast at the least, is a symptom of a cold
+	// SpikeFactor and MinSpike: a first token that takes SpikeFactor times the
+	// server's own median, and MinSpike at the least, is a symptom of a cold
 	// server.
-	LeapFactor int
-	LeapLeast  time.Duration
+	SpikeFactor int
+	MinSpike    time.Duration
 	// WarmCalls is how many calls per ColdCapacity a server has to complete before
 	// it is held warm.
 	WarmCalls int
@@ -43,15 +43,15 @@
 
 // Defaults for what a Config leaves at 0.
 const (
-	DefaultReaders      = 2
-	DefaultPollEvery    = 2 * time.Second
-	DefaultDigestEvery  = time.Second
-	DefaultRefreshEvery = 30 * time.Second
-	DefaultThreshold    = 0.25
-	DefaultSilentAfter  = 5 * time.Second
-	DefaultLeapFactor   = 4
-	DefaultLeapLeast    = 300 * time.Millisecond
-	DefaultWarmCalls    = 2
+	DefaultReaders         = 2
+	DefaultPollInterval    = 2 * time.Second
+	DefaultDigestInterval  = time.Second
+	DefaultRefreshInterval = 30 * time.Second
+	DefaultThreshold       = 0.25
+	DefaultSilentAfter     = 5 * time.Second
+	DefaultSpikeFactor     = 4
+	DefaultMinSpike        = 300 * time.Millisecond
+	DefaultWarmCalls       = 2
 )
 
 // The reasons of the notes that this package takes.
@@ -61,8 +61,8 @@
 	ReasonTurnedWarm  shed.Reason = "server_turned_warm"
 )
 
-// Book is what is known of the servers.
-type Book struct {
+// Tracker is what is known of the servers.
+type Tracker struct {
 	cfg     Config
 	servers map[shed.ServerID]*entry
 	order   []shed.ServerID // sorted keys of servers
@@ -114,17 +114,17 @@
 }
 
 // New returns a book that knows nothing; every server counts as cold.
-func New(cfg Config) *Book {
+func New(cfg Config) *Tracker {
 	orDefault(&cfg.Readers, DefaultReaders)
-	orDefault(&cfg.PollEvery, DefaultPollEvery)
-	orDefault(&cfg.DigestEvery, DefaultDigestEvery)
-	orDefault(&cfg.RefreshEvery, DefaultRefreshEvery)
+	orDefault(&cfg.PollInterval, DefaultPollInterval)
+	orDefault(&cfg.DigestInterval, DefaultDigestInterval)
+	orDefault(&cfg.RefreshInterval, DefaultRefreshInterval)
 	orDefault(&cfg.Threshold, DefaultThreshold)
 	orDefault(&cfg.SilentAfter, DefaultSilentAfter)
-	orDefault(&cfg.LeapFactor, DefaultLeapFactor)
-	orDefault(&cfg.LeapLeast, DefaultLeapLeast)
+	orDefault(&cfg.SpikeFactor, DefaultSpikeFactor)
+	orDefault(&cfg.MinSpike, DefaultMinSpike)
 	orDefault(&cfg.WarmCalls, DefaultWarmCalls)
-	return &Book{
+	return &Tracker{
 		cfg:     cfg,
 		servers: map[shed.ServerID]*entry{},
 		calls:   map[shed.Call]*call{},
@@ -140,7 +140,7 @@
 
 // SetServers tells which servers of this zone the rules name. What is known of
 // a server outlives a change of its rules.
-func (b *Book) SetServers(now time.Time, servers []*shed.Server) {
+func (b *Tracker) SetServers(now time.Time, servers []*shed.Server) {
 	keep := make(map[shed.ServerID]bool, len(servers))
 	for _, s := range servers {
 		keep[s.ID] = true
@@ -164,7 +164,7 @@
 }
 
 // SetView tells which VMs of the zone are alive, this one among them.
-func (b *Book) SetView(now time.Time, vms []shed.VM) {
+func (b *Tracker) SetView(now time.Time, vms []shed.VM) {
 	if slices.Equal(vms, b.vms) {
 		return
 	}
@@ -179,14 +179,14 @@
 
 // assign works out which servers this daemon reads. The first polls are spread
 // over the period by the place in the list.
-func (b *Book) assign(now time.Time) {
+func (b *Tracker) assign(now time.Time) {
 	for i, id := range b.order {
 		e := b.servers[id]
 		was := e.rank
 		readers := rank.Owners("load/"+string(id), b.vms, b.cfg.Readers)
 		e.rank = slices.Index(readers, b.cfg.Self)
 		if e.rank >= 0 && (was < 0 || e.nextPoll.IsZero()) {
-			phase := b.cfg.PollEvery * time.Duration(i%8) / 8
+			phase := b.cfg.PollInterval * time.Duration(i%8) / 8
 			e.nextPoll = now.Add(phase)
 		}
 	}
@@ -194,7 +194,7 @@
 
 // Handle takes Tick, LoadReported, ServerSilent and PeerMessage with a
 // LoadDigest.
-func (b *Book) Handle(now time.Time, ev shed.Event) []shed.Action {
+func (b *Tracker) Handle(now time.Time, ev shed.Event) []shed.Action {
 	switch ev := ev.(type) {
 	case shed.Tick:
 		return b.tick(now)
@@ -214,19 +214,19 @@
 	return nil
 }
 
-func (b *Book) tick(now time.Time) []shed.Action {
+func (b *Tracker) tick(now time.Time) []shed.Action {
 	var out []shed.Action
 	for _, id := range b.order {
 		e := b.servers[id]
 		e.reopen(now)
 		if e.rank >= 0 && !now.Before(e.nextPoll) {
-			e.nextPoll = now.Add(b.cfg.PollEvery)
+			e.nextPoll = now.Add(b.cfg.PollInterval)
 			out = append(out, shed.PollServer{Server: id, URL: e.server.URL})
 		}
 	}
 	out = b.overdue(now, out)
 	if !now.Before(b.nextDigest) {
-		b.nextDigest = now.Add(b.cfg.DigestEvery)
+		b.nextDigest = now.Add(b.cfg.DigestInterval)
 		out = b.tell(now, out)
 	}
 	return out
@@ -235,7 +235,7 @@
 // reported takes in a report that this daemon read itself. If it shows that the
 // server turned cold, the zone is told at once, whichever reader this is: this
 // daemon will use its slots soon, while others still send to a warm server.
-func (b *Book) reported(now time.Time, e *entry, r shed.LoadReport) []shed.Action {
+func (b *Tracker) reported(now time.Time, e *entry, r shed.LoadReport) []shed.Action {
 	warm, boot := !e.cold.on, e.report.Boot
 	out := b.take(now, nil, e, r)
 	reborn := boot != "" && boot != e.report.Boot
@@ -249,7 +249,7 @@
 }
 
 // take takes in a report, unless it is older than what is known.
-func (b *Book) take(now time.Time, out []shed.Action, e *entry, r shed.LoadReport) []shed.Action {
+func (b *Tracker) take(now time.Time, out []shed.Action, e *entry, r shed.LoadReport) []shed.Action {
 	at := now.Add(-r.Age)
 	if stale(e, r, at) {
 		return append(out, shed.Note{Reason: ReasonStaleReport, Server: e.server.ID})
@@ -285,7 +285,7 @@
 
 // Candidate returns what is known of the server, for a Policy; false if it is
 // none of this zone.
-func (b *Book) Candidate(now time.Time, server shed.ServerID) (shed.Candidate, bool) {
+func (b *Tracker) Candidate(now time.Time, server shed.ServerID) (shed.Candidate, bool) {
 	e := b.servers[server]
 	if e == nil {
 		return shed.Candidate{}, false
@@ -319,7 +319,7 @@
 
 // Report returns the last report of the server and its age; false if there is
 // none.
-func (b *Book) Report(now time.Time, server shed.ServerID) (shed.LoadReport, time.Duration, bool) {
+func (b *Tracker) Report(now time.Time, server shed.ServerID) (shed.LoadReport, time.Duration, bool) {
 	e := b.servers[server]
 	if e == nil || e.report.Boot == "" {
 		return shed.LoadReport{}, 0, false
@@ -327,11 +327,11 @@
 	return e.report, now.Sub(e.at), true
 }
 
-// Room returns how many more calls the server can take: while it is cold up to
+// FreeCapacity returns how many more calls the server can take: while it is cold up to
 // ColdCapacity in all, then one more for each call that it completed since, up to
 // its Capacity. So a server or zone that returns gets its full load only as it
 // shows that it can carry it.
-func (b *Book) Room(server shed.ServerID) int {
+func (b *Tracker) FreeCapacity(server shed.ServerID) int {
 	e := b.servers[server]
 	if e == nil || !e.full.IsZero() {
 		return 0
--- a/internal/load/book_test.go
+++ b/internal/load/book_test.go
@@ -19,7 +19,7 @@
 
 // bench is one book and its clock.
 type bench struct {
-	*load.Book
+	*load.Tracker
 	now   time.Time
 	calls int
 	notes map[shed.Reason]int
@@ -27,7 +27,7 @@
 }
 
 func newBench(self shed.VM, vms ...shed.VM) *bench {
-	b := &bench{Book: load.New(load.Config{Self: self}), now: start, notes: map[shed.Reason]int{}}
+	b := &bench{Tracker: load.New(load.Config{Self: self}), now: start, notes: map[shed.Reason]int{}}
 	b.SetServers(b.now, []*shed.Server{{ID: engine, Capacity: 16, ColdCapacity: 2}})
 	b.SetView(b.now, append(vms, self))
 	return b
@@ -62,10 +62,10 @@
 func (b *bench) call(first time.Duration, end shed.CallEnd) {
 	b.calls++
 	id := shed.Call{Request: shed.RequestID(fmt.Sprint(b.calls)), Attempt: 1}
-	b.Sent(b.now, engine, id)
+	b.RecordSent(b.now, engine, id)
 	b.now = b.now.Add(first)
-	b.do(b.FirstToken(b.now, id))
-	b.do(b.Ended(b.now, id, end))
+	b.do(b.RecordFirstToken(b.now, id))
+	b.do(b.RecordEnd(b.now, id, end))
 }
 
 func report(boot string, seq, done uint64, warm bool) shed.LoadReport {
@@ -158,8 +158,8 @@
 			b.call(900*time.Millisecond, shed.EndComplete)
 		}, true},
 		{"two that give no token at all", func(b *bench) {
-			b.Sent(b.now, engine, shed.Call{Request: "p"})
-			b.Sent(b.now, engine, shed.Call{Request: "q"})
+			b.RecordSent(b.now, engine, shed.Call{Request: "p"})
+			b.RecordSent(b.now, engine, shed.Call{Request: "q"})
 			b.pass(time.Second)
 		}, true},
 		{"it refuses for overload", func(b *bench) {
@@ -204,15 +204,15 @@
 func TestEstimateCorrectsLaggingReport(t *testing.T) {
 	b := newBench("a")
 	before, after := shed.Call{Request: "before"}, shed.Call{Request: "after"}
-	b.Sent(b.now, engine, before)
+	b.RecordSent(b.now, engine, before)
 	b.pass(time.Second)
 	b.report(shed.LoadReport{Boot: "x", Sequence: 1, Running: 5, Age: 100 * time.Millisecond})
-	b.Sent(b.now, engine, after)
+	b.RecordSent(b.now, engine, after)
 	c, _ := b.Candidate(b.now, engine)
 	require.Equal(t, 6, c.Running, "sent since")
 	require.Equal(t, 2, c.OwnCalls)
 	b.pass(time.Second)
-	b.do(b.Ended(b.now, before, shed.EndComplete))
+	b.do(b.RecordEnd(b.now, before, shed.EndComplete))
 	c, _ = b.Candidate(b.now, engine)
 	require.Equal(t, 5, c.Running, "ended since")
 }
@@ -220,13 +220,13 @@
 func TestRoomGrowsWithCompletions(t *testing.T) {
 	b := newBench("a")
 	b.report(report("x", 1, 0, false))
-	require.Equal(t, 2, b.Room(engine))
+	require.Equal(t, 2, b.FreeCapacity(engine))
 	b.pass(time.Hour)
-	require.Equal(t, 2, b.Room(engine), "time alone shows nothing")
+	require.Equal(t, 2, b.FreeCapacity(engine), "time alone shows nothing")
 	b.report(report("x", 2, 4, true))
-	require.Equal(t, 6, b.Room(engine))
+	require.Equal(t, 6, b.FreeCapacity(engine))
 	b.report(report("x", 3, 400, true))
-	require.Equal(t, 16, b.Room(engine))
+	require.Equal(t, 16, b.FreeCapacity(engine))
 }
 
 // The first reader of a server dies, or loses its way to it. The others poll
@@ -292,7 +292,7 @@
 		servers = append(servers, s)
 		truth[s.ID] = &shed.LoadReport{Boot: fmt.Sprintf("%08x", i), Warm: true, Done: 1000, Model: "draft-13b@4", Running: 8}
 	}
-	books := map[shed.VM]*load.Book{}
+	books := map[shed.VM]*load.Tracker{}
 	for _, vm := range vms {
 		books[vm] = load.New(load.Config{Self: vm, Threshold: threshold})
 		books[vm].SetServers(start, servers)
@@ -342,7 +342,7 @@
 	book.SetServers(start, servers)
 	book.SetView(start, vms)
 	for i := range 100 {
-		book.Sent(start, servers[i].ID, shed.Call{Request: shed.RequestID(fmt.Sprint(i))})
+		book.RecordSent(start, servers[i].ID, shed.Call{Request: shed.RequestID(fmt.Sprint(i))})
 	}
 	b.Run("tick", func(b *testing.B) {
 		b.ReportAllocs()
--- a/internal/load/calls.go
+++ b/internal/load/calls.go
@@ -20,8 +20,8 @@
 // span is a call that has ended.
 type span struct{ sent, ended time.Time }
 
-// Sent tells that this daemon sent the call to the server.
-func (b *Book) Sent(now time.Time, server shed.ServerID, id shed.Call) {
+// RecordSent tells that this daemon sent the call to the server.
+func (b *Tracker) RecordSent(now time.Time, server shed.ServerID, id shed.Call) {
 	e := b.servers[server]
 	if e == nil || b.calls[id] != nil {
 		return
@@ -43,7 +43,7 @@
 // the server bears cold. A server that shows its boot only with the end of a
 // call would then get one call after the other; to such a one, calls may go for
 // as long as its last answer is fresh.
-func (b *Book) MaySend(now time.Time, server shed.ServerID, share int) bool {
+func (b *Tracker) MaySend(now time.Time, server shed.ServerID, share int) bool {
 	e := b.servers[server]
 	if e == nil {
 		return false
@@ -51,10 +51,10 @@
 	return e.unseen < share || e.tellsLate && now.Sub(e.provenAt) < provenFor
 }
 
-// Seen tells that the server has accepted the call, and its boot identity if
+// RecordAccepted tells that the server has accepted the call, and its boot identity if
 // it gave one. A new boot means that the server restarted, long before the next
 // report would tell.
-func (b *Book) Seen(now time.Time, id shed.Call, boot string) []shed.Action {
+func (b *Tracker) RecordAccepted(now time.Time, id shed.Call, boot string) []shed.Action {
 	c := b.calls[id]
 	if c == nil {
 		return nil
@@ -94,7 +94,7 @@
 }
 
 // reborn takes in a boot that no report has told of yet.
-func (b *Book) reborn(now time.Time, e *entry, boot string) []shed.Action {
+func (b *Tracker) reborn(now time.Time, e *entry, boot string) []shed.Action {
 	e.forgetBoot()
 	e.report = shed.LoadReport{Boot: boot, Running: len(e.flight)}
 	e.at = now
@@ -109,8 +109,8 @@
 	e.former = e.former[max(0, len(e.former)-formerMax):]
 }
 
-// FirstToken tells that the call's first token has come.
-func (b *Book) FirstToken(now time.Time, id shed.Call) []shed.Action {
+// RecordFirstToken tells that the call's first token has come.
+func (b *Tracker) RecordFirstToken(now time.Time, id shed.Call) []shed.Action {
 	c := b.calls[id]
 	if c == nil || c.first {
 		return nil
@@ -124,8 +124,8 @@
 	return b.firstToken(now, e, c)
 }
 
-// Ended tells how the call ended.
-func (b *Book) Ended(now time.Time, id shed.Call, end shed.CallEnd) []shed.Action {
+// RecordEnd tells how the call ended.
+func (b *Tracker) RecordEnd(now time.Time, id shed.Call, end shed.CallEnd) []shed.Action {
 	c := b.calls[id]
 	if c == nil {
 		return nil
--- a/internal/load/cold.go
+++ b/internal/load/cold.go
@@ -34,7 +34,7 @@
 // itself warm too soon. Completions are counted by the server since its boot,
 // so a daemon that has just started takes a server that was long warm as warm
 // with the first report, and a restart of the whole fleet leaves none cold.
-func (b *Book) judge(now time.Time, out []shed.Action, e *entry, r shed.LoadReport) []shed.Action {
+func (b *Tracker) judge(now time.Time, out []shed.Action, e *entry, r shed.LoadReport) []shed.Action {
 	switch {
 	case r.Boot != e.report.Boot && e.report.Boot != "":
 		out = b.turnCold(now, out, e, 0)
@@ -56,11 +56,11 @@
 // cold may take to show in its report.
 const coldGrace = 300 * time.Millisecond
 
-// Settled tells whether a report of the server was made since it turned cold
+// IsSettled tells whether a report of the server was made since it turned cold
 // and all calls sent to it as a warm one had arrived. Before that nobody knows
 // how much of what it bears is taken: other daemons' calls were sent without a
 // slot, and the first few may already be all it bears.
-func (b *Book) Settled(server shed.ServerID) bool {
+func (b *Tracker) IsSettled(server shed.ServerID) bool {
 	e := b.servers[server]
 	return e != nil && e.settled(e.at)
 }
@@ -70,11 +70,11 @@
 }
 
 // need is how many calls a cold server has to complete.
-func (b *Book) need(e *entry) uint64 {
+func (b *Tracker) need(e *entry) uint64 {
 	return uint64(b.cfg.WarmCalls * e.server.ColdCapacity)
 }
 
-func (b *Book) turnCold(now time.Time, out []shed.Action, e *entry, done uint64) []shed.Action {
+func (b *Tracker) turnCold(now time.Time, out []shed.Action, e *entry, done uint64) []shed.Action {
 	was := e.cold.on
 	e.cold = cold{on: true, since: now, done: done}
 	e.pollSoon(now)
@@ -84,11 +84,11 @@
 	return append(out, shed.Note{Reason: ReasonTurnedCold, Server: e.server.ID})
 }
 
-// Doubt holds every server cold until a report made from now on, and asks for
+// SuspectAll holds every server cold until a report made from now on, and asks for
 // one. A daemon that slept knows its servers as they were: one that turned cold
 // meanwhile would get this daemon's calls on top of those that others send by
 // the slots.
-func (b *Book) Doubt(now time.Time) []shed.Action {
+func (b *Tracker) SuspectAll(now time.Time) []shed.Action {
 	var out []shed.Action
 	for _, id := range b.order {
 		out = append(out, b.suspect(now, b.servers[id])...)
@@ -117,7 +117,7 @@
 
 // symptom turns the server cold by what this daemon itself saw of it, and lets
 // the zone know: the server may not have noticed.
-func (b *Book) symptom(now time.Time, out []shed.Action, e *entry) []shed.Action {
+func (b *Tracker) symptom(now time.Time, out []shed.Action, e *entry) []shed.Action {
 	if e.cold.on {
 		return out
 	}
@@ -135,7 +135,7 @@
 // suspect holds the server cold after a broken connection, since a restart
 // breaks them all, until a report made after that shows the same boot. It asks
 // for one at once: waiting for the next would leave a good server unused.
-func (b *Book) suspect(now time.Time, e *entry) []shed.Action {
+func (b *Tracker) suspect(now time.Time, e *entry) []shed.Action {
 	if e.cold.on {
 		return nil
 	}
@@ -149,7 +149,7 @@
 
 // silent: the server gave this reader no report. If no other reader had one
 // lately either, the server may have restarted, so it counts as cold.
-func (b *Book) silent(now time.Time, e *entry) []shed.Action {
+func (b *Tracker) silent(now time.Time, e *entry) []shed.Action {
 	if e.cold.on || now.Sub(e.at) < b.cfg.SilentAfter {
 		return nil
 	}
@@ -158,7 +158,7 @@
 
 // firstToken looks for a leap of the time to the first token against the
 // server's own median: a server that turned cold is slow before it fails.
-func (b *Book) firstToken(now time.Time, e *entry, c *call) []shed.Action {
+func (b *Tracker) firstToken(now time.Time, e *entry, c *call) []shed.Action {
 	took := now.Sub(c.sent)
 	if c.leapt {
 		return nil
@@ -172,12 +172,12 @@
 	return b.countLeap(now, nil, e)
 }
 
-func (b *Book) leap(e *entry, took time.Duration) bool {
+func (b *Tracker) leap(e *entry, took time.Duration) bool {
 	usual := e.first.median()
-	return usual > 0 && took >= b.cfg.LeapLeast && took >= time.Duration(b.cfg.LeapFactor)*usual
+	return usual > 0 && took >= b.cfg.MinSpike && took >= time.Duration(b.cfg.SpikeFactor)*usual
 }
 
-func (b *Book) countLeap(now time.Time, out []shed.Action, e *entry) []shed.Action {
+func (b *Tracker) countLeap(now time.Time, out []shed.Action, e *entry) []shed.Action {
 	e.cold.leaps++
 	if e.cold.leaps < leapsMax {
 		return out
@@ -187,7 +187,7 @@
 
 // overdue counts calls that already wait longer than a leap: a server that
 // hangs would show no slow first token, since it gives none.
-func (b *Book) overdue(now time.Time, out []shed.Action) []shed.Action {
+func (b *Tracker) overdue(now time.Time, out []shed.Action) []shed.Action {
 	var late []shed.Call
 	for id, c := range b.calls {
 		e := b.servers[c.server]
--- a/internal/load/digest.go
+++ b/internal/load/digest.go
@@ -13,7 +13,7 @@
 // The first reader tells at once. The others poll, too, but tell only when the
 // zone has stayed in the wrong for longer: the first one may be dead or cut off
 // from the server. So each change crosses the zone once, not once per reader.
-func (b *Book) tell(now time.Time, out []shed.Action) []shed.Action {
+func (b *Tracker) tell(now time.Time, out []shed.Action) []shed.Action {
 	reports := map[shed.ServerID]shed.LoadReport{}
 	for _, id := range b.order {
 		e := b.servers[id]
@@ -27,7 +27,7 @@
 		if e.unlike.IsZero() {
 			e.unlike = now
 		}
-		if now.Sub(e.unlike) < time.Duration(2*e.rank)*b.cfg.PollEvery {
+		if now.Sub(e.unlike) < time.Duration(2*e.rank)*b.cfg.PollInterval {
 			continue
 		}
 		r := e.report
@@ -41,7 +41,7 @@
 
 // welcome tells newcomers all that this daemon is the first to read; else they
 // would hold every server cold until it changes or is told again.
-func (b *Book) welcome(now time.Time, out []shed.Action) []shed.Action {
+func (b *Tracker) welcome(now time.Time, out []shed.Action) []shed.Action {
 	if len(b.newcomers) == 0 {
 		return out
 	}
@@ -68,12 +68,12 @@
 }
 
 // alters tells whether the present report would alter a choice elsewhere.
-func (b *Book) alters(now time.Time, e *entry) bool {
+func (b *Tracker) alters(now time.Time, e *entry) bool {
 	r, t := e.report, e.told
 	if r.Boot != t.Boot || r.Warm != t.Warm || r.Model != t.Model || r.Role != t.Role || r.Fence != t.Fence {
 		return true
 	}
-	if now.Sub(e.toldAt) >= b.cfg.RefreshEvery {
+	if now.Sub(e.toldAt) >= b.cfg.RefreshInterval {
 		return true
 	}
 	if e.cold.on && r.Done != t.Done {
@@ -88,7 +88,7 @@
 	return max(change, -change) >= max(1, int(b.cfg.Threshold*float64(e.server.Capacity)))
 }
 
-func (b *Book) send(out []shed.Action, reports map[shed.ServerID]shed.LoadReport) []shed.Action {
+func (b *Tracker) send(out []shed.Action, reports map[shed.ServerID]shed.LoadReport) []shed.Action {
 	if len(reports) == 0 {
 		return out
 	}
@@ -101,7 +101,7 @@
 }
 
 // digest takes in what a reader tells.
-func (b *Book) digest(now time.Time, d shed.LoadDigest) []shed.Action {
+func (b *Tracker) digest(now time.Time, d shed.LoadDigest) []shed.Action {
 	var out []shed.Action
 	for _, id := range slices.Sorted(maps.Keys(d.Reports)) {
 		e := b.servers[id]
--- a/internal/load/full.go
+++ b/internal/load/full.go
@@ -20,7 +20,7 @@
 // report, which its readers ask for at once. If it has turned cold, the report
 // says so; if it says nothing and refuses again with little to do, that is the
 // symptom.
-func (b *Book) overloaded(now time.Time, e *entry) []shed.Action {
+func (b *Tracker) overloaded(now time.Time, e *entry) []shed.Action {
 	if e.cold.on || !e.report.Warm || 2*e.running() < e.server.Capacity {
 		return b.symptom(now, nil, e)
 	}
--- a/internal/load/full_test.go
+++ b/internal/load/full_test.go
@@ -17,23 +17,23 @@
 	busy := report("x", 3, 520, true)
 	busy.Running = 12
 	b.report(busy)
-	require.Equal(t, 4, b.Room(engine))
+	require.Equal(t, 4, b.FreeCapacity(engine))
 	b.pass(100 * time.Millisecond)
 	b.call(time.Millisecond, shed.EndOverloaded)
 	require.False(t, b.cold())
-	require.Zero(t, b.Room(engine))
+	require.Zero(t, b.FreeCapacity(engine))
 	require.Contains(t, b.Handle(b.now, shed.Tick{Wall: b.now}), shed.PollServer{Server: engine})
 
 	late := report("x", 4, 520, true)
 	late.Running, late.Age = 12, 50*time.Millisecond
 	b.report(late)
-	require.Zero(t, b.Room(engine), "the report was made before the refusal")
+	require.Zero(t, b.FreeCapacity(engine), "the report was made before the refusal")
 
 	b.pass(10 * time.Millisecond)
 	fresh := report("x", 5, 530, true)
 	fresh.Running = 10
 	b.report(fresh)
-	require.Equal(t, 6, b.Room(engine))
+	require.Equal(t, 6, b.FreeCapacity(engine))
 }
 
 func TestFullnessEndsWithoutAReport(t *testing.T) {
@@ -43,9 +43,9 @@
 	b.report(busy)
 	b.call(time.Millisecond, shed.EndOverloaded)
 	b.pass(900 * time.Millisecond)
-	require.Zero(t, b.Room(engine))
+	require.Zero(t, b.FreeCapacity(engine))
 	b.pass(100 * time.Millisecond)
-	require.NotZero(t, b.Room(engine))
+	require.NotZero(t, b.FreeCapacity(engine))
 }
 
 // The server turned cold without a word while it was thought to be busy. The
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -128,7 +128,7 @@
 	t := n.cfg.Prefs.TLS
 	var err error
 	if t.CallerCert != "" {
-		n.callerCerts, err = certs.Open(certs.Config{Cert: t.CallerCert, Key: t.CallerKey, Every: t.Reload, Log: n.log})
+		n.callerCerts, err = certs.Open(certs.Config{Cert: t.CallerCert, Key: t.CallerKey, CheckInterval: t.Reload, Log: n.log})
 		if err != nil {
 			return err
 		}
@@ -137,7 +137,7 @@
 		return nil
 	}
 	n.peerCerts, err = certs.Open(certs.Config{
-		Cert: t.PeerCert, Key: t.PeerKey, CA: t.PeerCA, Name: t.PeerName, Every: t.Reload, Log: n.log,
+		Cert: t.PeerCert, Key: t.PeerKey, CA: t.PeerCA, Name: t.PeerName, CheckInterval: t.Reload, Log: n.log,
 	})
 	return err
 }
@@ -159,7 +159,7 @@
 	// The peers' client tells the daemon of lost peers, and the daemon sends by
 	// the client; lost closes that circle.
 	var lost func(shed.VM)
-	clientCfg := peers.ClientConfig{Self: n.self, Dial: n.cfg.DialPeer, Lost: func(vm shed.VM) { lost(vm) }}
+	clientCfg := peers.ClientConfig{Self: n.self, Dial: n.cfg.DialPeer, OnPeerLost: func(vm shed.VM) { lost(vm) }}
 	var serverCfg peers.ServerConfig
 	if n.peerCerts != nil {
 		clientCfg.TLS = n.peerCerts.PeerClient
@@ -214,7 +214,7 @@
 		Log: n.log, Scope: n.metrics.Scope, Tracer: n.tracing,
 	}
 	if n.callerCerts != nil {
-		caller.TLS = n.callerCerts.Callers()
+		caller.TLS = n.callerCerts.CallerServer()
 	}
 	return []suture.Service{
 		front.New(caller),
--- a/internal/peers/calls.go
+++ b/internal/peers/calls.go
@@ -24,7 +24,7 @@
 // StageCall hands one stage call over.
 type StageCall struct {
 	From    shed.Peer         `cbor:"1,keyasint"`
-	Ask     shed.StageRequest `cbor:"2,keyasint"`
+	Request shed.StageRequest `cbor:"2,keyasint"`
 	Payload shed.Payload      `cbor:"3,keyasint"`
 	// Trace carries the trace context, by header name.
 	Trace map[string]string `cbor:"4,keyasint,omitempty"`
--- a/internal/peers/client.go
+++ b/internal/peers/client.go
@@ -36,8 +36,8 @@
 	controlsAtOnce = 256
 )
 
-// ErrSilent is the cause when a connection gave no heartbeat in time.
-var ErrSilent = errors.New("peer connection is silent")
+// ErrHeartbeatTimeout is the cause when a connection gave no heartbeat in time.
+var ErrHeartbeatTimeout = errors.New("peer connection is silent")
 
 // ClientConfig is what a Client needs.
 type ClientConfig struct {
@@ -48,9 +48,9 @@
 	TLS func() *tls.Config
 	// Dial connects; nil takes a plain TCP dialer. Tests cut links here.
 	Dial func(ctx context.Context, to shed.VM) (net.Conn, error)
-	// Lost is told of a peer whose connection went silent or can't be made;
+	// OnPeerLost is told of a peer whose connection went silent or can't be made;
 	// may be nil. It does not block.
-	Lost func(to shed.VM)
+	OnPeerLost func(to shed.VM)
 }
 
 // line is what idle connections are kept by. A silent connection raises the
@@ -74,8 +74,8 @@
 	ages map[shed.VM]uint64
 }
 
-// Received is how many bytes have come on the connections that this client made.
-func (c *Client) Received() int64 { return c.received.Load() }
+// BytesReceived is how many bytes have come on the connections that this client made.
+func (c *Client) BytesReceived() int64 { return c.received.Load() }
 
 // counted is a connection whose incoming bytes are counted.
 type counted struct {
@@ -134,8 +134,8 @@
 }
 
 func (c *Client) lost(to shed.VM) {
-	if c.cfg.Lost != nil {
-		c.cfg.Lost(to)
+	if c.cfg.OnPeerLost != nil {
+		c.cfg.OnPeerLost(to)
 	}
 }
 
@@ -210,7 +210,7 @@
 // ends it as broken; so does an error of sink.
 func (c *Client) Stage(ctx context.Context, to shed.VM, call StageCall, fresh bool, sink func(shed.Frame) error) shed.CallEnded {
 	call.From = c.cfg.Self
-	end := shed.CallEnded{Call: call.Ask.Call}
+	end := shed.CallEnded{Call: call.Request.Call}
 	s, err := c.open(ctx, to, rpcStage, fresh)
 	if err != nil {
 		end.End, end.Reason = shed.EndNotStarted, shed.ReasonBroken
@@ -227,7 +227,7 @@
 		}
 		if reply.End != nil {
 			// The call's identity is ours, whatever the far side says.
-			reply.End.Call = call.Ask.Call
+			reply.End.Call = call.Request.Call
 			return *reply.End
 		}
 		if reply.Frame == nil {
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -19,11 +19,11 @@
 
 func (e echo) Stage(_ context.Context, call StageCall, send func(shed.Frame) error) shed.CallEnded {
 	for i := range 3 {
-		if err := send(shed.Frame{Call: call.Ask.Call, Sequence: uint32(i), Text: call.Payload.Input}); err != nil {
-			return shed.CallEnded{Call: call.Ask.Call, End: shed.EndBroken}
+		if err := send(shed.Frame{Call: call.Request.Call, Sequence: uint32(i), Text: call.Payload.Input}); err != nil {
+			return shed.CallEnded{Call: call.Request.Call, End: shed.EndBroken}
 		}
 	}
-	return shed.CallEnded{Call: call.Ask.Call, End: shed.EndComplete, Tokens: 3}
+	return shed.CallEnded{Call: call.Request.Call, End: shed.EndComplete, Tokens: 3}
 }
 
 func (e echo) Request(_ context.Context, call RequestCall, update func(shed.Update)) (shed.Answer, bool) {
@@ -72,7 +72,7 @@
 	c := newClient(t, ClientConfig{})
 	for _, fresh := range []bool{false, true} {
 		var got []uint32
-		call := StageCall{Ask: shed.StageRequest{Call: shed.Call{Request: "r", Attempt: 1}}, Payload: shed.Payload{Input: "x"}}
+		call := StageCall{Request: shed.StageRequest{Call: shed.Call{Request: "r", Attempt: 1}}, Payload: shed.Payload{Input: "x"}}
 		end := c.Stage(context.Background(), to, call, fresh, func(f shed.Frame) error {
 			got = append(got, f.Sequence)
 			return nil
@@ -105,7 +105,7 @@
 // may run it elsewhere.
 func TestUnreachablePeerIsNotStarted(t *testing.T) {
 	var lost []shed.VM
-	c := newClient(t, ClientConfig{Lost: func(vm shed.VM) { lost = append(lost, vm) }})
+	c := newClient(t, ClientConfig{OnPeerLost: func(vm shed.VM) { lost = append(lost, vm) }})
 	end := c.Stage(context.Background(), "127.0.0.1:1", StageCall{}, true, nil)
 	require.Equal(t, shed.EndNotStarted, end.End)
 	require.Equal(t, []shed.VM{"127.0.0.1:1"}, lost)
@@ -120,7 +120,7 @@
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = lis.Close() })
 	lost := make(chan shed.VM, 1)
-	c := newClient(t, ClientConfig{Lost: func(vm shed.VM) { lost <- vm }})
+	c := newClient(t, ClientConfig{OnPeerLost: func(vm shed.VM) { lost <- vm }})
 	to := shed.VM(lis.Addr().String())
 	end := c.Stage(context.Background(), to, StageCall{}, false, nil)
 	require.Equal(t, shed.EndBroken, end.End)
--- a/internal/peers/relay.go
+++ b/internal/peers/relay.go
@@ -116,8 +116,8 @@
 	controller
 	// Pieces has the pieces made.
 	Pieces(ctx context.Context, call PieceCall) PieceAnswer
-	// Unwanted gives up results that did not reach the daemon that asked.
-	Unwanted(results []shed.PieceResult)
+	// DiscardResults gives up results that did not reach the daemon that asked.
+	DiscardResults(results []shed.PieceResult)
 	// Items returns what this daemon knows of the store.
 	Items(call ItemsCall) ItemsReply
 	// Turn lends a turn at a server.
@@ -154,7 +154,7 @@
 	answer := srv.(RelayHandler).Pieces(stream.Context(), call.unpack())
 	err := out.send(&pieceReply{Results: answer.Results, Wait: answer.Wait})
 	if err != nil {
-		srv.(RelayHandler).Unwanted(answer.Results)
+		srv.(RelayHandler).DiscardResults(answer.Results)
 	}
 	return nil, err
 }
--- a/internal/peers/relay_test.go
+++ b/internal/peers/relay_test.go
@@ -62,7 +62,7 @@
 	return peers.TurnReply{Granted: c.Rate < 10, Wait: c.Patience}
 }
 
-func (s *relayStub) Unwanted(results []shed.PieceResult) { s.unwanted <- len(results) }
+func (s *relayStub) DiscardResults(results []shed.PieceResult) { s.unwanted <- len(results) }
 
 // The daemon that asked for pieces dies while they are made. Its answer can't be
 // sent, so the results are given up at once: they would take up room for seconds.
--- a/internal/peers/stream.go
+++ b/internal/peers/stream.go
@@ -78,7 +78,7 @@
 func (s *stream) recv(msg drpc.Message) error {
 	if err := s.MsgRecv(msg, wire); err != nil {
 		if s.wasSilent() {
-			err = ErrSilent
+			err = ErrHeartbeatTimeout
 		}
 		return fmt.Errorf("receive from peer %s: %w", s.line.to, err)
 	}
--- a/internal/relay/gossip.go
+++ b/internal/relay/gossip.go
@@ -193,12 +193,12 @@
 // pullFromPeer reads the items that this VM lacks from a peer, and reports the end of the pull
 // to the follower.
 func (r *Relay) pullFromPeer(ctx context.Context, client *peers.Client, p follow.Pull) {
-	began, before := time.Now(), client.Received()
+	began, before := time.Now(), client.BytesReceived()
 	items, asOf, err := r.readPeer(ctx, client, p)
 	// received_bytes distinguishes a peer that sent too little from one that did not answer.
 	log := r.log.WithFields(logrus.Fields{
 		"peer": p.From, "after": p.After, "wanted": p.Reported, "as_of": asOf, "items": len(items),
-		"took_ms": time.Since(began).Milliseconds(), "received_bytes": client.Received() - before,
+		"took_ms": time.Since(began).Milliseconds(), "received_bytes": client.BytesReceived() - before,
 	})
 	if err != nil {
 		log.WithError(err).Info("items of the store not read from a peer")
--- a/internal/relay/mesh.go
+++ b/internal/relay/mesh.go
@@ -191,9 +191,9 @@
 	}
 }
 
-// Unwanted implements peers.RelayHandler. It frees the results, which would otherwise take up
+// DiscardResults implements peers.RelayHandler. It frees the results, which would otherwise take up
 // capacity at their producers until they expire.
-func (r *Relay) Unwanted(results []shed.PieceResult) {
+func (r *Relay) DiscardResults(results []shed.PieceResult) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.performBatch(r.batcher.Handle(time.Now(), batch.FreeRequested{Refs: completeRefs(results)}))
--- a/internal/stand/calls.go
+++ b/internal/stand/calls.go
@@ -25,27 +25,27 @@
 }
 
 func (e *Engine) serveEmbed(w http.ResponseWriter, r *http.Request) {
-	var ask wire.Embed
+	var ask wire.EmbeddingRequest
 	if !read(w, r, &ask) {
 		return
 	}
 	e.serveOnce(w, r, func() any {
-		return wire.Embedded{Data: []wire.Embedding{{Embedding: Vector(ask.Input)}}}
+		return wire.EmbeddingResponse{Data: []wire.Embedding{{Embedding: Vector(ask.Input)}}}
 	})
 }
 
 func (e *Engine) serveRetrieve(w http.ResponseWriter, r *http.Request) {
-	var ask wire.Retrieve
+	var ask wire.RetrieveRequest
 	if !read(w, r, &ask) {
 		return
 	}
 	e.serveOnce(w, r, func() any {
-		return wire.Retrieved{Passages: Passages(ask.Query, ask.Limit)}
+		return wire.RetrieveResponse{Passages: Passages(ask.Query, ask.Limit)}
 	})
 }
 
 func (e *Engine) serveRerank(w http.ResponseWriter, r *http.Request) {
-	var ask wire.Rerank
+	var ask wire.RerankRequest
 	if !read(w, r, &ask) {
 		return
 	}
@@ -54,16 +54,16 @@
 	})
 }
 
-func rerank(ask wire.Rerank) wire.Reranked {
+func rerank(ask wire.RerankRequest) wire.RerankResponse {
 	passages := make([]shed.Passage, len(ask.Documents))
 	place := make(map[string]int, len(ask.Documents))
 	for i, text := range ask.Documents {
 		passages[i].Text = text
 		place[text] = i
 	}
-	var out wire.Reranked
+	var out wire.RerankResponse
 	for _, p := range Reranked(ask.Query, passages) {
-		out.Results = append(out.Results, wire.Ranked{Index: place[p.Text], Score: p.Score})
+		out.Results = append(out.Results, wire.RankedDocument{Index: place[p.Text], Score: p.Score})
 	}
 	return out
 }
--- a/internal/stand/chat.go
+++ b/internal/stand/chat.go
@@ -84,7 +84,7 @@
 }
 
 func (e *Engine) serveChat(w http.ResponseWriter, r *http.Request) {
-	var ask wire.Chat
+	var ask wire.ChatRequest
 	if !read(w, r, &ask) {
 		return
 	}
@@ -124,7 +124,7 @@
 }
 
 // open finds the stream to resume, or makes a new one.
-func (e *Engine) open(w http.ResponseWriter, r *http.Request, ask wire.Chat) (*stream, int, bool) {
+func (e *Engine) open(w http.ResponseWriter, r *http.Request, ask wire.ChatRequest) (*stream, int, bool) {
 	id := r.Header.Get(wire.HeaderCall)
 	resume := r.Header.Get(wire.HeaderResume)
 	if resume == "" {
@@ -148,7 +148,7 @@
 	return &next, from, true
 }
 
-func newStream(id string, ask wire.Chat) *stream {
+func newStream(id string, ask wire.ChatRequest) *stream {
 	st := &stream{id: id, total: int(ask.MaxTokens)}
 	if st.total == 0 {
 		st.total = DefaultTokens
--- a/internal/stand/service.go
+++ b/internal/stand/service.go
@@ -74,7 +74,7 @@
 }
 
 func (s *Service) serveCall(w http.ResponseWriter, r *http.Request) {
-	var ask wire.ServiceCall
+	var ask wire.ServiceRequest
 	if !read(w, r, &ask) {
 		return
 	}
@@ -99,7 +99,7 @@
 	case ServiceCuts:
 		panic(http.ErrAbortHandler)
 	default:
-		reply(w, http.StatusOK, wire.ServiceDone{Receipt: Receipt(ask.Request, ask.Input)})
+		reply(w, http.StatusOK, wire.ServiceResponse{Receipt: Receipt(ask.Request, ask.Input)})
 	}
 }
 
--- a/internal/wire/body.go
+++ b/internal/wire/body.go
@@ -6,8 +6,8 @@
 	shed "jasmineshed"
 )
 
-// Chat asks an engine to generate.
-type Chat struct {
+// ChatRequest asks an engine to generate.
+type ChatRequest struct {
 	Model         string        `json:"model"`
 	Messages      []Message     `json:"messages"`
 	MaxTokens     shed.Tokens   `json:"max_tokens,omitempty"`
@@ -64,14 +64,14 @@
 	Message string `json:"message"`
 }
 
-// Embed asks for a vector.
-type Embed struct {
+// EmbeddingRequest asks for a vector.
+type EmbeddingRequest struct {
 	Model string `json:"model"`
 	Input string `json:"input"`
 }
 
-// Embedded answers Embed.
-type Embedded struct {
+// EmbeddingResponse answers Embed.
+type EmbeddingResponse struct {
 	Data []Embedding `json:"data"`
 }
 
@@ -80,45 +80,45 @@
 	Embedding []float32 `json:"embedding"`
 }
 
-// Rerank asks to order documents by how well they fit the query.
-type Rerank struct {
+// RerankRequest asks to order documents by how well they fit the query.
+type RerankRequest struct {
 	Model     string   `json:"model"`
 	Query     string   `json:"query"`
 	Documents []string `json:"documents"`
 }
 
-// Reranked answers Rerank, the best first.
-type Reranked struct {
-	Results []Ranked `json:"results"`
+// RerankResponse answers Rerank, the best first.
+type RerankResponse struct {
+	Results []RankedDocument `json:"results"`
 }
 
-// Ranked is one document, by its index in the question.
-type Ranked struct {
+// RankedDocument is one document, by its index in the question.
+type RankedDocument struct {
 	Index int     `json:"index"`
 	Score float64 `json:"relevance_score"`
 }
 
-// Retrieve asks for passages.
-type Retrieve struct {
+// RetrieveRequest asks for passages.
+type RetrieveRequest struct {
 	Query  string    `json:"query"`
 	Vector []float32 `json:"vector,omitempty"`
 	Limit  int       `json:"limit"`
 }
 
-// Retrieved answers Retrieve.
-type Retrieved struct {
+// RetrieveResponse answers Retrieve.
+type RetrieveResponse struct {
 	Passages []shed.Passage `json:"passages"`
 }
 
-// ServiceCall asks a plain service.
-type ServiceCall struct {
+// ServiceRequest asks a plain service.
+type ServiceRequest struct {
 	Request shed.RequestID `json:"request"`
 	Input   string         `json:"input"`
 	Text    string         `json:"text,omitempty"`
 }
 
-// ServiceDone answers ServiceCall.
-type ServiceDone struct {
+// ServiceResponse answers ServiceRequest.
+type ServiceResponse struct {
 	Receipt string `json:"receipt"`
 }
 
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -52,8 +52,8 @@
 // StreamDone is the data of a stream's last event.
 const StreamDone = "[DONE]"
 
-// ErrCallID means that a text is no call id.
-var ErrCallID = errors.New("not a call id")
+// ErrBadCallID means that a text is no call id.
+var ErrBadCallID = errors.New("not a call id")
 
 // CallID renders a call as "request/stage/attempt".
 func CallID(c shed.Call) string {
@@ -66,29 +66,29 @@
 	return string(b)
 }
 
-// ParseCallID reads what CallID wrote, or returns ErrCallID.
+// ParseCallID reads what CallID wrote, or returns ErrBadCallID.
 func ParseCallID(s string) (shed.Call, error) {
 	rest, attempt, ok := cutLast(s, '/')
 	if !ok {
-		return shed.Call{}, fmt.Errorf("%w: %q", ErrCallID, s)
+		return shed.Call{}, fmt.Errorf("%w: %q", ErrBadCallID, s)
 	}
 	request, stage, ok := cutLast(rest, '/')
 	if !ok || request == "" {
-		return shed.Call{}, fmt.Errorf("%w: %q", ErrCallID, s)
+		return shed.Call{}, fmt.Errorf("%w: %q", ErrBadCallID, s)
 	}
 	n, err := strconv.ParseUint(stage, 10, 8)
 	if err != nil {
-		return shed.Call{}, fmt.Errorf("%w: %q", ErrCallID, s)
+		return shed.Call{}, fmt.Errorf("%w: %q", ErrBadCallID, s)
 	}
 	a, err := strconv.ParseUint(attempt, 10, 16)
 	if err != nil {
-		return shed.Call{}, fmt.Errorf("%w: %q", ErrCallID, s)
+		return shed.Call{}, fmt.Errorf("%w: %q", ErrBadCallID, s)
 	}
 	return shed.Call{Request: shed.RequestID(request), Stage: uint8(n), Attempt: uint16(a)}, nil
 }
 
-// Resume renders HeaderResume.
-func Resume(c shed.Call, offset shed.Tokens) string {
+// FormatResume renders HeaderResume.
+func FormatResume(c shed.Call, offset shed.Tokens) string {
 	return CallID(c) + ":" + strconv.FormatUint(uint64(offset), 10)
 }
 
@@ -96,11 +96,11 @@
 func ParseResume(s string) (string, int, error) {
 	id, offset, ok := cutLast(s, ':')
 	if !ok {
-		return "", 0, fmt.Errorf("%w: %q", ErrCallID, s)
+		return "", 0, fmt.Errorf("%w: %q", ErrBadCallID, s)
 	}
 	n, err := strconv.ParseUint(offset, 10, 31)
 	if err != nil {
-		return "", 0, fmt.Errorf("%w: %q", ErrCallID, s)
+		return "", 0, fmt.Errorf("%w: %q", ErrBadCallID, s)
 	}
 	return id, int(n), nil
 }
