--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -40,7 +40,7 @@
 	Seed uint64
 	// Compile turns the text of a configuration into rules.
 	Compile func(text []byte, rev shed.Revision) (*shed.Rules, error)
-	// Policy picks servers; see route.Named.
+	// Policy picks servers; see route.NewPolicy.
 	Policy string
 	// Notice is how long a stopping daemon still serves while the balancer
 	// notices that it is not ready.
@@ -66,7 +66,7 @@
 	member  *member.Group
 	slots   *slots.Table
 	load    *load.Tracker
-	orders  *order.Giver
+	orders  *order.Reconciler
 	flow    *flow.Flow
 	gate    *admit.Gate
 	ledger  *cost.Ledger
@@ -136,7 +136,7 @@
 	if cfg.Member.LeaseDuration == 0 {
 		cfg.Member.LeaseDuration = defaultSureFor
 	}
-	policy, err := route.Named(cfg.Policy, cfg.Seed)
+	policy, err := route.NewPolicy(cfg.Policy, cfg.Seed)
 	if err != nil {
 		return nil, err
 	}
@@ -288,7 +288,7 @@
 			c.hand(a.Request.Call, a.To)
 			started = true
 		case shed.Finish:
-			c.tickets.Finished(now, a.Request, a)
+			c.tickets.RecordFinish(now, a.Request, a)
 		}
 		c.out = append(c.out, act)
 	}
--- a/internal/flow/oracle_test.go
+++ b/internal/flow/oracle_test.go
@@ -138,7 +138,7 @@
 	r := o.requests[c.Request]
 	var later time.Duration
 	if at := r.pipeline.Stages[c.Stage]; at.Idempotent {
-		later = admit.Minimum(r.pipeline, int(c.Stage)+1)
+		later = admit.MinDuration(r.pipeline, int(c.Stage)+1)
 	}
 	if r.gone && o.now.Add(later).Before(r.deadline) && r.bound() {
 		o.fault("%v cancelled for a caller, though its outcome must become known", c)
--- a/internal/flow/place.go
+++ b/internal/flow/place.go
@@ -12,7 +12,7 @@
 // advance finds a server for the stage at hand, behind those who wait for the
 // same servers already.
 func (f *Flow) advance(now time.Time, r *request) {
-	key := admit.KeyOf(r.at())
+	key := admit.StageQueue(r.at())
 	if f.started && !f.off.oneStart || f.cfg.Admit.Len(key) > 0 {
 		f.enqueue(now, r, key)
 		f.drainQueue(now, key)
@@ -81,11 +81,11 @@
 // could have been told. Half of the pipeline's time always suffices, so that
 // one slow spell can't keep the stage from ever being tried again.
 func (f *Flow) needed(now time.Time, r *request) time.Duration {
-	least := admit.Minimum(r.pipeline, r.stage)
+	least := admit.MinDuration(r.pipeline, r.stage)
 	if r.at().Idempotent || f.off.needed {
 		return least
 	}
-	likely := min(f.cfg.Admit.Likely(now, r.pipeline, r.stage), r.pipeline.Deadline/2)
+	likely := min(f.cfg.Admit.PredictStageDuration(now, r.pipeline, r.stage), r.pipeline.Deadline/2)
 	return max(least, likely)
 }
 
@@ -190,7 +190,7 @@
 // leave too little time.
 func (f *Flow) backOff(now time.Time, r *request) {
 	pause := f.cfg.Backoff << min(max(r.trail.Attempts(r.stage)-1, 0), maxShift)
-	left := r.arrived.Deadline.Sub(now) - admit.Minimum(r.pipeline, r.stage)
+	left := r.arrived.Deadline.Sub(now) - admit.MinDuration(r.pipeline, r.stage)
 	if pause >= left && !f.off.boundPause {
 		f.giveUp(now, r, shed.ReasonWontMeetDeadline)
 		return
@@ -203,7 +203,7 @@
 
 // enqueue lets the request wait for as long as it may still make its deadline.
 func (f *Flow) enqueue(now time.Time, r *request, key admit.QueueKey) {
-	latest := r.arrived.Deadline.Add(-f.cfg.Admit.Least(now, r.pipeline, r.stage))
+	latest := r.arrived.Deadline.Add(-f.cfg.Admit.LowDuration(now, r.pipeline, r.stage))
 	if !latest.After(now) {
 		f.giveUp(now, r, r.waits)
 		return
@@ -248,12 +248,12 @@
 }
 
 func (f *Flow) retryAfter(now time.Time, r *request) time.Duration {
-	return f.cfg.Admit.RetryAfter(now, admit.KeyOf(r.at()), f.waiting(r.arrived, time.Time{}))
+	return f.cfg.Admit.RetryAfter(now, admit.StageQueue(r.at()), f.waiting(r.arrived, time.Time{}))
 }
 
 // drain starts one of those who wait, if there is room for it.
 func (f *Flow) drain(now time.Time) {
-	f.queues = f.cfg.Admit.Queues(f.queues[:0])
+	f.queues = f.cfg.Admit.AppendQueues(f.queues[:0])
 	for _, key := range f.queues {
 		if f.started {
 			return
