--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,9 +1,10 @@
 // Package config decides which revision of the rules is in force on this
-// daemon, and how revisions spread over the fleet.
+// daemon, and distributes revisions over the fleet.
 //
-// Few daemons of each zone watch the platform; the rest hear of a revision from
-// peers and pull it. The revision in force only ever grows, a revision is taken
-// whole or not at all, and a daemon knows how long ago its own was the newest.
+// A few daemons of each zone watch the platform; the others learn of a revision
+// from peers and pull it. The revision in force only ever grows, a revision is
+// applied as a whole or not at all, and a daemon knows how long ago its own was
+// last confirmed to be the newest.
 package config
 
 import (
@@ -15,38 +16,38 @@
 
 // Defaults of Config.
 const (
-	defaultWatchers  = 3
-	defaultFanout    = 4
-	defaultFreshFor  = 3 * time.Second
-	defaultWatchFor  = 500 * time.Millisecond
-	defaultStartWait = time.Second
-	defaultColdSpan  = 150 * time.Millisecond
+	defaultWatchers        = 3
+	defaultFanout          = 4
+	defaultConfirmationTTL = 3 * time.Second
+	defaultWatchTimeout    = 500 * time.Millisecond
+	defaultStartWait       = time.Second
+	defaultColdReadSpread  = 150 * time.Millisecond
 )
 
 // Config builds a State.
 type Config struct {
 	Self shed.Peer
 	Zone shed.ZoneID
-	// Compile turns a text into rules. It depends on nothing but its arguments.
+	// Compile turns a text into rules. It must depend on nothing but its arguments.
 	Compile func(text []byte, rev shed.Revision) (*shed.Rules, error)
 	// Seed of the package's random choices.
 	Seed uint64
-	// Seeds is how many peers the settings name. With some, a daemon that sees
-	// no peer yet waits longer before it reads the whole configuration itself.
-	Seeds int
+	// SeedPeers is the number of peer addresses in the settings. If it is above 0, a daemon that
+	// sees no peer yet waits longer before it reads the whole configuration itself.
+	SeedPeers int
 	// Watchers is how many daemons of a zone watch the platform.
 	Watchers int
-	// Fanout is how many daemons ask one daemon of the level above.
+	// Fanout is the number of children of each daemon in its zone's tree.
 	Fanout int
-	// FreshFor is how long a confirmation counts.
-	FreshFor time.Duration
-	// WatchFor is how long one watch of the platform waits.
-	WatchFor time.Duration
+	// ConfirmationTTL is how long after a confirmation the revision counts as fresh.
+	ConfirmationTTL time.Duration
+	// WatchTimeout is the longest time that one watch of the platform waits for a change.
+	WatchTimeout time.Duration
 	// StartWait bounds how long a starting daemon waits for its peers' answers.
 	StartWait time.Duration
-	// ColdSpan, times the number of zones, is the time over which the zones'
-	// first whole reads spread when nobody has a configuration.
-	ColdSpan time.Duration
+	// ColdReadSpread, multiplied by the number of zones, is the time over which the zones'
+	// first whole reads spread when no daemon has a configuration.
+	ColdReadSpread time.Duration
 }
 
 func (c Config) withDefaults() Config {
@@ -56,49 +57,49 @@
 	if c.Fanout == 0 {
 		c.Fanout = defaultFanout
 	}
-	if c.FreshFor == 0 {
-		c.FreshFor = defaultFreshFor
+	if c.ConfirmationTTL == 0 {
+		c.ConfirmationTTL = defaultConfirmationTTL
 	}
-	if c.WatchFor == 0 {
-		c.WatchFor = defaultWatchFor
+	if c.WatchTimeout == 0 {
+		c.WatchTimeout = defaultWatchTimeout
 	}
 	if c.StartWait == 0 {
 		c.StartWait = defaultStartWait
 	}
-	if c.ColdSpan == 0 {
-		c.ColdSpan = defaultColdSpan
+	if c.ColdReadSpread == 0 {
+		c.ColdReadSpread = defaultColdReadSpread
 	}
 	return c
 }
 
-// State is the one decision on configurations. It is not safe for use by many
-// goroutines.
+// State is the state machine that decides on configurations. It is not safe for
+// concurrent use.
 type State struct {
-	cfg    Config
-	rng    *rand.Rand
-	held   held
-	near   near
-	clock  clock
-	fresh  fresh
-	reads  reads
-	fetch  fetch
-	start  start
-	counts Counts
+	cfg      Config
+	rng      *rand.Rand
+	current  current
+	topology topology
+	clock    clock
+	fresh    fresh
+	reads    reads
+	fetch    fetch
+	start    start
+	counts   Counts
 }
 
-// held is the revision in force.
-type held struct {
-	// rules is nil until the first revision was taken.
+// current is the revision in force.
+type current struct {
+	// rules is nil until the first revision was applied.
 	rules *shed.Rules
 	index shed.ConfigIndex
-	// parts are exactly those of index.
+	// parts holds exactly the parts that index lists.
 	parts map[shed.PartHash][]byte
-	// list are the hashes of parts, sorted. It goes along with reads and pulls
-	// and is never changed.
-	list []shed.PartHash
+	// hashes are the sorted hashes of parts. The slice is shared with reads and pulls and
+	// never modified.
+	hashes []shed.PartHash
 }
 
-// New makes a State that holds no configuration.
+// New returns a State without a configuration.
 func New(cfg Config) *State {
 	cfg = cfg.withDefaults()
 	s := &State{
@@ -110,105 +111,106 @@
 	return s
 }
 
-// Handle takes in one event and says what to do.
+// Handle processes one event and returns the actions to perform.
 func (s *State) Handle(now time.Time, ev shed.Event) []shed.Action {
 	var out []shed.Action
-	if s.clock.woke(now, ev) {
-		out = s.wake(now)
+	if s.clock.observe(now, ev) {
+		out = s.resync(now)
 	}
 	switch ev := ev.(type) {
 	case shed.Tick:
-		return append(out, s.tick(now)...)
+		return append(out, s.handleTick(now)...)
 	case shed.ConfigRead:
-		return append(out, s.read(now, ev)...)
+		return append(out, s.handleRead(now, ev)...)
 	case shed.PeerMessage:
-		return append(out, s.message(now, ev)...)
+		return append(out, s.handleMessage(now, ev)...)
 	}
 	return out
 }
 
-func (s *State) tick(now time.Time) []shed.Action {
+func (s *State) handleTick(now time.Time) []shed.Action {
 	out := s.startTick(now)
-	out = append(out, s.readDue(now)...)
-	out = append(out, s.askDue(now)...)
-	return append(out, s.pullDue(now)...)
+	out = append(out, s.readIfDue(now)...)
+	out = append(out, s.queryIfDue(now)...)
+	return append(out, s.pullIfDue(now)...)
 }
 
-func (s *State) message(now time.Time, ev shed.PeerMessage) []shed.Action {
+func (s *State) handleMessage(now time.Time, ev shed.PeerMessage) []shed.Action {
 	switch m := ev.Message.(type) {
 	case shed.ConfigDigest:
-		return s.digest(now, ev.From.VM, m)
+		return s.handleDigest(now, ev.From.VM, m)
 	case shed.ConfigPull:
-		return s.serve(now, ev.From.VM, m)
+		return s.handlePull(now, ev.From.VM, m)
 	case shed.ConfigPush:
-		return s.pushed(now, ev.From.VM, m)
+		return s.handlePush(now, ev.From.VM, m)
 	}
 	return nil
 }
 
-// Rules is the configuration in force; nil if there is none yet.
-func (s *State) Rules() *shed.Rules { return s.held.rules }
+// Rules returns the configuration in force; nil if there is none yet.
+func (s *State) Rules() *shed.Rules { return s.current.rules }
 
-// Fresh tells whether the revision in force was the newest within FreshFor. A
-// daemon that is not fresh hands no new work to other zones.
+// Fresh reports whether the revision in force was confirmed to be the newest within
+// ConfirmationTTL. A daemon that is not fresh assigns no new work to other zones.
 func (s *State) Fresh(now time.Time) bool {
-	if s.clock.leapt(now) {
+	if s.clock.jumped(now) {
 		return false
 	}
 	age, known := s.fresh.age(now)
-	return s.held.rules != nil && known && age <= s.cfg.FreshFor
+	return s.current.rules != nil && known && age <= s.cfg.ConfirmationTTL
 }
 
-// Ready tells whether there is a configuration in force that was held against
-// what the peers have, since the start and since the last pause.
-func (s *State) Ready() bool { return s.held.rules != nil && s.start.done }
+// Ready reports whether there is a configuration in force that was compared with those
+// of the peers since the start and since the last pause.
+func (s *State) Ready() bool { return s.current.rules != nil && s.start.done }
 
-// Digest says what is in force here, for sending along with other messages.
+// Digest describes the revision in force, to be sent along with other messages.
 func (s *State) Digest(now time.Time) shed.ConfigDigest {
 	age, known := s.fresh.age(now)
 	return shed.ConfigDigest{
-		Revision:       s.held.index.Revision,
+		Revision:       s.current.index.Revision,
 		ConfirmedAgo:   age,
 		NeverConfirmed: !known,
 	}
 }
 
-// Counts of what happened since the start.
+// Counts counts events since the start.
 type Counts struct {
-	// Reads of the platform, ReadErrors among them.
+	// Reads of the platform, including ReadErrors.
 	Reads, ReadErrors int
-	// StaleReads gave an older revision than was seen before.
+	// StaleReads returned an older revision than was seen before.
 	StaleReads int
 	// PartialReads lacked a part.
 	PartialReads int
-	// Invalid revisions that the platform gave.
+	// Invalid revisions received from the platform.
 	Invalid int
-	// Taken revisions.
-	Taken int
-	// Pulls sent, and served to others.
+	// Applied counts the revisions put in force.
+	Applied int
+	// Pulls sent to peers, and Served pulls of peers.
 	Pulls, Served int
-	// BadPushes were refused: not asked for, a part not what its hash says, or
-	// rules with faults.
+	// BadPushes were refused: not requested, with a part that doesn't match its hash, or
+	// with rules that have faults.
 	BadPushes int
-	// Asks sent for a digest.
-	Asks int
-	// Woke counts pauses of the process.
-	Woke int
+	// Queries counts sent digests that request one back.
+	Queries int
+	// Pauses counts pauses of the process.
+	Pauses int
 }
 
-// Status is what the daemon believes of its configuration.
+// Status describes the daemon's configuration.
 type Status struct {
 	Revision shed.Revision
 	Ready    bool
 	Fresh    bool
-	// Confirmed is how long ago the revision was known to be the newest; void
-	// if Never.
-	Confirmed time.Duration
-	Never     bool
-	// Watching: this daemon is one of its zone's readers.
+	// ConfirmedAgo is how long ago the revision was known to be the newest; undefined if
+	// NeverConfirmed.
+	ConfirmedAgo   time.Duration
+	NeverConfirmed bool
+	// Watching is true if this daemon is one of its zone's watchers.
 	Watching bool
-	// Asked and Heard count peers at the last start or wake.
-	Asked, Heard int
+	// PeersAsked and PeersReplied count the peers queried, and those that replied, since the
+	// last start or pause.
+	PeersAsked, PeersReplied int
 	// Invalid is the platform's newest revision if it has faults, else 0.
 	Invalid shed.Revision
 	// Faults of the invalid revision.
@@ -216,20 +218,20 @@
 	Counts Counts
 }
 
-// Status for operators.
+// Status returns the state for operators.
 func (s *State) Status(now time.Time) Status {
 	digest := s.Digest(now)
 	return Status{
-		Revision:  digest.Revision,
-		Ready:     s.Ready(),
-		Fresh:     s.Fresh(now),
-		Confirmed: digest.ConfirmedAgo,
-		Never:     digest.NeverConfirmed,
-		Watching:  s.near.level == 0,
-		Asked:     len(s.start.asked),
-		Heard:     s.start.heard,
-		Invalid:   s.reads.invalid,
-		Faults:    s.reads.faults,
-		Counts:    s.counts,
+		Revision:       digest.Revision,
+		Ready:          s.Ready(),
+		Fresh:          s.Fresh(now),
+		ConfirmedAgo:   digest.ConfirmedAgo,
+		NeverConfirmed: digest.NeverConfirmed,
+		Watching:       s.topology.level == 0,
+		PeersAsked:     len(s.start.queried),
+		PeersReplied:   s.start.replies,
+		Invalid:        s.reads.invalid,
+		Faults:         s.reads.faults,
+		Counts:         s.counts,
 	}
 }
--- a/internal/prefs/parse.go
+++ b/internal/prefs/parse.go
@@ -11,14 +11,14 @@
 	"gopkg.in/ini.v1"
 )
 
-// Fault is one wrong setting.
+// Fault is one invalid setting.
 type Fault struct {
-	// Section and Key name the setting; Key is empty if the section is wrong.
+	// Section and Key name the setting; Key is empty if the section is invalid.
 	Section, Key string
 	Reason       string
 }
 
-// Error gives section, key and reason.
+// Error returns section, key and reason.
 func (f Fault) Error() string {
 	if f.Key == "" {
 		return fmt.Sprintf("[%s]: %s", f.Section, f.Reason)
@@ -26,8 +26,8 @@
 	return fmt.Sprintf("[%s] %s: %s", f.Section, f.Key, f.Reason)
 }
 
-// Load reads the settings in the file at path. The error joins all faults; each
-// one is a Fault, unless the file can't be read or is no INI.
+// Load reads the settings in the file at path. The error joins all faults; each one is a
+// Fault, unless the file can't be read or is not INI.
 func Load(path string) (*Prefs, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -40,9 +40,9 @@
 	return p, nil
 }
 
-// Parse reads the settings in text; see Load for the error.
+// Parse parses the settings in text; see Load for the error.
 func Parse(text string) (*Prefs, error) {
-	// Shadows keep a doubled key, which would else win without a word.
+	// Shadows keep a duplicate key, which would otherwise override the first one silently.
 	opts := ini.LoadOptions{AllowShadows: true, AllowDuplicateShadowValues: true}
 	file, err := ini.LoadSources(opts, []byte(text))
 	if err != nil {
@@ -51,10 +51,10 @@
 	p := Defaults()
 	var faults []error
 	for _, s := range file.Sections() {
-		faults = append(faults, take(p, s)...)
+		faults = append(faults, applySection(p, s)...)
 	}
 	if len(faults) == 0 {
-		faults = p.check()
+		faults = p.checkCombinations()
 	}
 	if len(faults) > 0 {
 		return nil, errors.Join(faults...)
@@ -62,10 +62,10 @@
 	return p, nil
 }
 
-// take puts one section of the file into p.
-func take(p *Prefs, s *ini.Section) []error {
-	known := slices.IndexFunc(sections, func(k section) bool { return k.name == s.Name() })
-	if known < 0 {
+// applySection applies one section of the file to p.
+func applySection(p *Prefs, s *ini.Section) []error {
+	index := slices.IndexFunc(sections, func(k section) bool { return k.name == s.Name() })
+	if index < 0 {
 		if s.Name() == ini.DefaultSection && len(s.Keys()) == 0 {
 			return nil
 		}
@@ -73,16 +73,16 @@
 	}
 	var faults []error
 	for _, k := range s.Keys() {
-		if err := takeKey(p, sections[known].options, k); err != nil {
+		if err := applyKey(p, sections[index].options, k); err != nil {
 			faults = append(faults, Fault{Section: s.Name(), Key: k.Name(), Reason: err.Error()})
 		}
 	}
 	return faults
 }
 
-func takeKey(p *Prefs, options []option, k *ini.Key) error {
-	at := slices.IndexFunc(options, func(o option) bool { return o.key == k.Name() })
-	if at < 0 {
+func applyKey(p *Prefs, options []option, k *ini.Key) error {
+	i := slices.IndexFunc(options, func(o option) bool { return o.key == k.Name() })
+	if i < 0 {
 		return errors.New("unknown key")
 	}
 	values := k.ValueWithShadows()
@@ -90,18 +90,18 @@
 		return errors.New("given more than once")
 	}
 	if len(values) == 0 {
-		return options[at].set(p, "")
+		return options[i].set(p, "")
 	}
-	return options[at].set(p, strings.TrimSpace(values[0]))
+	return options[i].set(p, strings.TrimSpace(values[0]))
 }
 
-// check finds what is wrong between options.
-func (p *Prefs) check() []error {
+// checkCombinations checks the options against each other.
+func (p *Prefs) checkCombinations() []error {
 	var faults []error
 	fault := func(section, key, reason string) {
 		faults = append(faults, Fault{Section: section, Key: key, Reason: reason})
 	}
-	if checkAddress(p.Node.Reach(), false) != nil {
+	if checkAddress(p.Node.PeerAddress(), false) != nil {
 		fault("node", "advertise", "needed, since peer names no address that others can reach")
 	}
 	if (p.TLS.CallerCert == "") != (p.TLS.CallerKey == "") {
@@ -123,7 +123,7 @@
 	return faults
 }
 
-// Show prints the settings in force, as a file that Parse takes.
+// Show prints the settings in force, as a file that Parse accepts.
 func Show(w io.Writer, p *Prefs) error {
 	for i := range sections {
 		s := &sections[i]
--- a/internal/rules/explain.go
+++ b/internal/rules/explain.go
@@ -8,29 +8,28 @@
 	shed "jasmineshed"
 )
 
-// Line is one line of the rules file that decides about a subject.
+// Line is one line of the rules file that affects a subject.
 type Line struct {
 	shed.Origin
-	// Effect says what the line does to the subject.
+	// Effect is what the line does to the subject.
 	Effect string
 }
 
-// String gives the line as it is shown to operators.
+// String returns the line as it is shown to operators.
 func (l Line) String() string {
 	return fmt.Sprintf("line %d: %s (asked for by %s)", l.Line, l.Effect, l.RequestedBy)
 }
 
-// Explain lists the lines that decide about a subject, sorted by line. The
-// subject is the id of a pipeline, `pipeline/stage`, workspace, server, pool,
-// zone or supplier; one that several have gets the lines of all. No line means
-// that nothing has that id.
+// Explain lists the lines that affect a subject, sorted by line. The subject is the id of a
+// pipeline, `pipeline/stage`, workspace, server, pool, zone or supplier; an id shared by
+// several of them gets the lines of all. The result is empty if nothing has that id.
 func Explain(r *shed.Rules, subject string) []Line {
 	e := explainer{rules: r, seen: map[Line]bool{}}
 	if p := r.Pipelines[shed.PipelineID(subject)]; p != nil {
 		e.pipeline(p)
 	}
 	for _, p := range r.Pipelines {
-		e.stageOf(p, subject)
+		e.matchingStage(p, subject)
 	}
 	if w := r.Workspaces[shed.WorkspaceID(subject)]; w != nil {
 		e.workspace(w)
@@ -81,7 +80,7 @@
 	}
 }
 
-func (e *explainer) stageOf(p *shed.Pipeline, subject string) {
+func (e *explainer) matchingStage(p *shed.Pipeline, subject string) {
 	for i := range p.Stages {
 		if string(p.ID)+"/"+string(p.Stages[i].ID) == subject {
 			e.add(p.Origin, "pipeline %s answers within %s", p.ID, p.Deadline)
@@ -93,18 +92,18 @@
 func (e *explainer) stage(p *shed.Pipeline, s *shed.Stage) {
 	where := "in every zone"
 	if len(s.Zones) > 0 {
-		where = "only in " + joined(s.Zones)
+		where = "only in " + joinIDs(s.Zones)
 	}
-	often := "may be repeated"
+	repetition := "may be repeated"
 	if !s.Idempotent {
-		often = "runs at most once"
+		repetition = "runs at most once"
 	}
-	e.add(s.Origin, "stage %s/%s runs on pool %s %s, takes at least %s and %s", p.ID, s.ID, s.Pool, where, s.MinDuration, often)
+	e.add(s.Origin, "stage %s/%s runs on pool %s %s, takes at least %s and %s", p.ID, s.ID, s.Pool, where, s.MinDuration, repetition)
 	pool := e.rules.Pools[s.Pool]
 	e.pool(pool)
 	for _, server := range pool.Servers {
 		if s.MayRunIn(server.Zone) {
-			e.closed(server)
+			e.whyClosed(server)
 		}
 	}
 }
@@ -119,8 +118,8 @@
 	e.add(m.Origin, "model %s is of version %s", m.ID, m.Version)
 }
 
-// closed names the lines that keep new work from a server.
-func (e *explainer) closed(s *shed.Server) {
+// whyClosed adds the lines because of which a server gets no new work.
+func (e *explainer) whyClosed(s *shed.Server) {
 	if s.Leaving {
 		e.add(s.Origin, "server %s is leaving and gets no new work", s.ID)
 	}
@@ -144,15 +143,15 @@
 	}
 	e.add(s.Origin, "server %s %s and %s", s.ID, orders, fence)
 	e.pool(e.rules.Pools[s.Pool])
-	e.closed(s)
+	e.whyClosed(s)
 }
 
 func (e *explainer) workspace(w *shed.Workspace) {
-	may := "every pipeline"
+	allowed := "every pipeline"
 	if len(w.Pipelines) > 0 {
-		may = joined(w.Pipelines)
+		allowed = joinIDs(w.Pipelines)
 	}
-	e.add(w.Origin, "workspace %s has share %d and may run %s", w.ID, w.Share, may)
+	e.add(w.Origin, "workspace %s has share %d and may run %s", w.ID, w.Share, allowed)
 	for _, id := range w.Pipelines {
 		p := e.rules.Pipelines[id]
 		e.add(p.Origin, "pipeline %s answers within %s", p.ID, p.Deadline)
@@ -160,21 +159,21 @@
 }
 
 func (e *explainer) zone(z *shed.Zone) {
-	e.add(z.Origin, "zone %s is of region %s and is %s", z.ID, z.Region, choose(z.OutOfService, "out: no new work", "in service"))
+	e.add(z.Origin, "zone %s is of region %s and is %s", z.ID, z.Region, ifElse(z.OutOfService, "out: no new work", "in service"))
 }
 
 func (e *explainer) supplier(s *shed.Supplier) {
-	e.add(s.Origin, "supplier %s %s", s.ID, choose(s.Leaving, "is leaving: its servers get no new work", "stays"))
+	e.add(s.Origin, "supplier %s %s", s.ID, ifElse(s.Leaving, "is leaving: its servers get no new work", "stays"))
 }
 
-func choose(yes bool, a, b string) string {
+func ifElse(yes bool, a, b string) string {
 	if yes {
 		return a
 	}
 	return b
 }
 
-func joined[T ~string](list []T) string {
+func joinIDs[T ~string](list []T) string {
 	words := make([]string, len(list))
 	for i, x := range list {
 		words[i] = string(x)
--- a/internal/rules/fault.go
+++ b/internal/rules/fault.go
@@ -6,18 +6,18 @@
 	"strings"
 )
 
-// Fault is one reason why a rules file is refused.
+// Fault is one reason why a rules file is rejected.
 type Fault struct {
-	// Line in the rules file, from 1; 0 if the fault is about the whole file.
+	// Line in the rules file, from 1; 0 if the fault concerns the whole file.
 	Line    int
 	Section string
 	Key     string
 	Reason  string
-	// Mend says what to write instead.
-	Mend string
+	// Fix says what to write instead.
+	Fix string
 }
 
-// String gives the fault on one line.
+// String returns the fault on one line.
 func (f Fault) String() string {
 	var b strings.Builder
 	if f.Line > 0 {
@@ -29,15 +29,14 @@
 	if f.Key != "" {
 		fmt.Fprintf(&b, "%s: ", f.Key)
 	}
-	fmt.Fprintf(&b, "%s; mend: %s", f.Reason, f.Mend)
+	fmt.Fprintf(&b, "%s; mend: %s", f.Reason, f.Fix)
 	return b.String()
 }
 
-// Faults is every fault of a rules file, sorted by line. An empty one means
-// that the file is accepted.
+// Faults are all faults of a rules file, sorted by line. If it is empty, the file is valid.
 type Faults []Fault
 
-// Error lists all faults, one a line.
+// Error lists all faults, one per line.
 func (f Faults) Error() string {
 	lines := make([]string, len(f))
 	for i, fault := range f {
--- a/internal/rules/pack.go
+++ b/internal/rules/pack.go
@@ -14,40 +14,40 @@
 
 // Keys of the platform's configuration service.
 const (
-	// IndexKey holds the index of the parts.
+	// IndexKey is the key of the index of the parts.
 	IndexKey = "rules"
-	// PartKey followed by the hex SHA-256 of a part holds the part.
-	PartKey = "part-"
+	// PartKeyPrefix followed by the hex SHA-256 of a part is the key of the part.
+	PartKeyPrefix = "part-"
 )
 
-// Sizes of parts. A part ends after a line whose hash says so, so that a
-// changed line moves no other part's ends; the bounds hold whatever the lines.
+// Sizes of parts. A part ends after a line chosen by the line's hash, so that a changed
+// line moves no other part's end; the bounds hold for any content.
 const (
-	// MaxPart is the most bytes of a part: well below the platform's megabyte.
-	MaxPart = 64 << 10
-	minPart = 4 << 10
-	// endOneIn: one line in so many ends a part.
-	endOneIn = 64
-	// maxParts bounds what an index may list.
+	// MaxPartBytes is the largest size of a part in bytes: well below the platform's limit of 1 MB.
+	MaxPartBytes = 64 << 10
+	minPart      = 4 << 10
+	// endInterval: one line in this many may end a part.
+	endInterval = 64
+	// maxParts bounds the length of an index.
 	maxParts = 4096
 )
 
-// The ways in which packed rules are refused.
+// Errors of packed rules.
 var (
-	ErrIndex = errors.New("index of the rules can't be read")
-	ErrPart  = errors.New("part of the rules is missing or not what its hash says")
+	ErrBadIndex = errors.New("index of the rules can't be read")
+	ErrBadPart  = errors.New("part of the rules is missing or not what its hash says")
 )
 
-// packed is the index as the platform holds it.
-type packed struct {
+// packedIndex is the index as stored by the platform.
+type packedIndex struct {
 	Parts []string `json:"parts"`
 }
 
-// Pack cuts the text into parts and makes the index that lists them.
+// Pack splits the text into parts and returns the index that lists them.
 func Pack(text []byte) (index []byte, parts map[shed.PartHash][]byte) {
-	list := packed{Parts: []string{}}
+	list := packedIndex{Parts: []string{}}
 	parts = map[shed.PartHash][]byte{}
-	for _, part := range cut(text) {
+	for _, part := range split(text) {
 		hash := shed.PartHash(sha256.Sum256(part))
 		parts[hash] = part
 		list.Parts = append(list.Parts, hex.EncodeToString(hash[:]))
@@ -60,13 +60,13 @@
 	return index, parts
 }
 
-// PartName is the platform's key of a part.
+// PartName returns the platform's key of a part.
 func PartName(hash shed.PartHash) string {
-	return PartKey + hex.EncodeToString(hash[:])
+	return PartKeyPrefix + hex.EncodeToString(hash[:])
 }
 
-// cut splits the text at line ends chosen by their lines' content.
-func cut(text []byte) [][]byte {
+// split splits the text at line ends chosen by the content of the lines.
+func split(text []byte) [][]byte {
 	var parts [][]byte
 	start := 0
 	for at := 0; at < len(text); {
@@ -75,7 +75,7 @@
 			end = at + i + 1
 		}
 		line := text[at:end]
-		if at > start && end-start > MaxPart {
+		if at > start && end-start > MaxPartBytes {
 			parts = append(parts, text[start:at])
 			start = at
 		}
@@ -94,44 +94,43 @@
 func endsPart(line []byte) bool {
 	h := fnv.New32a()
 	_, _ = h.Write(line)
-	return h.Sum32()%endOneIn == 0
+	return h.Sum32()%endInterval == 0
 }
 
-// ParseIndex reads the value of IndexKey.
+// ParseIndex parses the value of IndexKey.
 func ParseIndex(rev shed.Revision, data []byte) (shed.ConfigIndex, error) {
 	dec := json.NewDecoder(bytes.NewReader(data))
 	dec.DisallowUnknownFields()
-	var list packed
+	var list packedIndex
 	if err := dec.Decode(&list); err != nil {
-		return shed.ConfigIndex{}, fmt.Errorf("%w: %w", ErrIndex, err)
+		return shed.ConfigIndex{}, fmt.Errorf("%w: %w", ErrBadIndex, err)
 	}
 	if len(list.Parts) == 0 || len(list.Parts) > maxParts {
-		return shed.ConfigIndex{}, fmt.Errorf("%w: it lists %d parts", ErrIndex, len(list.Parts))
+		return shed.ConfigIndex{}, fmt.Errorf("%w: it lists %d parts", ErrBadIndex, len(list.Parts))
 	}
 	index := shed.ConfigIndex{Revision: rev, Parts: make([]shed.PartHash, len(list.Parts))}
 	for i, name := range list.Parts {
 		raw, err := hex.DecodeString(name)
 		if err != nil || len(raw) != sha256.Size {
-			return shed.ConfigIndex{}, fmt.Errorf("%w: part %d has no hash", ErrIndex, i)
+			return shed.ConfigIndex{}, fmt.Errorf("%w: part %d has no hash", ErrBadIndex, i)
 		}
 		copy(index.Parts[i][:], raw)
 	}
 	return index, nil
 }
 
-// Join puts the text together again. Each part must be what its hash says, so
-// a text is whole or there is none.
+// Join reassembles the text. It fails unless all parts are present and match their hashes.
 func Join(index shed.ConfigIndex, parts map[shed.PartHash][]byte) ([]byte, error) {
 	size := 0
 	for i, hash := range index.Parts {
 		part, ok := parts[hash]
 		if !ok || sha256.Sum256(part) != hash {
-			return nil, fmt.Errorf("%w: part %d, %s", ErrPart, i, hex.EncodeToString(hash[:]))
+			return nil, fmt.Errorf("%w: part %d, %s", ErrBadPart, i, hex.EncodeToString(hash[:]))
 		}
 		size += len(part)
 	}
 	if size > maxText {
-		return nil, fmt.Errorf("%w: the parts have %d bytes", ErrPart, size)
+		return nil, fmt.Errorf("%w: the parts have %d bytes", ErrBadPart, size)
 	}
 	text := make([]byte, 0, size)
 	for _, hash := range index.Parts {
--- a/internal/rules/row.go
+++ b/internal/rules/row.go
@@ -20,7 +20,7 @@
 	maxComment = 200
 )
 
-// row is one rule as it stands in the file.
+// row is one rule as it is written in the file.
 type row struct {
 	shed.Origin
 	section string
@@ -28,111 +28,111 @@
 	value   string
 }
 
-// readRows reads the text into rows, in the order of the file.
+// readRows splits the text into rows, in the order of the file.
 //
-// The library reads each line by itself. It keeps no line numbers, stops at the
-// first line that it can't read, lets a later duplicate overwrite an earlier
-// one and lets a quoted value run on over many lines; line by line, every fault
-// is found and has its number, and no value can swallow its neighbours.
-func readRows(text []byte, known *memory) ([]row, Faults) {
+// The INI library parses each line separately. It keeps no line numbers, stops at the first
+// line that it can't read, lets a later duplicate overwrite an earlier one and lets a quoted
+// value continue over many lines; line by line, every fault is found and has its number, and
+// no value can include the lines after it.
+func readRows(text []byte, cache *lineCache) ([]row, Faults) {
 	if len(text) > maxText {
 		return nil, Faults{{
 			Reason: fmt.Sprintf("the file has %d bytes", len(text)),
-			Mend:   fmt.Sprintf("keep it within %d bytes", maxText),
+			Fix:    fmt.Sprintf("keep it within %d bytes", maxText),
 		}}
 	}
 	lines := bytes.Split(text, []byte("\n"))
 	if len(lines) > maxLines {
 		return nil, Faults{{
 			Reason: fmt.Sprintf("the file has %d lines", len(lines)),
-			Mend:   fmt.Sprintf("keep it within %d lines", maxLines),
+			Fix:    fmt.Sprintf("keep it within %d lines", maxLines),
 		}}
 	}
-	rd := reader{rows: make([]row, 0, len(lines)), known: known}
+	rd := reader{rows: make([]row, 0, len(lines)), cache: cache}
 	for i, line := range lines {
-		rd.read(i+1, bytes.TrimSpace(line))
+		rd.readLine(i+1, bytes.TrimSpace(line))
 	}
-	known.turn()
+	cache.rotate()
 	return rd.rows, rd.faults
 }
 
-// reader goes through the lines of a file.
+// reader reads the lines of a file.
 type reader struct {
 	rows   []row
 	faults Faults
 	// section that the next line belongs to.
 	section string
-	// skip is set below a section header with a fault, so that one bad header
-	// does not bring a fault for each of its lines.
+	// skip is true below a section header with a fault, so that one bad header doesn't cause
+	// a fault for each of its lines.
 	skip  bool
-	known *memory
+	cache *lineCache
 }
 
-func (rd *reader) fault(line int, key, reason, mend string) {
+func (rd *reader) fault(line int, key, reason, fix string) {
 	rd.faults = append(rd.faults, Fault{
-		Line: line, Section: rd.section, Key: key, Reason: reason, Mend: mend,
+		Line: line, Section: rd.section, Key: key, Reason: reason, Fix: fix,
 	})
 }
 
-func (rd *reader) read(n int, line []byte) {
+func (rd *reader) readLine(n int, line []byte) {
 	if len(line) == 0 {
 		return
 	}
-	p, seen := rd.known.line(line)
+	p, seen := rd.cache.get(line)
 	if !seen {
 		p = parseLine(line)
-		rd.known.keep(line, p)
+		rd.cache.put(line, p)
 	}
 	switch {
 	case p.reason != "":
-		rd.fault(n, "", p.reason, p.mend)
-		// Below a header gone wrong nobody knows which section is meant.
+		rd.fault(n, "", p.reason, p.fix)
+		// The section of the lines below a malformed header is unknown.
 		rd.skip = rd.skip || line[0] == '['
-	case p.header:
-		rd.header(n, p.key)
+	case p.isHeader:
+		rd.addHeader(n, p.key)
 	case p.key != "":
-		rd.rule(n, p)
+		rd.addRule(n, p)
 	}
 }
 
-// parsed is what one line says by itself: a fault, a header, a rule or, with no
-// key, nothing.
-type parsed struct {
-	reason, mend string
-	header       bool
-	key          string
-	value        string
-	asked        string
+// parsedLine is the result for one line: a fault, a header, a rule or, without a key,
+// nothing.
+type parsedLine struct {
+	reason, fix string
+	isHeader    bool
+	key         string
+	value       string
+	requestedBy string
 }
 
-func parseLine(line []byte) parsed {
-	if reason, mend := badText(line); reason != "" {
-		return parsed{reason: reason, mend: mend}
+func parseLine(line []byte) parsedLine {
+	if reason, fix := checkLine(line); reason != "" {
+		return parsedLine{reason: reason, fix: fix}
 	}
 	if line[0] == ';' || line[0] == '#' {
-		return parsed{}
+		return parsedLine{}
 	}
-	senseless := parsed{reason: "neither a section nor a rule", mend: "write `[section]` or `key = fields ; who asked`"}
+	malformed := parsedLine{reason: "neither a section nor a rule", fix: "write `[section]` or `key = fields ; who asked`"}
 	file, err := ini.LoadSources(iniOptions, line)
 	if err != nil {
-		return senseless
+		return malformed
 	}
 	if sections := file.Sections(); len(sections) > 1 {
-		return parsed{header: true, key: sections[1].Name()}
+		return parsedLine{isHeader: true, key: sections[1].Name()}
 	}
 	keys := file.Section("").Keys()
 	if len(keys) != 1 {
-		return senseless
+		return malformed
 	}
-	return parsed{
-		key:   keys[0].Name(),
-		value: keys[0].Value(),
-		asked: strings.TrimSpace(strings.TrimLeft(keys[0].Comment, ";# \t")),
+	return parsedLine{
+		key:         keys[0].Name(),
+		value:       keys[0].Value(),
+		requestedBy: strings.TrimSpace(strings.TrimLeft(keys[0].Comment, ";# \t")),
 	}
 }
 
-// iniOptions keep the library from joining lines and from giving meaning to
-// characters that URLs need.
+// iniOptions keep the library from joining lines and from interpreting characters that URLs
+// need.
 var iniOptions = ini.LoadOptions{
 	IgnoreContinuation:  true,
 	KeyValueDelimiters:  "=",
@@ -140,8 +140,8 @@
 	UnparseableSections: nil,
 }
 
-// badText says why a line can't be given to the library, or nothing.
-func badText(line []byte) (reason, mend string) {
+// checkLine returns why a line can't be passed to the library, or "".
+func checkLine(line []byte) (reason, fix string) {
 	if len(line) > maxLine {
 		return fmt.Sprintf("the line has %d bytes", len(line)), fmt.Sprintf("keep lines within %d bytes", maxLine)
 	}
@@ -166,7 +166,7 @@
 	return "", ""
 }
 
-func (rd *reader) header(n int, name string) {
+func (rd *reader) addHeader(n int, name string) {
 	rd.section = name
 	_, known := sections[name]
 	rd.skip = !known
@@ -175,8 +175,8 @@
 	}
 }
 
-func (rd *reader) rule(n int, p parsed) {
-	name, asked := p.key, p.asked
+func (rd *reader) addRule(n int, p parsedLine) {
+	name, asked := p.key, p.requestedBy
 	if rd.skip {
 		return
 	}
@@ -190,8 +190,8 @@
 	if len(asked) > maxComment {
 		rd.fault(n, name, fmt.Sprintf("the comment has %d bytes", len(asked)), fmt.Sprintf("keep it within %d bytes", maxComment))
 	}
-	// A rule without its comment is refused but still read, so that the rules
-	// that refer to it bring no faults of their own.
+	// A rule without its comment is reported but still read, so that rules that refer to it
+	// cause no faults of their own.
 	rd.rows = append(rd.rows, row{
 		Origin:  shed.Origin{Line: n, RequestedBy: asked},
 		section: rd.section,
--- a/internal/rules/rules_test.go
+++ b/internal/rules/rules_test.go
@@ -34,12 +34,12 @@
 caption/draft = kind generate, pool draft, minimum 200ms ; captions desk
 caption/publish = kind service, pool playout, minimum 50ms, idempotent no, zones nl-west-a ; playout desk
 [workspaces]
-noord-tv = share 4, token_sha256 ` + someHash + `, pipelines caption ; noord-tv
+noord-tv = share 4, token_sha256 ` + sampleHash + `, pipelines caption ; noord-tv
 [limits]
 weight_loads = 4 ; platform group
 `
 
-const someHash = "0123456789abcdef0123456789abcdef0123456789abcdef0123456789abcdef"
+const sampleHash = "0123456789abcdef0123456789abcdef0123456789abcdef0123456789abcdef"
 
 func TestParseSmall(t *testing.T) {
 	r, faults := Parse([]byte(small), 7)
@@ -54,7 +54,7 @@
 	require.Equal(t, "http://127.0.0.1:9001", r.Servers["gen-a-1"].URL)
 }
 
-// edited is the small file with one piece changed.
+// edited returns the small file with one piece replaced.
 func edited(t *testing.T, from, to string) []byte {
 	t.Helper()
 	require.Contains(t, small, from)
@@ -101,7 +101,7 @@
 		"url of another kind":      {"http://127.0.0.1:9001", "ftp://127.0.0.1:9001", "no HTTP address"},
 		"url with a query":         {"http://127.0.0.1:9001", "http://127.0.0.1:9001/?a", "more than a server and a path"},
 		"url twice":                {"http://127.0.0.1:9001", "http://127.0.0.1:9002", "url is that of gen-a-1"},
-		"token in the clear":       {someHash, "demo-token", "no SHA-256"},
+		"token in the clear":       {sampleHash, "demo-token", "no SHA-256"},
 		"unknown limit":            {"weight_loads =", "weight_lads =", "unknown limit"},
 		"limit out of range":       {"weight_loads = 4", "weight_loads = 0", "out of range"},
 		"control character":        {"region nl ;", "region nl\x00 ;", "control character U+0000"},
@@ -118,7 +118,7 @@
 			require.NotEmpty(t, faults)
 			require.Contains(t, faults.Error(), c.reason)
 			for _, f := range faults {
-				require.NotEmpty(t, f.Mend)
+				require.NotEmpty(t, f.Fix)
 				require.Positive(t, f.Line, f.Reason)
 			}
 			_, again := Parse(text, 1)
@@ -164,7 +164,7 @@
 }
 
 func TestRewrite(t *testing.T) {
-	text := Rewrite([]byte(small), func(id shed.ServerID) string {
+	text := ReplaceURLs([]byte(small), func(id shed.ServerID) string {
 		if id == "gen-a-1" {
 			return "http://127.0.0.1:7"
 		}
@@ -190,7 +190,7 @@
 	}
 }
 
-// FuzzParse gives random bytes to all that reads what others wrote.
+// FuzzParse passes random bytes to everything that parses external input.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(small))
 	for _, name := range sample.Names() {
