--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -61,7 +61,7 @@
 	cfg   Config
 	start time.Time
 	stats stats
-	notes ring
+	notes noteRing
 
 	// rules in force; nil until the first.
 	rules atomic.Pointer[shed.Rules]
@@ -77,13 +77,13 @@
 	// runs are the requests accepted here: those under way, and the ticketed
 	// ones that have ended, for KeepAnswers.
 	runs map[shed.RequestID]*run
-	// guests are stage calls that peers handed over.
-	guests map[shed.Call]*guest
+	// forwarded are stage calls that peers handed over.
+	forwarded map[shed.Call]*forwardedCall
 	// calls are the calls under way, of runs and guests.
 	calls map[shed.Call]*call
 	// base is the context of all calls; it ends when the daemon does.
-	base context.Context
-	halt context.CancelFunc
+	base       context.Context
+	cancelBase context.CancelFunc
 }
 
 // New makes a Daemon; Run runs it.
@@ -102,15 +102,15 @@
 	}
 	base, halt := context.WithCancel(context.Background())
 	return &Daemon{
-		cfg:    cfg,
-		start:  time.Now(),
-		stats:  newStats(cfg.Scope),
-		exit:   make(chan struct{}),
-		runs:   make(map[shed.RequestID]*run),
-		guests: make(map[shed.Call]*guest),
-		calls:  make(map[shed.Call]*call),
-		base:   base,
-		halt:   halt,
+		cfg:        cfg,
+		start:      time.Now(),
+		stats:      newStats(cfg.Scope),
+		exit:       make(chan struct{}),
+		runs:       make(map[shed.RequestID]*run),
+		forwarded:  make(map[shed.Call]*forwardedCall),
+		calls:      make(map[shed.Call]*call),
+		base:       base,
+		cancelBase: halt,
 	}
 }
 
@@ -146,8 +146,8 @@
 	case err = <-ended:
 	}
 	cancel()
-	d.halt()
-	d.abandon()
+	d.cancelBase()
+	d.abortRuns()
 	if err == nil {
 		// The listeners still write the last answers; a process that ended here
 		// would cut them off.
@@ -162,8 +162,8 @@
 }
 
 // Stop asks for a graceful stop; asked twice, it hurries.
-func (d *Daemon) Stop(hurry bool) {
-	d.handle(shed.StopRequested{SkipNotice: hurry})
+func (d *Daemon) Stop(skipNotice bool) {
+	d.handle(shed.StopRequested{SkipNotice: skipNotice})
 }
 
 // Ready implements shed.Serving.
@@ -181,7 +181,7 @@
 
 // Explain is what was noted about a request, oldest first; with an empty id,
 // the newest notes of all.
-func (d *Daemon) Explain(id shed.RequestID) []Entry { return d.notes.of(id) }
+func (d *Daemon) Explain(id shed.RequestID) []Entry { return d.notes.find(id) }
 
 func (d *Daemon) logSupervisor(e suture.Event) {
 	d.cfg.Log.WithFields(e.Map()).Warn(e.String())
@@ -214,7 +214,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for id, r := range d.runs {
-		if r.expired(now) {
+		if r.isExpired(now) {
 			delete(d.runs, id)
 		}
 	}
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -40,7 +40,7 @@
 }
 func (s *script) Status(time.Time) any { return nil }
 
-func newScripted(t *testing.T, s *script) *Daemon {
+func newScriptedDaemon(t *testing.T, s *script) *Daemon {
 	t.Helper()
 	log := logrus.New()
 	log.SetOutput(io.Discard)
@@ -67,7 +67,7 @@
 		shed.Finish{Request: "two", Outcome: shed.OutcomeNotRun, Reason: shed.ReasonServersBusy},
 		shed.Finish{Request: "one", Outcome: shed.OutcomeComplete},
 	}}}
-	d := newScripted(t, s)
+	d := newScriptedDaemon(t, s)
 	var answers [3]shed.Answer
 	var g errgroup.Group
 	for i, id := range []shed.RequestID{"one", "two", "one"} {
@@ -91,7 +91,7 @@
 	s := &script{arrived: make(chan struct{}, 2), acts: [][]shed.Action{nil, {
 		shed.Finish{Request: "one", Outcome: shed.OutcomeUnknown, Reason: shed.ReasonTicketUnknown},
 	}}}
-	d := newScripted(t, s)
+	d := newScriptedDaemon(t, s)
 	var first shed.Answer
 	var g errgroup.Group
 	g.Go(func() error {
@@ -110,7 +110,7 @@
 
 // A wrong token, an unknown pipeline: refused at once, nothing reaches core.
 func TestStrangersAreRefused(t *testing.T) {
-	d := newScripted(t, &script{})
+	d := newScriptedDaemon(t, &script{})
 	for name, c := range map[string]struct {
 		req  shed.Request
 		want shed.Reason
--- a/internal/daemon/guest.go
+++ b/internal/daemon/forwarded.go
@@ -13,21 +13,21 @@
 
 var _ peers.Handler = (*Daemon)(nil)
 
-// guest is a stage call that a peer handed over.
-type guest struct {
+// forwardedCall is a stage call that a peer handed over.
+type forwardedCall struct {
 	// ctx ends when the peer's stream does.
 	ctx     context.Context
 	payload shed.Payload
 	send    func(shed.Frame) error
 
-	once  sync.Once
-	ended chan struct{}
-	over  shed.CallEnded
+	once   sync.Once
+	ended  chan struct{}
+	result shed.CallEnded
 }
 
-func (g *guest) end(e shed.CallEnded) {
+func (g *forwardedCall) finish(e shed.CallEnded) {
 	g.once.Do(func() {
-		g.over = e
+		g.result = e
 		close(g.ended)
 	})
 }
@@ -35,39 +35,39 @@
 // Stage implements peers.Handler.
 func (d *Daemon) Stage(ctx context.Context, in peers.StageCall, send func(shed.Frame) error) shed.CallEnded {
 	ctx = propagator.Extract(ctx, propagation.MapCarrier(in.Trace))
-	g := &guest{ctx: ctx, payload: in.Payload, send: send, ended: make(chan struct{})}
+	g := &forwardedCall{ctx: ctx, payload: in.Payload, send: send, ended: make(chan struct{})}
 	id := in.Request.Call
-	if !d.admit(id, g, shed.StageRequested{Request: in.Request, From: in.From}) {
+	if !d.acceptForwarded(id, g, shed.StageRequested{Request: in.Request, From: in.From}) {
 		// The same attempt is here already: a doubled message must not run twice.
 		return shed.CallEnded{Call: id, End: shed.EndNotStarted, Reason: shed.ReasonDuplicate}
 	}
 	// The call's own context is derived from ctx, so a peer that goes ends it.
 	<-g.ended
 	d.mu.Lock()
-	delete(d.guests, id)
+	delete(d.forwarded, id)
 	d.mu.Unlock()
-	return g.over
+	return g.result
 }
 
-// admit registers the guest and tells core of it; false if the call is here.
-func (d *Daemon) admit(id shed.Call, g *guest, ev shed.StageRequested) bool {
+// acceptForwarded registers the guest and tells core of it; false if the call is here.
+func (d *Daemon) acceptForwarded(id shed.Call, g *forwardedCall, ev shed.StageRequested) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.guests[id] != nil || d.calls[id] != nil {
+	if d.forwarded[id] != nil || d.calls[id] != nil {
 		return false
 	}
-	d.guests[id] = g
+	d.forwarded[id] = g
 	d.perform(d.cfg.Core.Handle(time.Now(), ev))
 	return true
 }
 
 // refuseStage answers a guest that was not run. The caller holds d.mu.
 func (d *Daemon) refuseStage(a shed.RefuseStage) {
-	g := d.guests[a.Call]
+	g := d.forwarded[a.Call]
 	if g == nil {
 		return
 	}
-	g.end(shed.CallEnded{Call: a.Call, End: shed.EndNotStarted, Reason: a.Reason, RetryAfter: a.RetryAfter})
+	g.finish(shed.CallEnded{Call: a.Call, End: shed.EndNotStarted, Reason: a.Reason, RetryAfter: a.RetryAfter})
 }
 
 // Control implements peers.Handler.
--- a/internal/daemon/home.go
+++ b/internal/daemon/home.go
@@ -40,7 +40,7 @@
 	d.mu.Unlock()
 	rules := d.rules.Load()
 	if rules == nil {
-		return shed.Answer{Finish: *refusal(req.ID, shed.ReasonNoConfig, comeBackSoon)}
+		return shed.Answer{Finish: *refusal(req.ID, shed.ReasonNoConfig, notReadyRetryAfter)}
 	}
 	ws := rules.Workspaces[req.Workspace]
 	if ws == nil || !tokenMatches(req.Token, ws.TokenHash) {
@@ -51,9 +51,9 @@
 	case home.Self:
 		return d.fetch(ctx, req)
 	case home.Peer.VM == "":
-		return homeGone(req.ID)
+		return homeGoneAnswer(req.ID)
 	}
-	return d.askHome(ctx, peers.RequestCall{To: home.Peer, Request: req, Fetch: true}, nil)
+	return d.queryHome(ctx, peers.RequestCall{To: home.Peer, Request: req, Fetch: true}, nil)
 }
 
 // fetch gives the answer to a ticketed request that was started here, waiting
@@ -67,13 +67,13 @@
 	case !known:
 		// It may have run and been forgotten, or belong to another workspace,
 		// which is told nothing of it.
-		return unknown(req.ID, shed.ReasonTicketUnknown)
+		return unknownOutcome(req.ID, shed.ReasonTicketUnknown)
 	case r == nil:
 		return shed.Answer{Finish: f}
 	}
-	r.join()
+	r.addWaiter()
 	answer, ended := r.wait(ctx, nil)
-	if r.leave() && !ended {
+	if r.removeWaiter() && !ended {
 		d.handle(shed.CallerGone{Request: req.ID})
 	}
 	if !ended {
@@ -82,9 +82,9 @@
 	return answer
 }
 
-// handRequest hands a request over to the home of its ticket. The caller holds
+// forwardRequest hands a request over to the home of its ticket. The caller holds
 // d.mu.
-func (d *Daemon) handRequest(a shed.ForwardRequest) {
+func (d *Daemon) forwardRequest(a shed.ForwardRequest) {
 	r := d.runs[a.Request]
 	if r == nil {
 		return
@@ -96,7 +96,7 @@
 	d.work.Go(func() error {
 		ctx, cancel := context.WithDeadline(r.ctx, a.Deadline.Add(homeGrace))
 		defer cancel()
-		answer := d.askHome(ctx, msg, r.push)
+		answer := d.queryHome(ctx, msg, r.push)
 		d.mu.Lock()
 		defer d.mu.Unlock()
 		d.endRun(r, answer)
@@ -107,10 +107,10 @@
 	})
 }
 
-// askHome asks a ticket's home, again if the link breaks. If no answer comes it
+// queryHome asks a ticket's home, again if the link breaks. If no answer comes it
 // can't be known whether the request ran: an earlier repeat may have started it
 // by another way.
-func (d *Daemon) askHome(ctx context.Context, msg peers.RequestCall, update func(shed.Update)) shed.Answer {
+func (d *Daemon) queryHome(ctx context.Context, msg peers.RequestCall, update func(shed.Update)) shed.Answer {
 	ctx, span := d.cfg.Tracer.Start(ctx, "ticket_home")
 	defer span.End()
 	msg.Trace = map[string]string{}
@@ -121,16 +121,16 @@
 		case err == nil && home:
 			return answer
 		case err == nil:
-			return homeGone(msg.Request.ID)
+			return homeGoneAnswer(msg.Request.ID)
 		case ctx.Err() != nil:
-			return unknown(msg.Request.ID, shed.ReasonDeadline)
+			return unknownOutcome(msg.Request.ID, shed.ReasonDeadline)
 		}
 	}
-	return unknown(msg.Request.ID, shed.ReasonBroken)
+	return unknownOutcome(msg.Request.ID, shed.ReasonBroken)
 }
 
-func homeGone(id shed.RequestID) shed.Answer { return unknown(id, shed.ReasonHomeGone) }
+func homeGoneAnswer(id shed.RequestID) shed.Answer { return unknownOutcome(id, shed.ReasonHomeGone) }
 
-func unknown(id shed.RequestID, r shed.Reason) shed.Answer {
+func unknownOutcome(id shed.RequestID, r shed.Reason) shed.Answer {
 	return shed.Answer{Finish: shed.Finish{Request: id, Outcome: shed.OutcomeUnknown, Reason: r}}
 }
--- a/internal/daemon/loop.go
+++ b/internal/daemon/loop.go
@@ -21,9 +21,9 @@
 		case shed.StartCall:
 			d.startCall(a)
 		case shed.ForwardStage:
-			d.handStage(a)
+			d.forwardStage(a)
 		case shed.ForwardRequest:
-			d.handRequest(a)
+			d.forwardRequest(a)
 		case shed.CancelCall:
 			d.cancelCall(a)
 		case shed.RefuseStage:
@@ -33,13 +33,13 @@
 		case shed.Finish:
 			d.finish(a)
 		default:
-			d.performOwn(act)
+			d.performGlobal(act)
 		}
 	}
 }
 
-// performOwn starts the actions that belong to no request.
-func (d *Daemon) performOwn(act shed.Action) {
+// performGlobal starts the actions that belong to no request.
+func (d *Daemon) performGlobal(act shed.Action) {
 	switch a := act.(type) {
 	case shed.SendPeer:
 		d.cfg.Peers.Send(a.To, a.Message)
@@ -58,7 +58,7 @@
 		d.ready.Store(a.SetReady)
 		d.cfg.Log.WithField("ready", a.SetReady).Info("readiness")
 	case shed.Note:
-		d.note(a)
+		d.recordNote(a)
 	case shed.Exit:
 		d.exitOnce.Do(func() { close(d.exit) })
 	}
--- a/internal/daemon/notes.go
+++ b/internal/daemon/notes.go
@@ -10,7 +10,7 @@
 )
 
 // notesKept bounds the ring of notes that explain reads from.
-const notesKept = 8192
+const maxNotes = 8192
 
 // Entry is one note, as explain shows it.
 type Entry struct {
@@ -24,26 +24,26 @@
 	Asked   string         `json:"rule_asked_by,omitempty"`
 }
 
-// ring keeps the newest notes.
-type ring struct {
+// noteRing keeps the newest notes.
+type noteRing struct {
 	mu      sync.Mutex
 	entries []Entry
 	next    int
 }
 
-func (r *ring) add(e Entry) {
+func (r *noteRing) add(e Entry) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if len(r.entries) < notesKept {
+	if len(r.entries) < maxNotes {
 		r.entries = append(r.entries, e)
 		return
 	}
 	r.entries[r.next] = e
-	r.next = (r.next + 1) % notesKept
+	r.next = (r.next + 1) % maxNotes
 }
 
-// of returns the notes on a request, or on all if id is empty, oldest first.
-func (r *ring) of(id shed.RequestID) []Entry {
+// find returns the notes on a request, or on all if id is empty, oldest first.
+func (r *noteRing) find(id shed.RequestID) []Entry {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var out []Entry
@@ -56,9 +56,9 @@
 	return out
 }
 
-func (d *Daemon) note(n shed.Note) {
+func (d *Daemon) recordNote(n shed.Note) {
 	count := max(n.Count, 1)
-	d.stats.note(n.Reason, count)
+	d.stats.countDecision(n.Reason, count)
 	d.notes.add(Entry{
 		At: time.Now(), Reason: n.Reason, Request: n.Request, Server: n.Server,
 		Zone: n.Zone, Peer: n.Peer, Line: n.Rule.Line, Asked: n.Rule.RequestedBy,
--- a/internal/daemon/run.go
+++ b/internal/daemon/run.go
@@ -24,8 +24,8 @@
 
 	// payload is the input of the live stage. Guarded by Daemon.mu.
 	payload shed.Payload
-	// live is the call whose result counts. Guarded by Daemon.mu.
-	live *call
+	// current is the call whose result counts. Guarded by Daemon.mu.
+	current *call
 	// last is the call that ended last, for its result or to resume it.
 	// Guarded by Daemon.mu.
 	last *call
@@ -37,9 +37,9 @@
 	pending []shed.Update
 	// waiters counts the callers who wait. The request's caller is gone once
 	// there are none.
-	waiters int
-	answer  shed.Answer
-	keep    time.Time
+	waiters   int
+	answer    shed.Answer
+	keepUntil time.Time
 	// wake has room for one; it is filled when there is something to take.
 	wake chan struct{}
 	// done is closed once answer is final.
@@ -72,8 +72,8 @@
 	}
 }
 
-// take empties the pending updates into spare and returns it.
-func (r *run) take(spare []shed.Update) []shed.Update {
+// takeUpdates empties the pending updates into spare and returns it.
+func (r *run) takeUpdates(spare []shed.Update) []shed.Update {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	out := r.pending
@@ -81,8 +81,8 @@
 	return out
 }
 
-// end makes the answer final; only the first one counts.
-func (r *run) end(a shed.Answer, keep time.Duration) bool {
+// finish makes the answer final; only the first one counts.
+func (r *run) finish(a shed.Answer, keep time.Duration) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	select {
@@ -91,12 +91,12 @@
 	default:
 	}
 	r.answer = a
-	r.keep = time.Now().Add(keep)
+	r.keepUntil = time.Now().Add(keep)
 	close(r.done)
 	return true
 }
 
-func (r *run) ended() bool {
+func (r *run) isFinished() bool {
 	select {
 	case <-r.done:
 		return true
@@ -105,20 +105,20 @@
 	}
 }
 
-func (r *run) expired(now time.Time) bool {
+func (r *run) isExpired(now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.ended() && now.After(r.keep)
+	return r.isFinished() && now.After(r.keepUntil)
 }
 
-func (r *run) join() {
+func (r *run) addWaiter() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.waiters++
 }
 
-// leave tells whether nobody waits any more.
-func (r *run) leave() bool {
+// removeWaiter tells whether nobody waits any more.
+func (r *run) removeWaiter() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.waiters--
@@ -132,7 +132,7 @@
 		if update == nil {
 			return
 		}
-		got := r.take(spare)
+		got := r.takeUpdates(spare)
 		for _, u := range got {
 			update(u)
 		}
--- a/internal/daemon/serve.go
+++ b/internal/daemon/serve.go
@@ -18,8 +18,8 @@
 var _ shed.Serving = (*Daemon)(nil)
 
 const (
-	// comeBackSoon is when to come back to a daemon that is not ready.
-	comeBackSoon = time.Second
+	// notReadyRetryAfter is when to come back to a daemon that is not ready.
+	notReadyRetryAfter = time.Second
 	// prefixBytes of the input decide its cache affinity.
 	prefixBytes = 256
 	// bytesPerToken estimates the size of an input.
@@ -28,18 +28,18 @@
 
 // Serve implements shed.Serving.
 func (d *Daemon) Serve(ctx context.Context, req shed.Request, update func(shed.Update)) shed.Answer {
-	if f := d.check(&req); f != nil {
+	if f := d.authorize(&req); f != nil {
 		return shed.Answer{Finish: *f}
 	}
 	return d.serve(ctx, req, shed.Peer{}, update)
 }
 
-// check refuses whom the rules don't know. It returns nil if the caller may go
+// authorize refuses whom the rules don't know. It returns nil if the caller may go
 // on, with the request's budget bounded by its pipeline's deadline.
-func (d *Daemon) check(req *shed.Request) *shed.Finish {
+func (d *Daemon) authorize(req *shed.Request) *shed.Finish {
 	rules := d.rules.Load()
 	if rules == nil {
-		return refusal(req.ID, shed.ReasonNoConfig, comeBackSoon)
+		return refusal(req.ID, shed.ReasonNoConfig, notReadyRetryAfter)
 	}
 	ws := rules.Workspaces[req.Workspace]
 	if ws == nil || !tokenMatches(req.Token, ws.TokenHash) {
@@ -72,7 +72,7 @@
 // serve runs a checked request that came from a caller, or from a peer that
 // handed it over to this process as its home.
 func (d *Daemon) serve(ctx context.Context, req shed.Request, from shed.Peer, update func(shed.Update)) shed.Answer {
-	d.stats.arrived.Inc(1)
+	d.stats.arrivedRequests.Inc(1)
 	ticketed := req.ID != ""
 	id := req.ID
 	if !ticketed {
@@ -83,12 +83,12 @@
 		attribute.String("request_id", string(id)), attribute.String("pipeline", string(req.Pipeline))))
 	defer span.End()
 	r := newRun(spanCtx, id, req, ticketed)
-	r, refused := d.arrive(r, req, from)
+	r, refused := d.handleArrival(r, req, from)
 	if refused != nil {
 		return *refused
 	}
 	answer, ended := r.wait(ctx, update)
-	if r.leave() && !ended {
+	if r.removeWaiter() && !ended {
 		d.handle(shed.CallerGone{Request: id})
 	}
 	if !ended {
@@ -99,10 +99,10 @@
 	return answer
 }
 
-// arrive tells core of the request. It returns the run to wait for, which is
+// handleArrival tells core of the request. It returns the run to wait for, which is
 // another one if the request joins it, or an answer that concerns this arrival
 // only.
-func (d *Daemon) arrive(r *run, req shed.Request, from shed.Peer) (*run, *shed.Answer) {
+func (d *Daemon) handleArrival(r *run, req shed.Request, from shed.Peer) (*run, *shed.Answer) {
 	now := time.Now()
 	ev := shed.RequestArrived{
 		Request:     r.id,
@@ -119,34 +119,34 @@
 	acts := d.cfg.Core.Handle(now, ev)
 	first := d.runs[r.id]
 	if first == nil {
-		return d.arriveFirst(r, acts), nil
+		return d.startRun(r, acts), nil
 	}
-	return d.arriveAgain(first, req.Workspace, acts)
+	return d.joinRun(first, req.Workspace, acts)
 }
 
-// arriveFirst performs what core decided about a request that is new here. One
+// startRun performs what core decided about a request that is new here. One
 // that was answered at once is not kept: its answer, often a refusal, concerns
 // this arrival only, and a repeat of it may well be run.
-func (d *Daemon) arriveFirst(r *run, acts []shed.Action) *run {
-	r.join()
+func (d *Daemon) startRun(r *run, acts []shed.Action) *run {
+	r.addWaiter()
 	d.runs[r.id] = r
 	for _, act := range acts {
 		if join, ok := act.(shed.JoinRequest); ok && join.Request == r.id {
 			// It ran here, but its answer is no longer kept.
-			d.endRun(r, unknown(r.id, shed.ReasonTicketExpired))
+			d.endRun(r, unknownOutcome(r.id, shed.ReasonTicketExpired))
 		}
 	}
 	d.perform(acts)
-	if r.ended() {
+	if r.isFinished() {
 		delete(d.runs, r.id)
 	}
 	return r
 }
 
-// arriveAgain performs what core decided about a repeat of a request that is
+// joinRun performs what core decided about a repeat of a request that is
 // here already. A refusal of the repeat must not end the first one's run, and a
 // repeat under another workspace's name must not see its answer.
-func (d *Daemon) arriveAgain(first *run, ws shed.WorkspaceID, acts []shed.Action) (*run, *shed.Answer) {
+func (d *Daemon) joinRun(first *run, ws shed.WorkspaceID, acts []shed.Action) (*run, *shed.Answer) {
 	var rest []shed.Action
 	// What is told to whom the request is none of: it may have run.
 	other := &shed.Finish{Request: first.id, Outcome: shed.OutcomeUnknown, Reason: shed.ReasonTicketUnknown}
@@ -174,7 +174,7 @@
 	if refused != nil {
 		return nil, &shed.Answer{Finish: *refused}
 	}
-	first.join()
+	first.addWaiter()
 	return first, nil
 }
 
@@ -189,20 +189,20 @@
 
 // endRun gives the run its answer. The caller holds d.mu.
 func (d *Daemon) endRun(r *run, a shed.Answer) {
-	if !r.end(a, d.cfg.KeepAnswers) {
+	if !r.finish(a, d.cfg.KeepAnswers) {
 		return
 	}
-	d.stats.finished(a.Outcome)
-	d.stats.requestFor.RecordDuration(time.Since(r.started))
-	r.live, r.last = nil, nil
+	d.stats.countFinished(a.Outcome)
+	d.stats.requestDuration.RecordDuration(time.Since(r.started))
+	r.current, r.last = nil, nil
 	if !r.ticketed {
 		delete(d.runs, r.id)
 	}
-	d.stats.live.Update(float64(len(d.runs)))
+	d.stats.liveRequests.Update(float64(len(d.runs)))
 }
 
-// abandon answers whoever still waits when the daemon ends at once.
-func (d *Daemon) abandon() {
+// abortRuns answers whoever still waits when the daemon ends at once.
+func (d *Daemon) abortRuns() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, r := range d.runs {
@@ -214,7 +214,7 @@
 
 // Issue implements shed.Serving.
 func (d *Daemon) Issue(_ context.Context, req shed.Request) (shed.Ticket, *shed.Finish) {
-	if f := d.check(&req); f != nil {
+	if f := d.authorize(&req); f != nil {
 		return shed.Ticket{}, f
 	}
 	var random [16]byte
--- a/internal/daemon/stats.go
+++ b/internal/daemon/stats.go
@@ -14,13 +14,13 @@
 type stats struct {
 	scope tally.Scope
 
-	arrived    tally.Counter
-	live       tally.Gauge
-	calls      tally.Gauge
-	requestFor tally.Histogram
-	firstToken tally.Histogram
-	tokens     tally.Counter
-	late       tally.Counter
+	arrivedRequests tally.Counter
+	liveRequests    tally.Gauge
+	liveCalls       tally.Gauge
+	requestDuration tally.Histogram
+	firstToken      tally.Histogram
+	tokens          tally.Counter
+	droppedFrames   tally.Counter
 
 	mu     *sync.Mutex
 	tagged map[statKey]tally.Counter
@@ -32,16 +32,16 @@
 func newStats(scope tally.Scope) stats {
 	times := tally.MustMakeExponentialDurationBuckets(time.Millisecond, 1.6, 24)
 	return stats{
-		scope:      scope,
-		arrived:    scope.Counter("requests_arrived"),
-		live:       scope.Gauge("requests_live"),
-		calls:      scope.Gauge("calls_live"),
-		requestFor: scope.Histogram("request_seconds", times),
-		firstToken: scope.Histogram("first_token_seconds", times),
-		tokens:     scope.Counter("tokens_received"),
-		late:       scope.Counter("frames_dropped"),
-		mu:         &sync.Mutex{},
-		tagged:     make(map[statKey]tally.Counter),
+		scope:           scope,
+		arrivedRequests: scope.Counter("requests_arrived"),
+		liveRequests:    scope.Gauge("requests_live"),
+		liveCalls:       scope.Gauge("calls_live"),
+		requestDuration: scope.Histogram("request_seconds", times),
+		firstToken:      scope.Histogram("first_token_seconds", times),
+		tokens:          scope.Counter("tokens_received"),
+		droppedFrames:   scope.Counter("frames_dropped"),
+		mu:              &sync.Mutex{},
+		tagged:          make(map[statKey]tally.Counter),
 	}
 }
 
@@ -57,6 +57,8 @@
 	c.Inc(int64(by))
 }
 
-func (s *stats) note(r shed.Reason, count int) { s.inc("decisions", "reason", string(r), count) }
-func (s *stats) finished(o shed.Outcome)       { s.inc("requests_finished", "outcome", o.String(), 1) }
-func (s *stats) callEnded(e shed.CallEnd)      { s.inc("calls_ended", "end", e.String(), 1) }
+func (s *stats) countDecision(r shed.Reason, count int) {
+	s.inc("decisions", "reason", string(r), count)
+}
+func (s *stats) countFinished(o shed.Outcome) { s.inc("requests_finished", "outcome", o.String(), 1) }
+func (s *stats) countCallEnd(e shed.CallEnd)  { s.inc("calls_ended", "end", e.String(), 1) }
