--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -92,7 +92,7 @@
 	}
 	n.tracing, err = telem.NewTracing(ctx, telem.TraceConfig{
 		Exporter: p.Trace.Exporter, File: p.Trace.File, Endpoint: p.Trace.Endpoint,
-		Ratio: p.Trace.Ratio, Zone: p.Node.Zone, VM: string(n.reach()),
+		Ratio: p.Trace.Ratio, Zone: p.Node.Zone, VM: string(n.peerAddress()),
 	})
 	if err != nil {
 		return err
@@ -100,7 +100,7 @@
 	if err := n.openCerts(); err != nil {
 		return err
 	}
-	n.self = shed.Peer{VM: n.reach(), Incarnation: shed.Incarnation(time.Now().UnixNano())}
+	n.self = shed.Peer{VM: n.peerAddress(), Incarnation: shed.Incarnation(time.Now().UnixNano())}
 	n.engine = engine.New(engine.Config{OrderToken: n.cfg.OrderToken})
 	n.plat = plat.New(plat.Config{URL: p.Platform.URL, Timeout: p.Platform.ReadTimeout, Dial: n.cfg.DialPlatform})
 	return n.assemble()
@@ -142,9 +142,9 @@
 	return err
 }
 
-// reach is the address at which peers reach this daemon. A listener on port 0
+// peerAddress is the address at which peers reach this daemon. A listener on port 0
 // gets its port from the system.
-func (n *Node) reach() shed.VM {
+func (n *Node) peerAddress() shed.VM {
 	if p := n.cfg.Prefs.Node; p.Advertise != "" {
 		return shed.VM(p.Advertise)
 	}
@@ -244,7 +244,7 @@
 }
 
 // Stop asks for a graceful stop; asked twice, it hurries.
-func (n *Node) Stop(hurry bool) { n.daemon.Stop(hurry) }
+func (n *Node) Stop(skipNotice bool) { n.daemon.Stop(skipNotice) }
 
 // Daemon is the driver inside, for status and for tests.
 func (n *Node) Daemon() *daemon.Daemon { return n.daemon }
