--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -60,7 +60,7 @@
 	Rules *shed.Rules
 
 	cfg         Config
-	text        []byte
+	rulesText   []byte
 	platformURL string
 	servers     []*stand.Server
 	work        errgroup.Group
@@ -102,14 +102,14 @@
 }
 
 // longRun is what a server has completed that was up long before the fleet.
-const longRun = 100_000
+const warmCompleted = 100_000
 
 // DefaultEngine is a quick engine that has long been warm.
 func DefaultEngine(s *shed.Server, _ shed.StageKind) stand.EngineConfig {
 	return stand.EngineConfig{
 		ID: s.ID, Capacity: s.Capacity, ColdBears: s.ColdCapacity,
 		TokenTime: 2 * time.Millisecond, PrefillTime: 50 * time.Microsecond, CallTime: 5 * time.Millisecond,
-		ChecksFence: s.Fenced, CacheEntries: 256, Done: longRun,
+		ChecksFence: s.Fenced, CacheEntries: 256, Done: warmCompleted,
 	}
 }
 
@@ -124,7 +124,7 @@
 	}
 	f.servers = append(f.servers, srv)
 	f.platformURL = srv.URL()
-	f.Publish(f.text)
+	f.Publish(f.rulesText)
 	for _, z := range f.Zones() {
 		for range f.cfg.PerZone {
 			if _, err := f.Add(ctx, z); err != nil {
@@ -152,8 +152,8 @@
 		f.servers = append(f.servers, srv)
 		urls = append(urls, s.URL, srv.URL())
 	}
-	f.text = []byte(strings.NewReplacer(urls...).Replace(string(f.cfg.Rules)))
-	f.Rules, err = rules.Compile(f.text, 1)
+	f.rulesText = []byte(strings.NewReplacer(urls...).Replace(string(f.cfg.Rules)))
+	f.Rules, err = rules.Compile(f.rulesText, 1)
 	return err
 }
 
@@ -169,7 +169,7 @@
 func (f *Fleet) startServer(r *shed.Rules, s *shed.Server) (*stand.Server, error) {
 	pool := r.Pools[s.Pool]
 	if pool.Kind == shed.KindService {
-		svc := stand.NewService(stand.ServiceConfig{ID: s.ID, Capacity: s.Capacity, CallTime: f.cfg.ServiceTime, Done: longRun})
+		svc := stand.NewService(stand.ServiceConfig{ID: s.ID, Capacity: s.Capacity, CallTime: f.cfg.ServiceTime, Done: warmCompleted})
 		f.Services[s.ID] = svc
 		return stand.Listen(anyPort, svc)
 	}
@@ -183,7 +183,7 @@
 }
 
 // Text is the rules file as it was first published.
-func (f *Fleet) Text() []byte { return f.text }
+func (f *Fleet) Text() []byte { return f.rulesText }
 
 // Zones of the rules, sorted.
 func (f *Fleet) Zones() []shed.ZoneID {
@@ -226,7 +226,7 @@
 	f.mu.Lock()
 	f.members = append(f.members, m)
 	f.mu.Unlock()
-	f.listVMs()
+	f.publishVMs()
 	f.work.Go(func() error {
 		defer close(m.done)
 		return n.Run(run)
@@ -241,8 +241,8 @@
 	return append([]*Member{}, f.members...)
 }
 
-// listVMs tells the platform which VMs there are.
-func (f *Fleet) listVMs() {
+// publishVMs tells the platform which VMs there are.
+func (f *Fleet) publishVMs() {
 	var vms []wire.VM
 	for _, m := range f.Members() {
 		vms = append(vms, wire.VM{VM: m.Self().VM, Zone: m.Zone})
@@ -260,7 +260,7 @@
 	}
 	f.members = kept
 	f.mu.Unlock()
-	f.listVMs()
+	f.publishVMs()
 }
 
 // Stop stops a daemon gracefully and waits for its end.
@@ -285,7 +285,7 @@
 	tick := time.NewTicker(20 * time.Millisecond)
 	defer tick.Stop()
 	for {
-		if f.ready() {
+		if f.allReady() {
 			return nil
 		}
 		select {
@@ -296,7 +296,7 @@
 	}
 }
 
-func (f *Fleet) ready() bool {
+func (f *Fleet) allReady() bool {
 	for _, m := range f.Members() {
 		if !m.Daemon().Ready() {
 			return false
--- a/internal/fleet/hop_test.go
+++ b/internal/fleet/hop_test.go
@@ -79,9 +79,9 @@
 	}
 	b.ResetTimer()
 	for range b.N {
-		began := time.Now()
+		start := time.Now()
 		call()
-		_ = h.RecordValue(time.Since(began).Nanoseconds() / 1000)
+		_ = h.RecordValue(time.Since(start).Nanoseconds() / 1000)
 	}
 	b.ReportMetric(float64(h.ValueAtQuantile(50)), "p50_us")
 	b.ReportMetric(float64(h.ValueAtQuantile(99)), "p99_us")
