--- a/internal/oper/oper.go
+++ b/internal/oper/oper.go
@@ -50,10 +50,10 @@
 }
 
 // drainTime is how long operators' calls may last after the stop.
-const drainTime = 2 * time.Second
+const drainTimeout = 2 * time.Second
 
 // callTime bounds one call; a profile takes half a minute unless asked else.
-const callTime = time.Minute
+const callTimeout = time.Minute
 
 // New builds the listener's server; nothing runs before Serve.
 func New(cfg Config) *Oper {
@@ -63,8 +63,8 @@
 		Listener: cfg.Listener,
 		Handler:  o.handler(),
 		Limits:   cfg.Limits,
-		Call:     callTime,
-		Drain:    drainTime,
+		Call:     callTimeout,
+		Drain:    drainTimeout,
 		Log:      cfg.Log,
 	})
 	return o
@@ -103,12 +103,12 @@
 		o.write(w, http.StatusBadRequest, failure{Message: "not the id of a request"})
 		return
 	}
-	story, ok := o.cfg.Explainer.Explain(shed.RequestID(id))
+	entries, ok := o.cfg.Explainer.Explain(shed.RequestID(id))
 	if !ok {
 		o.write(w, http.StatusNotFound, failure{Message: "this daemon remembers nothing of the request"})
 		return
 	}
-	o.write(w, http.StatusOK, story)
+	o.write(w, http.StatusOK, entries)
 }
 
 type health struct {
--- a/internal/oper/oper_test.go
+++ b/internal/oper/oper_test.go
@@ -16,11 +16,11 @@
 	"jasmineshed/internal/prefs"
 )
 
-type believes struct{ status any }
+type fixedStatus struct{ status any }
 
-func (b believes) Status() any { return b.status }
+func (b fixedStatus) Status() any { return b.status }
 
-func (b believes) Explain(id shed.RequestID) (any, bool) {
+func (b fixedStatus) Explain(id shed.RequestID) (any, bool) {
 	return []string{"arrived"}, id == "r1"
 }
 
@@ -32,8 +32,8 @@
 	})
 	return New(Config{
 		Listener:  l,
-		Status:    believes{status},
-		Explainer: believes{},
+		Status:    fixedStatus{status},
+		Explainer: fixedStatus{},
 		Metrics:   metrics,
 		Limits:    prefs.Defaults().Limits,
 		Profile:   profile,
