--- a/internal/telem/async.go
+++ b/internal/telem/async.go
@@ -14,14 +14,14 @@
 // dropped and counted. A log that nobody reads must not hold requests up. It is
 // a service of the supervisor tree.
 type Async struct {
-	to      io.Writer
+	out     io.Writer
 	lines   chan []byte
 	dropped atomic.Int64
 }
 
 // NewAsync returns a writer before to; nothing is written before Serve.
 func NewAsync(to io.Writer) *Async {
-	return &Async{to: to, lines: make(chan []byte, maxLogLines)}
+	return &Async{out: to, lines: make(chan []byte, maxLogLines)}
 }
 
 // Write implements io.Writer; p is one line.
@@ -66,7 +66,7 @@
 
 // write drops a line that can't be written: there is nowhere to tell it.
 func (a *Async) write(line []byte) {
-	if _, err := a.to.Write(line); err != nil {
+	if _, err := a.out.Write(line); err != nil {
 		a.dropped.Add(1)
 	}
 }
--- a/internal/telem/telem.go
+++ b/internal/telem/telem.go
@@ -35,7 +35,7 @@
 const Prefix = "jasmineshed"
 
 // reportEvery is how often tally passes what it counted on to Prometheus.
-const reportEvery = time.Second
+const reportInterval = time.Second
 
 // Metrics are the counters of one process. Each has a registry of its own, so
 // that many may live in one process.
@@ -59,7 +59,7 @@
 		Prefix:         Prefix,
 		CachedReporter: reporter,
 		Separator:      tallyprom.DefaultSeparator,
-	}, reportEvery)
+	}, reportInterval)
 	return &Metrics{Scope: scope, Handler: reporter.HTTPHandler(), closer: closer}
 }
 
@@ -86,8 +86,8 @@
 	}
 }
 
-// closeAll runs every step and joins what went wrong.
-func closeAll(ctx context.Context, steps ...func(context.Context) error) error {
+// runAll runs every step and joins what went wrong.
+func runAll(ctx context.Context, steps ...func(context.Context) error) error {
 	var all []error
 	for _, step := range steps {
 		all = append(all, step(ctx))
--- a/internal/telem/trace.go
+++ b/internal/telem/trace.go
@@ -89,7 +89,7 @@
 
 // Shutdown sends what is left and stops.
 func (t *Tracing) Shutdown(ctx context.Context) error {
-	if err := closeAll(ctx, t.shutdown...); err != nil {
+	if err := runAll(ctx, t.shutdown...); err != nil {
 		return fmt.Errorf("stopping traces: %w", err)
 	}
 	return nil
@@ -97,29 +97,29 @@
 
 // w3c carries a trace over HTTP in the header traceparent. Baggage is left
 // out: it would pass on whatever callers put there.
-var w3c = propagation.TraceContext{}
+var propagator = propagation.TraceContext{}
 
 // Inject puts the trace of ctx into h.
 func Inject(ctx context.Context, h http.Header) {
-	w3c.Inject(ctx, propagation.HeaderCarrier(h))
+	propagator.Inject(ctx, propagation.HeaderCarrier(h))
 }
 
 // Extract gives ctx the trace in h.
 func Extract(ctx context.Context, h http.Header) context.Context {
-	return w3c.Extract(ctx, propagation.HeaderCarrier(h))
+	return propagator.Extract(ctx, propagation.HeaderCarrier(h))
 }
 
 // Parent is the trace of ctx as text, for a wire without headers; empty if
 // there is none.
 func Parent(ctx context.Context) string {
 	carrier := propagation.MapCarrier{}
-	w3c.Inject(ctx, carrier)
+	propagator.Inject(ctx, carrier)
 	return carrier.Get("traceparent")
 }
 
 // WithParent gives ctx the trace that Parent gave as text.
 func WithParent(ctx context.Context, parent string) context.Context {
-	return w3c.Extract(ctx, propagation.MapCarrier{"traceparent": parent})
+	return propagator.Extract(ctx, propagation.MapCarrier{"traceparent": parent})
 }
 
 // TraceID of ctx as text; empty if there is none.
