--- a/internal/cmds/cmds_test.go
+++ b/internal/cmds/cmds_test.go
@@ -23,15 +23,15 @@
 	"jasmineshed/internal/prefs"
 )
 
-// fleet answers as the test says.
-type fleet struct {
-	updates []shed.Update
-	answer  shed.Answer
-	seen    shed.Request
+// fakeFleet answers as the test says.
+type fakeFleet struct {
+	updates     []shed.Update
+	answer      shed.Answer
+	lastRequest shed.Request
 }
 
-func (f *fleet) Serve(_ context.Context, req shed.Request, update func(shed.Update)) shed.Answer {
-	f.seen = req
+func (f *fakeFleet) Serve(_ context.Context, req shed.Request, update func(shed.Update)) shed.Answer {
+	f.lastRequest = req
 	for _, u := range f.updates {
 		if update != nil {
 			update(u)
@@ -40,16 +40,16 @@
 	return f.answer
 }
 
-func (f *fleet) Issue(context.Context, shed.Request) (shed.Ticket, *shed.Finish) {
+func (f *fakeFleet) Issue(context.Context, shed.Request) (shed.Ticket, *shed.Finish) {
 	return shed.Ticket{ID: "t-1", Expires: time.Now().Add(time.Hour)}, nil
 }
 
-func (f *fleet) Result(context.Context, shed.Request) shed.Answer { return f.answer }
+func (f *fakeFleet) Result(context.Context, shed.Request) shed.Answer { return f.answer }
 
-func (f *fleet) Ready() bool { return true }
+func (f *fakeFleet) Ready() bool { return true }
 
 // start serves the fleet at a loopback address and gives its URL.
-func (f *fleet) start(t *testing.T) string {
+func (f *fakeFleet) start(t *testing.T) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	log := logrus.New()
@@ -93,8 +93,8 @@
 	Took: 81500 * time.Microsecond, Tokens: 3, Useful: 20, Wasted: 7,
 }
 
-func drafted() *fleet {
-	return &fleet{
+func drafted() *fakeFleet {
+	return &fakeFleet{
 		updates: []shed.Update{
 			{Stage: "draft", Text: "Storm"},
 			{Stage: "draft", Reset: true},
@@ -129,14 +129,14 @@
 			out, errs, err := execute("storm at sea\n", tc.terminal, args...)
 			require.NoError(t, err, errs)
 			goldie.New(t).Assert(t, tc.name, []byte("== out\n"+out+"== err\n"+errs))
-			require.Equal(t, "storm at sea", f.seen.Payload.Input)
-			require.Equal(t, "secret", f.seen.Token)
+			require.Equal(t, "storm at sea", f.lastRequest.Payload.Input)
+			require.Equal(t, "secret", f.lastRequest.Token)
 		})
 	}
 }
 
 func TestRefusedRequest(t *testing.T) {
-	f := &fleet{answer: shed.Answer{Finish: shed.Finish{
+	f := &fakeFleet{answer: shed.Answer{Finish: shed.Finish{
 		Request: "r1",
 		Outcome: shed.OutcomeNotRun,
 		Reason:  shed.ReasonNotAllowed,
--- a/internal/cmds/daemon.go
+++ b/internal/cmds/daemon.go
@@ -14,7 +14,7 @@
 	// Run ends after a graceful stop, or at once with ctx.
 	Run(ctx context.Context) error
 	// Stop asks for a graceful stop; with hurry, for a quick one.
-	Stop(hurry bool)
+	Stop(skipNotice bool)
 }
 
 // runDaemon runs a daemon and passes signals on to it: the first SIGTERM or
--- a/internal/cmds/measure.go
+++ b/internal/cmds/measure.go
@@ -69,14 +69,14 @@
 	if err != nil {
 		return err
 	}
-	if err := m.files(result); err != nil {
+	if err := m.writeFiles(result); err != nil {
 		return err
 	}
 	return result.Report(rig.Rules()).WriteTable(m.deps.Out)
 }
 
-// files writes what the flags ask for.
-func (m *measure) files(result *gauge.Result) error {
+// writeFiles writes what the flags ask for.
+func (m *measure) writeFiles(result *gauge.Result) error {
 	if m.plot != "" {
 		if err := result.WritePlot(m.plot); err != nil {
 			return err
--- a/internal/cmds/progress.go
+++ b/internal/cmds/progress.go
@@ -16,8 +16,8 @@
 	quiet bool
 	start time.Time
 	// shown is what stands on the terminal of the text of stage writing.
-	shown   strings.Builder
-	writing string
+	shown     strings.Builder
+	textStage string
 }
 
 func newProgress(d *Deps, quiet bool) *progress {
@@ -39,10 +39,10 @@
 }
 
 func (p *progress) text(stage, text string) {
-	if stage != p.writing {
+	if stage != p.textStage {
 		p.newLine()
 		p.shown.Reset()
-		p.writing = stage
+		p.textStage = stage
 	}
 	p.shown.WriteString(text)
 	p.print(text)
@@ -57,7 +57,7 @@
 func (p *progress) stage(s client.Stage) {
 	p.newLine()
 	p.note("%6.3f s  %s done on %s%s, %d tokens, attempt %d",
-		p.deps.Now().Sub(p.start).Seconds(), s.Stage, s.Server, after(" in ", s.Zone), s.Tokens, s.Attempts)
+		p.deps.Now().Sub(p.start).Seconds(), s.Stage, s.Server, withPrefix(" in ", s.Zone), s.Tokens, s.Attempts)
 }
 
 // newLine ends a line of text on the terminal.
@@ -99,7 +99,7 @@
 	if p.quiet || a.RequestID == "" {
 		return nil
 	}
-	p.note("request %s%s", a.RequestID, after(", trace ", a.TraceID))
+	p.note("request %s%s", a.RequestID, withPrefix(", trace ", a.TraceID))
 	if len(a.Stages) == 0 {
 		return nil
 	}
@@ -115,8 +115,8 @@
 	return nil
 }
 
-// after is text behind lead, or nothing at all if there is no text.
-func after(lead, text string) string {
+// withPrefix is text behind lead, or nothing at all if there is no text.
+func withPrefix(lead, text string) string {
 	if text == "" {
 		return ""
 	}
--- a/internal/cmds/request.go
+++ b/internal/cmds/request.go
@@ -44,7 +44,7 @@
 	f.BoolVar(&r.once, "once", false, "get a ticket and run the pipeline at most once")
 	f.BoolVar(&r.quiet, "quiet", false, "print only the answer")
 	c.RunE = func(c *cobra.Command, args []string) error {
-		if err := r.take(args); err != nil {
+		if err := r.parseArgs(args); err != nil {
 			return err
 		}
 		return r.run(c)
@@ -52,7 +52,7 @@
 	return c
 }
 
-func (r *request) take(args []string) error {
+func (r *request) parseArgs(args []string) error {
 	r.work.Pipeline = args[0]
 	if len(args) > 1 {
 		r.work.Input = args[1]
--- a/internal/cmds/status.go
+++ b/internal/cmds/status.go
@@ -12,10 +12,10 @@
 )
 
 // operTimeout bounds a call to the operators' listener.
-const operTimeout = 10 * time.Second
+const operatorTimeout = 10 * time.Second
 
-// operFlag adds the flag that names the operators' listener.
-func operFlag(c *cobra.Command) *string {
+// addOperatorsFlag adds the flag that names the operators' listener.
+func addOperatorsFlag(c *cobra.Command) *string {
 	return c.Flags().String("operators", "http://127.0.0.1:7402", "base URL of a daemon's operators' listener")
 }
 
@@ -25,9 +25,9 @@
 		Short: "Print what a daemon believes",
 		Args:  cobra.NoArgs,
 	}
-	base := operFlag(c)
+	base := addOperatorsFlag(c)
 	c.RunE = func(c *cobra.Command, _ []string) error {
-		return d.get(c.Context(), *base, "/status")
+		return d.printOperator(c.Context(), *base, "/status")
 	}
 	return c
 }
@@ -38,16 +38,16 @@
 		Short: "Print what a daemon decided on a request and why",
 		Args:  cobra.ExactArgs(1),
 	}
-	base := operFlag(c)
+	base := addOperatorsFlag(c)
 	c.RunE = func(c *cobra.Command, args []string) error {
-		return d.get(c.Context(), *base, "/explain/"+url.PathEscape(args[0]))
+		return d.printOperator(c.Context(), *base, "/explain/"+url.PathEscape(args[0]))
 	}
 	return c
 }
 
-// get prints what the operators' listener says.
-func (d *Deps) get(ctx context.Context, base, path string) error {
-	ctx, cancel := context.WithTimeout(ctx, operTimeout)
+// printOperator prints what the operators' listener says.
+func (d *Deps) printOperator(ctx context.Context, base, path string) error {
+	ctx, cancel := context.WithTimeout(ctx, operatorTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, base+path, nil)
 	if err != nil {
