--- a/pkg/client/call.go
+++ b/pkg/client/call.go
@@ -13,8 +13,8 @@
 	"sync/atomic"
 )
 
-// call is one HTTP call.
-type call struct {
+// httpCall is one HTTP call.
+type httpCall struct {
 	method, url string
 	body        any
 }
@@ -48,7 +48,7 @@
 
 // request builds the HTTP request and a flag that tells whether any byte of it
 // may have left.
-func (c *Client) request(ctx context.Context, ca call) (*http.Request, *atomic.Bool, error) {
+func (c *Client) request(ctx context.Context, ca httpCall) (*http.Request, *atomic.Bool, error) {
 	sent := new(atomic.Bool)
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(httptrace.GotConnInfo) { sent.Store(true) },
@@ -79,7 +79,7 @@
 }
 
 // send makes the call and gives its response, whatever the status.
-func (c *Client) send(ctx context.Context, ca call) (*http.Response, error) {
+func (c *Client) send(ctx context.Context, ca httpCall) (*http.Response, error) {
 	req, sent, err := c.request(ctx, ca)
 	if err != nil {
 		return nil, err
@@ -91,20 +91,20 @@
 	return res, nil
 }
 
-// whole makes the call and gives the answer; one that isn't complete is an
+// callForAnswer makes the call and gives the answer; one that isn't complete is an
 // AnswerError.
-func (c *Client) whole(ctx context.Context, ca call) (*Answer, error) {
+func (c *Client) callForAnswer(ctx context.Context, ca httpCall) (*Answer, error) {
 	var answer Answer
 	if err := c.do(ctx, ca, &answer); err != nil {
 		return nil, err
 	}
-	return checked(&answer)
+	return checkOutcome(&answer)
 }
 
 // errNoOutcome is for a body that is JSON, but no answer.
 var errNoOutcome = errors.New("an answer without an outcome")
 
-func checked(a *Answer) (*Answer, error) {
+func checkOutcome(a *Answer) (*Answer, error) {
 	if a.Outcome == "" {
 		return nil, &BrokenError{Sent: true, Err: errNoOutcome}
 	}
@@ -115,7 +115,7 @@
 }
 
 // do makes the call and takes its body into out if it went well.
-func (c *Client) do(ctx context.Context, ca call, out any) error {
+func (c *Client) do(ctx context.Context, ca httpCall, out any) error {
 	res, err := c.send(ctx, ca)
 	if err != nil {
 		return err
@@ -124,12 +124,12 @@
 	if res.StatusCode >= http.StatusMultipleChoices {
 		return refusal(res)
 	}
-	return read(res, out)
+	return decodeBody(res, out)
 }
 
 func refusal(res *http.Response) error {
 	var answer Answer
-	if err := read(res, &answer); err != nil {
+	if err := decodeBody(res, &answer); err != nil {
 		return err
 	}
 	if answer.Outcome == "" {
@@ -138,7 +138,7 @@
 	return &AnswerError{Answer: &answer}
 }
 
-func read(res *http.Response, out any) error {
+func decodeBody(res *http.Response, out any) error {
 	body, err := io.ReadAll(io.LimitReader(res.Body, answerLimit))
 	if err != nil {
 		return &BrokenError{Sent: true, Err: err}
--- a/pkg/client/client.go
+++ b/pkg/client/client.go
@@ -46,8 +46,8 @@
 type Client struct {
 	cfg  Config
 	http *http.Client
-	// turn counts calls, and so spreads them over the URLs.
-	turn atomic.Uint32
+	// callCount counts calls, and so spreads them over the URLs.
+	callCount atomic.Uint32
 }
 
 // New builds a client.
@@ -70,7 +70,7 @@
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 	}}
 	// Many clients live for one call only, and all would start at the first URL.
-	c.turn.Store(rand.Uint32N(uint32(len(cfg.URLs))))
+	c.callCount.Store(rand.Uint32N(uint32(len(cfg.URLs))))
 	return c, nil
 }
 
@@ -109,8 +109,8 @@
 
 // Run runs an idempotent pipeline and gives its whole answer.
 func (c *Client) Run(ctx context.Context, work Work) (*Answer, error) {
-	return c.repeat(ctx, c.next(), func(ctx context.Context, base string) (*Answer, error) {
-		return c.whole(ctx, call{
+	return c.retry(ctx, c.nextIndex(), func(ctx context.Context, base string) (*Answer, error) {
+		return c.callForAnswer(ctx, httpCall{
 			method: http.MethodPost,
 			url:    base + "/v1/pipelines/" + escape(work.Pipeline) + "/requests",
 			body:   newWorkBody(work, ""),
@@ -120,13 +120,13 @@
 
 // Ticket gets a ticket for one run of a non-idempotent pipeline.
 func (c *Client) Ticket(ctx context.Context, pipeline string) (*Ticket, error) {
-	return c.ticket(ctx, c.next(), pipeline)
+	return c.ticket(ctx, c.nextIndex(), pipeline)
 }
 
 func (c *Client) ticket(ctx context.Context, first int, pipeline string) (*Ticket, error) {
 	var ticket Ticket
-	_, err := c.repeat(ctx, first, func(ctx context.Context, base string) (*Answer, error) {
-		return nil, c.do(ctx, call{
+	_, err := c.retry(ctx, first, func(ctx context.Context, base string) (*Answer, error) {
+		return nil, c.do(ctx, httpCall{
 			method: http.MethodPost,
 			url:    base + "/v1/tickets",
 			body:   ticketBody{Pipeline: pipeline},
@@ -142,7 +142,7 @@
 // connection it asks again with the same ticket, which can't run it twice.
 func (c *Client) RunOnce(ctx context.Context, work Work) (*Answer, error) {
 	// The VM that gave out the ticket runs it too, which saves a hop.
-	first := c.next()
+	first := c.nextIndex()
 	ticket, err := c.ticket(ctx, first, work.Pipeline)
 	if err != nil {
 		return nil, fmt.Errorf("getting a ticket: %w", err)
@@ -152,12 +152,12 @@
 
 // RunTicket is RunOnce with a ticket that the caller has got.
 func (c *Client) RunTicket(ctx context.Context, ticket string, work Work) (*Answer, error) {
-	return c.runTicket(ctx, c.next(), ticket, work)
+	return c.runTicket(ctx, c.nextIndex(), ticket, work)
 }
 
 func (c *Client) runTicket(ctx context.Context, first int, ticket string, work Work) (*Answer, error) {
-	return c.repeat(ctx, first, func(ctx context.Context, base string) (*Answer, error) {
-		return c.whole(ctx, call{
+	return c.retry(ctx, first, func(ctx context.Context, base string) (*Answer, error) {
+		return c.callForAnswer(ctx, httpCall{
 			method: http.MethodPut,
 			url:    base + "/v1/requests/" + escape(ticket),
 			body:   newWorkBody(work, work.Pipeline),
@@ -167,8 +167,8 @@
 
 // Result gives the answer to a ticketed request, waiting for it if it runs.
 func (c *Client) Result(ctx context.Context, ticket string) (*Answer, error) {
-	return c.repeat(ctx, c.next(), func(ctx context.Context, base string) (*Answer, error) {
-		return c.whole(ctx, call{
+	return c.retry(ctx, c.nextIndex(), func(ctx context.Context, base string) (*Answer, error) {
+		return c.callForAnswer(ctx, httpCall{
 			method: http.MethodGet,
 			url:    base + "/v1/requests/" + escape(ticket),
 		})
--- a/pkg/client/client_test.go
+++ b/pkg/client/client_test.go
@@ -29,13 +29,15 @@
 	return s.steps[len(s.calls)-1](r)
 }
 
-func says(code int, body string) func(*http.Request) (*http.Response, error) {
+func respondWith(code int, body string) func(*http.Request) (*http.Response, error) {
 	return func(*http.Request) (*http.Response, error) {
 		return &http.Response{StatusCode: code, Body: io.NopCloser(strings.NewReader(body))}, nil
 	}
 }
 
-func breaks(*http.Request) (*http.Response, error) { return nil, errors.New("connection reset") }
+func failConnection(*http.Request) (*http.Response, error) {
+	return nil, errors.New("connection reset")
+}
 
 const (
 	done    = `{"status":"complete","outcome":"complete","request_id":"r1","payload":{"text":"Wind."}}`
@@ -48,12 +50,12 @@
 func newTestClient(t *testing.T, rt http.RoundTripper) *Client {
 	c, err := New(Config{URLs: []string{"http://a", "http://b"}, Workspace: "weer", Token: "secret", Transport: rt})
 	require.NoError(t, err)
-	c.turn.Store(0)
+	c.callCount.Store(0)
 	return c
 }
 
 func TestCallsTakeTurns(t *testing.T) {
-	s := &script{steps: []func(*http.Request) (*http.Response, error){says(200, done), says(200, done), says(200, done)}}
+	s := &script{steps: []func(*http.Request) (*http.Response, error){respondWith(200, done), respondWith(200, done), respondWith(200, done)}}
 	c := newTestClient(t, s)
 	for range 3 {
 		_, err := c.Result(t.Context(), "t-1")
@@ -73,17 +75,17 @@
 		calls []string
 		want  error
 	}{
-		{"complete", []step{says(200, done)}, []string{a}, nil},
-		{"not run, then complete", []step{says(503, notRun), says(200, done)}, []string{a, b}, nil},
-		{"broken, then complete", []step{breaks, says(200, done)}, []string{a, b}, nil},
-		{"half an answer, then complete", []step{says(200, done[:20]), says(200, done)}, []string{a, b}, nil},
-		{"no answer at all, then complete", []step{says(200, `null`), says(200, done)}, []string{a, b}, nil},
-		{"not allowed", []step{says(403, denied)}, []string{a}, ErrNotRun},
-		{"unknown", []step{says(409, unknown)}, []string{a}, ErrUnknown},
-		{"failed", []step{says(502, `{"outcome":"failed"}`)}, []string{a}, ErrFailed},
-		{"refused", []step{says(503, `{"outcome":"refused","retry_after_ms":5}`)}, []string{a}, ErrRefused},
-		{"deadline", []step{says(504, `{"outcome":"deadline_exceeded"}`)}, []string{a}, ErrDeadline},
-		{"not run for ever", []step{says(503, notRun), says(503, notRun), says(503, notRun), says(503, notRun)}, []string{a, b, a, b}, ErrNotRun},
+		{"complete", []step{respondWith(200, done)}, []string{a}, nil},
+		{"not run, then complete", []step{respondWith(503, notRun), respondWith(200, done)}, []string{a, b}, nil},
+		{"broken, then complete", []step{failConnection, respondWith(200, done)}, []string{a, b}, nil},
+		{"half an answer, then complete", []step{respondWith(200, done[:20]), respondWith(200, done)}, []string{a, b}, nil},
+		{"no answer at all, then complete", []step{respondWith(200, `null`), respondWith(200, done)}, []string{a, b}, nil},
+		{"not allowed", []step{respondWith(403, denied)}, []string{a}, ErrNotRun},
+		{"unknown", []step{respondWith(409, unknown)}, []string{a}, ErrUnknown},
+		{"failed", []step{respondWith(502, `{"outcome":"failed"}`)}, []string{a}, ErrFailed},
+		{"refused", []step{respondWith(503, `{"outcome":"refused","retry_after_ms":5}`)}, []string{a}, ErrRefused},
+		{"deadline", []step{respondWith(504, `{"outcome":"deadline_exceeded"}`)}, []string{a}, ErrDeadline},
+		{"not run for ever", []step{respondWith(503, notRun), respondWith(503, notRun), respondWith(503, notRun), respondWith(503, notRun)}, []string{a, b, a, b}, ErrNotRun},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -101,7 +103,7 @@
 func TestRetryAfterIsHonoured(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		start := time.Now()
-		s := &script{steps: []func(*http.Request) (*http.Response, error){says(503, notRun), says(200, done)}}
+		s := &script{steps: []func(*http.Request) (*http.Response, error){respondWith(503, notRun), respondWith(200, done)}}
 		_, err := newTestClient(t, s).Run(t.Context(), Work{Pipeline: "p"})
 		require.NoError(t, err)
 		require.Equal(t, 2*time.Second, time.Since(start))
@@ -115,7 +117,7 @@
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		start := time.Now()
-		s := &script{steps: []func(*http.Request) (*http.Response, error){says(503, notRun)}}
+		s := &script{steps: []func(*http.Request) (*http.Response, error){respondWith(503, notRun)}}
 		_, err := newTestClient(t, s).Run(ctx, Work{Pipeline: "p"})
 		require.ErrorIs(t, err, ErrNotRun)
 		require.Equal(t, time.Duration(0), time.Since(start))
@@ -127,7 +129,7 @@
 func TestRunOnceKeepsItsTicket(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &script{steps: []func(*http.Request) (*http.Response, error){
-			says(201, ticket), breaks, breaks, says(200, done),
+			respondWith(201, ticket), failConnection, failConnection, respondWith(200, done),
 		}}
 		answer, err := newTestClient(t, s).RunOnce(t.Context(), Work{Pipeline: "p", Input: "x"})
 		require.NoError(t, err)
@@ -140,7 +142,7 @@
 }
 
 func TestUnknownOutcomeIsFinal(t *testing.T) {
-	s := &script{steps: []func(*http.Request) (*http.Response, error){says(201, ticket), says(409, unknown)}}
+	s := &script{steps: []func(*http.Request) (*http.Response, error){respondWith(201, ticket), respondWith(409, unknown)}}
 	_, err := newTestClient(t, s).RunOnce(t.Context(), Work{Pipeline: "p"})
 	require.ErrorIs(t, err, ErrUnknown)
 	var refused *AnswerError
@@ -157,24 +159,24 @@
 
 func TestStreamTellsItsEvents(t *testing.T) {
 	s := &script{steps: []func(*http.Request) (*http.Response, error){
-		says(200, events+"event: answer\ndata: "+done+"\n\n"),
+		respondWith(200, events+"event: answer\ndata: "+done+"\n\n"),
 	}}
-	var told []string
+	var got []string
 	answer, err := newTestClient(t, s).Stream(t.Context(), Work{Pipeline: "p"}, Events{
-		Text:  func(stage, text string) { told = append(told, stage+" text "+text) },
-		Reset: func(stage string) { told = append(told, stage+" reset") },
-		Stage: func(st Stage) { told = append(told, st.Stage+" done") },
+		Text:  func(stage, text string) { got = append(got, stage+" text "+text) },
+		Reset: func(stage string) { got = append(got, stage+" reset") },
+		Stage: func(st Stage) { got = append(got, st.Stage+" done") },
 	})
 	require.NoError(t, err)
 	require.Equal(t, "Wind.", answer.Payload.Text)
-	require.Equal(t, []string{"d text Storm", "d reset", "d text Wind.", "d done"}, told)
+	require.Equal(t, []string{"d text Storm", "d reset", "d text Wind.", "d done"}, got)
 }
 
 // The stream ends after some text, without its answer. The caller is told that
 // it is broken: text alone is never taken for a whole answer, and the request
 // isn't made again, since its text has already been shown.
 func TestStreamWithoutItsAnswer(t *testing.T) {
-	s := &script{steps: []func(*http.Request) (*http.Response, error){says(200, events)}}
+	s := &script{steps: []func(*http.Request) (*http.Response, error){respondWith(200, events)}}
 	_, err := newTestClient(t, s).Stream(t.Context(), Work{Pipeline: "p"}, Events{})
 	var broken *BrokenError
 	require.ErrorAs(t, err, &broken)
@@ -202,7 +204,7 @@
 			func(r *http.Request) (*http.Response, error) {
 				return &http.Response{StatusCode: 200, Body: silentBody{r.Context()}}, nil
 			},
-			says(200, "event: answer\ndata: "+done+"\n\n"),
+			respondWith(200, "event: answer\ndata: "+done+"\n\n"),
 		}}
 		_, err := newTestClient(t, s).Stream(t.Context(), Work{Pipeline: "p"}, Events{})
 		require.NoError(t, err)
@@ -243,7 +245,7 @@
 
 func TestNoBodyCanBeRewound(t *testing.T) {
 	c := newTestClient(t, nil)
-	req, _, err := c.request(t.Context(), call{method: "PUT", url: "http://a", body: workBody{Input: "x"}})
+	req, _, err := c.request(t.Context(), httpCall{method: "PUT", url: "http://a", body: workBody{Input: "x"}})
 	require.NoError(t, err)
 	require.Nil(t, req.GetBody)
 	require.Empty(t, req.Header.Get("Idempotency-Key"))
@@ -258,14 +260,14 @@
 	f.Add("event: answer\ndata: {\"outcome\":7}\n\n")
 	f.Add("data: {}\n\nevent: text\n\nevent: answer\r\ndata: null\r\n\r\n")
 	f.Fuzz(func(t *testing.T, text string) {
-		told := false
-		s := stream{told: &told, heard: func() {}}
+		delivered := false
+		s := stream{delivered: &delivered, resetTimer: func() {}}
 		answer, err := s.read(strings.NewReader(text))
 		if err != nil {
 			return
 		}
 		require.Contains(t, text, "event: answer")
-		if answer, err = checked(answer); err == nil {
+		if answer, err = checkOutcome(answer); err == nil {
 			require.Equal(t, Complete, answer.Outcome)
 		}
 	})
--- a/pkg/client/stream.go
+++ b/pkg/client/stream.go
@@ -24,36 +24,36 @@
 }
 
 // errSilent ends a stream whose connection has gone silent.
-var errSilent = errors.New("the stream has gone silent")
+var errIdleTimeout = errors.New("the stream has gone silent")
 
 // Stream runs an idempotent pipeline, tells what goes on, and gives the whole
 // answer. It is made again only as long as it has told nothing.
 func (c *Client) Stream(ctx context.Context, work Work, events Events) (*Answer, error) {
-	told := false
-	answer, err := c.repeat(ctx, c.next(), func(ctx context.Context, base string) (*Answer, error) {
-		answer, err := c.streamOnce(ctx, call{
+	delivered := false
+	answer, err := c.retry(ctx, c.nextIndex(), func(ctx context.Context, base string) (*Answer, error) {
+		answer, err := c.streamOnce(ctx, httpCall{
 			method: http.MethodPost,
 			url:    base + "/v1/pipelines/" + escape(work.Pipeline) + "/stream",
 			body:   newWorkBody(work, ""),
-		}, events, &told)
-		if err != nil && told {
-			return answer, &finalError{err}
+		}, events, &delivered)
+		if err != nil && delivered {
+			return answer, &permanentError{err}
 		}
 		return answer, err
 	})
-	var final *finalError
+	var final *permanentError
 	if errors.As(err, &final) {
 		err = final.err
 	}
 	return answer, err
 }
 
-// finalError keeps repeat from making the call again.
-type finalError struct{ err error }
+// permanentError keeps repeat from making the call again.
+type permanentError struct{ err error }
 
-func (e *finalError) Error() string { return e.err.Error() }
+func (e *permanentError) Error() string { return e.err.Error() }
 
-func (c *Client) streamOnce(ctx context.Context, ca call, events Events, told *bool) (*Answer, error) {
+func (c *Client) streamOnce(ctx context.Context, ca httpCall, events Events, delivered *bool) (*Answer, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	res, err := c.send(ctx, ca)
@@ -64,9 +64,9 @@
 	if res.StatusCode >= http.StatusMultipleChoices {
 		return nil, refusal(res)
 	}
-	alarm := time.AfterFunc(c.cfg.Silence, func() { cancel(errSilent) })
-	defer alarm.Stop()
-	s := stream{events: events, told: told, heard: func() { alarm.Reset(c.cfg.Silence) }}
+	idleTimer := time.AfterFunc(c.cfg.Silence, func() { cancel(errIdleTimeout) })
+	defer idleTimer.Stop()
+	s := stream{events: events, delivered: delivered, resetTimer: func() { idleTimer.Reset(c.cfg.Silence) }}
 	answer, err := s.read(res.Body)
 	if err != nil {
 		if cause := context.Cause(ctx); cause != nil {
@@ -74,14 +74,14 @@
 		}
 		return nil, &BrokenError{Sent: true, Err: err}
 	}
-	return checked(answer)
+	return checkOutcome(answer)
 }
 
 // stream reads one event stream.
 type stream struct {
-	events Events
-	told   *bool
-	heard  func()
+	events     Events
+	delivered  *bool
+	resetTimer func()
 }
 
 // eventLimit bounds one line of a stream.
@@ -94,7 +94,7 @@
 	lines.Buffer(make([]byte, 0, 4096), eventLimit)
 	kind := ""
 	for lines.Scan() {
-		s.heard()
+		s.resetTimer()
 		line := lines.Bytes()
 		if name, ok := bytes.CutPrefix(line, []byte("event: ")); ok {
 			kind = string(name)
@@ -104,7 +104,7 @@
 		if !ok {
 			continue
 		}
-		answer, err := s.event(kind, data)
+		answer, err := s.handleEvent(kind, data)
 		if answer != nil || err != nil {
 			return answer, err
 		}
@@ -120,34 +120,34 @@
 	Text  string `json:"text"`
 }
 
-// event tells one event; it gives the answer if this was it. Kinds that it
+// handleEvent tells one event; it gives the answer if this was it. Kinds that it
 // doesn't know are passed over, since the fleet may be newer.
-func (s *stream) event(kind string, data []byte) (*Answer, error) {
+func (s *stream) handleEvent(kind string, data []byte) (*Answer, error) {
 	switch kind {
 	case "answer":
 		var a Answer
-		return &a, take(data, &a)
+		return &a, decodeEvent(data, &a)
 	case "stage":
 		var st Stage
-		if err := take(data, &st); err != nil {
+		if err := decodeEvent(data, &st); err != nil {
 			return nil, err
 		}
-		*s.told = true
+		*s.delivered = true
 		if s.events.Stage != nil {
 			s.events.Stage(st)
 		}
 	case "text", "reset":
 		var t textData
-		if err := take(data, &t); err != nil {
+		if err := decodeEvent(data, &t); err != nil {
 			return nil, err
 		}
-		*s.told = true
-		s.tell(kind, t)
+		*s.delivered = true
+		s.deliver(kind, t)
 	}
 	return nil, nil
 }
 
-func (s *stream) tell(kind string, t textData) {
+func (s *stream) deliver(kind string, t textData) {
 	if kind == "text" && s.events.Text != nil {
 		s.events.Text(t.Stage, t.Text)
 	}
@@ -156,7 +156,7 @@
 	}
 }
 
-func take(data []byte, v any) error {
+func decodeEvent(data []byte, v any) error {
 	if err := json.Unmarshal(data, v); err != nil {
 		return fmt.Errorf("event: %w", err)
 	}
