--- a/internal/daemon/call.go
+++ b/internal/daemon/call.go
@@ -13,20 +13,20 @@
 	"go.opentelemetry.io/otel/trace"
 )
 
-// propagator carries the trace across daemons.
+// propagator passes the trace context between daemons.
 var propagator = propagation.TraceContext{}
 
-// call is one call under way, at a backend server or at a peer. Its frames
-// come from one goroutine.
+// call is one call in flight, to a backend server or to a peer. Its frames
+// arrive from one goroutine.
 type call struct {
 	id     shed.Call
 	stage  shed.StageID
 	cancel context.CancelFunc
-	// run or guest that the call is for; the other one is nil.
+	// run or forwarded is what the call belongs to; the other one is nil.
 	run       *run
 	forwarded *forwardedCall
-	// assembly of the result; for a run's calls only, a guest's frames are put
-	// together where the request was accepted.
+	// assembly collects the result. It is set only for a run's calls: frames of
+	// a forwarded call are assembled by the daemon that accepted the request.
 	assembly *answer.Assembly
 	progress progress
 	tokens   shed.Tokens
@@ -34,13 +34,13 @@
 	zone     shed.ZoneID
 }
 
-// progress spaces out the CallProgress events of one call.
+// progress limits the rate of the CallProgress events of one call.
 type progress struct {
 	started time.Time
 	last    time.Time
 }
 
-// due tells whether a CallProgress is due, and whether it is the first.
+// due reports whether a CallProgress is due, and whether it is the first.
 func (p *progress) due(now time.Time) (due, first bool) {
 	first = p.last.IsZero()
 	if !first && now.Sub(p.last) < shed.ProgressEvery {
@@ -63,7 +63,7 @@
 		r.current = c
 	}
 	ctx, cancel := context.WithCancel(parent)
-	// A run's context outlives its caller; the daemon's end still ends it.
+	// A run's context outlives its caller, but the end of the daemon cancels it.
 	stop := context.AfterFunc(d.base, cancel)
 	c.cancel = func() { stop(); cancel() }
 	d.calls[id] = c
@@ -83,8 +83,8 @@
 	return p.Stages[id.Stage].ID
 }
 
-// newAssembly starts the result of a call, going on from the one it resumes. The
-// caller is told to forget text that will come again.
+// newAssembly starts the result of a call, continuing the one that it resumes.
+// If text will be produced again, the caller gets a reset.
 func (r *run) newAssembly(id, resumes shed.Call, from shed.Tokens) *answer.Assembly {
 	fresh := answer.New(answer.Config{Call: id})
 	if r.last == nil || r.last.assembly == nil || r.last.id.Stage != id.Stage {
@@ -115,7 +115,7 @@
 	})
 }
 
-// forwardStage hands a call over to a peer. The caller holds d.mu.
+// forwardStage forwards a call to a peer. The caller holds d.mu.
 func (d *Daemon) forwardStage(a shed.ForwardStage) {
 	c, ctx := d.newCall(a.Request.Call, shed.Call{}, 0)
 	in := d.inputOf(c)
@@ -125,8 +125,8 @@
 	newConn := !d.isIdempotent(a.Request)
 	d.work.Go(func() error {
 		end := shed.CallEnded{Call: a.Request.Call, End: shed.EndNotStarted, Reason: shed.ReasonDeadline}
-		// A process that was paused since the decision may find its rules long
-		// out of date; past Until it must not send any more.
+		// If the process was paused since the decision, its rules may be long out
+		// of date: after SendBy it must not send any more.
 		if time.Now().Before(a.SendBy) {
 			sendCtx, cancel := context.WithDeadline(ctx, a.Deadline)
 			end = d.cfg.Peers.Stage(sendCtx, a.To, msg, newConn, c.sink(d))
@@ -137,8 +137,8 @@
 	})
 }
 
-// isIdempotent tells whether the stage may run twice; one that the rules don't
-// know is treated as if it may not.
+// isIdempotent reports whether the stage may run twice. A stage that is not in
+// the rules is treated as one that may not.
 func (d *Daemon) isIdempotent(ask shed.StageRequest) bool {
 	rules := d.rules.Load()
 	if rules == nil {
@@ -151,7 +151,7 @@
 	return p.Stages[ask.Call.Stage].Idempotent
 }
 
-// inputOf is what the call works on. The caller holds d.mu.
+// inputOf returns the call's input. The caller holds d.mu.
 func (d *Daemon) inputOf(c *call) shed.Payload {
 	switch {
 	case c.forwarded != nil:
@@ -162,7 +162,7 @@
 	return shed.Payload{}
 }
 
-// sink takes the call's frames.
+// sink returns the function that processes the call's frames.
 func (c *call) sink(d *Daemon) func(shed.Frame) error {
 	return func(f shed.Frame) error {
 		if f.Accepted {
@@ -191,7 +191,8 @@
 	}
 }
 
-// totalTokens is how many tokens of the stage are here, those resumed from included.
+// totalTokens is the number of the stage's tokens received, including those of
+// the calls that this one resumes.
 func (c *call) totalTokens() shed.Tokens {
 	if c.assembly != nil {
 		return c.assembly.Tokens()
@@ -199,7 +200,7 @@
 	return c.tokens
 }
 
-// add puts a frame into the result and passes new text to the caller.
+// add adds a frame to the result and passes new text to the caller.
 func (c *call) add(d *Daemon, f shed.Frame) error {
 	taken, err := c.assembly.Add(f)
 	if err != nil {
@@ -215,14 +216,14 @@
 	return nil
 }
 
-// endCall reports the end of a call to core.
+// endCall reports the end of a call to the core.
 func (d *Daemon) endCall(c *call, end shed.CallEnded, span trace.Span) {
 	c.cancel()
 	end.Call = c.id
 	if end.Tokens == 0 {
 		end.Tokens = c.totalTokens()
 	}
-	// Only a result without a gap is whole, whatever the far side says.
+	// A result with gaps isn't complete, even if the remote side reports it so.
 	if c.assembly != nil && end.End == shed.EndComplete && !c.assembly.Whole() {
 		end.End, end.Reason = shed.EndBadReply, shed.ReasonBadReply
 	}
@@ -243,7 +244,7 @@
 	}
 }
 
-// cancelCall ends a call that nobody wants any more. The caller holds d.mu.
+// cancelCall cancels a call whose result is no longer needed. The caller holds d.mu.
 func (d *Daemon) cancelCall(a shed.CancelCall) {
 	c := d.calls[a.Call]
 	if c == nil {
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -19,22 +19,22 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Decider takes the decisions; it is pure and not safe for concurrent use.
+// Decider makes the decisions. It does no I/O and is not safe for concurrent use.
 type Decider interface {
-	// Handle takes one event and returns what to do, in order.
+	// Handle processes one event and returns the actions to perform, in order.
 	Handle(now time.Time, ev shed.Event) []shed.Action
-	// Issue gives out a ticket whose id embeds random; else it is refused.
+	// Issue issues a ticket whose id embeds random, or returns a refusal.
 	Issue(now time.Time, ws shed.WorkspaceID, pipeline shed.PipelineID, random [16]byte) (shed.Ticket, *shed.Finish)
-	// Lookup gives the stored answer to a ticketed request, or an empty one if
-	// it runs; false if it is not known here for this workspace.
+	// Lookup returns the stored answer to a ticketed request, or an empty one
+	// while it runs; false if this workspace has no such request here.
 	Lookup(now time.Time, id shed.RequestID, ws shed.WorkspaceID) (shed.Finish, bool)
-	// Locate tells which process a ticket's requests run at.
+	// Locate returns the process at which a ticket's requests run.
 	Locate(id shed.RequestID) shed.Home
-	// Status is what the daemon believes, for operators.
+	// Status returns the daemon's current view, for operators.
 	Status(now time.Time) any
 }
 
-// Config is what a Daemon needs.
+// Config configures a Daemon.
 type Config struct {
 	Self     shed.Peer
 	Zone     shed.ZoneID
@@ -45,48 +45,50 @@
 	Log      *logrus.Logger
 	Scope    tally.Scope
 	Tracer   trace.Tracer
-	// Listener takes the calls of peers; PeerServer overrides its settings.
+	// PeerListener accepts the calls of peers; PeerServer configures their server.
 	PeerListener net.Listener
 	PeerServer   peers.ServerConfig
-	// Services are run beside the daemon's own: listeners and the like.
+	// Services, such as listeners, run beside the daemon's own.
 	Services []suture.Service
-	// Drain is how long the services may take to end after the stop.
+	// Drain is how long the services may take to end after a stop.
 	Drain time.Duration
 	// KeepAnswers is how long the answer to a ticketed request is kept.
 	KeepAnswers time.Duration
 }
 
-// Daemon is one process of the system, as a value.
+// Daemon is one process of the system. It keeps no global state, so one program
+// may run several.
 type Daemon struct {
 	cfg   Config
 	start time.Time
 	stats stats
 	notes noteRing
 
-	// rules in force; nil until the first.
+	// rules are the rules in force; nil until the first are applied.
 	rules atomic.Pointer[shed.Rules]
 	ready atomic.Bool
 	// exit is closed once the core has nothing left to do.
 	exit     chan struct{}
 	exitOnce sync.Once
-	// work holds every goroutine that performs an action.
+	// work is the group of all goroutines that perform actions.
 	work errgroup.Group
 
-	// mu orders the decisions and guards what follows.
+	// mu serializes the decisions and guards the fields below.
 	mu sync.Mutex
-	// runs are the requests accepted here: those under way, and the ticketed
-	// ones that have ended, for KeepAnswers.
+	// runs are the requests accepted here: those in flight, and for KeepAnswers
+	// the ticketed ones that have ended.
 	runs map[shed.RequestID]*run
-	// forwarded are stage calls that peers handed over.
+	// forwarded are the stage calls that peers forwarded to this daemon.
 	forwarded map[shed.Call]*forwardedCall
-	// calls are the calls under way, of runs and guests.
+	// calls are the calls in flight, of runs and of forwarded calls.
 	calls map[shed.Call]*call
-	// base is the context of all calls; it ends when the daemon does.
+	// base is the parent context of all calls; it is cancelled when the daemon
+	// ends.
 	base       context.Context
 	cancelBase context.CancelFunc
 }
 
-// New makes a Daemon; Run runs it.
+// New returns a Daemon that Run starts.
 func New(cfg Config) *Daemon {
 	if cfg.Tracer == nil {
 		cfg.Tracer = noop.NewTracerProvider().Tracer("")
@@ -114,17 +116,17 @@
 	}
 }
 
-// ErrFailed is returned by Run when a service failed for good.
+// ErrFailed is returned by Run when a service failed permanently.
 var ErrFailed = errors.New("daemon failed")
 
-// Add adds services that are run beside the daemon's own. It is called before
+// Add adds services that run beside the daemon's own. It must be called before
 // Run.
 func (d *Daemon) Add(services ...suture.Service) {
 	d.cfg.Services = append(d.cfg.Services, services...)
 }
 
-// Run runs the daemon until a graceful stop is done, or ctx ends at once.
-// The supervisor restarts a service that fails.
+// Run runs the daemon until a graceful stop has completed; if ctx ends, it stops
+// at once. The supervisor restarts a service that fails.
 func (d *Daemon) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -149,8 +151,8 @@
 	d.cancelBase()
 	d.abortRuns()
 	if err == nil {
-		// The listeners still write the last answers; a process that ended here
-		// would cut them off.
+		// The listeners are still writing the last answers; without this wait the
+		// end of the process would truncate them.
 		err = <-ended
 	}
 	_ = d.work.Wait()
@@ -161,7 +163,7 @@
 	return nil
 }
 
-// Stop asks for a graceful stop; asked twice, it hurries.
+// Stop starts a graceful stop; skipNotice skips the notice period before it.
 func (d *Daemon) Stop(skipNotice bool) {
 	d.handle(shed.StopRequested{SkipNotice: skipNotice})
 }
@@ -169,25 +171,25 @@
 // Ready implements shed.Serving.
 func (d *Daemon) Ready() bool { return d.ready.Load() }
 
-// Rules in force, or nil.
+// Rules returns the rules in force, or nil if there are none yet.
 func (d *Daemon) Rules() *shed.Rules { return d.rules.Load() }
 
-// Status is what the daemon believes.
+// Status returns the daemon's current view, for operators.
 func (d *Daemon) Status() any {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.cfg.Core.Status(time.Now())
 }
 
-// Explain is what was noted about a request, oldest first; with an empty id,
-// the newest notes of all.
+// Explain returns the notes about a request, oldest first; with an empty id, the
+// newest notes of all requests.
 func (d *Daemon) Explain(id shed.RequestID) []Entry { return d.notes.find(id) }
 
 func (d *Daemon) logSupervisor(e suture.Event) {
 	d.cfg.Log.WithFields(e.Map()).Warn(e.String())
 }
 
-// ticker gives the core its sense of time.
+// ticker sends the core a Tick event every shed.TickEvery.
 type ticker struct{ daemon *Daemon }
 
 // String names the service in the supervisor's log.
@@ -209,7 +211,7 @@
 
 func (d *Daemon) tick() {
 	now := time.Now()
-	// Round strips the monotonic reading, so that Wall is wall time alone.
+	// Round strips the monotonic reading, so that Wall is wall time only.
 	d.handle(shed.Tick{Wall: now.Round(0), Mono: now.Sub(d.start)})
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -15,7 +15,7 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// script is a Decider that answers each Arrived with the next list of actions.
+// script is a Decider that answers each RequestArrived with the next list of actions.
 type script struct {
 	arrived chan struct{}
 	acts    [][]shed.Action
@@ -57,10 +57,10 @@
 	return shed.Request{ID: id, Workspace: "w", Token: "secret", Pipeline: "p"}
 }
 
-// A caller repeats request one. The step that joins it to the first also gives
-// up another request that waited, and ends the first one. Each answer must go
-// to its own request: the other caller gets its refusal, not the repeat, and
-// the repeat gets what the first one gets.
+// A caller retries request one. The step that joins the retry to the first call
+// also refuses a queued request two and ends request one. Each answer must go to
+// its own request: two's caller gets the refusal, and the retry gets the same
+// answer as the first call.
 func TestRepeatTakesNobodyElsesAnswer(t *testing.T) {
 	s := &script{arrived: make(chan struct{}, 3), acts: [][]shed.Action{nil, nil, {
 		shed.JoinRequest{Request: "one"},
@@ -85,8 +85,8 @@
 	require.Equal(t, shed.RequestID("one"), answers[2].Request)
 }
 
-// A repeat that core refuses ends neither the first one's run nor says that
-// nothing ran.
+// The core refuses a retry of a request that still runs. The first call's run must
+// go on, and the retry's answer must not claim that nothing ran.
 func TestRefusedRepeatLeavesTheFirstAlone(t *testing.T) {
 	s := &script{arrived: make(chan struct{}, 2), acts: [][]shed.Action{nil, {
 		shed.Finish{Request: "one", Outcome: shed.OutcomeUnknown, Reason: shed.ReasonTicketUnknown},
@@ -108,7 +108,8 @@
 	require.Equal(t, shed.OutcomeComplete, first.Outcome)
 }
 
-// A wrong token, an unknown pipeline: refused at once, nothing reaches core.
+// A wrong token, an unknown workspace and an unknown pipeline are refused before
+// the request reaches the core.
 func TestStrangersAreRefused(t *testing.T) {
 	d := newScriptedDaemon(t, &script{})
 	for name, c := range map[string]struct {
--- a/internal/daemon/doc.go
+++ b/internal/daemon/doc.go
@@ -1,8 +1,8 @@
 // Package daemon is the driver around the decision core: it performs the
-// actions that core asks for, feeds their results back as events, and holds
-// what the core never sees, the payloads of requests.
+// actions that the core returns, feeds their results back as events, and holds
+// the payloads of requests, which the core never sees.
 //
-// One mutex orders the decisions. Under it, an action is only ever started,
-// never waited for, so actions happen in the order in which they were decided:
-// a CancelCall can't overtake the StartCall that it cancels.
+// One mutex serializes the decisions. While it is held, actions are started but
+// never waited for, so they start in the order in which they were decided: a
+// CancelCall can't overtake the StartCall that it cancels.
 package daemon
--- a/internal/daemon/forwarded.go
+++ b/internal/daemon/forwarded.go
@@ -13,9 +13,9 @@
 
 var _ peers.Handler = (*Daemon)(nil)
 
-// forwardedCall is a stage call that a peer handed over.
+// forwardedCall is a stage call that a peer forwarded to this daemon.
 type forwardedCall struct {
-	// ctx ends when the peer's stream does.
+	// ctx ends with the peer's stream.
 	ctx     context.Context
 	payload shed.Payload
 	send    func(shed.Frame) error
@@ -38,10 +38,10 @@
 	g := &forwardedCall{ctx: ctx, payload: in.Payload, send: send, ended: make(chan struct{})}
 	id := in.Request.Call
 	if !d.acceptForwarded(id, g, shed.StageRequested{Request: in.Request, From: in.From}) {
-		// The same attempt is here already: a doubled message must not run twice.
+		// This attempt is already known: a duplicated message must not run twice.
 		return shed.CallEnded{Call: id, End: shed.EndNotStarted, Reason: shed.ReasonDuplicate}
 	}
-	// The call's own context is derived from ctx, so a peer that goes ends it.
+	// The call's own context is derived from ctx, so the loss of the peer cancels it.
 	<-g.ended
 	d.mu.Lock()
 	delete(d.forwarded, id)
@@ -49,7 +49,8 @@
 	return g.result
 }
 
-// acceptForwarded registers the guest and tells core of it; false if the call is here.
+// acceptForwarded registers a forwarded call and reports it to the core. It
+// returns false if the call is already known.
 func (d *Daemon) acceptForwarded(id shed.Call, g *forwardedCall, ev shed.StageRequested) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -61,7 +62,7 @@
 	return true
 }
 
-// refuseStage answers a guest that was not run. The caller holds d.mu.
+// refuseStage ends a forwarded call that was not run. The caller holds d.mu.
 func (d *Daemon) refuseStage(a shed.RefuseStage) {
 	g := d.forwarded[a.Call]
 	if g == nil {
@@ -75,7 +76,8 @@
 	d.handle(shed.PeerMessage{From: from, Message: msg})
 }
 
-// PeerLost tells core that a peer's link gave no answer. It does not block.
+// PeerLost reports to the core that the connection to a peer timed out or can't
+// be established. It does not block.
 func (d *Daemon) PeerLost(to shed.VM) {
 	d.background(func(context.Context) { d.handle(shed.PeerLost{Peer: to}) })
 }
--- a/internal/daemon/home.go
+++ b/internal/daemon/home.go
@@ -10,15 +10,15 @@
 	"go.opentelemetry.io/otel/propagation"
 )
 
-// homeAttempts bounds how often a request is handed to its home. Repeating is
-// safe: the home runs a ticket once and gives repeats the same answer.
+// homeAttempts bounds how often a request is sent to its home. Retrying is safe:
+// the home runs a ticket once and gives retries the same answer.
 const homeAttempts = 3
 
-// homeGrace is how long the word of a home is awaited beyond the deadline. The
-// home keeps the deadline itself, but ends a request that waits only at its
-// next tick. Without the grace its caller would be told "unknown" at the
-// deadline of a request that the home knows it never started; three ticks leave
-// one for the way back.
+// homeGrace is how long the home's answer is awaited past the deadline. The home
+// enforces the deadline itself, but ends a queued request only at its next tick.
+// Without the grace, a caller would get "unknown" at the deadline of a request
+// that the home knows it never started. Three ticks leave one for the answer's
+// way back.
 const homeGrace = 3 * shed.TickEvery
 
 // Request implements peers.Handler.
@@ -56,8 +56,8 @@
 	return d.queryHome(ctx, peers.RequestCall{To: home.Peer, Request: req, Fetch: true}, nil)
 }
 
-// fetch gives the answer to a ticketed request that was started here, waiting
-// for it if it runs. It never starts one.
+// fetch returns the answer to a ticketed request that was started here, and waits
+// for it while the request runs. It never starts a request.
 func (d *Daemon) fetch(ctx context.Context, req shed.Request) shed.Answer {
 	d.mu.Lock()
 	r := d.runs[req.ID]
@@ -65,8 +65,8 @@
 	d.mu.Unlock()
 	switch {
 	case !known:
-		// It may have run and been forgotten, or belong to another workspace,
-		// which is told nothing of it.
+		// It may have run and have been dropped since, or it belongs to another
+		// workspace; the answer must not reveal which.
 		return unknownOutcome(req.ID, shed.ReasonTicketUnknown)
 	case r == nil:
 		return shed.Answer{Finish: f}
@@ -82,7 +82,7 @@
 	return answer
 }
 
-// forwardRequest hands a request over to the home of its ticket. The caller holds
+// forwardRequest forwards a request to the home of its ticket. The caller holds
 // d.mu.
 func (d *Daemon) forwardRequest(a shed.ForwardRequest) {
 	r := d.runs[a.Request]
@@ -100,16 +100,16 @@
 		d.mu.Lock()
 		defer d.mu.Unlock()
 		d.endRun(r, answer)
-		// This process holds no answer for others' tickets; their home does.
+		// Answers are kept by the home of their ticket only.
 		delete(d.runs, r.id)
 		d.perform(d.cfg.Core.Handle(time.Now(), shed.ForwardEnded{Request: r.id}))
 		return nil
 	})
 }
 
-// queryHome asks a ticket's home, again if the link breaks. If no answer comes it
-// can't be known whether the request ran: an earlier repeat may have started it
-// by another way.
+// queryHome sends the call to a ticket's home and retries if the connection
+// breaks. Without an answer it is unknown whether the request ran: an earlier
+// retry may have started it through another daemon.
 func (d *Daemon) queryHome(ctx context.Context, msg peers.RequestCall, update func(shed.Update)) shed.Answer {
 	ctx, span := d.cfg.Tracer.Start(ctx, "ticket_home")
 	defer span.End()
--- a/internal/daemon/loop.go
+++ b/internal/daemon/loop.go
@@ -7,14 +7,14 @@
 	shed "jasmineshed"
 )
 
-// handle takes one event to the core and performs what comes back.
+// handle passes one event to the core and performs the resulting actions.
 func (d *Daemon) handle(ev shed.Event) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.perform(d.cfg.Core.Handle(time.Now(), ev))
 }
 
-// perform starts each action. The caller holds d.mu; nothing here blocks.
+// perform starts each action without blocking. The caller holds d.mu.
 func (d *Daemon) perform(acts []shed.Action) {
 	for _, act := range acts {
 		switch a := act.(type) {
@@ -38,7 +38,7 @@
 	}
 }
 
-// performGlobal starts the actions that belong to no request.
+// performGlobal starts an action that belongs to no request.
 func (d *Daemon) performGlobal(act shed.Action) {
 	switch a := act.(type) {
 	case shed.SendPeer:
@@ -64,7 +64,7 @@
 	}
 }
 
-// background runs f in the daemon's group.
+// background runs f in a goroutine of the daemon's group.
 func (d *Daemon) background(f func(ctx context.Context)) {
 	d.work.Go(func() error {
 		f(d.base)
@@ -73,11 +73,11 @@
 }
 
 const (
-	// readTimeout bounds a read of the platform beyond its own wait.
+	// readTimeout bounds a read from the platform, on top of its own wait.
 	readTimeout = 2 * time.Second
-	// pollTimeout bounds a read of one load report.
+	// pollTimeout bounds the read of one load report.
 	pollTimeout = time.Second
-	// orderTimeout bounds an order: loading a model takes its time.
+	// orderTimeout bounds an order, which may have to load a model.
 	orderTimeout = time.Minute
 )
 
@@ -86,8 +86,9 @@
 	defer cancel()
 	got, err := d.cfg.Platform.Config(ctx, a)
 	if err != nil {
-		d.cfg.Log.WithError(err).WithField("parts", len(got.Parts)).Debug("read configuration")
-		// Parts that came are kept, or a large configuration is never whole.
+		d.cfg.Log.WithError(err).WithField("parts", len(got.Parts)).Debug("reading the configuration failed")
+		// Received parts are kept: otherwise a large configuration would never be
+		// complete.
 		got.Failed = len(got.Parts) == 0
 	}
 	d.handle(got)
@@ -98,7 +99,7 @@
 	defer cancel()
 	vms, err := d.cfg.Platform.VMs(ctx)
 	if err != nil {
-		d.cfg.Log.WithError(err).Debug("read VM list")
+		d.cfg.Log.WithError(err).Debug("reading the VM list failed")
 	}
 	d.handle(shed.VMsRead{Failed: err != nil, VMs: vms})
 }
@@ -119,7 +120,7 @@
 	defer cancel()
 	end, err := d.cfg.Backend.Order(ctx, a)
 	if err != nil {
-		d.cfg.Log.WithError(err).WithField("server", a.Server).Warn("order to engine")
+		d.cfg.Log.WithError(err).WithField("server", a.Server).Warn("order to engine failed")
 		end = shed.OrderEnded{}
 	}
 	end.Server, end.Fence = a.Server, a.Fence
--- a/internal/daemon/notes.go
+++ b/internal/daemon/notes.go
@@ -9,10 +9,10 @@
 	"github.com/sirupsen/logrus"
 )
 
-// notesKept bounds the ring of notes that explain reads from.
+// maxNotes is the size of the ring buffer that explain reads from.
 const maxNotes = 8192
 
-// Entry is one note, as explain shows it.
+// Entry is one note as explain shows it.
 type Entry struct {
 	At      time.Time      `json:"at"`
 	Reason  shed.Reason    `json:"reason"`
@@ -24,7 +24,7 @@
 	Asked   string         `json:"rule_asked_by,omitempty"`
 }
 
-// noteRing keeps the newest notes.
+// noteRing is a ring buffer of the newest maxNotes notes.
 type noteRing struct {
 	mu      sync.Mutex
 	entries []Entry
@@ -42,7 +42,7 @@
 	r.next = (r.next + 1) % maxNotes
 }
 
-// find returns the notes on a request, or on all if id is empty, oldest first.
+// find returns the notes about a request, or all notes if id is empty, oldest first.
 func (r *noteRing) find(id shed.RequestID) []Entry {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/daemon/run.go
+++ b/internal/daemon/run.go
@@ -10,7 +10,7 @@
 	"go.opentelemetry.io/otel/trace"
 )
 
-// run is one request accepted here.
+// run is one request that this daemon accepted.
 type run struct {
 	id        shed.RequestID
 	workspace shed.WorkspaceID
@@ -18,29 +18,29 @@
 	ticketed  bool
 	started   time.Time
 	span      trace.Span
-	// ctx carries the span to the calls; it ends with the daemon, not with the
-	// caller, since core decides what a gone caller means.
+	// ctx carries the span to the calls. It ends with the daemon and not with the
+	// caller, because the core decides what to do when a caller disconnects.
 	ctx context.Context
 
-	// payload is the input of the live stage. Guarded by Daemon.mu.
+	// payload is the input of the current stage. Guarded by Daemon.mu.
 	payload shed.Payload
 	// current is the call whose result counts. Guarded by Daemon.mu.
 	current *call
-	// last is the call that ended last, for its result or to resume it.
-	// Guarded by Daemon.mu.
+	// last is the call that ended most recently, kept for its result and to
+	// resume it. Guarded by Daemon.mu.
 	last *call
 
-	// mu guards what follows.
+	// mu guards the fields below.
 	mu sync.Mutex
-	// pending are updates that no waiter has taken yet. Only the first waiter
-	// takes updates; one that joins later gets the final answer.
+	// pending are the updates that no waiter has taken yet. Only the first waiter
+	// takes updates; one that joins later gets the final answer only.
 	pending []shed.Update
-	// waiters counts the callers who wait. The request's caller is gone once
-	// there are none.
+	// waiters is the number of waiting callers. At 0 the request's caller is
+	// considered gone.
 	waiters   int
 	answer    shed.Answer
 	keepUntil time.Time
-	// wake has room for one; it is filled when there is something to take.
+	// wake has a buffer of one; it is filled when updates are pending.
 	wake chan struct{}
 	// done is closed once answer is final.
 	done chan struct{}
@@ -61,7 +61,7 @@
 	}
 }
 
-// push gives an update to the waiting caller.
+// push queues an update for the waiting caller.
 func (r *run) push(u shed.Update) {
 	r.mu.Lock()
 	r.pending = append(r.pending, u)
@@ -72,7 +72,7 @@
 	}
 }
 
-// takeUpdates empties the pending updates into spare and returns it.
+// takeUpdates returns the pending updates and reuses spare for the next ones.
 func (r *run) takeUpdates(spare []shed.Update) []shed.Update {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -81,7 +81,7 @@
 	return out
 }
 
-// finish makes the answer final; only the first one counts.
+// finish sets the final answer; later calls change nothing and return false.
 func (r *run) finish(a shed.Answer, keep time.Duration) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -117,7 +117,7 @@
 	r.waiters++
 }
 
-// removeWaiter tells whether nobody waits any more.
+// removeWaiter reports whether no waiter is left.
 func (r *run) removeWaiter() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -125,7 +125,7 @@
 	return r.waiters == 0
 }
 
-// wait passes updates on until the answer is final or the caller's ctx ends.
+// wait delivers updates until the answer is final or the caller's ctx ends.
 func (r *run) wait(ctx context.Context, update func(shed.Update)) (shed.Answer, bool) {
 	var spare []shed.Update
 	deliver := func() {
--- a/internal/daemon/serve.go
+++ b/internal/daemon/serve.go
@@ -18,11 +18,11 @@
 var _ shed.Serving = (*Daemon)(nil)
 
 const (
-	// notReadyRetryAfter is when to come back to a daemon that is not ready.
+	// notReadyRetryAfter is when a caller may retry at a daemon without rules.
 	notReadyRetryAfter = time.Second
-	// prefixBytes of the input decide its cache affinity.
+	// prefixBytes is how much of the input's start is hashed for cache affinity.
 	prefixBytes = 256
-	// bytesPerToken estimates the size of an input.
+	// bytesPerToken is used to estimate an input's tokens.
 	bytesPerToken = 4
 )
 
@@ -34,8 +34,8 @@
 	return d.serve(ctx, req, shed.Peer{}, update)
 }
 
-// authorize refuses whom the rules don't know. It returns nil if the caller may go
-// on, with the request's budget bounded by its pipeline's deadline.
+// authorize checks workspace, token and pipeline against the rules. It returns a
+// refusal, or nil and bounds the request's budget by its pipeline's deadline.
 func (d *Daemon) authorize(req *shed.Request) *shed.Finish {
 	rules := d.rules.Load()
 	if rules == nil {
@@ -52,12 +52,12 @@
 	if req.Budget <= 0 || req.Budget > p.Deadline {
 		req.Budget = p.Deadline
 	}
-	// The token proved what it had to; it goes no further than here.
+	// The token is not needed any more and must not be passed on.
 	req.Token = ""
 	return nil
 }
 
-// tokenMatches compares in constant time, so that an answer's delay tells
+// tokenMatches compares in constant time, so that the time of an answer reveals
 // nothing about the hash.
 func tokenMatches(token, hash string) bool {
 	sum := sha256.Sum256([]byte(token))
@@ -69,8 +69,8 @@
 	return &shed.Finish{Request: id, Outcome: shed.OutcomeNotRun, Reason: r, RetryAfter: after}
 }
 
-// serve runs a checked request that came from a caller, or from a peer that
-// handed it over to this process as its home.
+// serve runs an authorized request of a caller, or of a peer that forwarded it to
+// this process as its ticket's home.
 func (d *Daemon) serve(ctx context.Context, req shed.Request, from shed.Peer, update func(shed.Update)) shed.Answer {
 	d.stats.arrivedRequests.Inc(1)
 	ticketed := req.ID != ""
@@ -78,7 +78,7 @@
 	if !ticketed {
 		id = newRequestID()
 	}
-	// The span outlives a caller who goes; so do the calls of the run.
+	// The span and the calls of the run outlive a caller that disconnects.
 	spanCtx, span := d.cfg.Tracer.Start(context.WithoutCancel(ctx), "request", trace.WithAttributes(
 		attribute.String("request_id", string(id)), attribute.String("pipeline", string(req.Pipeline))))
 	defer span.End()
@@ -99,9 +99,9 @@
 	return answer
 }
 
-// handleArrival tells core of the request. It returns the run to wait for, which is
-// another one if the request joins it, or an answer that concerns this arrival
-// only.
+// handleArrival reports the request to the core. It returns the run to wait for,
+// which is an earlier one if the request joins it, or an answer that is for this
+// arrival only.
 func (d *Daemon) handleArrival(r *run, req shed.Request, from shed.Peer) (*run, *shed.Answer) {
 	now := time.Now()
 	ev := shed.RequestArrived{
@@ -124,15 +124,15 @@
 	return d.joinRun(first, req.Workspace, acts)
 }
 
-// startRun performs what core decided about a request that is new here. One
-// that was answered at once is not kept: its answer, often a refusal, concerns
-// this arrival only, and a repeat of it may well be run.
+// startRun performs the core's decision on a request that is new here. A run that
+// was answered at once is not kept: its answer, often a refusal, is for this
+// arrival only, and a retry of the request may still be run.
 func (d *Daemon) startRun(r *run, acts []shed.Action) *run {
 	r.addWaiter()
 	d.runs[r.id] = r
 	for _, act := range acts {
 		if join, ok := act.(shed.JoinRequest); ok && join.Request == r.id {
-			// It ran here, but its answer is no longer kept.
+			// The request ran here, but its answer is no longer kept.
 			d.endRun(r, unknownOutcome(r.id, shed.ReasonTicketExpired))
 		}
 	}
@@ -143,12 +143,13 @@
 	return r
 }
 
-// joinRun performs what core decided about a repeat of a request that is
-// here already. A refusal of the repeat must not end the first one's run, and a
-// repeat under another workspace's name must not see its answer.
+// joinRun performs the core's decision on a retry of a request that is already
+// here. A refusal of the retry must not end the first one's run, and a retry
+// under another workspace must not see its answer.
 func (d *Daemon) joinRun(first *run, ws shed.WorkspaceID, acts []shed.Action) (*run, *shed.Answer) {
 	var rest []shed.Action
-	// What is told to whom the request is none of: it may have run.
+	// The answer to another workspace; it says no more than that the request may
+	// have run.
 	other := &shed.Finish{Request: first.id, Outcome: shed.OutcomeUnknown, Reason: shed.ReasonTicketUnknown}
 	refused := other
 	for _, act := range acts {
@@ -156,8 +157,8 @@
 		case shed.JoinRequest, shed.ForwardRequest:
 			refused = nil
 		case shed.Finish:
-			// The same step may have ended other requests, and, after the repeat
-			// has joined it, the first one too.
+			// The same step may have ended other requests too, and also the first
+			// one after the retry has joined it.
 			if a.Request == first.id && refused != nil {
 				refused = &a
 				continue
@@ -178,7 +179,7 @@
 	return first, nil
 }
 
-// finish makes a run's answer final.
+// finish sets a run's final answer. The caller holds d.mu.
 func (d *Daemon) finish(f shed.Finish) {
 	r := d.runs[f.Request]
 	if r == nil {
@@ -187,7 +188,8 @@
 	d.endRun(r, shed.Answer{Finish: f, Payload: r.payload})
 }
 
-// endRun gives the run its answer. The caller holds d.mu.
+// endRun sets the run's final answer, counts it, and drops a run without ticket.
+// The caller holds d.mu.
 func (d *Daemon) endRun(r *run, a shed.Answer) {
 	if !r.finish(a, d.cfg.KeepAnswers) {
 		return
@@ -201,7 +203,7 @@
 	d.stats.liveRequests.Update(float64(len(d.runs)))
 }
 
-// abortRuns answers whoever still waits when the daemon ends at once.
+// abortRuns answers all waiting callers when the daemon ends at once.
 func (d *Daemon) abortRuns() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -230,8 +232,8 @@
 	return shed.RequestID(hex.EncodeToString(b[:]))
 }
 
-// prefixOf hashes the workspace and the start of the input, so that calls that
-// share a prompt prefix meet at the same engine's cache.
+// prefixOf hashes the workspace and the start of the input, so that calls with
+// the same prompt prefix go to the engine that has it cached.
 func prefixOf(req shed.Request) uint64 {
 	start := req.Payload.Input
 	if len(start) > prefixBytes {
--- a/internal/daemon/stats.go
+++ b/internal/daemon/stats.go
@@ -9,8 +9,8 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// stats are the daemon's metrics. Tagged counters are kept, since making one
-// for each event would cost more than the event.
+// stats are the daemon's metrics. Tagged counters are cached, since creating one
+// for each event would cost more than handling the event.
 type stats struct {
 	scope tally.Scope
 
@@ -26,7 +26,7 @@
 	tagged map[statKey]tally.Counter
 }
 
-// statKey names one tagged counter.
+// statKey identifies one tagged counter.
 type statKey struct{ name, tag, value string }
 
 func newStats(scope tally.Scope) stats {
