--- a/internal/cmds/request.go
+++ b/internal/cmds/request.go
@@ -22,7 +22,7 @@
 	deps      *Deps
 	urls      []string
 	workspace string
-	work      client.Work
+	params    client.Work
 	once      bool
 	quiet     bool
 }
@@ -39,8 +39,8 @@
 	f := c.Flags()
 	f.StringSliceVar(&r.urls, "url", []string{"http://127.0.0.1:7400"}, "base URLs of the fleet")
 	f.StringVar(&r.workspace, "workspace", "", "workspace to run it for")
-	f.Uint32Var(&r.work.MaxTokens, "max-tokens", 0, "bound on the tokens generated; 0 for none")
-	f.DurationVar(&r.work.Budget, "budget", 0, "time limit; 0 takes the pipeline's deadline")
+	f.Uint32Var(&r.params.MaxTokens, "max-tokens", 0, "bound on the tokens generated; 0 for none")
+	f.DurationVar(&r.params.Budget, "budget", 0, "time limit; 0 takes the pipeline's deadline")
 	f.BoolVar(&r.once, "once", false, "get a ticket and run the pipeline at most once")
 	f.BoolVar(&r.quiet, "quiet", false, "print only the answer")
 	c.RunE = func(c *cobra.Command, args []string) error {
@@ -53,16 +53,16 @@
 }
 
 func (r *request) parseArgs(args []string) error {
-	r.work.Pipeline = args[0]
+	r.params.Pipeline = args[0]
 	if len(args) > 1 {
-		r.work.Input = args[1]
+		r.params.Input = args[1]
 		return nil
 	}
 	text, err := io.ReadAll(r.deps.In)
 	if err != nil {
 		return fmt.Errorf("reading the input: %w", err)
 	}
-	r.work.Input = strings.TrimSpace(string(text))
+	r.params.Input = strings.TrimSpace(string(text))
 	return nil
 }
 
@@ -90,7 +90,7 @@
 
 func (r *request) call(ctx context.Context, cl *client.Client, show *progress) (*client.Answer, error) {
 	if r.once {
-		return cl.RunOnce(ctx, r.work)
+		return cl.RunOnce(ctx, r.params)
 	}
-	return cl.Stream(ctx, r.work, show.events())
+	return cl.Stream(ctx, r.params, show.events())
 }
--- a/pkg/client/call.go
+++ b/pkg/client/call.go
@@ -19,19 +19,19 @@
 	body        any
 }
 
-type workBody struct {
+type requestBody struct {
 	Pipeline  string `json:"pipeline,omitempty"`
 	Input     string `json:"input"`
 	MaxTokens uint32 `json:"max_tokens,omitempty"`
 	BudgetMs  int64  `json:"budget_ms,omitempty"`
 }
 
-func newWorkBody(w Work, pipeline string) workBody {
-	return workBody{
+func newRequestBody(r Work, pipeline string) requestBody {
+	return requestBody{
 		Pipeline:  pipeline,
-		Input:     w.Input,
-		MaxTokens: w.MaxTokens,
-		BudgetMs:  w.Budget.Milliseconds(),
+		Input:     r.Input,
+		MaxTokens: r.MaxTokens,
+		BudgetMs:  r.Budget.Milliseconds(),
 	}
 }
 
--- a/pkg/client/client.go
+++ b/pkg/client/client.go
@@ -108,12 +108,12 @@
 }
 
 // Run runs an idempotent pipeline and gives its whole answer.
-func (c *Client) Run(ctx context.Context, work Work) (*Answer, error) {
+func (c *Client) Run(ctx context.Context, r Work) (*Answer, error) {
 	return c.retry(ctx, c.nextIndex(), func(ctx context.Context, base string) (*Answer, error) {
 		return c.callForAnswer(ctx, httpCall{
 			method: http.MethodPost,
-			url:    base + "/v1/pipelines/" + escape(work.Pipeline) + "/requests",
-			body:   newWorkBody(work, ""),
+			url:    base + "/v1/pipelines/" + escape(r.Pipeline) + "/requests",
+			body:   newRequestBody(r, ""),
 		})
 	})
 }
@@ -140,27 +140,27 @@
 
 // RunOnce gets a ticket and runs the pipeline at most once. After a broken
 // connection it asks again with the same ticket, which can't run it twice.
-func (c *Client) RunOnce(ctx context.Context, work Work) (*Answer, error) {
+func (c *Client) RunOnce(ctx context.Context, r Work) (*Answer, error) {
 	// The VM that gave out the ticket runs it too, which saves a hop.
 	first := c.nextIndex()
-	ticket, err := c.ticket(ctx, first, work.Pipeline)
+	ticket, err := c.ticket(ctx, first, r.Pipeline)
 	if err != nil {
 		return nil, fmt.Errorf("getting a ticket: %w", err)
 	}
-	return c.runTicket(ctx, first, ticket.RequestID, work)
+	return c.runTicket(ctx, first, ticket.RequestID, r)
 }
 
 // RunTicket is RunOnce with a ticket that the caller has got.
-func (c *Client) RunTicket(ctx context.Context, ticket string, work Work) (*Answer, error) {
-	return c.runTicket(ctx, c.nextIndex(), ticket, work)
+func (c *Client) RunTicket(ctx context.Context, ticket string, r Work) (*Answer, error) {
+	return c.runTicket(ctx, c.nextIndex(), ticket, r)
 }
 
-func (c *Client) runTicket(ctx context.Context, first int, ticket string, work Work) (*Answer, error) {
+func (c *Client) runTicket(ctx context.Context, first int, ticket string, r Work) (*Answer, error) {
 	return c.retry(ctx, first, func(ctx context.Context, base string) (*Answer, error) {
 		return c.callForAnswer(ctx, httpCall{
 			method: http.MethodPut,
 			url:    base + "/v1/requests/" + escape(ticket),
-			body:   newWorkBody(work, work.Pipeline),
+			body:   newRequestBody(r, r.Pipeline),
 		})
 	})
 }
--- a/pkg/client/client_test.go
+++ b/pkg/client/client_test.go
@@ -245,7 +245,7 @@
 
 func TestNoBodyCanBeRewound(t *testing.T) {
 	c := newTestClient(t, nil)
-	req, _, err := c.request(t.Context(), httpCall{method: "PUT", url: "http://a", body: workBody{Input: "x"}})
+	req, _, err := c.request(t.Context(), httpCall{method: "PUT", url: "http://a", body: requestBody{Input: "x"}})
 	require.NoError(t, err)
 	require.Nil(t, req.GetBody)
 	require.Empty(t, req.Header.Get("Idempotency-Key"))
--- a/pkg/client/stream.go
+++ b/pkg/client/stream.go
@@ -28,13 +28,13 @@
 
 // Stream runs an idempotent pipeline, tells what goes on, and gives the whole
 // answer. It is made again only as long as it has told nothing.
-func (c *Client) Stream(ctx context.Context, work Work, events Events) (*Answer, error) {
+func (c *Client) Stream(ctx context.Context, r Work, events Events) (*Answer, error) {
 	delivered := false
 	answer, err := c.retry(ctx, c.nextIndex(), func(ctx context.Context, base string) (*Answer, error) {
 		answer, err := c.streamOnce(ctx, httpCall{
 			method: http.MethodPost,
-			url:    base + "/v1/pipelines/" + escape(work.Pipeline) + "/stream",
-			body:   newWorkBody(work, ""),
+			url:    base + "/v1/pipelines/" + escape(r.Pipeline) + "/stream",
+			body:   newRequestBody(r, ""),
 		}, events, &delivered)
 		if err != nil && delivered {
 			return answer, &permanentError{err}
