--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,5 +1,5 @@
-// Package node puts one daemon together from its settings: listeners, core,
-// driver, logs, metrics and traces.
+// Package node builds one daemon from its settings: listeners, core, driver,
+// logs, metrics and traces.
 package node
 
 import (
@@ -33,23 +33,23 @@
 	"github.com/thejerf/suture/v4"
 )
 
-// Config is what a Node needs.
+// Config configures a Node.
 type Config struct {
 	Prefs *prefs.Prefs
-	// LogTo takes the JSON lines.
+	// LogTo receives the log as JSON lines.
 	LogTo io.Writer
-	// Policy picks servers; empty takes the default.
+	// Policy names the policy that picks servers; empty means the default.
 	Policy string
-	// OrderToken goes with each order to an engine.
+	// OrderToken is sent with each order to an engine.
 	OrderToken string
-	// Tune, if not nil, changes core's configuration before it is used; for
+	// Tune, if not nil, changes the core's configuration before it is used; for
 	// experiments and tests.
 	Tune func(*core.Config)
 	// DialPeer and DialPlatform open connections; nil means TCP. Experiments
-	// cut links here.
+	// simulate network partitions here.
 	DialPeer     func(ctx context.Context, to shed.VM) (net.Conn, error)
 	DialPlatform func(ctx context.Context, network, addr string) (net.Conn, error)
-	// Listeners are opened by New unless they are given.
+	// Callers, Peers and Operators are the listeners; New opens those that are nil.
 	Callers, Peers, Operators net.Listener
 }
 
@@ -67,10 +67,10 @@
 	self                   shed.Peer
 }
 
-// ErrStart is returned by New when the daemon can't be put together.
+// ErrStart is returned by New when the daemon can't be set up.
 var ErrStart = errors.New("daemon can't start")
 
-// New opens the listeners and puts the daemon together; Run runs it.
+// New opens the listeners and builds the daemon; Run runs it.
 func New(ctx context.Context, cfg Config) (*Node, error) {
 	n := &Node{cfg: cfg}
 	if err := n.open(ctx); err != nil {
@@ -106,7 +106,7 @@
 	return n.assemble()
 }
 
-// listen opens the listeners that were not given.
+// listen opens the listeners that are not in the configuration.
 func (n *Node) listen(ctx context.Context) error {
 	return httpd.ListenAll(ctx, n.cfg.Prefs.Limits.WriteTimeout, []httpd.Opening{
 		{To: &n.cfg.Callers, Addr: n.cfg.Prefs.Listen.Callers},
@@ -123,7 +123,7 @@
 	}
 }
 
-// openCerts reads the keys and certificates that the settings name.
+// openCerts loads the keys and certificates that the settings name.
 func (n *Node) openCerts() error {
 	t := n.cfg.Prefs.TLS
 	var err error
@@ -142,8 +142,8 @@
 	return err
 }
 
-// peerAddress is the address at which peers reach this daemon. A listener on port 0
-// gets its port from the system.
+// peerAddress is the address at which peers reach this daemon. A listener on port
+// 0 gets its port from the system.
 func (n *Node) peerAddress() shed.VM {
 	if p := n.cfg.Prefs.Node; p.Advertise != "" {
 		return shed.VM(p.Advertise)
@@ -156,8 +156,8 @@
 	if err != nil {
 		return err
 	}
-	// The peers' client tells the daemon of lost peers, and the daemon sends by
-	// the client; lost closes that circle.
+	// The client reports lost peers to the daemon, and the daemon needs the client
+	// to be built; lost is set afterwards and breaks this cycle.
 	var lost func(shed.VM)
 	clientCfg := peers.ClientConfig{Self: n.self, Dial: n.cfg.DialPeer, OnPeerLost: func(vm shed.VM) { lost(vm) }}
 	var serverCfg peers.ServerConfig
@@ -205,8 +205,7 @@
 	return cfg
 }
 
-// services are the listeners for callers and operators, and what else runs
-// beside the daemon.
+// services returns the servers for callers and operators.
 func (n *Node) services() []suture.Service {
 	p := n.cfg.Prefs
 	caller := front.Config{
@@ -225,7 +224,7 @@
 	}
 }
 
-// Run runs the daemon until a graceful stop is done or ctx ends.
+// Run runs the daemon until a graceful stop has completed or ctx ends.
 func (n *Node) Run(ctx context.Context) error {
 	n.log.WithFields(logrus.Fields{
 		"vm": n.self.VM, "zone": n.cfg.Prefs.Node.Zone, "incarnation": n.self.Incarnation,
@@ -236,23 +235,23 @@
 	shut, cancel := context.WithTimeout(context.WithoutCancel(ctx), time.Second)
 	defer cancel()
 	if terr := n.tracing.Shutdown(shut); terr != nil {
-		n.log.WithError(terr).Warn("last spans are lost")
+		n.log.WithError(terr).Warn("flushing traces failed: the last spans are lost")
 	}
 	_ = n.metrics.Close()
 	n.log.Info("daemon ends")
 	return err
 }
 
-// Stop asks for a graceful stop; asked twice, it hurries.
+// Stop starts a graceful stop; skipNotice skips the notice period before it.
 func (n *Node) Stop(skipNotice bool) { n.daemon.Stop(skipNotice) }
 
-// Daemon is the driver inside, for status and for tests.
+// Daemon returns the driver, for status and for tests.
 func (n *Node) Daemon() *daemon.Daemon { return n.daemon }
 
-// Self is this process as its peers know it.
+// Self returns the identity of this process among its peers.
 func (n *Node) Self() shed.Peer { return n.self }
 
-// CallerURL is the base URL for callers.
+// CallerURL returns the base URL for callers.
 func (n *Node) CallerURL() string {
 	scheme := "http"
 	if n.callerCerts != nil {
@@ -261,10 +260,10 @@
 	return scheme + "://" + n.cfg.Callers.Addr().String()
 }
 
-// OperatorURL is the base URL for operators.
+// OperatorURL returns the base URL for operators.
 func (n *Node) OperatorURL() string { return "http://" + n.cfg.Operators.Addr().String() }
 
-// explainer gives the daemon's notes to the operators' listener.
+// explainer adapts the daemon's notes to oper.Explainer.
 type explainer struct{ d *daemon.Daemon }
 
 // Explain implements oper.Explainer.
