--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,6 +1,6 @@
 // Package fleet runs a whole fleet in one process on loopback: real daemons in
 // every zone of a rules file, with stand-ins for the platform, the engines and
-// the plain services. The demo and the load tool use it.
+// the plain services. The demo, the load tool and tests use it.
 package fleet
 
 import (
@@ -24,39 +24,40 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// anyPort lets the system choose a port on loopback.
+// anyPort is a loopback address whose port the system chooses.
 const anyPort = "127.0.0.1:0"
 
-// Config is what a Fleet needs. Zero values take the defaults.
+// Config configures a Fleet. Zero values mean the defaults.
 type Config struct {
 	// Rules is the text of the operators' rules file. The URLs of its servers
 	// are replaced by those of stand-ins.
 	Rules []byte
 	// PerZone is how many daemons run in each zone; default 2.
 	PerZone int
-	// LogTo takes the daemons' logs; default none.
+	// LogTo receives the daemons' logs; nil discards them.
 	LogTo io.Writer
-	// Policy of the daemons; empty takes the default.
+	// Policy names the daemons' policy that picks servers; empty means the default.
 	Policy string
-	// Engine configures the stand-in of a server that is no plain service.
+	// Engine returns the configuration of the stand-in for an engine; default
+	// DefaultEngine.
 	Engine func(s *shed.Server, kind shed.StageKind) stand.EngineConfig
-	// ServiceTime is the time of one call of a plain service.
+	// ServiceTime is how long one call of a plain service takes.
 	ServiceTime time.Duration
-	// VMLag is how late the platform's VM list is.
+	// VMLag is the propagation delay of the platform's VM list.
 	VMLag time.Duration
 	// Settings and Tune change each daemon's settings and core.
 	Settings func(*prefs.Prefs)
 	Tune     func(*core.Config)
-	// Node changes how each daemon is put together, for instance how it dials.
+	// Node changes each daemon's node configuration, for instance how it dials.
 	Node func(*node.Config)
 }
 
-// Fleet is a fleet that runs.
+// Fleet is a running fleet.
 type Fleet struct {
 	Platform *stand.Platform
 	Engines  map[shed.ServerID]*stand.Engine
 	Services map[shed.ServerID]*stand.Service
-	// Rules are those of the first text, with the stand-ins' URLs.
+	// Rules are the compiled initial rules, with the stand-ins' URLs.
 	Rules *shed.Rules
 
 	cfg         Config
@@ -101,10 +102,11 @@
 	return f, nil
 }
 
-// longRun is what a server has completed that was up long before the fleet.
+// warmCompleted is the number of calls that a server reports as completed before
+// the fleet's start. It marks the server as long warm.
 const warmCompleted = 100_000
 
-// DefaultEngine is a quick engine that has long been warm.
+// DefaultEngine returns the configuration of a fast engine that has long been warm.
 func DefaultEngine(s *shed.Server, _ shed.StageKind) stand.EngineConfig {
 	return stand.EngineConfig{
 		ID: s.ID, Capacity: s.Capacity, ColdBears: s.ColdCapacity,
@@ -135,8 +137,8 @@
 	return nil
 }
 
-// startServers runs a stand-in for each server of the rules and puts its URL
-// into the text.
+// startServers starts a stand-in for each server of the rules and puts its URL
+// into the rules' text.
 func (f *Fleet) startServers() error {
 	first, err := rules.Compile(f.cfg.Rules, 1)
 	if err != nil {
@@ -182,10 +184,10 @@
 	return stand.Listen(anyPort, e)
 }
 
-// Text is the rules file as it was first published.
+// Text returns the rules file as it was first published.
 func (f *Fleet) Text() []byte { return f.rulesText }
 
-// Zones of the rules, sorted.
+// Zones returns the zones of the rules, sorted.
 func (f *Fleet) Zones() []shed.ZoneID {
 	var out []shed.ZoneID
 	for z := range f.Rules.Zones {
@@ -195,7 +197,7 @@
 	return out
 }
 
-// Publish puts a rules file on the platform, as an operator does.
+// Publish publishes a rules file on the platform, as an operator does.
 func (f *Fleet) Publish(text []byte) shed.Revision {
 	return f.Platform.PublishRules(text)
 }
@@ -234,14 +236,14 @@
 	return m, nil
 }
 
-// Members are the daemons that run.
+// Members returns the running daemons.
 func (f *Fleet) Members() []*Member {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return append([]*Member{}, f.members...)
 }
 
-// publishVMs tells the platform which VMs there are.
+// publishVMs sets the platform's VM list to the running daemons.
 func (f *Fleet) publishVMs() {
 	var vms []wire.VM
 	for _, m := range f.Members() {
@@ -263,7 +265,7 @@
 	f.publishVMs()
 }
 
-// Stop stops a daemon gracefully and waits for its end.
+// Stop stops a daemon gracefully and waits until it has ended.
 func (f *Fleet) Stop(m *Member) {
 	m.Stop(false)
 	<-m.done
@@ -280,7 +282,7 @@
 // ErrNotReady is returned by WaitReady when ctx ends first.
 var ErrNotReady = errors.New("fleet is not ready")
 
-// WaitReady waits until every daemon takes requests.
+// WaitReady waits until every daemon is ready for requests.
 func (f *Fleet) WaitReady(ctx context.Context) error {
 	tick := time.NewTicker(20 * time.Millisecond)
 	defer tick.Stop()
@@ -305,7 +307,7 @@
 	return true
 }
 
-// CallerURLs are the daemons' base URLs for callers.
+// CallerURLs returns the daemons' base URLs for callers.
 func (f *Fleet) CallerURLs() []string {
 	var out []string
 	for _, m := range f.Members() {
@@ -314,7 +316,7 @@
 	return out
 }
 
-// Close ends everything at once.
+// Close ends the daemons and stand-ins at once.
 func (f *Fleet) Close() {
 	for _, m := range f.Members() {
 		m.kill()
--- a/internal/fleet/hop_test.go
+++ b/internal/fleet/hop_test.go
@@ -16,7 +16,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// hopRules have one stage of a service that answers at once, in one zone.
+// hopRules returns rules with a pipeline of one encode stage in the zone.
 func hopRules(b *testing.B, zone string) []byte {
 	b.Helper()
 	text, err := sample.Rules("small")
@@ -27,16 +27,16 @@
 		fmt.Sprintf("[stages]\nhop/embed = kind encode, pool encoders, minimum 1ms, zones %s ; benchmark\n", zone), 1))
 }
 
-// instant is an engine that takes no time.
+// instant configures an engine whose calls take no time.
 func instant(s *shed.Server, kind shed.StageKind) stand.EngineConfig {
 	cfg := DefaultEngine(s, kind)
 	cfg.CallTime = 0
 	return cfg
 }
 
-// BenchmarkHop gives the time of a call straight to the engine, through one
-// daemon, and through a daemon of another zone; the differences are what a hop
-// adds. Callers' HTTP is not in it.
+// BenchmarkHop measures a call directly to the engine, through one daemon, and
+// through a second daemon in another zone; the differences are the cost of a hop.
+// The callers' HTTP interface is not included.
 func BenchmarkHop(b *testing.B) {
 	for _, c := range []struct{ name, zone string }{
 		{"direct", ""}, {"daemon", "a"}, {"cross_zone", "b"},
