--- a/internal/oper/oper.go
+++ b/internal/oper/oper.go
@@ -1,5 +1,5 @@
-// Package oper is the operators' listener: what this daemon believes, what it
-// counted and why it decided as it did.
+// Package oper is the operators' HTTP listener: it serves the daemon's status, its
+// metrics and the reasons for its decisions.
 package oper
 
 import (
@@ -18,27 +18,28 @@
 	"jasmineshed/internal/prefs"
 )
 
-// StatusSource tells what the daemon believes, in a form that JSON can take.
+// StatusSource returns the daemon's current view as a value that can be encoded as
+// JSON.
 type StatusSource interface {
 	Status() any
 }
 
-// Explainer tells what the daemon decided on a request and why.
+// Explainer returns what the daemon decided about a request and why.
 type Explainer interface {
-	// Explain is false if the daemon remembers nothing of the request.
+	// Explain returns false if there are no notes about the request.
 	Explain(id shed.RequestID) (any, bool)
 }
 
-// Config of an Oper.
+// Config configures an Oper.
 type Config struct {
-	// Listener takes the operators' connections; Serve closes it.
+	// Listener accepts the operators' connections; Serve closes it.
 	Listener  net.Listener
 	Status    StatusSource
 	Explainer Explainer
-	// Metrics serves the Prometheus text.
+	// Metrics serves the metrics in Prometheus' text format.
 	Metrics http.Handler
 	Limits  prefs.Limits
-	// Profile serves runtime profiles.
+	// Profile enables the pages with runtime profiles.
 	Profile bool
 	Log     logrus.FieldLogger
 }
@@ -49,10 +50,10 @@
 	server *httpd.Server
 }
 
-// drainTime is how long operators' calls may last after the stop.
+// drainTimeout bounds how long operators' calls may go on after a stop.
 const drainTimeout = 2 * time.Second
 
-// callTime bounds one call; a profile takes half a minute unless asked else.
+// callTimeout bounds one call; a CPU profile takes 30 s by default.
 const callTimeout = time.Minute
 
 // New builds the listener's server; nothing runs before Serve.
@@ -93,8 +94,8 @@
 	o.write(w, http.StatusOK, o.cfg.Status.Status())
 }
 
-// idPattern is checked before an id from outside is used. It is that of the
-// callers' interface.
+// idPattern is what a request id of a caller must match before it is used. The
+// callers' interface has the same pattern.
 var idPattern = regexp.MustCompile(`^[A-Za-z0-9._-]{1,128}$`)
 
 func (o *Oper) explain(w http.ResponseWriter, r *http.Request) {
@@ -123,7 +124,7 @@
 	w.Header().Set("Content-Type", "application/json")
 	body, err := json.MarshalIndent(v, "", "  ")
 	if err != nil {
-		o.cfg.Log.WithError(err).Error("status not written")
+		o.cfg.Log.WithError(err).Error("encoding the answer to an operator failed")
 		w.WriteHeader(http.StatusInternalServerError)
 		return
 	}
@@ -134,5 +135,5 @@
 // String names the service in the supervisor's log.
 func (o *Oper) String() string { return "oper" }
 
-// Serve answers operators until ctx ends.
+// Serve serves operators until ctx ends.
 func (o *Oper) Serve(ctx context.Context) error { return o.server.Serve(ctx) }
