--- a/internal/telem/async.go
+++ b/internal/telem/async.go
@@ -6,20 +6,20 @@
 	"sync/atomic"
 )
 
-// maxLogLines bounds the lines that wait to be written: a few seconds of a busy
-// daemon's decisions, about 2 MB.
+// maxLogLines bounds the lines in the buffer: a few seconds of a busy daemon's
+// decisions, about 2 MB.
 const maxLogLines = 8192
 
-// Async is a writer that never blocks: lines that can't be written in time are
-// dropped and counted. A log that nobody reads must not hold requests up. It is
-// a service of the supervisor tree.
+// Async is a buffered writer that never blocks: lines that don't fit into the
+// buffer are dropped and counted, because a log that is not read must not delay
+// requests. It is a service of the supervisor tree.
 type Async struct {
 	out     io.Writer
 	lines   chan []byte
 	dropped atomic.Int64
 }
 
-// NewAsync returns a writer before to; nothing is written before Serve.
+// NewAsync returns an Async that writes to the given writer once Serve runs.
 func NewAsync(to io.Writer) *Async {
 	return &Async{out: to, lines: make(chan []byte, maxLogLines)}
 }
@@ -34,13 +34,13 @@
 	return len(p), nil
 }
 
-// Dropped is how many lines were dropped.
+// Dropped returns the number of dropped lines.
 func (a *Async) Dropped() int64 { return a.dropped.Load() }
 
 // String names the service in the supervisor's log.
 func (a *Async) String() string { return "log" }
 
-// Serve writes until ctx ends.
+// Serve writes buffered lines until ctx ends.
 func (a *Async) Serve(ctx context.Context) error {
 	for {
 		select {
@@ -52,7 +52,7 @@
 	}
 }
 
-// Flush writes what waits; nothing may be logged meanwhile.
+// Flush writes the buffered lines; nothing may be logged meanwhile.
 func (a *Async) Flush() {
 	for {
 		select {
@@ -64,7 +64,7 @@
 	}
 }
 
-// write drops a line that can't be written: there is nowhere to tell it.
+// write counts a failed write as a dropped line: there is nowhere to log the error.
 func (a *Async) write(line []byte) {
 	if _, err := a.out.Write(line); err != nil {
 		a.dropped.Add(1)
--- a/internal/telem/stdlog.go
+++ b/internal/telem/stdlog.go
@@ -7,17 +7,18 @@
 	"github.com/sirupsen/logrus"
 )
 
-// TakeStandardLog sends what libraries print by the standard logger to l. Else
-// it went to standard error as plain text, one write for each line, which may
-// block: net/http prints there, with the bytes themselves, that a server sent an
-// answer that nobody awaits.
+// TakeStandardLog redirects the standard logger, which libraries use, to l.
+// Otherwise its lines would go to standard error as plain text, with one write
+// for each line, which may block. For example, net/http logs an unsolicited
+// response of a server there, including the response's bytes.
 func TakeStandardLog(l *logrus.Logger) {
 	log.SetFlags(0)
 	log.SetOutput(LogWriter{l})
 }
 
-// LogWriter passes lines of a library's log on. Quoted text is cut off: it may
-// be a part of a caller's prompt or answer, which no log may hold.
+// LogWriter writes a library's log lines to Log. Each line is truncated at its
+// first quote: quoted text may be a part of a caller's prompt or answer, which
+// must not be in any log.
 type LogWriter struct{ Log logrus.FieldLogger }
 
 // Write implements io.Writer; p is one line.
--- a/internal/telem/stdlog_test.go
+++ b/internal/telem/stdlog_test.go
@@ -9,9 +9,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A server sends an answer that nobody awaits. net/http prints its bytes by the
-// standard logger: operators saw plain text among the JSON lines, with a part of
-// an answer in it. Now it is a line like all others, without the answer.
+// A server sends an unsolicited response, and net/http logs its bytes with the
+// standard logger. This must be a JSON line like all others, without any part of
+// the response.
 func TestStandardLogIsTaken(t *testing.T) {
 	var out bytes.Buffer
 	l, err := NewLogger(&out, "info")
--- a/internal/telem/telem.go
+++ b/internal/telem/telem.go
@@ -1,5 +1,5 @@
-// Package telem sets up logs, metrics and traces. Nothing in it ever sees a
-// prompt, an answer or a token, so none can get out by it.
+// Package telem sets up logs, metrics and traces. It must never be passed a
+// prompt, an answer or a token, so that none can leak through telemetry.
 package telem
 
 import (
@@ -17,8 +17,8 @@
 	tallyprom "github.com/uber-go/tally/v4/prometheus"
 )
 
-// NewLogger writes JSON lines to w, from level on ("debug", "info", "warning"
-// or "error").
+// NewLogger returns a logger that writes JSON lines of at least the given level
+// ("debug", "info", "warning" or "error") to w.
 func NewLogger(w io.Writer, level string) (*logrus.Logger, error) {
 	l, err := logrus.ParseLevel(level)
 	if err != nil {
@@ -31,21 +31,21 @@
 	return log, nil
 }
 
-// Prefix opens the name of every metric.
+// Prefix is the prefix of every metric's name, and the service's name in traces.
 const Prefix = "jasmineshed"
 
-// reportEvery is how often tally passes what it counted on to Prometheus.
+// reportInterval is how often tally passes its values to Prometheus.
 const reportInterval = time.Second
 
-// Metrics are the counters of one process. Each has a registry of its own, so
-// that many may live in one process.
+// Metrics are the metrics of one daemon. Each Metrics has its own registry, so that
+// several daemons may run in one process.
 type Metrics struct {
 	Scope   tally.Scope
 	Handler http.Handler
 	closer  io.Closer
 }
 
-// NewMetrics starts counting.
+// NewMetrics returns empty metrics; Close stops their reporter.
 func NewMetrics(log logrus.FieldLogger) *Metrics {
 	registry := prometheus.NewRegistry()
 	reporter := tallyprom.NewReporter(tallyprom.Options{
@@ -63,7 +63,7 @@
 	return &Metrics{Scope: scope, Handler: reporter.HTTPHandler(), closer: closer}
 }
 
-// Close reports a last time and stops.
+// Close reports the last values and stops the reporter.
 func (m *Metrics) Close() error {
 	if err := m.closer.Close(); err != nil {
 		return fmt.Errorf("closing metrics: %w", err)
@@ -71,7 +71,7 @@
 	return nil
 }
 
-// SupervisorHook logs what a supervisor of the tree sees.
+// SupervisorHook returns a hook that logs the events of a supervisor.
 func SupervisorHook(log logrus.FieldLogger) suture.EventHook {
 	return func(e suture.Event) {
 		entry := log.WithFields(logrus.Fields(e.Map()))
@@ -86,7 +86,7 @@
 	}
 }
 
-// runAll runs every step and joins what went wrong.
+// runAll runs every step, also after a failed one, and joins their errors.
 func runAll(ctx context.Context, steps ...func(context.Context) error) error {
 	var all []error
 	for _, step := range steps {
--- a/internal/telem/trace.go
+++ b/internal/telem/trace.go
@@ -23,28 +23,28 @@
 	ExportOTLP = "otlp"
 )
 
-// TraceConfig says where spans go.
+// TraceConfig configures the export of spans.
 type TraceConfig struct {
 	// Exporter is ExportNone, ExportFile or ExportOTLP.
 	Exporter string
-	// File for ExportFile; JSON lines are added at its end.
+	// File is where ExportFile appends JSON lines.
 	File string
-	// Endpoint is the collector's URL for ExportOTLP.
+	// Endpoint is the collector's URL, for ExportOTLP.
 	Endpoint string
-	// Ratio of the traces kept that start here, from 0 to 1. A trace that
-	// started elsewhere is kept if its start was.
+	// Ratio is the share of the traces starting here that are sampled, from 0 to
+	// 1. A trace that started elsewhere is sampled if its parent span was.
 	Ratio float64
-	// Zone and VM of this process, put on every span.
+	// Zone and VM of this process are attributes of every span.
 	Zone, VM string
 }
 
-// Tracing is the source of spans of one process.
+// Tracing is the tracer provider of one process.
 type Tracing struct {
 	trace.TracerProvider
 	shutdown []func(context.Context) error
 }
 
-// NewTracing starts tracing.
+// NewTracing sets up tracing; Shutdown flushes and stops it.
 func NewTracing(ctx context.Context, cfg TraceConfig) (*Tracing, error) {
 	t := &Tracing{}
 	exporter, err := t.exporter(ctx, cfg)
@@ -87,7 +87,7 @@
 	return nil, fmt.Errorf("unknown exporter %q", cfg.Exporter)
 }
 
-// Shutdown sends what is left and stops.
+// Shutdown exports the remaining spans and stops tracing.
 func (t *Tracing) Shutdown(ctx context.Context) error {
 	if err := runAll(ctx, t.shutdown...); err != nil {
 		return fmt.Errorf("stopping traces: %w", err)
@@ -95,34 +95,34 @@
 	return nil
 }
 
-// w3c carries a trace over HTTP in the header traceparent. Baggage is left
-// out: it would pass on whatever callers put there.
+// propagator passes a trace context over HTTP in the header traceparent. Baggage
+// is left out: it would forward arbitrary data of callers.
 var propagator = propagation.TraceContext{}
 
-// Inject puts the trace of ctx into h.
+// Inject adds the trace context of ctx to h.
 func Inject(ctx context.Context, h http.Header) {
 	propagator.Inject(ctx, propagation.HeaderCarrier(h))
 }
 
-// Extract gives ctx the trace in h.
+// Extract returns ctx with the trace context in h.
 func Extract(ctx context.Context, h http.Header) context.Context {
 	return propagator.Extract(ctx, propagation.HeaderCarrier(h))
 }
 
-// Parent is the trace of ctx as text, for a wire without headers; empty if
-// there is none.
+// Parent returns the trace context of ctx as text, for a protocol without headers;
+// empty if there is none.
 func Parent(ctx context.Context) string {
 	carrier := propagation.MapCarrier{}
 	propagator.Inject(ctx, carrier)
 	return carrier.Get("traceparent")
 }
 
-// WithParent gives ctx the trace that Parent gave as text.
+// WithParent returns ctx with the trace context that Parent returned as text.
 func WithParent(ctx context.Context, parent string) context.Context {
 	return propagator.Extract(ctx, propagation.MapCarrier{"traceparent": parent})
 }
 
-// TraceID of ctx as text; empty if there is none.
+// TraceID returns the trace id of ctx as text; empty if there is none.
 func TraceID(ctx context.Context) string {
 	id := trace.SpanContextFromContext(ctx).TraceID()
 	if !id.IsValid() {
