--- a/internal/cmds/cmds.go
+++ b/internal/cmds/cmds.go
@@ -1,4 +1,4 @@
-// Package cmds is the command line, one file for each command.
+// Package cmds implements the command line, with one file for each command.
 package cmds
 
 import (
@@ -13,22 +13,22 @@
 	"github.com/spf13/cobra"
 )
 
-// Deps are what commands have in common.
+// Deps are the dependencies that all commands share.
 type Deps struct {
 	Out, Err io.Writer
 	In       io.Reader
-	// Terminal is true if a person watches Out.
+	// Terminal is true if Out is a terminal.
 	Terminal bool
 	// Now is the clock.
 	Now func() time.Time
 	// Version of the program.
 	Version string
-	// SettingsPath is the flag --settings; empty for the defaults.
+	// SettingsPath is the value of the flag --settings; empty for the defaults.
 	SettingsPath string
 }
 
-// commands builds every command of the program. A new one is one file and one
-// line here.
+// commands are the constructors of all commands. A new command needs a file of its
+// own and a line here.
 var commands = []func(*Deps) *cobra.Command{
 	newServeCommand,
 	newRelayCommand,
@@ -61,7 +61,8 @@
 }
 
 // Main runs the program and returns its exit code. The first SIGINT or SIGTERM
-// ends the command's context; serve counts signals by itself.
+// cancels the command's context; commands that run a daemon count the signals
+// themselves.
 func Main(version string) int {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
--- a/internal/cmds/cmds_test.go
+++ b/internal/cmds/cmds_test.go
@@ -23,7 +23,7 @@
 	"jasmineshed/internal/prefs"
 )
 
-// fakeFleet answers as the test says.
+// fakeFleet sends the updates and the answer that a test sets.
 type fakeFleet struct {
 	updates     []shed.Update
 	answer      shed.Answer
@@ -48,7 +48,7 @@
 
 func (f *fakeFleet) Ready() bool { return true }
 
-// start serves the fleet at a loopback address and gives its URL.
+// start serves the fake fleet at a loopback address and returns its URL.
 func (f *fakeFleet) start(t *testing.T) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -71,7 +71,7 @@
 	return "http://" + l.Addr().String()
 }
 
-// execute runs one command line and gives what it printed.
+// execute runs one command line and returns what it printed.
 func execute(in string, terminal bool, args ...string) (out, errs string, err error) {
 	var o, e bytes.Buffer
 	d := &Deps{
--- a/internal/cmds/daemon.go
+++ b/internal/cmds/daemon.go
@@ -9,21 +9,20 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// daemon is what runs until it is told to stop.
+// daemon runs until it is stopped.
 type daemon interface {
-	// Run ends after a graceful stop, or at once with ctx.
+	// Run returns after a graceful stop, or as soon as ctx ends.
 	Run(ctx context.Context) error
-	// Stop asks for a graceful stop; with hurry, for a quick one.
+	// Stop starts a graceful stop; skipNotice skips the notice period before it.
 	Stop(skipNotice bool)
 }
 
-// runDaemon runs a daemon and passes signals on to it: the first SIGTERM or
-// SIGINT stops it gracefully, the second one hurries, the third one ends it at
-// once. SIGHUP reads the settings again, where reload does that, and never ends
-// it.
+// runDaemon runs a daemon and handles signals: the first SIGTERM or SIGINT stops it
+// gracefully, the second one skips the notice period, the third one ends it at once.
+// SIGHUP calls reload, which may do nothing, and never ends the daemon.
 func runDaemon(ctx context.Context, d daemon, reload func()) error {
-	// The command's own context ends with the first signal, which must only
-	// begin the graceful stop.
+	// The command's own context ends with the first signal, but that signal must
+	// only start the graceful stop.
 	ctx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
 	signals := make(chan os.Signal, 4)
--- a/internal/cmds/measure.go
+++ b/internal/cmds/measure.go
@@ -75,7 +75,7 @@
 	return result.Report(rig.Rules()).WriteTable(m.deps.Out)
 }
 
-// writeFiles writes what the flags ask for.
+// writeFiles writes the files that the flags name.
 func (m *measure) writeFiles(result *gauge.Result) error {
 	if m.plot != "" {
 		if err := result.WritePlot(m.plot); err != nil {
@@ -87,7 +87,7 @@
 	}
 	f, err := os.Create(m.lines)
 	if err != nil {
-		return fmt.Errorf("opening the file of lines: %w", err)
+		return fmt.Errorf("opening the file for JSON lines: %w", err)
 	}
 	if err := result.WriteLines(f); err != nil {
 		_ = f.Close()
--- a/internal/cmds/progress.go
+++ b/internal/cmds/progress.go
@@ -9,13 +9,13 @@
 	"jasmineshed/pkg/client"
 )
 
-// progress shows what goes on with a request: the answer on Out, all else on
-// Err, so that a pipe gets the answer alone.
+// progress prints the progress of a request: the answer to Out, everything else to
+// Err, so that a pipe gets only the answer.
 type progress struct {
 	deps  *Deps
 	quiet bool
 	start time.Time
-	// shown is what stands on the terminal of the text of stage writing.
+	// shown is the text of stage textStage that is on the terminal.
 	shown     strings.Builder
 	textStage string
 }
@@ -24,8 +24,8 @@
 	return &progress{deps: d, quiet: quiet, start: d.Now()}
 }
 
-// events streams text only to a person: a pipe could not take a text back when
-// its stage starts again.
+// events streams text only to a terminal: text written to a pipe can't be withdrawn
+// when its stage starts again.
 func (p *progress) events() client.Events {
 	if p.quiet {
 		return client.Events{}
@@ -60,7 +60,7 @@
 		p.deps.Now().Sub(p.start).Seconds(), s.Stage, s.Server, withPrefix(" in ", s.Zone), s.Tokens, s.Attempts)
 }
 
-// newLine ends a line of text on the terminal.
+// newLine ends an unfinished line of text on the terminal.
 func (p *progress) newLine() {
 	if text := p.shown.String(); text != "" && !strings.HasSuffix(text, "\n") {
 		p.shown.WriteString("\n")
@@ -89,12 +89,12 @@
 		p.note("rule on line %d, asked for by %s", a.Rule.Line, a.Rule.Asked)
 	}
 	if a.RetryAfterMs > 0 {
-		p.note("come back in %s", time.Duration(a.RetryAfterMs)*time.Millisecond)
+		p.note("retry after %s", time.Duration(a.RetryAfterMs)*time.Millisecond)
 	}
 	_ = p.stages(a)
 }
 
-// stages prints what each stage cost, in millionths of a server-second.
+// stages prints the cost of each stage, in millionths of a server-second.
 func (p *progress) stages(a *client.Answer) error {
 	if p.quiet || a.RequestID == "" {
 		return nil
@@ -115,7 +115,7 @@
 	return nil
 }
 
-// withPrefix is text behind lead, or nothing at all if there is no text.
+// withPrefix returns lead and text, or nothing if text is empty.
 func withPrefix(lead, text string) string {
 	if text == "" {
 		return ""
--- a/internal/cmds/request.go
+++ b/internal/cmds/request.go
@@ -13,11 +13,11 @@
 	"jasmineshed/pkg/client"
 )
 
-// tokenVariable holds the workspace's token, since a flag could be read by
-// everyone on the machine.
+// tokenVariable is the environment variable with the workspace's token; a flag
+// would be visible to every user of the machine.
 const tokenVariable = "JASMINESHED_TOKEN"
 
-// request is one run of the command.
+// request is one run of the command request.
 type request struct {
 	deps      *Deps
 	urls      []string
--- a/internal/cmds/rules.go
+++ b/internal/cmds/rules.go
@@ -12,15 +12,15 @@
 	"jasmineshed/internal/rules"
 )
 
-// Modes of what rules pack writes.
+// Modes of the directory and the files that rules pack writes.
 const (
 	packedDirMode  = 0o755
 	packedFileMode = 0o644
 )
 
-// The ways in which the commands on rules fail.
+// Errors of the rules commands.
 var (
-	errRulesRefused   = errors.New("the rules are refused")
+	errRulesRefused   = errors.New("the rules are invalid")
 	errUnknownSubject = errors.New("nothing in the rules has this id")
 )
 
@@ -33,7 +33,7 @@
 	return c
 }
 
-// loadRules prints every fault of the file, one a line.
+// loadRules reads and parses the file. It prints every fault, one per line.
 func (d *Deps) loadRules(path string) ([]byte, *shed.Rules, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/cmds/serve.go
+++ b/internal/cmds/serve.go
@@ -9,8 +9,8 @@
 	"jasmineshed/internal/node"
 )
 
-// orderTokenVariable holds what goes with orders to engines that check who
-// gives them.
+// orderTokenVariable is the environment variable with the token that is sent with
+// orders to engines, for those that authenticate the sender.
 const orderTokenVariable = "JASMINESHED_ORDER_TOKEN"
 
 func newServeCommand(d *Deps) *cobra.Command {
--- a/internal/cmds/settings.go
+++ b/internal/cmds/settings.go
@@ -8,7 +8,7 @@
 	"jasmineshed/internal/prefs"
 )
 
-// Settings reads the file that --settings names.
+// Settings loads the file that --settings names, or returns the defaults.
 func (d *Deps) Settings() (*prefs.Prefs, error) {
 	if d.SettingsPath == "" {
 		return prefs.Defaults(), nil
--- a/internal/cmds/status.go
+++ b/internal/cmds/status.go
@@ -11,10 +11,10 @@
 	"github.com/spf13/cobra"
 )
 
-// operTimeout bounds a call to the operators' listener.
+// operatorTimeout bounds a call to the operators' listener.
 const operatorTimeout = 10 * time.Second
 
-// addOperatorsFlag adds the flag that names the operators' listener.
+// addOperatorsFlag adds the flag with the URL of the operators' listener.
 func addOperatorsFlag(c *cobra.Command) *string {
 	return c.Flags().String("operators", "http://127.0.0.1:7402", "base URL of a daemon's operators' listener")
 }
@@ -45,7 +45,7 @@
 	return c
 }
 
-// printOperator prints what the operators' listener says.
+// printOperator prints a page of the operators' listener.
 func (d *Deps) printOperator(ctx context.Context, base, path string) error {
 	ctx, cancel := context.WithTimeout(ctx, operatorTimeout)
 	defer cancel()
@@ -59,7 +59,7 @@
 	}
 	defer func() { _ = res.Body.Close() }()
 	if _, err := io.Copy(d.Out, res.Body); err != nil {
-		return fmt.Errorf("reading what the daemon says: %w", err)
+		return fmt.Errorf("reading the daemon's answer: %w", err)
 	}
 	if res.StatusCode != http.StatusOK {
 		return fmt.Errorf("the daemon says %s", res.Status)
