--- a/pkg/client/answer.go
+++ b/pkg/client/answer.go
@@ -1,6 +1,6 @@
 package client
 
-// Answer is the one final answer to a request.
+// Answer is the final answer to a request.
 type Answer struct {
 	// Status is the short name of the HTTP status, such as "not_found".
 	Status    string  `json:"status"`
@@ -9,15 +9,15 @@
 	Message   string  `json:"message"`
 	RequestID string  `json:"request_id"`
 	TraceID   string  `json:"trace_id"`
-	// Rule is nil if no rule is behind the answer.
+	// Rule is the rule that led to the answer, or nil.
 	Rule *Rule `json:"rule"`
-	// RetryAfterMs says when to come back; 0 if that won't help.
+	// RetryAfterMs is when the request may be retried; 0 if a retry won't help.
 	RetryAfterMs int64   `json:"retry_after_ms"`
 	Stages       []Stage `json:"stages"`
 	Payload      Payload `json:"payload"`
 }
 
-// Outcome is how a request ended. The set is closed.
+// Outcome is how a request ended. There are no others than those below.
 type Outcome string
 
 // The outcomes.
@@ -31,13 +31,13 @@
 	Cancelled Outcome = "cancelled"
 )
 
-// Rule is the line of the rules behind a decision.
+// Rule is the line of the rules file that led to a decision.
 type Rule struct {
 	Line  int    `json:"line"`
 	Asked string `json:"asked"`
 }
 
-// Stage says what ran of one stage, and what it cost.
+// Stage reports what ran of one stage, and its cost.
 type Stage struct {
 	Stage    string  `json:"stage"`
 	Server   string  `json:"server"`
@@ -49,13 +49,13 @@
 	Cost     Cost    `json:"cost"`
 }
 
-// Cost is in millionths of a server-second.
+// Cost is the cost of a stage, in millionths of a server-second.
 type Cost struct {
 	Useful uint64 `json:"useful"`
 	Wasted uint64 `json:"wasted"`
 }
 
-// Payload is what the stages produced.
+// Payload is the output of the stages.
 type Payload struct {
 	Text     string    `json:"text"`
 	Receipt  string    `json:"receipt"`
@@ -63,7 +63,7 @@
 	Vector   []float32 `json:"vector"`
 }
 
-// Passage is one piece of text that a retriever found.
+// Passage is one passage of text that a retriever found.
 type Passage struct {
 	ID    string  `json:"id"`
 	Text  string  `json:"text"`
--- a/pkg/client/call.go
+++ b/pkg/client/call.go
@@ -41,13 +41,13 @@
 
 func escape(id string) string { return url.PathEscape(id) }
 
-// onlyReader hides the kind of its reader. net/http rewinds the body of a kind
-// that it knows and then repeats a request by itself when a kept connection
-// breaks, also when the far side has already begun to run it.
+// onlyReader hides the type of its reader. net/http can rewind a body of a type that
+// it knows, and then retries a request by itself when a kept-alive connection
+// breaks, even if the server has already begun to run it.
 type onlyReader struct{ io.Reader }
 
-// request builds the HTTP request and a flag that tells whether any byte of it
-// may have left.
+// request builds the HTTP request and a flag that is set once any byte of it may
+// have been sent.
 func (c *Client) request(ctx context.Context, ca httpCall) (*http.Request, *atomic.Bool, error) {
 	sent := new(atomic.Bool)
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
@@ -78,7 +78,7 @@
 	return req, sent, nil
 }
 
-// send makes the call and gives its response, whatever the status.
+// send makes the call and returns its response, whatever the status.
 func (c *Client) send(ctx context.Context, ca httpCall) (*http.Response, error) {
 	req, sent, err := c.request(ctx, ca)
 	if err != nil {
@@ -91,8 +91,8 @@
 	return res, nil
 }
 
-// callForAnswer makes the call and gives the answer; one that isn't complete is an
-// AnswerError.
+// callForAnswer makes the call and returns its answer; one whose outcome isn't
+// Complete is returned as an AnswerError.
 func (c *Client) callForAnswer(ctx context.Context, ca httpCall) (*Answer, error) {
 	var answer Answer
 	if err := c.do(ctx, ca, &answer); err != nil {
@@ -101,8 +101,8 @@
 	return checkOutcome(&answer)
 }
 
-// errNoOutcome is for a body that is JSON, but no answer.
-var errNoOutcome = errors.New("an answer without an outcome")
+// errNoOutcome is returned for a body that is JSON, but not an answer.
+var errNoOutcome = errors.New("answer without an outcome")
 
 func checkOutcome(a *Answer) (*Answer, error) {
 	if a.Outcome == "" {
@@ -114,7 +114,7 @@
 	return a, nil
 }
 
-// do makes the call and takes its body into out if it went well.
+// do makes the call and decodes the body of a successful response into out.
 func (c *Client) do(ctx context.Context, ca httpCall, out any) error {
 	res, err := c.send(ctx, ca)
 	if err != nil {
--- a/pkg/client/client.go
+++ b/pkg/client/client.go
@@ -1,7 +1,8 @@
-// Package client calls a fleet of jasmineshed as a caller does.
+// Package client is a client of a jasmineshed fleet.
 //
-// A call is repeated only where that can't run anything twice: a request that
-// the fleet says was not run, or a ticketed one.
+// It retries a call if the fleet reports that it was not run, or if the connection
+// broke and running it again does no harm: an idempotent pipeline, or a ticket,
+// which the fleet runs at most once.
 package client
 
 import (
@@ -15,21 +16,20 @@
 	"time"
 )
 
-// Config of a Client.
+// Config configures a Client.
 type Config struct {
-	// URLs of the fleet's entry VMs or its balancer; one at least. Calls go to
-	// them in turn, and so do the repeats of one call.
+	// URLs of the fleet's entry VMs or of its load balancer; at least one. Calls
+	// and the retries of a call go to them in round-robin order.
 	URLs []string
-	// Workspace and its token.
+	// Workspace of the caller, and its token.
 	Workspace, Token string
-	// Repeats bounds how often one call is made again; 0 takes DefaultRepeats,
-	// a negative one repeats nothing.
+	// Repeats bounds the retries of one call; 0 means DefaultRepeats, a negative
+	// value disables retries.
 	Repeats int
-	// Silence is the longest time that a stream may say nothing at all before
-	// its connection is given up; 0 takes DefaultIdleTimeout. The fleet sends beats
-	// far more often.
+	// Silence is how long a stream may receive nothing before its connection is
+	// closed; 0 means DefaultSilence. The fleet sends heartbeats far more often.
 	Silence time.Duration
-	// Transport carries the calls; nil takes one of the client's own.
+	// Transport makes the calls; nil means a transport of the client's own.
 	Transport http.RoundTripper
 }
 
@@ -39,10 +39,10 @@
 	DefaultSilence = 10 * time.Second
 )
 
-// answerLimit bounds the body of an answer.
+// answerLimit bounds the body of an answer, in bytes.
 const answerLimit = 64 << 20
 
-// Client calls a fleet. It may be used by many goroutines at once.
+// Client calls a fleet. It is safe for concurrent use.
 type Client struct {
 	cfg  Config
 	http *http.Client
@@ -69,7 +69,8 @@
 		// A redirect would send the request a second time.
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 	}}
-	// Many clients live for one call only, and all would start at the first URL.
+	// Many clients make only one call: without a random start, all of these calls
+	// would go to the first URL.
 	c.callCount.Store(rand.Uint32N(uint32(len(cfg.URLs))))
 	return c, nil
 }
@@ -77,9 +78,9 @@
 func newTransport() *http.Transport {
 	dialer := net.Dialer{
 		Timeout: 2 * time.Second,
-		// A whole answer may take seconds during which nothing is sent. These
-		// probes tell a slow answer from a connection that something between
-		// has lost track of.
+		// A complete answer may take seconds during which nothing is sent. These
+		// probes distinguish a slow answer from a connection whose state was lost
+		// by a device in between.
 		KeepAliveConfig: net.KeepAliveConfig{
 			Enable:   true,
 			Idle:     5 * time.Second,
@@ -97,17 +98,17 @@
 	}
 }
 
-// Work is what a pipeline is asked to do.
+// Work is one request to a pipeline.
 type Work struct {
 	Pipeline string
 	Input    string
-	// MaxTokens bounds what a generate stage produces; 0 leaves it open.
+	// MaxTokens bounds the output of a generate stage; 0 means no bound.
 	MaxTokens uint32
-	// Budget is the time limit; 0 takes the pipeline's deadline.
+	// Budget is the time limit; 0 means the pipeline's deadline.
 	Budget time.Duration
 }
 
-// Run runs an idempotent pipeline and gives its whole answer.
+// Run runs an idempotent pipeline and returns its complete answer.
 func (c *Client) Run(ctx context.Context, r Work) (*Answer, error) {
 	return c.retry(ctx, c.nextIndex(), func(ctx context.Context, base string) (*Answer, error) {
 		return c.callForAnswer(ctx, httpCall{
@@ -118,7 +119,7 @@
 	})
 }
 
-// Ticket gets a ticket for one run of a non-idempotent pipeline.
+// Ticket requests a ticket for one run of a non-idempotent pipeline.
 func (c *Client) Ticket(ctx context.Context, pipeline string) (*Ticket, error) {
 	return c.ticket(ctx, c.nextIndex(), pipeline)
 }
@@ -138,10 +139,10 @@
 	return &ticket, nil
 }
 
-// RunOnce gets a ticket and runs the pipeline at most once. After a broken
-// connection it asks again with the same ticket, which can't run it twice.
+// RunOnce requests a ticket and runs the pipeline at most once. If the connection
+// breaks, it retries with the same ticket, so the pipeline can't run twice.
 func (c *Client) RunOnce(ctx context.Context, r Work) (*Answer, error) {
-	// The VM that gave out the ticket runs it too, which saves a hop.
+	// The VM that issued the ticket also runs its request; calling it saves a hop.
 	first := c.nextIndex()
 	ticket, err := c.ticket(ctx, first, r.Pipeline)
 	if err != nil {
@@ -150,7 +151,7 @@
 	return c.runTicket(ctx, first, ticket.RequestID, r)
 }
 
-// RunTicket is RunOnce with a ticket that the caller has got.
+// RunTicket is like RunOnce with a ticket that the caller already has.
 func (c *Client) RunTicket(ctx context.Context, ticket string, r Work) (*Answer, error) {
 	return c.runTicket(ctx, c.nextIndex(), ticket, r)
 }
@@ -165,7 +166,8 @@
 	})
 }
 
-// Result gives the answer to a ticketed request, waiting for it if it runs.
+// Result returns the answer to a ticketed request, and waits for it while the
+// request runs.
 func (c *Client) Result(ctx context.Context, ticket string) (*Answer, error) {
 	return c.retry(ctx, c.nextIndex(), func(ctx context.Context, base string) (*Answer, error) {
 		return c.callForAnswer(ctx, httpCall{
--- a/pkg/client/client_test.go
+++ b/pkg/client/client_test.go
@@ -15,7 +15,7 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// script answers one call after the other and notes them.
+// script is a transport that answers each call with the next step and records it.
 type script struct {
 	steps []func(*http.Request) (*http.Response, error)
 	calls []string
@@ -110,8 +110,8 @@
 	})
 }
 
-// The fleet says to come back in two seconds, but the caller has only one. It
-// gets the refusal at once, with the time left to do something else.
+// The fleet asks for a retry after 2 s, but the caller has only 1 s left. It gets
+// the refusal at once and can use the remaining time for something else.
 func TestNoWaitBeyondTheCallersTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
@@ -124,8 +124,8 @@
 	})
 }
 
-// The connection breaks after the request was sent, and again on its repeat.
-// Each repeat carries the same ticket, so the fleet joins it to the first run.
+// The connection breaks after the request was sent, and again on its retry. Every
+// retry must use the same ticket, so that the fleet joins it to the first run.
 func TestRunOnceKeepsItsTicket(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &script{steps: []func(*http.Request) (*http.Response, error){
@@ -172,9 +172,9 @@
 	require.Equal(t, []string{"d text Storm", "d reset", "d text Wind.", "d done"}, got)
 }
 
-// The stream ends after some text, without its answer. The caller is told that
-// it is broken: text alone is never taken for a whole answer, and the request
-// isn't made again, since its text has already been shown.
+// The stream ends after some text, without an answer. The caller must get an error:
+// text alone is never a complete answer, and the request isn't retried because its
+// text has already been delivered.
 func TestStreamWithoutItsAnswer(t *testing.T) {
 	s := &script{steps: []func(*http.Request) (*http.Response, error){respondWith(200, events)}}
 	_, err := newTestClient(t, s).Stream(t.Context(), Work{Pipeline: "p"}, Events{})
@@ -184,7 +184,7 @@
 	require.Len(t, s.calls, 1)
 }
 
-// silentBody says nothing until the call's context ends.
+// silentBody is a response body that sends nothing until the call's context ends.
 type silentBody struct{ ctx context.Context }
 
 func (b silentBody) Read([]byte) (int, error) {
@@ -194,9 +194,9 @@
 
 func (b silentBody) Close() error { return nil }
 
-// Something between caller and fleet has lost track of the connection, so the
-// stream says nothing and never ends. After the longest silence the client
-// gives it up and asks again on a new connection.
+// A device between caller and fleet has lost the connection's state, so the stream
+// receives nothing and never ends. After the idle timeout the client must close it
+// and retry.
 func TestSilentStreamIsGivenUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		start := time.Now()
@@ -213,9 +213,9 @@
 	})
 }
 
-// The far side reads a call on a kept connection and closes it without an
-// answer. net/http by itself would send such a call again if it could rewind
-// its body; the far side must see it once.
+// The server reads a call on a kept-alive connection and closes it without an
+// answer. net/http would retry such a call by itself if it could rewind its body;
+// the server must see the call only once.
 func TestTransportRepeatsNothing(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -252,8 +252,7 @@
 	require.Equal(t, int64(len(`{"input":"x"}`)), req.ContentLength)
 }
 
-// Whatever a fleet, or what stands between, sends as a stream: only an event
-// with an answer ends it well.
+// A stream of arbitrary bytes must end successfully only with an answer event.
 func FuzzStream(f *testing.F) {
 	f.Add(events)
 	f.Add("event: answer\ndata: " + done + "\n\n")
--- a/pkg/client/errors.go
+++ b/pkg/client/errors.go
@@ -8,12 +8,12 @@
 // AnswerError is an answer whose outcome is not complete.
 type AnswerError struct{ Answer *Answer }
 
-// Error gives outcome, reason and message.
+// Error returns outcome, reason and message.
 func (e *AnswerError) Error() string {
 	return fmt.Sprintf("%s (%s): %s", e.Answer.Outcome, e.Answer.Reason, e.Answer.Message)
 }
 
-// Is tells the errors of one outcome apart from the others'.
+// Is reports whether target is the error value for the answer's outcome.
 func (e *AnswerError) Is(target error) bool {
 	var o outcomeError
 	return errors.As(target, &o) && Outcome(o) == e.Answer.Outcome
@@ -25,11 +25,11 @@
 
 // Errors to compare an AnswerError with, by errors.Is.
 var (
-	// ErrNotRun: no backend server can have been reached.
+	// ErrNotRun: the request can't have reached a backend server.
 	ErrNotRun error = outcomeError(NotRun)
-	// ErrRefused: given up on after some stages had run.
+	// ErrRefused: the request was given up after some stages had run.
 	ErrRefused error = outcomeError(Refused)
-	// ErrUnknown: it may have run, and won't be started again.
+	// ErrUnknown: the request may have run, and won't be started again.
 	ErrUnknown error = outcomeError(Unknown)
 	// ErrFailed: a stage failed.
 	ErrFailed error = outcomeError(Failed)
@@ -37,15 +37,16 @@
 	ErrDeadline error = outcomeError(Deadline)
 )
 
-// BrokenError means that no answer came: the connection broke or made no sense.
+// BrokenError means that no valid answer was received: the connection broke, or the
+// response is malformed.
 type BrokenError struct {
 	// Sent is true if the request may have reached the fleet.
 	Sent bool
 	Err  error
 }
 
-// Error tells what broke.
+// Error describes the failure.
 func (e *BrokenError) Error() string { return "no answer: " + e.Err.Error() }
 
-// Unwrap gives what broke.
+// Unwrap returns the cause.
 func (e *BrokenError) Unwrap() error { return e.Err }
--- a/pkg/client/retry.go
+++ b/pkg/client/retry.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// nextIndex is the index of the URL whose turn it is.
+// nextIndex returns the index of the URL for the next call, in round-robin order.
 func (c *Client) nextIndex() int {
 	n := c.callCount.Add(1) - 1
 	return int(n % uint32(len(c.cfg.URLs)))
@@ -16,8 +16,8 @@
 // attemptFunc makes one call at one base URL.
 type attemptFunc func(ctx context.Context, base string) (*Answer, error)
 
-// retry makes the call until it has an answer that is worth keeping, at one
-// URL after the other from the one with index first.
+// retry makes the call until its result is final or the retries are used up. The
+// first attempt goes to the URL with index first, each retry to the one after.
 func (c *Client) retry(ctx context.Context, first int, once attemptFunc) (*Answer, error) {
 	for try := 0; ; try++ {
 		answer, err := once(ctx, c.cfg.URLs[(first+try)%len(c.cfg.URLs)])
@@ -31,11 +31,11 @@
 	}
 }
 
-// brokenPause is the pause after the first broken connection; each later one
+// initialBackoff is the pause after the first broken connection; each later one
 // doubles it.
 const initialBackoff = 100 * time.Millisecond
 
-// retryPause tells whether a call may be made again, and after what pause.
+// retryPause reports whether a call may be retried, and after what pause.
 func retryPause(err error, try int) (time.Duration, bool) {
 	var broken *BrokenError
 	if errors.As(err, &broken) {
@@ -52,15 +52,16 @@
 	return time.Duration(a.RetryAfterMs) * time.Millisecond, true
 }
 
-// maxDoublings keeps the pause below a few seconds.
+// maxBackoffDoublings keeps the pause below a few seconds.
 const maxBackoffDoublings = 5
 
-// addJitter keeps callers that lost the same VM from coming back all at once.
+// addJitter randomizes a pause, so that the callers of a lost VM don't all retry at
+// the same time.
 func addJitter(pause time.Duration) time.Duration {
 	return pause/2 + rand.N(pause)
 }
 
-// sleep is false if ctx ends, or would end, before the pause is over.
+// sleep returns false if ctx ends, or would end, before the pause is over.
 func sleep(ctx context.Context, pause time.Duration) bool {
 	if end, ok := ctx.Deadline(); ok && time.Until(end) <= pause {
 		return false
--- a/pkg/client/stream.go
+++ b/pkg/client/stream.go
@@ -12,22 +12,22 @@
 	"time"
 )
 
-// Events are told what goes on with a streamed request. Each may be nil. They
-// are called one after the other.
+// Events are the callbacks for the progress of a streamed request. Each may be nil.
+// They are never called concurrently.
 type Events struct {
-	// Text is the next piece of a stage's text.
+	// Text delivers the next fragment of a stage's text.
 	Text func(stage, text string)
-	// Reset: forget the stage's text so far; it is produced again from its start.
+	// Reset discards the stage's text so far: it is produced again from the start.
 	Reset func(stage string)
-	// Stage has ended well.
+	// Stage reports a stage that ended successfully.
 	Stage func(Stage)
 }
 
-// errSilent ends a stream whose connection has gone silent.
-var errIdleTimeout = errors.New("the stream has gone silent")
+// errIdleTimeout ends a stream that has received nothing for Config.Silence.
+var errIdleTimeout = errors.New("stream idle for too long")
 
-// Stream runs an idempotent pipeline, tells what goes on, and gives the whole
-// answer. It is made again only as long as it has told nothing.
+// Stream runs an idempotent pipeline, reports its progress to events, and returns
+// the complete answer. It is retried only while no event has been delivered.
 func (c *Client) Stream(ctx context.Context, r Work, events Events) (*Answer, error) {
 	delivered := false
 	answer, err := c.retry(ctx, c.nextIndex(), func(ctx context.Context, base string) (*Answer, error) {
@@ -48,7 +48,7 @@
 	return answer, err
 }
 
-// permanentError keeps repeat from making the call again.
+// permanentError keeps retry from making the call again.
 type permanentError struct{ err error }
 
 func (e *permanentError) Error() string { return e.err.Error() }
@@ -77,18 +77,18 @@
 	return checkOutcome(answer)
 }
 
-// stream reads one event stream.
+// stream decodes one event stream.
 type stream struct {
 	events     Events
 	delivered  *bool
 	resetTimer func()
 }
 
-// eventLimit bounds one line of a stream.
+// eventLimit bounds one line of a stream, in bytes.
 const eventLimit = answerLimit
 
-// read goes through the events up to the answer. A stream that ends without one
-// is broken, however much text it brought.
+// read handles the events up to the answer. A stream that ends without an answer is
+// broken, however much text was received.
 func (s *stream) read(r io.Reader) (*Answer, error) {
 	lines := bufio.NewScanner(r)
 	lines.Buffer(make([]byte, 0, 4096), eventLimit)
@@ -120,8 +120,8 @@
 	Text  string `json:"text"`
 }
 
-// handleEvent tells one event; it gives the answer if this was it. Kinds that it
-// doesn't know are passed over, since the fleet may be newer.
+// handleEvent delivers one event; it returns the answer if the event holds it.
+// Unknown kinds are ignored, since the fleet may be newer than the client.
 func (s *stream) handleEvent(kind string, data []byte) (*Answer, error) {
 	switch kind {
 	case "answer":
