--- a/examples/sample.go
+++ b/examples/sample.go
@@ -1,5 +1,5 @@
-// Package sample holds the example rules files, so that the demo and the load
-// tool run without any other file.
+// Package sample embeds the example rules files, so that the demo and the load
+// tool need no other file.
 package sample
 
 import (
@@ -15,19 +15,19 @@
 
 const suffix = ".rules.ini"
 
-// ErrUnknown is returned for a name that is no example.
+// ErrUnknown is returned for an unknown example name.
 var ErrUnknown = errors.New("no such example")
 
-// Rules is the text of the example with that name.
+// Rules returns the text of the example with that name.
 func Rules(name string) ([]byte, error) {
 	text, err := files.ReadFile(name + suffix)
 	if err != nil {
-		return nil, fmt.Errorf("%w: %q; there are: %s", ErrUnknown, name, strings.Join(Names(), ", "))
+		return nil, fmt.Errorf("%w: %q; available: %s", ErrUnknown, name, strings.Join(Names(), ", "))
 	}
 	return text, nil
 }
 
-// Names of the examples, sorted.
+// Names returns the names of the examples, sorted.
 func Names() []string {
 	entries, err := files.ReadDir(".")
 	if err != nil {
@@ -41,5 +41,5 @@
 	return out
 }
 
-// Token is the token of a workspace in the examples. It is no secret.
+// Token returns the token of a workspace in the examples. It is not a secret.
 func Token(workspace string) string { return "demo-" + workspace }
