--- a/examples/sample.go
+++ b/examples/sample.go
@@ -16,13 +16,13 @@
 const suffix = ".rules.ini"
 
 // ErrUnknown is returned for an unknown example name.
-var ErrUnknown = errors.New("no such example")
+var ErrUnknownExample = errors.New("no such example")
 
 // Rules returns the text of the example with that name.
 func Rules(name string) ([]byte, error) {
 	text, err := files.ReadFile(name + suffix)
 	if err != nil {
-		return nil, fmt.Errorf("%w: %q; available: %s", ErrUnknown, name, strings.Join(Names(), ", "))
+		return nil, fmt.Errorf("%w: %q; available: %s", ErrUnknownExample, name, strings.Join(Names(), ", "))
 	}
 	return text, nil
 }
--- a/internal/cmds/request.go
+++ b/internal/cmds/request.go
@@ -22,7 +22,7 @@
 	deps      *Deps
 	urls      []string
 	workspace string
-	params    client.Work
+	params    client.Request
 	once      bool
 	quiet     bool
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -50,10 +50,10 @@
 	PeerServer   peers.ServerConfig
 	// Services, such as listeners, run beside the daemon's own.
 	Services []suture.Service
-	// Drain is how long the services may take to end after a stop.
-	Drain time.Duration
-	// KeepAnswers is how long the answer to a ticketed request is kept.
-	KeepAnswers time.Duration
+	// DrainTimeout is how long the services may take to end after a stop.
+	DrainTimeout time.Duration
+	// AnswerRetention is how long the answer to a ticketed request is kept.
+	AnswerRetention time.Duration
 }
 
 // Daemon is one process of the system. It keeps no global state, so one program
@@ -96,11 +96,11 @@
 	if cfg.Scope == nil {
 		cfg.Scope = tally.NoopScope
 	}
-	if cfg.KeepAnswers == 0 {
-		cfg.KeepAnswers = 10 * time.Minute
+	if cfg.AnswerRetention == 0 {
+		cfg.AnswerRetention = 10 * time.Minute
 	}
-	if cfg.Drain == 0 {
-		cfg.Drain = 10 * time.Second
+	if cfg.DrainTimeout == 0 {
+		cfg.DrainTimeout = 10 * time.Second
 	}
 	base, halt := context.WithCancel(context.Background())
 	return &Daemon{
@@ -130,7 +130,7 @@
 func (d *Daemon) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	top := suture.New("daemon", suture.Spec{EventHook: d.logSupervisor, Timeout: d.cfg.Drain + time.Second})
+	top := suture.New("daemon", suture.Spec{EventHook: d.logSupervisor, Timeout: d.cfg.DrainTimeout + time.Second})
 	srv := d.cfg.PeerServer
 	srv.Listener, srv.Handler = d.cfg.PeerListener, d
 	if srv.Log == nil {
--- a/internal/daemon/serve.go
+++ b/internal/daemon/serve.go
@@ -191,7 +191,7 @@
 // endRun sets the run's final answer, counts it, and drops a run without ticket.
 // The caller holds d.mu.
 func (d *Daemon) endRun(r *run, a shed.Answer) {
-	if !r.finish(a, d.cfg.KeepAnswers) {
+	if !r.finish(a, d.cfg.AnswerRetention) {
 		return
 	}
 	d.stats.countFinished(a.Outcome)
--- a/internal/telem/async.go
+++ b/internal/telem/async.go
@@ -10,22 +10,22 @@
 // decisions, about 2 MB.
 const maxLogLines = 8192
 
-// Async is a buffered writer that never blocks: lines that don't fit into the
+// AsyncWriter is a buffered writer that never blocks: lines that don't fit into the
 // buffer are dropped and counted, because a log that is not read must not delay
 // requests. It is a service of the supervisor tree.
-type Async struct {
+type AsyncWriter struct {
 	out     io.Writer
 	lines   chan []byte
 	dropped atomic.Int64
 }
 
-// NewAsync returns an Async that writes to the given writer once Serve runs.
-func NewAsync(to io.Writer) *Async {
-	return &Async{out: to, lines: make(chan []byte, maxLogLines)}
+// NewAsyncWriter returns an Async that writes to the given writer once Serve runs.
+func NewAsyncWriter(to io.Writer) *AsyncWriter {
+	return &AsyncWriter{out: to, lines: make(chan []byte, maxLogLines)}
 }
 
 // Write implements io.Writer; p is one line.
-func (a *Async) Write(p []byte) (int, error) {
+func (a *AsyncWriter) Write(p []byte) (int, error) {
 	select {
 	case a.lines <- append([]byte(nil), p...):
 	default:
@@ -35,13 +35,13 @@
 }
 
 // Dropped returns the number of dropped lines.
-func (a *Async) Dropped() int64 { return a.dropped.Load() }
+func (a *AsyncWriter) Dropped() int64 { return a.dropped.Load() }
 
 // String names the service in the supervisor's log.
-func (a *Async) String() string { return "log" }
+func (a *AsyncWriter) String() string { return "log" }
 
 // Serve writes buffered lines until ctx ends.
-func (a *Async) Serve(ctx context.Context) error {
+func (a *AsyncWriter) Serve(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
@@ -53,7 +53,7 @@
 }
 
 // Flush writes the buffered lines; nothing may be logged meanwhile.
-func (a *Async) Flush() {
+func (a *AsyncWriter) Flush() {
 	for {
 		select {
 		case line := <-a.lines:
@@ -65,7 +65,7 @@
 }
 
 // write counts a failed write as a dropped line: there is nowhere to log the error.
-func (a *Async) write(line []byte) {
+func (a *AsyncWriter) write(line []byte) {
 	if _, err := a.out.Write(line); err != nil {
 		a.dropped.Add(1)
 	}
--- a/internal/telem/stdlog.go
+++ b/internal/telem/stdlog.go
@@ -7,11 +7,11 @@
 	"github.com/sirupsen/logrus"
 )
 
-// TakeStandardLog redirects the standard logger, which libraries use, to l.
+// RedirectStandardLog redirects the standard logger, which libraries use, to l.
 // Otherwise its lines would go to standard error as plain text, with one write
 // for each line, which may block. For example, net/http logs an unsolicited
 // response of a server there, including the response's bytes.
-func TakeStandardLog(l *logrus.Logger) {
+func RedirectStandardLog(l *logrus.Logger) {
 	log.SetFlags(0)
 	log.SetOutput(LogWriter{l})
 }
--- a/internal/telem/trace.go
+++ b/internal/telem/trace.go
@@ -109,16 +109,16 @@
 	return propagator.Extract(ctx, propagation.HeaderCarrier(h))
 }
 
-// Parent returns the trace context of ctx as text, for a protocol without headers;
+// TraceParent returns the trace context of ctx as text, for a protocol without headers;
 // empty if there is none.
-func Parent(ctx context.Context) string {
+func TraceParent(ctx context.Context) string {
 	carrier := propagation.MapCarrier{}
 	propagator.Inject(ctx, carrier)
 	return carrier.Get("traceparent")
 }
 
-// WithParent returns ctx with the trace context that Parent returned as text.
-func WithParent(ctx context.Context, parent string) context.Context {
+// WithTraceParent returns ctx with the trace context that Parent returned as text.
+func WithTraceParent(ctx context.Context, parent string) context.Context {
 	return propagator.Extract(ctx, propagation.MapCarrier{"traceparent": parent})
 }
 
--- a/pkg/client/answer.go
+++ b/pkg/client/answer.go
@@ -12,9 +12,9 @@
 	// Rule is the rule that led to the answer, or nil.
 	Rule *Rule `json:"rule"`
 	// RetryAfterMs is when the request may be retried; 0 if a retry won't help.
-	RetryAfterMs int64   `json:"retry_after_ms"`
-	Stages       []Stage `json:"stages"`
-	Payload      Payload `json:"payload"`
+	RetryAfterMs int64         `json:"retry_after_ms"`
+	Stages       []StageReport `json:"stages"`
+	Payload      Payload       `json:"payload"`
 }
 
 // Outcome is how a request ended. There are no others than those below.
@@ -33,12 +33,12 @@
 
 // Rule is the line of the rules file that led to a decision.
 type Rule struct {
-	Line  int    `json:"line"`
-	Asked string `json:"asked"`
+	Line        int    `json:"line"`
+	RequestedBy string `json:"asked"`
 }
 
-// Stage reports what ran of one stage, and its cost.
-type Stage struct {
+// StageReport reports what ran of one stage, and its cost.
+type StageReport struct {
 	Stage    string  `json:"stage"`
 	Server   string  `json:"server"`
 	Zone     string  `json:"zone"`
--- a/pkg/client/client.go
+++ b/pkg/client/client.go
@@ -23,20 +23,20 @@
 	URLs []string
 	// Workspace of the caller, and its token.
 	Workspace, Token string
-	// Repeats bounds the retries of one call; 0 means DefaultRepeats, a negative
+	// MaxRetries bounds the retries of one call; 0 means DefaultRepeats, a negative
 	// value disables retries.
-	Repeats int
-	// Silence is how long a stream may receive nothing before its connection is
+	MaxRetries int
+	// IdleTimeout is how long a stream may receive nothing before its connection is
 	// closed; 0 means DefaultSilence. The fleet sends heartbeats far more often.
-	Silence time.Duration
+	IdleTimeout time.Duration
 	// Transport makes the calls; nil means a transport of the client's own.
 	Transport http.RoundTripper
 }
 
 // Defaults for Config.
 const (
-	DefaultRepeats = 3
-	DefaultSilence = 10 * time.Second
+	DefaultMaxRetries  = 3
+	DefaultIdleTimeout = 10 * time.Second
 )
 
 // answerLimit bounds the body of an answer, in bytes.
@@ -55,11 +55,11 @@
 	if len(cfg.URLs) == 0 {
 		return nil, errors.New("client: no URL")
 	}
-	if cfg.Repeats == 0 {
-		cfg.Repeats = DefaultRepeats
+	if cfg.MaxRetries == 0 {
+		cfg.MaxRetries = DefaultMaxRetries
 	}
-	if cfg.Silence == 0 {
-		cfg.Silence = DefaultSilence
+	if cfg.IdleTimeout == 0 {
+		cfg.IdleTimeout = DefaultIdleTimeout
 	}
 	if cfg.Transport == nil {
 		cfg.Transport = newTransport()
@@ -98,8 +98,8 @@
 	}
 }
 
-// Work is one request to a pipeline.
-type Work struct {
+// Request is one request to a pipeline.
+type Request struct {
 	Pipeline string
 	Input    string
 	// MaxTokens bounds the output of a generate stage; 0 means no bound.
@@ -109,7 +109,7 @@
 }
 
 // Run runs an idempotent pipeline and returns its complete answer.
-func (c *Client) Run(ctx context.Context, r Work) (*Answer, error) {
+func (c *Client) Run(ctx context.Context, r Request) (*Answer, error) {
 	return c.retry(ctx, c.nextIndex(), func(ctx context.Context, base string) (*Answer, error) {
 		return c.callForAnswer(ctx, httpCall{
 			method: http.MethodPost,
@@ -141,7 +141,7 @@
 
 // RunOnce requests a ticket and runs the pipeline at most once. If the connection
 // breaks, it retries with the same ticket, so the pipeline can't run twice.
-func (c *Client) RunOnce(ctx context.Context, r Work) (*Answer, error) {
+func (c *Client) RunOnce(ctx context.Context, r Request) (*Answer, error) {
 	// The VM that issued the ticket also runs its request; calling it saves a hop.
 	first := c.nextIndex()
 	ticket, err := c.ticket(ctx, first, r.Pipeline)
@@ -152,11 +152,11 @@
 }
 
 // RunTicket is like RunOnce with a ticket that the caller already has.
-func (c *Client) RunTicket(ctx context.Context, ticket string, r Work) (*Answer, error) {
+func (c *Client) RunTicket(ctx context.Context, ticket string, r Request) (*Answer, error) {
 	return c.runTicket(ctx, c.nextIndex(), ticket, r)
 }
 
-func (c *Client) runTicket(ctx context.Context, first int, ticket string, r Work) (*Answer, error) {
+func (c *Client) runTicket(ctx context.Context, first int, ticket string, r Request) (*Answer, error) {
 	return c.retry(ctx, first, func(ctx context.Context, base string) (*Answer, error) {
 		return c.callForAnswer(ctx, httpCall{
 			method: http.MethodPut,
--- a/pkg/client/client_test.go
+++ b/pkg/client/client_test.go
@@ -91,7 +91,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				s := &script{steps: tc.steps}
-				answer, err := newTestClient(t, s).Run(t.Context(), Work{Pipeline: "p", Input: "x"})
+				answer, err := newTestClient(t, s).Run(t.Context(), Request{Pipeline: "p", Input: "x"})
 				require.Equal(t, tc.calls, s.calls)
 				require.ErrorIs(t, err, tc.want)
 				require.Equal(t, tc.want == nil, answer != nil)
@@ -104,7 +104,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		start := time.Now()
 		s := &script{steps: []func(*http.Request) (*http.Response, error){respondWith(503, notRun), respondWith(200, done)}}
-		_, err := newTestClient(t, s).Run(t.Context(), Work{Pipeline: "p"})
+		_, err := newTestClient(t, s).Run(t.Context(), Request{Pipeline: "p"})
 		require.NoError(t, err)
 		require.Equal(t, 2*time.Second, time.Since(start))
 	})
@@ -118,7 +118,7 @@
 		defer cancel()
 		start := time.Now()
 		s := &script{steps: []func(*http.Request) (*http.Response, error){respondWith(503, notRun)}}
-		_, err := newTestClient(t, s).Run(ctx, Work{Pipeline: "p"})
+		_, err := newTestClient(t, s).Run(ctx, Request{Pipeline: "p"})
 		require.ErrorIs(t, err, ErrNotRun)
 		require.Equal(t, time.Duration(0), time.Since(start))
 	})
@@ -131,7 +131,7 @@
 		s := &script{steps: []func(*http.Request) (*http.Response, error){
 			respondWith(201, ticket), failConnection, failConnection, respondWith(200, done),
 		}}
-		answer, err := newTestClient(t, s).RunOnce(t.Context(), Work{Pipeline: "p", Input: "x"})
+		answer, err := newTestClient(t, s).RunOnce(t.Context(), Request{Pipeline: "p", Input: "x"})
 		require.NoError(t, err)
 		require.Equal(t, "r1", answer.RequestID)
 		require.Equal(t, []string{
@@ -143,7 +143,7 @@
 
 func TestUnknownOutcomeIsFinal(t *testing.T) {
 	s := &script{steps: []func(*http.Request) (*http.Response, error){respondWith(201, ticket), respondWith(409, unknown)}}
-	_, err := newTestClient(t, s).RunOnce(t.Context(), Work{Pipeline: "p"})
+	_, err := newTestClient(t, s).RunOnce(t.Context(), Request{Pipeline: "p"})
 	require.ErrorIs(t, err, ErrUnknown)
 	var refused *AnswerError
 	require.ErrorAs(t, err, &refused)
@@ -162,10 +162,10 @@
 		respondWith(200, events+"event: answer\ndata: "+done+"\n\n"),
 	}}
 	var got []string
-	answer, err := newTestClient(t, s).Stream(t.Context(), Work{Pipeline: "p"}, Events{
+	answer, err := newTestClient(t, s).Stream(t.Context(), Request{Pipeline: "p"}, Events{
 		Text:  func(stage, text string) { got = append(got, stage+" text "+text) },
 		Reset: func(stage string) { got = append(got, stage+" reset") },
-		Stage: func(st Stage) { got = append(got, st.Stage+" done") },
+		Stage: func(st StageReport) { got = append(got, st.Stage+" done") },
 	})
 	require.NoError(t, err)
 	require.Equal(t, "Wind.", answer.Payload.Text)
@@ -177,8 +177,8 @@
 // text has already been delivered.
 func TestStreamWithoutItsAnswer(t *testing.T) {
 	s := &script{steps: []func(*http.Request) (*http.Response, error){respondWith(200, events)}}
-	_, err := newTestClient(t, s).Stream(t.Context(), Work{Pipeline: "p"}, Events{})
-	var broken *BrokenError
+	_, err := newTestClient(t, s).Stream(t.Context(), Request{Pipeline: "p"}, Events{})
+	var broken *NoAnswerError
 	require.ErrorAs(t, err, &broken)
 	require.ErrorIs(t, err, io.ErrUnexpectedEOF)
 	require.Len(t, s.calls, 1)
@@ -206,10 +206,10 @@
 			},
 			respondWith(200, "event: answer\ndata: "+done+"\n\n"),
 		}}
-		_, err := newTestClient(t, s).Stream(t.Context(), Work{Pipeline: "p"}, Events{})
+		_, err := newTestClient(t, s).Stream(t.Context(), Request{Pipeline: "p"}, Events{})
 		require.NoError(t, err)
 		require.Len(t, s.calls, 2)
-		require.GreaterOrEqual(t, time.Since(start), DefaultSilence)
+		require.GreaterOrEqual(t, time.Since(start), DefaultIdleTimeout)
 	})
 }
 
@@ -230,12 +230,12 @@
 	})}
 	var g errgroup.Group
 	g.Go(func() error { return server.Serve(l) })
-	c, err := New(Config{URLs: []string{"http://" + l.Addr().String()}, Repeats: -1})
+	c, err := New(Config{URLs: []string{"http://" + l.Addr().String()}, MaxRetries: -1})
 	require.NoError(t, err)
-	_, err = c.Run(t.Context(), Work{Pipeline: "p"})
+	_, err = c.Run(t.Context(), Request{Pipeline: "p"})
 	require.NoError(t, err)
-	_, err = c.Run(t.Context(), Work{Pipeline: "p"})
-	var broken *BrokenError
+	_, err = c.Run(t.Context(), Request{Pipeline: "p"})
+	var broken *NoAnswerError
 	require.ErrorAs(t, err, &broken)
 	require.True(t, broken.Sent)
 	require.NoError(t, server.Close())
--- a/pkg/client/errors.go
+++ b/pkg/client/errors.go
@@ -37,16 +37,16 @@
 	ErrDeadline error = outcomeError(Deadline)
 )
 
-// BrokenError means that no valid answer was received: the connection broke, or the
+// NoAnswerError means that no valid answer was received: the connection broke, or the
 // response is malformed.
-type BrokenError struct {
+type NoAnswerError struct {
 	// Sent is true if the request may have reached the fleet.
 	Sent bool
 	Err  error
 }
 
 // Error describes the failure.
-func (e *BrokenError) Error() string { return "no answer: " + e.Err.Error() }
+func (e *NoAnswerError) Error() string { return "no answer: " + e.Err.Error() }
 
 // Unwrap returns the cause.
-func (e *BrokenError) Unwrap() error { return e.Err }
+func (e *NoAnswerError) Unwrap() error { return e.Err }
--- a/pkg/client/retry.go
+++ b/pkg/client/retry.go
@@ -21,7 +21,7 @@
 func (c *Client) retry(ctx context.Context, first int, once attemptFunc) (*Answer, error) {
 	for try := 0; ; try++ {
 		answer, err := once(ctx, c.cfg.URLs[(first+try)%len(c.cfg.URLs)])
-		if err == nil || try >= c.cfg.Repeats {
+		if err == nil || try >= c.cfg.MaxRetries {
 			return answer, err
 		}
 		pause, again := retryPause(err, try)
@@ -37,7 +37,7 @@
 
 // retryPause reports whether a call may be retried, and after what pause.
 func retryPause(err error, try int) (time.Duration, bool) {
-	var broken *BrokenError
+	var broken *NoAnswerError
 	if errors.As(err, &broken) {
 		return addJitter(initialBackoff << min(try, maxBackoffDoublings)), true
 	}
--- a/pkg/client/stream.go
+++ b/pkg/client/stream.go
@@ -20,7 +20,7 @@
 	// Reset discards the stage's text so far: it is produced again from the start.
 	Reset func(stage string)
 	// Stage reports a stage that ended successfully.
-	Stage func(Stage)
+	Stage func(StageReport)
 }
 
 // errIdleTimeout ends a stream that has received nothing for Config.Silence.
@@ -28,7 +28,7 @@
 
 // Stream runs an idempotent pipeline, reports its progress to events, and returns
 // the complete answer. It is retried only while no event has been delivered.
-func (c *Client) Stream(ctx context.Context, r Work, events Events) (*Answer, error) {
+func (c *Client) Stream(ctx context.Context, r Request, events Events) (*Answer, error) {
 	delivered := false
 	answer, err := c.retry(ctx, c.nextIndex(), func(ctx context.Context, base string) (*Answer, error) {
 		answer, err := c.streamOnce(ctx, httpCall{
@@ -64,15 +64,15 @@
 	if res.StatusCode >= http.StatusMultipleChoices {
 		return nil, refusal(res)
 	}
-	idleTimer := time.AfterFunc(c.cfg.Silence, func() { cancel(errIdleTimeout) })
+	idleTimer := time.AfterFunc(c.cfg.IdleTimeout, func() { cancel(errIdleTimeout) })
 	defer idleTimer.Stop()
-	s := stream{events: events, delivered: delivered, resetTimer: func() { idleTimer.Reset(c.cfg.Silence) }}
+	s := stream{events: events, delivered: delivered, resetTimer: func() { idleTimer.Reset(c.cfg.IdleTimeout) }}
 	answer, err := s.read(res.Body)
 	if err != nil {
 		if cause := context.Cause(ctx); cause != nil {
 			err = cause
 		}
-		return nil, &BrokenError{Sent: true, Err: err}
+		return nil, &NoAnswerError{Sent: true, Err: err}
 	}
 	return checkOutcome(answer)
 }
@@ -128,7 +128,7 @@
 		var a Answer
 		return &a, decodeEvent(data, &a)
 	case "stage":
-		var st Stage
+		var st StageReport
 		if err := decodeEvent(data, &st); err != nil {
 			return nil, err
 		}
