--- a/examples/sample.go
+++ b/examples/sample.go
@@ -15,7 +15,7 @@
 
 const suffix = ".rules.ini"
 
-// ErrUnknown is returned for an unknown example name.
+// ErrUnknownExample is returned for an unknown example name.
 var ErrUnknownExample = errors.New("no such example")
 
 // Rules returns the text of the example with that name.
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -75,7 +75,7 @@
 
 	// mu serializes the decisions and guards the fields below.
 	mu sync.Mutex
-	// runs are the requests accepted here: those in flight, and for KeepAnswers
+	// runs are the requests accepted here: those in flight, and for AnswerRetention
 	// the ticketed ones that have ended.
 	runs map[shed.RequestID]*run
 	// forwarded are the stage calls that peers forwarded to this daemon.
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -45,7 +45,7 @@
 	ServiceTime time.Duration
 	// VMLag is the propagation delay of the platform's VM list.
 	VMLag time.Duration
-	// TunePrefs and Tune change each daemon's settings and core.
+	// TunePrefs and TuneCore change each daemon's settings and core.
 	TunePrefs func(*prefs.Prefs)
 	TuneCore  func(*core.Config)
 	// TuneNode changes each daemon's node configuration, for instance how it dials.
--- a/internal/telem/async.go
+++ b/internal/telem/async.go
@@ -19,7 +19,7 @@
 	dropped atomic.Int64
 }
 
-// NewAsyncWriter returns an Async that writes to the given writer once Serve runs.
+// NewAsyncWriter returns an AsyncWriter that writes to the given writer once Serve runs.
 func NewAsyncWriter(to io.Writer) *AsyncWriter {
 	return &AsyncWriter{out: to, lines: make(chan []byte, maxLogLines)}
 }
--- a/internal/telem/trace.go
+++ b/internal/telem/trace.go
@@ -117,7 +117,7 @@
 	return carrier.Get("traceparent")
 }
 
-// WithTraceParent returns ctx with the trace context that Parent returned as text.
+// WithTraceParent returns ctx with the trace context that TraceParent returned as text.
 func WithTraceParent(ctx context.Context, parent string) context.Context {
 	return propagator.Extract(ctx, propagation.MapCarrier{"traceparent": parent})
 }
--- a/pkg/client/client.go
+++ b/pkg/client/client.go
@@ -23,11 +23,11 @@
 	URLs []string
 	// Workspace of the caller, and its token.
 	Workspace, Token string
-	// MaxRetries bounds the retries of one call; 0 means DefaultRepeats, a negative
+	// MaxRetries bounds the retries of one call; 0 means DefaultMaxRetries, a negative
 	// value disables retries.
 	MaxRetries int
 	// IdleTimeout is how long a stream may receive nothing before its connection is
-	// closed; 0 means DefaultSilence. The fleet sends heartbeats far more often.
+	// closed; 0 means DefaultIdleTimeout. The fleet sends heartbeats far more often.
 	IdleTimeout time.Duration
 	// Transport makes the calls; nil means a transport of the client's own.
 	Transport http.RoundTripper
--- a/pkg/client/stream.go
+++ b/pkg/client/stream.go
@@ -23,7 +23,7 @@
 	Stage func(StageReport)
 }
 
-// errIdleTimeout ends a stream that has received nothing for Config.Silence.
+// errIdleTimeout ends a stream that has received nothing for Config.IdleTimeout.
 var errIdleTimeout = errors.New("stream idle for too long")
 
 // Stream runs an idempotent pipeline, reports its progress to events, and returns
