--- a/internal/daemon/call.go
+++ b/internal/daemon/call.go
@@ -224,7 +224,7 @@
 		end.Tokens = c.totalTokens()
 	}
 	// A result with gaps isn't complete, even if the remote side reports it so.
-	if c.assembly != nil && end.End == shed.EndComplete && !c.assembly.Whole() {
+	if c.assembly != nil && end.End == shed.EndComplete && !c.assembly.Complete() {
 		end.End, end.Reason = shed.EndBadReply, shed.ReasonBadReply
 	}
 	span.SetAttributes(attribute.String("end", end.End.String()), attribute.String("server", string(end.Server)))
