--- a/internal/oper/oper.go
+++ b/internal/oper/oper.go
@@ -60,13 +60,13 @@
 func New(cfg Config) *Oper {
 	o := &Oper{cfg: cfg}
 	o.server = httpd.New(httpd.Config{
-		Name:     "operators",
-		Listener: cfg.Listener,
-		Handler:  o.handler(),
-		Limits:   cfg.Limits,
-		Call:     callTimeout,
-		Drain:    drainTimeout,
-		Log:      cfg.Log,
+		Name:         "operators",
+		Listener:     cfg.Listener,
+		Handler:      o.handler(),
+		Limits:       cfg.Limits,
+		CallTimeout:  callTimeout,
+		DrainTimeout: drainTimeout,
+		Log:          cfg.Log,
 	})
 	return o
 }
