--- a/internal/cmds/progress.go
+++ b/internal/cmds/progress.go
@@ -9,23 +9,23 @@
 	"jasmineshed/pkg/client"
 )
 
-// progress shows what goes on with a request: the answer on Out, all else on
-// Err, so that a pipe gets the answer alone.
+// progress prints the progress of a request: the answer to Out, everything else to
+// Err, so that a pipe gets only the answer.
 type progress struct {
 	deps  *Deps
 	quiet bool
 	start time.Time
-	// shown is what stands on the terminal of the text of stage writing.
-	shown   strings.Builder
-	writing string
+	// shown is the text of stage textStage that is on the terminal.
+	shown     strings.Builder
+	textStage string
 }
 
 func newProgress(d *Deps, quiet bool) *progress {
 	return &progress{deps: d, quiet: quiet, start: d.Now()}
 }
 
-// events streams text only to a person: a pipe could not take a text back when
-// its stage starts again.
+// events streams text only to a terminal: text written to a pipe can't be withdrawn
+// when its stage starts again.
 func (p *progress) events() client.Events {
 	if p.quiet {
 		return client.Events{}
@@ -39,10 +39,10 @@
 }
 
 func (p *progress) text(stage, text string) {
-	if stage != p.writing {
+	if stage != p.textStage {
 		p.newLine()
 		p.shown.Reset()
-		p.writing = stage
+		p.textStage = stage
 	}
 	p.shown.WriteString(text)
 	p.print(text)
@@ -54,13 +54,13 @@
 	p.note("%s starts again; forget its text so far", stage)
 }
 
-func (p *progress) stage(s client.Stage) {
+func (p *progress) stage(s client.StageReport) {
 	p.newLine()
 	p.note("%6.3f s  %s done on %s%s, %d tokens, attempt %d",
-		p.deps.Now().Sub(p.start).Seconds(), s.Stage, s.Server, after(" in ", s.Zone), s.Tokens, s.Attempts)
+		p.deps.Now().Sub(p.start).Seconds(), s.Stage, s.Server, withPrefix(" in ", s.Zone), s.Tokens, s.Attempts)
 }
 
-// newLine ends a line of text on the terminal.
+// newLine ends an unfinished line of text on the terminal.
 func (p *progress) newLine() {
 	if text := p.shown.String(); text != "" && !strings.HasSuffix(text, "\n") {
 		p.shown.WriteString("\n")
@@ -86,20 +86,20 @@
 func (p *progress) refusal(a *client.Answer) {
 	p.newLine()
 	if a.Rule != nil {
-		p.note("rule on line %d, asked for by %s", a.Rule.Line, a.Rule.Asked)
+		p.note("rule on line %d, asked for by %s", a.Rule.Line, a.Rule.RequestedBy)
 	}
 	if a.RetryAfterMs > 0 {
-		p.note("come back in %s", time.Duration(a.RetryAfterMs)*time.Millisecond)
+		p.note("retry after %s", time.Duration(a.RetryAfterMs)*time.Millisecond)
 	}
 	_ = p.stages(a)
 }
 
-// stages prints what each stage cost, in millionths of a server-second.
+// stages prints the cost of each stage, in millionths of a server-second.
 func (p *progress) stages(a *client.Answer) error {
 	if p.quiet || a.RequestID == "" {
 		return nil
 	}
-	p.note("request %s%s", a.RequestID, after(", trace ", a.TraceID))
+	p.note("request %s%s", a.RequestID, withPrefix(", trace ", a.TraceID))
 	if len(a.Stages) == 0 {
 		return nil
 	}
@@ -115,8 +115,8 @@
 	return nil
 }
 
-// after is text behind lead, or nothing at all if there is no text.
-func after(lead, text string) string {
+// withPrefix returns lead and text, or nothing if text is empty.
+func withPrefix(lead, text string) string {
 	if text == "" {
 		return ""
 	}
--- a/internal/daemon/home.go
+++ b/internal/daemon/home.go
@@ -10,15 +10,15 @@
 	"go.opentelemetry.io/otel/propagation"
 )
 
-// homeAttempts bounds how often a request is handed to its home. Repeating is
-// safe: the home runs a ticket once and gives repeats the same answer.
+// homeAttempts bounds how often a request is sent to its home. Retrying is safe:
+// the home runs a ticket once and gives retries the same answer.
 const homeAttempts = 3
 
-// homeGrace is how long the word of a home is awaited beyond the deadline. The
-// home keeps the deadline itself, but ends a request that waits only at its
-// next tick. Without the grace its caller would be told "unknown" at the
-// deadline of a request that the home knows it never started; three ticks leave
-// one for the way back.
+// homeGrace is how long the home's answer is awaited past the deadline. The home
+// enforces the deadline itself, but ends a queued request only at its next tick.
+// Without the grace, a caller would get "unknown" at the deadline of a request
+// that the home knows it never started. Three ticks leave one for the answer's
+// way back.
 const homeGrace = 3 * shed.TickEvery
 
 // Request implements peers.Handler.
@@ -40,7 +40,7 @@
 	d.mu.Unlock()
 	rules := d.rules.Load()
 	if rules == nil {
-		return shed.Answer{Finish: *refusal(req.ID, shed.ReasonNoConfig, comeBackSoon)}
+		return shed.Answer{Finish: *refusal(req.ID, shed.ReasonNoConfig, notReadyRetryAfter)}
 	}
 	ws := rules.Workspaces[req.Workspace]
 	if ws == nil || !tokenMatches(req.Token, ws.TokenHash) {
@@ -51,13 +51,13 @@
 	case home.Self:
 		return d.fetch(ctx, req)
 	case home.Peer.VM == "":
-		return homeGone(req.ID)
+		return homeGoneAnswer(req.ID)
 	}
-	return d.askHome(ctx, peers.RequestCall{To: home.Peer, Request: req, Fetch: true}, nil)
+	return d.queryHome(ctx, peers.RequestCall{To: home.Peer, Request: req, Fetch: true}, nil)
 }
 
-// fetch gives the answer to a ticketed request that was started here, waiting
-// for it if it runs. It never starts one.
+// fetch returns the answer to a ticketed request that was started here, and waits
+// for it while the request runs. It never starts a request.
 func (d *Daemon) fetch(ctx context.Context, req shed.Request) shed.Answer {
 	d.mu.Lock()
 	r := d.runs[req.ID]
@@ -65,15 +65,15 @@
 	d.mu.Unlock()
 	switch {
 	case !known:
-		// It may have run and been forgotten, or belong to another workspace,
-		// which is told nothing of it.
-		return unknown(req.ID, shed.ReasonTicketUnknown)
+		// It may have run and have been dropped since, or it belongs to another
+		// workspace; the answer must not reveal which.
+		return unknownOutcome(req.ID, shed.ReasonTicketUnknown)
 	case r == nil:
 		return shed.Answer{Finish: f}
 	}
-	r.join()
+	r.addWaiter()
 	answer, ended := r.wait(ctx, nil)
-	if r.leave() && !ended {
+	if r.removeWaiter() && !ended {
 		d.handle(shed.CallerGone{Request: req.ID})
 	}
 	if !ended {
@@ -82,9 +82,9 @@
 	return answer
 }
 
-// handRequest hands a request over to the home of its ticket. The caller holds
+// forwardRequest forwards a request to the home of its ticket. The caller holds
 // d.mu.
-func (d *Daemon) handRequest(a shed.ForwardRequest) {
+func (d *Daemon) forwardRequest(a shed.ForwardRequest) {
 	r := d.runs[a.Request]
 	if r == nil {
 		return
@@ -96,21 +96,21 @@
 	d.work.Go(func() error {
 		ctx, cancel := context.WithDeadline(r.ctx, a.Deadline.Add(homeGrace))
 		defer cancel()
-		answer := d.askHome(ctx, msg, r.push)
+		answer := d.queryHome(ctx, msg, r.push)
 		d.mu.Lock()
 		defer d.mu.Unlock()
 		d.endRun(r, answer)
-		// This process holds no answer for others' tickets; their home does.
+		// Answers are kept by the home of their ticket only.
 		delete(d.runs, r.id)
 		d.perform(d.cfg.Core.Handle(time.Now(), shed.ForwardEnded{Request: r.id}))
 		return nil
 	})
 }
 
-// askHome asks a ticket's home, again if the link breaks. If no answer comes it
-// can't be known whether the request ran: an earlier repeat may have started it
-// by another way.
-func (d *Daemon) askHome(ctx context.Context, msg peers.RequestCall, update func(shed.Update)) shed.Answer {
+// queryHome sends the call to a ticket's home and retries if the connection
+// breaks. Without an answer it is unknown whether the request ran: an earlier
+// retry may have started it through another daemon.
+func (d *Daemon) queryHome(ctx context.Context, msg peers.RequestCall, update func(shed.Update)) shed.Answer {
 	ctx, span := d.cfg.Tracer.Start(ctx, "ticket_home")
 	defer span.End()
 	msg.Trace = map[string]string{}
@@ -121,16 +121,16 @@
 		case err == nil && home:
 			return answer
 		case err == nil:
-			return homeGone(msg.Request.ID)
+			return homeGoneAnswer(msg.Request.ID)
 		case ctx.Err() != nil:
-			return unknown(msg.Request.ID, shed.ReasonDeadline)
+			return unknownOutcome(msg.Request.ID, shed.ReasonDeadline)
 		}
 	}
-	return unknown(msg.Request.ID, shed.ReasonBroken)
+	return unknownOutcome(msg.Request.ID, shed.ReasonBroken)
 }
 
-func homeGone(id shed.RequestID) shed.Answer { return unknown(id, shed.ReasonHomeGone) }
+func homeGoneAnswer(id shed.RequestID) shed.Answer { return unknownOutcome(id, shed.ReasonHomeGone) }
 
-func unknown(id shed.RequestID, r shed.Reason) shed.Answer {
+func unknownOutcome(id shed.RequestID, r shed.Reason) shed.Answer {
 	return shed.Answer{Finish: shed.Finish{Request: id, Outcome: shed.OutcomeUnknown, Reason: r}}
 }
--- a/internal/daemon/notes.go
+++ b/internal/daemon/notes.go
@@ -9,41 +9,41 @@
 	"github.com/sirupsen/logrus"
 )
 
-// notesKept bounds the ring of notes that explain reads from.
-const notesKept = 8192
+// maxNotes is the size of the ring buffer that explain reads from.
+const maxNotes = 8192
 
-// Entry is one note, as explain shows it.
+// Entry is one note as explain shows it.
 type Entry struct {
-	At      time.Time      `json:"at"`
-	Reason  shed.Reason    `json:"reason"`
-	Request shed.RequestID `json:"request_id,omitempty"`
-	Server  shed.ServerID  `json:"server,omitempty"`
-	Zone    shed.ZoneID    `json:"zone,omitempty"`
-	Peer    shed.VM        `json:"peer,omitempty"`
-	Line    int            `json:"rule_line,omitempty"`
-	Asked   string         `json:"rule_asked_by,omitempty"`
+	At              time.Time      `json:"at"`
+	Reason          shed.Reason    `json:"reason"`
+	Request         shed.RequestID `json:"request_id,omitempty"`
+	Server          shed.ServerID  `json:"server,omitempty"`
+	Zone            shed.ZoneID    `json:"zone,omitempty"`
+	Peer            shed.VM        `json:"peer,omitempty"`
+	RuleLine        int            `json:"rule_line,omitempty"`
+	RuleRequestedBy string         `json:"rule_asked_by,omitempty"`
 }
 
-// ring keeps the newest notes.
-type ring struct {
+// noteRing is a ring buffer of the newest maxNotes notes.
+type noteRing struct {
 	mu      sync.Mutex
 	entries []Entry
 	next    int
 }
 
-func (r *ring) add(e Entry) {
+func (r *noteRing) add(e Entry) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if len(r.entries) < notesKept {
+	if len(r.entries) < maxNotes {
 		r.entries = append(r.entries, e)
 		return
 	}
 	r.entries[r.next] = e
-	r.next = (r.next + 1) % notesKept
+	r.next = (r.next + 1) % maxNotes
 }
 
-// of returns the notes on a request, or on all if id is empty, oldest first.
-func (r *ring) of(id shed.RequestID) []Entry {
+// find returns the notes about a request, or all notes if id is empty, oldest first.
+func (r *noteRing) find(id shed.RequestID) []Entry {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var out []Entry
@@ -56,12 +56,12 @@
 	return out
 }
 
-func (d *Daemon) note(n shed.Note) {
+func (d *Daemon) recordNote(n shed.Note) {
 	count := max(n.Count, 1)
-	d.stats.note(n.Reason, count)
+	d.stats.countDecision(n.Reason, count)
 	d.notes.add(Entry{
 		At: time.Now(), Reason: n.Reason, Request: n.Request, Server: n.Server,
-		Zone: n.Zone, Peer: n.Peer, Line: n.Rule.Line, Asked: n.Rule.RequestedBy,
+		Zone: n.Zone, Peer: n.Peer, RuleLine: n.Rule.Line, RuleRequestedBy: n.Rule.RequestedBy,
 	})
 	d.cfg.Log.WithFields(logrus.Fields{
 		"reason": n.Reason, "request_id": n.Request, "server": n.Server,
--- a/internal/telem/async.go
+++ b/internal/telem/async.go
@@ -6,26 +6,26 @@
 	"sync/atomic"
 )
 
-// maxLogLines bounds the lines that wait to be written: a few seconds of a busy
-// daemon's decisions, about 2 MB.
+// maxLogLines bounds the lines in the buffer: a few seconds of a busy daemon's
+// decisions, about 2 MB.
 const maxLogLines = 8192
 
-// Async is a writer that never blocks: lines that can't be written in time are
-// dropped and counted. A log that nobody reads must not hold requests up. It is
-// a service of the supervisor tree.
-type Async struct {
-	to      io.Writer
+// AsyncWriter is a buffered writer that never blocks: lines that don't fit into the
+// buffer are dropped and counted, because a log that is not read must not delay
+// requests. It is a service of the supervisor tree.
+type AsyncWriter struct {
+	out     io.Writer
 	lines   chan []byte
 	dropped atomic.Int64
 }
 
-// NewAsync returns a writer before to; nothing is written before Serve.
-func NewAsync(to io.Writer) *Async {
-	return &Async{to: to, lines: make(chan []byte, maxLogLines)}
+// NewAsyncWriter returns an AsyncWriter that writes to the given writer once Serve runs.
+func NewAsyncWriter(to io.Writer) *AsyncWriter {
+	return &AsyncWriter{out: to, lines: make(chan []byte, maxLogLines)}
 }
 
 // Write implements io.Writer; p is one line.
-func (a *Async) Write(p []byte) (int, error) {
+func (a *AsyncWriter) Write(p []byte) (int, error) {
 	select {
 	case a.lines <- append([]byte(nil), p...):
 	default:
@@ -34,14 +34,14 @@
 	return len(p), nil
 }
 
-// Dropped is how many lines were dropped.
-func (a *Async) Dropped() int64 { return a.dropped.Load() }
+// Dropped returns the number of dropped lines.
+func (a *AsyncWriter) Dropped() int64 { return a.dropped.Load() }
 
 // String names the service in the supervisor's log.
-func (a *Async) String() string { return "log" }
+func (a *AsyncWriter) String() string { return "log" }
 
-// Serve writes until ctx ends.
-func (a *Async) Serve(ctx context.Context) error {
+// Serve writes buffered lines until ctx ends.
+func (a *AsyncWriter) Serve(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
@@ -52,8 +52,8 @@
 	}
 }
 
-// Flush writes what waits; nothing may be logged meanwhile.
-func (a *Async) Flush() {
+// Flush writes the buffered lines; nothing may be logged meanwhile.
+func (a *AsyncWriter) Flush() {
 	for {
 		select {
 		case line := <-a.lines:
@@ -64,9 +64,9 @@
 	}
 }
 
-// write drops a line that can't be written: there is nowhere to tell it.
-func (a *Async) write(line []byte) {
-	if _, err := a.to.Write(line); err != nil {
+// write counts a failed write as a dropped line: there is nowhere to log the error.
+func (a *AsyncWriter) write(line []byte) {
+	if _, err := a.out.Write(line); err != nil {
 		a.dropped.Add(1)
 	}
 }
--- a/pkg/client/call.go
+++ b/pkg/client/call.go
@@ -13,25 +13,25 @@
 	"sync/atomic"
 )
 
-// call is one HTTP call.
-type call struct {
+// httpCall is one HTTP call.
+type httpCall struct {
 	method, url string
 	body        any
 }
 
-type workBody struct {
+type requestBody struct {
 	Pipeline  string `json:"pipeline,omitempty"`
 	Input     string `json:"input"`
 	MaxTokens uint32 `json:"max_tokens,omitempty"`
 	BudgetMs  int64  `json:"budget_ms,omitempty"`
 }
 
-func newWorkBody(w Work, pipeline string) workBody {
-	return workBody{
+func newRequestBody(r Request, pipeline string) requestBody {
+	return requestBody{
 		Pipeline:  pipeline,
-		Input:     w.Input,
-		MaxTokens: w.MaxTokens,
-		BudgetMs:  w.Budget.Milliseconds(),
+		Input:     r.Input,
+		MaxTokens: r.MaxTokens,
+		BudgetMs:  r.Budget.Milliseconds(),
 	}
 }
 
@@ -41,14 +41,14 @@
 
 func escape(id string) string { return url.PathEscape(id) }
 
-// onlyReader hides the kind of its reader. net/http rewinds the body of a kind
-// that it knows and then repeats a request by itself when a kept connection
-// breaks, also when the far side has already begun to run it.
+// onlyReader hides the type of its reader. net/http can rewind a body of a type that
+// it knows, and then retries a request by itself when a kept-alive connection
+// breaks, even if the server has already begun to run it.
 type onlyReader struct{ io.Reader }
 
-// request builds the HTTP request and a flag that tells whether any byte of it
-// may have left.
-func (c *Client) request(ctx context.Context, ca call) (*http.Request, *atomic.Bool, error) {
+// request builds the HTTP request and a flag that is set once any byte of it may
+// have been sent.
+func (c *Client) request(ctx context.Context, ca httpCall) (*http.Request, *atomic.Bool, error) {
 	sent := new(atomic.Bool)
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(httptrace.GotConnInfo) { sent.Store(true) },
@@ -78,35 +78,35 @@
 	return req, sent, nil
 }
 
-// send makes the call and gives its response, whatever the status.
-func (c *Client) send(ctx context.Context, ca call) (*http.Response, error) {
+// send makes the call and returns its response, whatever the status.
+func (c *Client) send(ctx context.Context, ca httpCall) (*http.Response, error) {
 	req, sent, err := c.request(ctx, ca)
 	if err != nil {
 		return nil, err
 	}
 	res, err := c.http.Do(req)
 	if err != nil {
-		return nil, &BrokenError{Sent: sent.Load(), Err: err}
+		return nil, &NoAnswerError{Sent: sent.Load(), Err: err}
 	}
 	return res, nil
 }
 
-// whole makes the call and gives the answer; one that isn't complete is an
-// AnswerError.
-func (c *Client) whole(ctx context.Context, ca call) (*Answer, error) {
+// callForAnswer makes the call and returns its answer; one whose outcome isn't
+// Complete is returned as an AnswerError.
+func (c *Client) callForAnswer(ctx context.Context, ca httpCall) (*Answer, error) {
 	var answer Answer
 	if err := c.do(ctx, ca, &answer); err != nil {
 		return nil, err
 	}
-	return checked(&answer)
+	return checkOutcome(&answer)
 }
 
-// errNoOutcome is for a body that is JSON, but no answer.
-var errNoOutcome = errors.New("an answer without an outcome")
+// errNoOutcome is returned for a body that is JSON, but not an answer.
+var errNoOutcome = errors.New("answer without an outcome")
 
-func checked(a *Answer) (*Answer, error) {
+func checkOutcome(a *Answer) (*Answer, error) {
 	if a.Outcome == "" {
-		return nil, &BrokenError{Sent: true, Err: errNoOutcome}
+		return nil, &NoAnswerError{Sent: true, Err: errNoOutcome}
 	}
 	if a.Outcome != Complete {
 		return nil, &AnswerError{Answer: a}
@@ -114,8 +114,8 @@
 	return a, nil
 }
 
-// do makes the call and takes its body into out if it went well.
-func (c *Client) do(ctx context.Context, ca call, out any) error {
+// do makes the call and decodes the body of a successful response into out.
+func (c *Client) do(ctx context.Context, ca httpCall, out any) error {
 	res, err := c.send(ctx, ca)
 	if err != nil {
 		return err
@@ -124,27 +124,27 @@
 	if res.StatusCode >= http.StatusMultipleChoices {
 		return refusal(res)
 	}
-	return read(res, out)
+	return decodeBody(res, out)
 }
 
 func refusal(res *http.Response) error {
 	var answer Answer
-	if err := read(res, &answer); err != nil {
+	if err := decodeBody(res, &answer); err != nil {
 		return err
 	}
 	if answer.Outcome == "" {
-		return &BrokenError{Sent: true, Err: fmt.Errorf("%s: %w", res.Status, errNoOutcome)}
+		return &NoAnswerError{Sent: true, Err: fmt.Errorf("%s: %w", res.Status, errNoOutcome)}
 	}
 	return &AnswerError{Answer: &answer}
 }
 
-func read(res *http.Response, out any) error {
+func decodeBody(res *http.Response, out any) error {
 	body, err := io.ReadAll(io.LimitReader(res.Body, answerLimit))
 	if err != nil {
-		return &BrokenError{Sent: true, Err: err}
+		return &NoAnswerError{Sent: true, Err: err}
 	}
 	if err := json.Unmarshal(body, out); err != nil {
-		return &BrokenError{Sent: true, Err: fmt.Errorf("%s: %w", res.Status, err)}
+		return &NoAnswerError{Sent: true, Err: fmt.Errorf("%s: %w", res.Status, err)}
 	}
 	return nil
 }
--- a/pkg/client/client.go
+++ b/pkg/client/client.go
@@ -1,7 +1,8 @@
-// Package client calls a fleet of jasmineshed as a caller does.
+// Package client is a client of a jasmineshed fleet.
 //
-// A call is repeated only where that can't run anything twice: a request that
-// the fleet says was not run, or a ticketed one.
+// It retries a call if the fleet reports that it was not run, or if the connection
+// broke and running it again does no harm: an idempotent pipeline, or a ticket,
+// which the fleet runs at most once.
 package client
 
 import (
@@ -15,39 +16,38 @@
 	"time"
 )
 
-// Config of a Client.
+// Config configures a Client.
 type Config struct {
-	// URLs of the fleet's entry VMs or its balancer; one at least. Calls go to
-	// them in turn, and so do the repeats of one call.
+	// URLs of the fleet's entry VMs or of its load balancer; at least one. Calls
+	// and the retries of a call go to them in round-robin order.
 	URLs []string
-	// Workspace and its token.
+	// Workspace of the caller, and its token.
 	Workspace, Token string
-	// Repeats bounds how often one call is made again; 0 takes DefaultRepeats,
-	// a negative one repeats nothing.
-	Repeats int
-	// Silence is the longest time that a stream may say nothing at all before
-	// its connection is given up; 0 takes DefaultIdleTimeout. The fleet sends beats
-	// far more often.
-	Silence time.Duration
-	// Transport carries the calls; nil takes one of the client's own.
+	// MaxRetries bounds the retries of one call; 0 means DefaultMaxRetries, a negative
+	// value disables retries.
+	MaxRetries int
+	// IdleTimeout is how long a stream may receive nothing before its connection is
+	// closed; 0 means DefaultIdleTimeout. The fleet sends heartbeats far more often.
+	IdleTimeout time.Duration
+	// Transport makes the calls; nil means a transport of the client's own.
 	Transport http.RoundTripper
 }
 
 // Defaults for Config.
 const (
-	DefaultRepeats = 3
-	DefaultSilence = 10 * time.Second
+	DefaultMaxRetries  = 3
+	DefaultIdleTimeout = 10 * time.Second
 )
 
-// answerLimit bounds the body of an answer.
+// answerLimit bounds the body of an answer, in bytes.
 const answerLimit = 64 << 20
 
-// Client calls a fleet. It may be used by many goroutines at once.
+// Client calls a fleet. It is safe for concurrent use.
 type Client struct {
 	cfg  Config
 	http *http.Client
-	// turn counts calls, and so spreads them over the URLs.
-	turn atomic.Uint32
+	// callCount counts calls, and so spreads them over the URLs.
+	callCount atomic.Uint32
 }
 
 // New builds a client.
@@ -55,11 +55,11 @@
 	if len(cfg.URLs) == 0 {
 		return nil, errors.New("client: no URL")
 	}
-	if cfg.Repeats == 0 {
-		cfg.Repeats = DefaultRepeats
+	if cfg.MaxRetries == 0 {
+		cfg.MaxRetries = DefaultMaxRetries
 	}
-	if cfg.Silence == 0 {
-		cfg.Silence = DefaultSilence
+	if cfg.IdleTimeout == 0 {
+		cfg.IdleTimeout = DefaultIdleTimeout
 	}
 	if cfg.Transport == nil {
 		cfg.Transport = newTransport()
@@ -69,17 +69,18 @@
 		// A redirect would send the request a second time.
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 	}}
-	// Many clients live for one call only, and all would start at the first URL.
-	c.turn.Store(rand.Uint32N(uint32(len(cfg.URLs))))
+	// Many clients make only one call: without a random start, all of these calls
+	// would go to the first URL.
+	c.callCount.Store(rand.Uint32N(uint32(len(cfg.URLs))))
 	return c, nil
 }
 
 func newTransport() *http.Transport {
 	dialer := net.Dialer{
 		Timeout: 2 * time.Second,
-		// A whole answer may take seconds during which nothing is sent. These
-		// probes tell a slow answer from a connection that something between
-		// has lost track of.
+		// A complete answer may take seconds during which nothing is sent. These
+		// probes distinguish a slow answer from a connection whose state was lost
+		// by a device in between.
 		KeepAliveConfig: net.KeepAliveConfig{
 			Enable:   true,
 			Idle:     5 * time.Second,
@@ -97,36 +98,36 @@
 	}
 }
 
-// Work is what a pipeline is asked to do.
-type Work struct {
+// Request is one request to a pipeline.
+type Request struct {
 	Pipeline string
 	Input    string
-	// MaxTokens bounds what a generate stage produces; 0 leaves it open.
+	// MaxTokens bounds the output of a generate stage; 0 means no bound.
 	MaxTokens uint32
-	// Budget is the time limit; 0 takes the pipeline's deadline.
+	// Budget is the time limit; 0 means the pipeline's deadline.
 	Budget time.Duration
 }
 
-// Run runs an idempotent pipeline and gives its whole answer.
-func (c *Client) Run(ctx context.Context, work Work) (*Answer, error) {
-	return c.repeat(ctx, c.next(), func(ctx context.Context, base string) (*Answer, error) {
-		return c.whole(ctx, call{
+// Run runs an idempotent pipeline and returns its complete answer.
+func (c *Client) Run(ctx context.Context, r Request) (*Answer, error) {
+	return c.retry(ctx, c.nextIndex(), func(ctx context.Context, base string) (*Answer, error) {
+		return c.callForAnswer(ctx, httpCall{
 			method: http.MethodPost,
-			url:    base + "/v1/pipelines/" + escape(work.Pipeline) + "/requests",
-			body:   newWorkBody(work, ""),
+			url:    base + "/v1/pipelines/" + escape(r.Pipeline) + "/requests",
+			body:   newRequestBody(r, ""),
 		})
 	})
 }
 
-// Ticket gets a ticket for one run of a non-idempotent pipeline.
+// Ticket requests a ticket for one run of a non-idempotent pipeline.
 func (c *Client) Ticket(ctx context.Context, pipeline string) (*Ticket, error) {
-	return c.ticket(ctx, c.next(), pipeline)
+	return c.ticket(ctx, c.nextIndex(), pipeline)
 }
 
 func (c *Client) ticket(ctx context.Context, first int, pipeline string) (*Ticket, error) {
 	var ticket Ticket
-	_, err := c.repeat(ctx, first, func(ctx context.Context, base string) (*Answer, error) {
-		return nil, c.do(ctx, call{
+	_, err := c.retry(ctx, first, func(ctx context.Context, base string) (*Answer, error) {
+		return nil, c.do(ctx, httpCall{
 			method: http.MethodPost,
 			url:    base + "/v1/tickets",
 			body:   ticketBody{Pipeline: pipeline},
@@ -138,37 +139,38 @@
 	return &ticket, nil
 }
 
-// RunOnce gets a ticket and runs the pipeline at most once. After a broken
-// connection it asks again with the same ticket, which can't run it twice.
-func (c *Client) RunOnce(ctx context.Context, work Work) (*Answer, error) {
-	// The VM that gave out the ticket runs it too, which saves a hop.
-	first := c.next()
-	ticket, err := c.ticket(ctx, first, work.Pipeline)
+// RunOnce requests a ticket and runs the pipeline at most once. If the connection
+// breaks, it retries with the same ticket, so the pipeline can't run twice.
+func (c *Client) RunOnce(ctx context.Context, r Request) (*Answer, error) {
+	// The VM that issued the ticket also runs its request; calling it saves a hop.
+	first := c.nextIndex()
+	ticket, err := c.ticket(ctx, first, r.Pipeline)
 	if err != nil {
 		return nil, fmt.Errorf("getting a ticket: %w", err)
 	}
-	return c.runTicket(ctx, first, ticket.RequestID, work)
+	return c.runTicket(ctx, first, ticket.RequestID, r)
 }
 
-// RunTicket is RunOnce with a ticket that the caller has got.
-func (c *Client) RunTicket(ctx context.Context, ticket string, work Work) (*Answer, error) {
-	return c.runTicket(ctx, c.next(), ticket, work)
+// RunTicket is like RunOnce with a ticket that the caller already has.
+func (c *Client) RunTicket(ctx context.Context, ticket string, r Request) (*Answer, error) {
+	return c.runTicket(ctx, c.nextIndex(), ticket, r)
 }
 
-func (c *Client) runTicket(ctx context.Context, first int, ticket string, work Work) (*Answer, error) {
-	return c.repeat(ctx, first, func(ctx context.Context, base string) (*Answer, error) {
-		return c.whole(ctx, call{
+func (c *Client) runTicket(ctx context.Context, first int, ticket string, r Request) (*Answer, error) {
+	return c.retry(ctx, first, func(ctx context.Context, base string) (*Answer, error) {
+		return c.callForAnswer(ctx, httpCall{
 			method: http.MethodPut,
 			url:    base + "/v1/requests/" + escape(ticket),
-			body:   newWorkBody(work, work.Pipeline),
+			body:   newRequestBody(r, r.Pipeline),
 		})
 	})
 }
 
-// Result gives the answer to a ticketed request, waiting for it if it runs.
+// Result returns the answer to a ticketed request, and waits for it while the
+// request runs.
 func (c *Client) Result(ctx context.Context, ticket string) (*Answer, error) {
-	return c.repeat(ctx, c.next(), func(ctx context.Context, base string) (*Answer, error) {
-		return c.whole(ctx, call{
+	return c.retry(ctx, c.nextIndex(), func(ctx context.Context, base string) (*Answer, error) {
+		return c.callForAnswer(ctx, httpCall{
 			method: http.MethodGet,
 			url:    base + "/v1/requests/" + escape(ticket),
 		})
--- a/pkg/client/client_test.go
+++ b/pkg/client/client_test.go
@@ -15,7 +15,7 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// script answers one call after the other and notes them.
+// script is a transport that answers each call with the next step and records it.
 type script struct {
 	steps []func(*http.Request) (*http.Response, error)
 	calls []string
@@ -29,13 +29,15 @@
 	return s.steps[len(s.calls)-1](r)
 }
 
-func says(code int, body string) func(*http.Request) (*http.Response, error) {
+func respondWith(code int, body string) func(*http.Request) (*http.Response, error) {
 	return func(*http.Request) (*http.Response, error) {
 		return &http.Response{StatusCode: code, Body: io.NopCloser(strings.NewReader(body))}, nil
 	}
 }
 
-func breaks(*http.Request) (*http.Response, error) { return nil, errors.New("connection reset") }
+func failConnection(*http.Request) (*http.Response, error) {
+	return nil, errors.New("connection reset")
+}
 
 const (
 	done    = `{"status":"complete","outcome":"complete","request_id":"r1","payload":{"text":"Wind."}}`
@@ -48,12 +50,12 @@
 func newTestClient(t *testing.T, rt http.RoundTripper) *Client {
 	c, err := New(Config{URLs: []string{"http://a", "http://b"}, Workspace: "weer", Token: "secret", Transport: rt})
 	require.NoError(t, err)
-	c.turn.Store(0)
+	c.callCount.Store(0)
 	return c
 }
 
 func TestCallsTakeTurns(t *testing.T) {
-	s := &script{steps: []func(*http.Request) (*http.Response, error){says(200, done), says(200, done), says(200, done)}}
+	s := &script{steps: []func(*http.Request) (*http.Response, error){respondWith(200, done), respondWith(200, done), respondWith(200, done)}}
 	c := newTestClient(t, s)
 	for range 3 {
 		_, err := c.Result(t.Context(), "t-1")
@@ -73,23 +75,23 @@
 		calls []string
 		want  error
 	}{
-		{"complete", []step{says(200, done)}, []string{a}, nil},
-		{"not run, then complete", []step{says(503, notRun), says(200, done)}, []string{a, b}, nil},
-		{"broken, then complete", []step{breaks, says(200, done)}, []string{a, b}, nil},
-		{"half an answer, then complete", []step{says(200, done[:20]), says(200, done)}, []string{a, b}, nil},
-		{"no answer at all, then complete", []step{says(200, `null`), says(200, done)}, []string{a, b}, nil},
-		{"not allowed", []step{says(403, denied)}, []string{a}, ErrNotRun},
-		{"unknown", []step{says(409, unknown)}, []string{a}, ErrUnknown},
-		{"failed", []step{says(502, `{"outcome":"failed"}`)}, []string{a}, ErrFailed},
-		{"refused", []step{says(503, `{"outcome":"refused","retry_after_ms":5}`)}, []string{a}, ErrRefused},
-		{"deadline", []step{says(504, `{"outcome":"deadline_exceeded"}`)}, []string{a}, ErrDeadline},
-		{"not run for ever", []step{says(503, notRun), says(503, notRun), says(503, notRun), says(503, notRun)}, []string{a, b, a, b}, ErrNotRun},
+		{"complete", []step{respondWith(200, done)}, []string{a}, nil},
+		{"not run, then complete", []step{respondWith(503, notRun), respondWith(200, done)}, []string{a, b}, nil},
+		{"broken, then complete", []step{failConnection, respondWith(200, done)}, []string{a, b}, nil},
+		{"half an answer, then complete", []step{respondWith(200, done[:20]), respondWith(200, done)}, []string{a, b}, nil},
+		{"no answer at all, then complete", []step{respondWith(200, `null`), respondWith(200, done)}, []string{a, b}, nil},
+		{"not allowed", []step{respondWith(403, denied)}, []string{a}, ErrNotRun},
+		{"unknown", []step{respondWith(409, unknown)}, []string{a}, ErrUnknown},
+		{"failed", []step{respondWith(502, `{"outcome":"failed"}`)}, []string{a}, ErrFailed},
+		{"refused", []step{respondWith(503, `{"outcome":"refused","retry_after_ms":5}`)}, []string{a}, ErrRefused},
+		{"deadline", []step{respondWith(504, `{"outcome":"deadline_exceeded"}`)}, []string{a}, ErrDeadline},
+		{"not run for ever", []step{respondWith(503, notRun), respondWith(503, notRun), respondWith(503, notRun), respondWith(503, notRun)}, []string{a, b, a, b}, ErrNotRun},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				s := &script{steps: tc.steps}
-				answer, err := newTestClient(t, s).Run(t.Context(), Work{Pipeline: "p", Input: "x"})
+				answer, err := newTestClient(t, s).Run(t.Context(), Request{Pipeline: "p", Input: "x"})
 				require.Equal(t, tc.calls, s.calls)
 				require.ErrorIs(t, err, tc.want)
 				require.Equal(t, tc.want == nil, answer != nil)
@@ -101,35 +103,35 @@
 func TestRetryAfterIsHonoured(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		start := time.Now()
-		s := &script{steps: []func(*http.Request) (*http.Response, error){says(503, notRun), says(200, done)}}
-		_, err := newTestClient(t, s).Run(t.Context(), Work{Pipeline: "p"})
+		s := &script{steps: []func(*http.Request) (*http.Response, error){respondWith(503, notRun), respondWith(200, done)}}
+		_, err := newTestClient(t, s).Run(t.Context(), Request{Pipeline: "p"})
 		require.NoError(t, err)
 		require.Equal(t, 2*time.Second, time.Since(start))
 	})
 }
 
-// The fleet says to come back in two seconds, but the caller has only one. It
-// gets the refusal at once, with the time left to do something else.
+// The fleet asks for a retry after 2 s, but the caller has only 1 s left. It gets
+// the refusal at once and can use the remaining time for something else.
 func TestNoWaitBeyondTheCallersTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		start := time.Now()
-		s := &script{steps: []func(*http.Request) (*http.Response, error){says(503, notRun)}}
-		_, err := newTestClient(t, s).Run(ctx, Work{Pipeline: "p"})
+		s := &script{steps: []func(*http.Request) (*http.Response, error){respondWith(503, notRun)}}
+		_, err := newTestClient(t, s).Run(ctx, Request{Pipeline: "p"})
 		require.ErrorIs(t, err, ErrNotRun)
 		require.Equal(t, time.Duration(0), time.Since(start))
 	})
 }
 
-// The connection breaks after the request was sent, and again on its repeat.
-// Each repeat carries the same ticket, so the fleet joins it to the first run.
+// The connection breaks after the request was sent, and again on its retry. Every
+// retry must use the same ticket, so that the fleet joins it to the first run.
 func TestRunOnceKeepsItsTicket(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &script{steps: []func(*http.Request) (*http.Response, error){
-			says(201, ticket), breaks, breaks, says(200, done),
+			respondWith(201, ticket), failConnection, failConnection, respondWith(200, done),
 		}}
-		answer, err := newTestClient(t, s).RunOnce(t.Context(), Work{Pipeline: "p", Input: "x"})
+		answer, err := newTestClient(t, s).RunOnce(t.Context(), Request{Pipeline: "p", Input: "x"})
 		require.NoError(t, err)
 		require.Equal(t, "r1", answer.RequestID)
 		require.Equal(t, []string{
@@ -140,8 +142,8 @@
 }
 
 func TestUnknownOutcomeIsFinal(t *testing.T) {
-	s := &script{steps: []func(*http.Request) (*http.Response, error){says(201, ticket), says(409, unknown)}}
-	_, err := newTestClient(t, s).RunOnce(t.Context(), Work{Pipeline: "p"})
+	s := &script{steps: []func(*http.Request) (*http.Response, error){respondWith(201, ticket), respondWith(409, unknown)}}
+	_, err := newTestClient(t, s).RunOnce(t.Context(), Request{Pipeline: "p"})
 	require.ErrorIs(t, err, ErrUnknown)
 	var refused *AnswerError
 	require.ErrorAs(t, err, &refused)
@@ -157,32 +159,32 @@
 
 func TestStreamTellsItsEvents(t *testing.T) {
 	s := &script{steps: []func(*http.Request) (*http.Response, error){
-		says(200, events+"event: answer\ndata: "+done+"\n\n"),
+		respondWith(200, events+"event: answer\ndata: "+done+"\n\n"),
 	}}
-	var told []string
-	answer, err := newTestClient(t, s).Stream(t.Context(), Work{Pipeline: "p"}, Events{
-		Text:  func(stage, text string) { told = append(told, stage+" text "+text) },
-		Reset: func(stage string) { told = append(told, stage+" reset") },
-		Stage: func(st Stage) { told = append(told, st.Stage+" done") },
+	var got []string
+	answer, err := newTestClient(t, s).Stream(t.Context(), Request{Pipeline: "p"}, Events{
+		Text:  func(stage, text string) { got = append(got, stage+" text "+text) },
+		Reset: func(stage string) { got = append(got, stage+" reset") },
+		Stage: func(st StageReport) { got = append(got, st.Stage+" done") },
 	})
 	require.NoError(t, err)
 	require.Equal(t, "Wind.", answer.Payload.Text)
-	require.Equal(t, []string{"d text Storm", "d reset", "d text Wind.", "d done"}, told)
+	require.Equal(t, []string{"d text Storm", "d reset", "d text Wind.", "d done"}, got)
 }
 
-// The stream ends after some text, without its answer. The caller is told that
-// it is broken: text alone is never taken for a whole answer, and the request
-// isn't made again, since its text has already been shown.
+// The stream ends after some text, without an answer. The caller must get an error:
+// text alone is never a complete answer, and the request isn't retried because its
+// text has already been delivered.
 func TestStreamWithoutItsAnswer(t *testing.T) {
-	s := &script{steps: []func(*http.Request) (*http.Response, error){says(200, events)}}
-	_, err := newTestClient(t, s).Stream(t.Context(), Work{Pipeline: "p"}, Events{})
-	var broken *BrokenError
+	s := &script{steps: []func(*http.Request) (*http.Response, error){respondWith(200, events)}}
+	_, err := newTestClient(t, s).Stream(t.Context(), Request{Pipeline: "p"}, Events{})
+	var broken *NoAnswerError
 	require.ErrorAs(t, err, &broken)
 	require.ErrorIs(t, err, io.ErrUnexpectedEOF)
 	require.Len(t, s.calls, 1)
 }
 
-// silentBody says nothing until the call's context ends.
+// silentBody is a response body that sends nothing until the call's context ends.
 type silentBody struct{ ctx context.Context }
 
 func (b silentBody) Read([]byte) (int, error) {
@@ -192,9 +194,9 @@
 
 func (b silentBody) Close() error { return nil }
 
-// Something between caller and fleet has lost track of the connection, so the
-// stream says nothing and never ends. After the longest silence the client
-// gives it up and asks again on a new connection.
+// A device between caller and fleet has lost the connection's state, so the stream
+// receives nothing and never ends. After the idle timeout the client must close it
+// and retry.
 func TestSilentStreamIsGivenUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		start := time.Now()
@@ -202,18 +204,18 @@
 			func(r *http.Request) (*http.Response, error) {
 				return &http.Response{StatusCode: 200, Body: silentBody{r.Context()}}, nil
 			},
-			says(200, "event: answer\ndata: "+done+"\n\n"),
+			respondWith(200, "event: answer\ndata: "+done+"\n\n"),
 		}}
-		_, err := newTestClient(t, s).Stream(t.Context(), Work{Pipeline: "p"}, Events{})
+		_, err := newTestClient(t, s).Stream(t.Context(), Request{Pipeline: "p"}, Events{})
 		require.NoError(t, err)
 		require.Len(t, s.calls, 2)
-		require.GreaterOrEqual(t, time.Since(start), DefaultSilence)
+		require.GreaterOrEqual(t, time.Since(start), DefaultIdleTimeout)
 	})
 }
 
-// The far side reads a call on a kept connection and closes it without an
-// answer. net/http by itself would send such a call again if it could rewind
-// its body; the far side must see it once.
+// The server reads a call on a kept-alive connection and closes it without an
+// answer. net/http would retry such a call by itself if it could rewind its body;
+// the server must see the call only once.
 func TestTransportRepeatsNothing(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -228,12 +230,12 @@
 	})}
 	var g errgroup.Group
 	g.Go(func() error { return server.Serve(l) })
-	c, err := New(Config{URLs: []string{"http://" + l.Addr().String()}, Repeats: -1})
+	c, err := New(Config{URLs: []string{"http://" + l.Addr().String()}, MaxRetries: -1})
 	require.NoError(t, err)
-	_, err = c.Run(t.Context(), Work{Pipeline: "p"})
+	_, err = c.Run(t.Context(), Request{Pipeline: "p"})
 	require.NoError(t, err)
-	_, err = c.Run(t.Context(), Work{Pipeline: "p"})
-	var broken *BrokenError
+	_, err = c.Run(t.Context(), Request{Pipeline: "p"})
+	var broken *NoAnswerError
 	require.ErrorAs(t, err, &broken)
 	require.True(t, broken.Sent)
 	require.NoError(t, server.Close())
@@ -243,29 +245,28 @@
 
 func TestNoBodyCanBeRewound(t *testing.T) {
 	c := newTestClient(t, nil)
-	req, _, err := c.request(t.Context(), call{method: "PUT", url: "http://a", body: workBody{Input: "x"}})
+	req, _, err := c.request(t.Context(), httpCall{method: "PUT", url: "http://a", body: requestBody{Input: "x"}})
 	require.NoError(t, err)
 	require.Nil(t, req.GetBody)
 	require.Empty(t, req.Header.Get("Idempotency-Key"))
 	require.Equal(t, int64(len(`{"input":"x"}`)), req.ContentLength)
 }
 
-// Whatever a fleet, or what stands between, sends as a stream: only an event
-// with an answer ends it well.
+// A stream of arbitrary bytes must end successfully only with an answer event.
 func FuzzStream(f *testing.F) {
 	f.Add(events)
 	f.Add("event: answer\ndata: " + done + "\n\n")
 	f.Add("event: answer\ndata: {\"outcome\":7}\n\n")
 	f.Add("data: {}\n\nevent: text\n\nevent: answer\r\ndata: null\r\n\r\n")
 	f.Fuzz(func(t *testing.T, text string) {
-		told := false
-		s := stream{told: &told, heard: func() {}}
+		delivered := false
+		s := stream{delivered: &delivered, resetTimer: func() {}}
 		answer, err := s.read(strings.NewReader(text))
 		if err != nil {
 			return
 		}
 		require.Contains(t, text, "event: answer")
-		if answer, err = checked(answer); err == nil {
+		if answer, err = checkOutcome(answer); err == nil {
 			require.Equal(t, Complete, answer.Outcome)
 		}
 	})
--- a/pkg/client/stream.go
+++ b/pkg/client/stream.go
@@ -12,48 +12,48 @@
 	"time"
 )
 
-// Events are told what goes on with a streamed request. Each may be nil. They
-// are called one after the other.
+// Events are the callbacks for the progress of a streamed request. Each may be nil.
+// They are never called concurrently.
 type Events struct {
-	// Text is the next piece of a stage's text.
+	// Text delivers the next fragment of a stage's text.
 	Text func(stage, text string)
-	// Reset: forget the stage's text so far; it is produced again from its start.
+	// Reset discards the stage's text so far: it is produced again from the start.
 	Reset func(stage string)
-	// Stage has ended well.
-	Stage func(Stage)
+	// Stage reports a stage that ended successfully.
+	Stage func(StageReport)
 }
 
-// errSilent ends a stream whose connection has gone silent.
-var errSilent = errors.New("the stream has gone silent")
+// errIdleTimeout ends a stream that has received nothing for Config.IdleTimeout.
+var errIdleTimeout = errors.New("stream idle for too long")
 
-// Stream runs an idempotent pipeline, tells what goes on, and gives the whole
-// answer. It is made again only as long as it has told nothing.
-func (c *Client) Stream(ctx context.Context, work Work, events Events) (*Answer, error) {
-	told := false
-	answer, err := c.repeat(ctx, c.next(), func(ctx context.Context, base string) (*Answer, error) {
-		answer, err := c.streamOnce(ctx, call{
+// Stream runs an idempotent pipeline, reports its progress to events, and returns
+// the complete answer. It is retried only while no event has been delivered.
+func (c *Client) Stream(ctx context.Context, r Request, events Events) (*Answer, error) {
+	delivered := false
+	answer, err := c.retry(ctx, c.nextIndex(), func(ctx context.Context, base string) (*Answer, error) {
+		answer, err := c.streamOnce(ctx, httpCall{
 			method: http.MethodPost,
-			url:    base + "/v1/pipelines/" + escape(work.Pipeline) + "/stream",
-			body:   newWorkBody(work, ""),
-		}, events, &told)
-		if err != nil && told {
-			return answer, &finalError{err}
+			url:    base + "/v1/pipelines/" + escape(r.Pipeline) + "/stream",
+			body:   newRequestBody(r, ""),
+		}, events, &delivered)
+		if err != nil && delivered {
+			return answer, &permanentError{err}
 		}
 		return answer, err
 	})
-	var final *finalError
+	var final *permanentError
 	if errors.As(err, &final) {
 		err = final.err
 	}
 	return answer, err
 }
 
-// finalError keeps repeat from making the call again.
-type finalError struct{ err error }
+// permanentError keeps retry from making the call again.
+type permanentError struct{ err error }
 
-func (e *finalError) Error() string { return e.err.Error() }
+func (e *permanentError) Error() string { return e.err.Error() }
 
-func (c *Client) streamOnce(ctx context.Context, ca call, events Events, told *bool) (*Answer, error) {
+func (c *Client) streamOnce(ctx context.Context, ca httpCall, events Events, delivered *bool) (*Answer, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	res, err := c.send(ctx, ca)
@@ -64,37 +64,37 @@
 	if res.StatusCode >= http.StatusMultipleChoices {
 		return nil, refusal(res)
 	}
-	alarm := time.AfterFunc(c.cfg.Silence, func() { cancel(errSilent) })
-	defer alarm.Stop()
-	s := stream{events: events, told: told, heard: func() { alarm.Reset(c.cfg.Silence) }}
+	idleTimer := time.AfterFunc(c.cfg.IdleTimeout, func() { cancel(errIdleTimeout) })
+	defer idleTimer.Stop()
+	s := stream{events: events, delivered: delivered, resetTimer: func() { idleTimer.Reset(c.cfg.IdleTimeout) }}
 	answer, err := s.read(res.Body)
 	if err != nil {
 		if cause := context.Cause(ctx); cause != nil {
 			err = cause
 		}
-		return nil, &BrokenError{Sent: true, Err: err}
+		return nil, &NoAnswerError{Sent: true, Err: err}
 	}
-	return checked(answer)
+	return checkOutcome(answer)
 }
 
-// stream reads one event stream.
+// stream decodes one event stream.
 type stream struct {
-	events Events
-	told   *bool
-	heard  func()
+	events     Events
+	delivered  *bool
+	resetTimer func()
 }
 
-// eventLimit bounds one line of a stream.
+// eventLimit bounds one line of a stream, in bytes.
 const eventLimit = answerLimit
 
-// read goes through the events up to the answer. A stream that ends without one
-// is broken, however much text it brought.
+// read handles the events up to the answer. A stream that ends without an answer is
+// broken, however much text was received.
 func (s *stream) read(r io.Reader) (*Answer, error) {
 	lines := bufio.NewScanner(r)
 	lines.Buffer(make([]byte, 0, 4096), eventLimit)
 	kind := ""
 	for lines.Scan() {
-		s.heard()
+		s.resetTimer()
 		line := lines.Bytes()
 		if name, ok := bytes.CutPrefix(line, []byte("event: ")); ok {
 			kind = string(name)
@@ -104,7 +104,7 @@
 		if !ok {
 			continue
 		}
-		answer, err := s.event(kind, data)
+		answer, err := s.handleEvent(kind, data)
 		if answer != nil || err != nil {
 			return answer, err
 		}
@@ -120,34 +120,34 @@
 	Text  string `json:"text"`
 }
 
-// event tells one event; it gives the answer if this was it. Kinds that it
-// doesn't know are passed over, since the fleet may be newer.
-func (s *stream) event(kind string, data []byte) (*Answer, error) {
+// handleEvent delivers one event; it returns the answer if the event holds it.
+// Unknown kinds are ignored, since the fleet may be newer than the client.
+func (s *stream) handleEvent(kind string, data []byte) (*Answer, error) {
 	switch kind {
 	case "answer":
 		var a Answer
-		return &a, take(data, &a)
+		return &a, decodeEvent(data, &a)
 	case "stage":
-		var st Stage
-		if err := take(data, &st); err != nil {
+		var st StageReport
+		if err := decodeEvent(data, &st); err != nil {
 			return nil, err
 		}
-		*s.told = true
+		*s.delivered = true
 		if s.events.Stage != nil {
 			s.events.Stage(st)
 		}
 	case "text", "reset":
 		var t textData
-		if err := take(data, &t); err != nil {
+		if err := decodeEvent(data, &t); err != nil {
 			return nil, err
 		}
-		*s.told = true
-		s.tell(kind, t)
+		*s.delivered = true
+		s.deliver(kind, t)
 	}
 	return nil, nil
 }
 
-func (s *stream) tell(kind string, t textData) {
+func (s *stream) deliver(kind string, t textData) {
 	if kind == "text" && s.events.Text != nil {
 		s.events.Text(t.Stage, t.Text)
 	}
@@ -156,7 +156,7 @@
 	}
 }
 
-func take(data []byte, v any) error {
+func decodeEvent(data []byte, v any) error {
 	if err := json.Unmarshal(data, v); err != nil {
 		return fmt.Errorf("event: %w", err)
 	}
