--- a/internal/stand/calls.go
+++ b/internal/stand/calls.go
@@ -9,61 +9,61 @@
 
 // serveOnce runs a call that answers with one body.
 func (e *Engine) serveOnce(w http.ResponseWriter, r *http.Request, answer func() any) {
-	run := e.begin(w, r)
+	run := e.beginCall(w, r)
 	if run == nil {
 		return
 	}
-	whole := false
-	defer func() { e.finish(run, whole, false, 0) }()
-	ctx, cancel := budget(r)
+	complete := false
+	defer func() { e.finishCall(run, complete, false, 0) }()
+	ctx, cancel := withBudget(r)
 	defer cancel()
-	if !pause(ctx, e.aged(e.cfg.CallTime)) {
+	if !pause(ctx, e.scaleDuration(e.cfg.CallTime)) {
 		return
 	}
 	reply(w, http.StatusOK, answer())
-	whole = true
+	complete = true
 }
 
 func (e *Engine) serveEmbed(w http.ResponseWriter, r *http.Request) {
-	var ask wire.EmbeddingRequest
-	if !read(w, r, &ask) {
+	var req wire.EmbeddingRequest
+	if !readBody(w, r, &req) {
 		return
 	}
 	e.serveOnce(w, r, func() any {
-		return wire.EmbeddingResponse{Data: []wire.Embedding{{Embedding: Vector(ask.Input)}}}
+		return wire.EmbeddingResponse{Data: []wire.Embedding{{Embedding: Vector(req.Input)}}}
 	})
 }
 
 func (e *Engine) serveRetrieve(w http.ResponseWriter, r *http.Request) {
-	var ask wire.RetrieveRequest
-	if !read(w, r, &ask) {
+	var req wire.RetrieveRequest
+	if !readBody(w, r, &req) {
 		return
 	}
 	e.serveOnce(w, r, func() any {
-		return wire.RetrieveResponse{Passages: Passages(ask.Query, ask.Limit)}
+		return wire.RetrieveResponse{Passages: Passages(req.Query, req.Limit)}
 	})
 }
 
 func (e *Engine) serveRerank(w http.ResponseWriter, r *http.Request) {
-	var ask wire.RerankRequest
-	if !read(w, r, &ask) {
+	var req wire.RerankRequest
+	if !readBody(w, r, &req) {
 		return
 	}
 	e.serveOnce(w, r, func() any {
-		return rerank(ask)
+		return rerank(req)
 	})
 }
 
-func rerank(ask wire.RerankRequest) wire.RerankResponse {
-	passages := make([]shed.Passage, len(ask.Documents))
-	place := make(map[string]int, len(ask.Documents))
-	for i, text := range ask.Documents {
+func rerank(req wire.RerankRequest) wire.RerankResponse {
+	passages := make([]shed.Passage, len(req.Documents))
+	index := make(map[string]int, len(req.Documents))
+	for i, text := range req.Documents {
 		passages[i].Text = text
-		place[text] = i
+		index[text] = i
 	}
 	var out wire.RerankResponse
-	for _, p := range Reranked(ask.Query, passages) {
-		out.Results = append(out.Results, wire.RankedDocument{Index: place[p.Text], Score: p.Score})
+	for _, p := range Reranked(req.Query, passages) {
+		out.Results = append(out.Results, wire.RankedDocument{Index: index[p.Text], Score: p.Score})
 	}
 	return out
 }
--- a/internal/stand/chat.go
+++ b/internal/stand/chat.go
@@ -33,7 +33,7 @@
 	order []string
 }
 
-func (s *streams) put(st *stream) {
+func (s *streams) add(st *stream) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.byID == nil {
@@ -55,8 +55,8 @@
 	return s.byID[id]
 }
 
-// drop forgets the stream and stops it if it runs.
-func (s *streams) drop(id string) bool {
+// remove forgets the stream and stops it if it runs.
+func (s *streams) remove(id string) bool {
 	s.mu.Lock()
 	st := s.byID[id]
 	delete(s.byID, id)
@@ -76,7 +76,7 @@
 }
 
 func (e *Engine) serveCancel(w http.ResponseWriter, r *http.Request) {
-	if !e.streams.drop(r.PathValue("id")) {
+	if !e.streams.remove(r.PathValue("id")) {
 		http.Error(w, "no such stream", http.StatusNotFound)
 		return
 	}
@@ -84,76 +84,76 @@
 }
 
 func (e *Engine) serveChat(w http.ResponseWriter, r *http.Request) {
-	var ask wire.ChatRequest
-	if !read(w, r, &ask) {
+	var req wire.ChatRequest
+	if !readBody(w, r, &req) {
 		return
 	}
-	if !ask.Stream {
-		notRun(w, http.StatusBadRequest, "only streams are generated")
+	if !req.Stream {
+		replyNotRun(w, http.StatusBadRequest, "only streams are generated")
 		return
 	}
-	st, from, ok := e.open(w, r, ask)
+	st, from, ok := e.openStream(w, r, req)
 	if !ok {
 		return
 	}
-	run := e.begin(w, r)
+	run := e.beginCall(w, r)
 	if run == nil {
 		return
 	}
-	ctx, cancel := budget(r)
+	ctx, cancel := withBudget(r)
 	defer cancel()
 	st.cancel = cancel
-	e.streams.put(st)
-	sent, whole := 0, false
+	e.streams.add(st)
+	sent, complete := 0, false
 	defer func() {
 		cancelled := ctx.Err() != nil && r.Context().Err() == nil
-		e.finish(run, whole, cancelled, sent)
+		e.finishCall(run, complete, cancelled, sent)
 	}()
-	if accept(w) != nil || !pause(ctx, e.aged(e.prefill(st.prompt))) {
+	if sendAccepted(w) != nil || !pause(ctx, e.scaleDuration(e.prefill(st.prompt))) {
 		return
 	}
-	sent, whole = e.generate(ctx, w, st, from)
+	sent, complete = e.generate(ctx, w, st, from)
 }
 
-// accept sends the headers at once, so that the caller knows that the call has
+// sendAccepted sends the headers at once, so that the caller knows that the call has
 // been taken in, and by which boot of the engine, before the first token.
-func accept(w http.ResponseWriter) error {
+func sendAccepted(w http.ResponseWriter) error {
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.WriteHeader(http.StatusOK)
 	return http.NewResponseController(w).Flush()
 }
 
-// open finds the stream to resume, or makes a new one.
-func (e *Engine) open(w http.ResponseWriter, r *http.Request, ask wire.ChatRequest) (*stream, int, bool) {
+// openStream finds the stream to resume, or makes a new one.
+func (e *Engine) openStream(w http.ResponseWriter, r *http.Request, req wire.ChatRequest) (*stream, int, bool) {
 	id := r.Header.Get(wire.HeaderCall)
 	resume := r.Header.Get(wire.HeaderResume)
 	if resume == "" {
-		return newStream(id, ask), 0, true
+		return newStream(id, req), 0, true
 	}
 	old, from, err := wire.ParseResume(resume)
 	if err != nil {
-		notRun(w, http.StatusBadRequest, "bad "+wire.HeaderResume)
+		replyNotRun(w, http.StatusBadRequest, "bad "+wire.HeaderResume)
 		return nil, 0, false
 	}
 	st := e.streams.get(old)
 	if st == nil || from > st.total {
-		notRun(w, http.StatusNotFound, "no such stream")
+		replyNotRun(w, http.StatusNotFound, "no such stream")
 		return nil, 0, false
 	}
 	// The old connection may hang without either end knowing; the place it
 	// takes is freed here.
-	e.streams.drop(old)
+	e.streams.remove(old)
 	next := *st
 	next.id = id
 	return &next, from, true
 }
 
-func newStream(id string, ask wire.ChatRequest) *stream {
-	st := &stream{id: id, total: int(ask.MaxTokens)}
+func newStream(id string, req wire.ChatRequest) *stream {
+	st := &stream{id: id, total: int(req.MaxTokens)}
 	if st.total == 0 {
 		st.total = DefaultTokens
 	}
-	for _, m := range ask.Messages {
+	for _, m := range req.Messages {
 		st.prompt += m.Content + "\n"
 		if m.Role == wire.RoleUser {
 			st.seed = xxhash.Sum64String(m.Content)
@@ -178,7 +178,7 @@
 	head := `data: {"id":` + strconv.Quote(st.id) + `,"choices":[{"index":0,"delta":{"content":"`
 	buf := make([]byte, 0, len(head)+64)
 	for i := from; i < st.total; i++ {
-		if !pause(ctx, e.aged(e.cfg.TokenTime)) {
+		if !pause(ctx, e.scaleDuration(e.cfg.TokenTime)) {
 			return i - from, false
 		}
 		buf = append(buf[:0], head...)
--- a/internal/stand/engine.go
+++ b/internal/stand/engine.go
@@ -58,13 +58,13 @@
 }
 
 const (
-	defaultCapacity  = 8
-	defaultColdBears = 1
-	defaultFallTime  = 2 * time.Second
-	// fallenSlowness is how many times longer everything takes after a fall.
-	fallenSlowness = 4
-	// maxBody bounds a request's body in bytes.
-	maxBody = 16 << 20
+	defaultCapacity     = 8
+	defaultColdCapacity = 1
+	defaultOverloadTime = 2 * time.Second
+	// overloadSlowness is how many times longer everything takes after a fall.
+	overloadSlowness = 4
+	// maxBodyBytes bounds a request's body in bytes.
+	maxBodyBytes = 16 << 20
 	// maxHistory bounds the states kept for lagging reports.
 	maxHistory = 4096
 )
@@ -83,19 +83,19 @@
 	sequence uint64
 	running  int
 	done     uint64
-	// doneCold counts the calls done since the engine turned cold.
-	doneCold int
-	cold     bool
+	// doneSinceCold counts the calls done since the engine turned cold.
+	doneSinceCold int
+	cold          bool
 	// slowness multiplies every time; 0 means 1.
-	slowness float64
-	fallen   time.Time
-	fence    uint64
-	model    string
-	role     string
-	orders   []wire.Order
-	// first is the state at the last start; it shows until history is old enough.
-	first   wire.Load
-	history []snapshot
+	slowness        float64
+	overloadedUntil time.Time
+	fence           uint64
+	model           string
+	role            string
+	orders          []wire.Order
+	// initialLoad is the state at the last start; it shows until history is old enough.
+	initialLoad wire.Load
+	history     []snapshot
 }
 
 type snapshot struct {
@@ -109,10 +109,10 @@
 		cfg.Capacity = defaultCapacity
 	}
 	if cfg.ColdBears == 0 {
-		cfg.ColdBears = defaultColdBears
+		cfg.ColdBears = defaultColdCapacity
 	}
 	if cfg.FallTime == 0 {
-		cfg.FallTime = defaultFallTime
+		cfg.FallTime = defaultOverloadTime
 	}
 	e := &Engine{
 		cfg:   cfg,
@@ -123,7 +123,7 @@
 		role:  cfg.Role,
 	}
 	e.cache.cfg = cfg
-	e.first = e.load()
+	e.initialLoad = e.currentLoad()
 	e.mux.HandleFunc("POST "+wire.PathChat, e.serveChat)
 	e.mux.HandleFunc("POST "+wire.PathEmbeddings, e.serveEmbed)
 	e.mux.HandleFunc("POST "+wire.PathRerank, e.serveRerank)
@@ -137,7 +137,7 @@
 
 // ServeHTTP serves the daemons.
 func (e *Engine) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	e.pass(r.Context())
+	e.applyFaults(r.Context())
 	e.mux.ServeHTTP(w, r)
 }
 
@@ -146,7 +146,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.cold = true
-	e.doneCold = 0
+	e.doneSinceCold = 0
 }
 
 // SetSlowness makes everything take so many times as long; 1 ends it.
@@ -163,14 +163,14 @@
 	defer e.mu.Unlock()
 	e.boot++
 	e.cold = e.cfg.WarmAfter > 0
-	e.doneCold = 0
+	e.doneSinceCold = 0
 	e.done = 0
 	e.sequence = 0
 	e.fence = 0
 	e.model = e.cfg.Model
 	e.role = e.cfg.Role
 	e.history = nil
-	e.first = e.load()
+	e.initialLoad = e.currentLoad()
 	e.streams.clear()
 	e.cache.clear()
 }
@@ -182,8 +182,8 @@
 	return e.cold
 }
 
-// begin admits a call, or refuses it with nil.
-func (e *Engine) begin(w http.ResponseWriter, r *http.Request) *Run {
+// beginCall admits a call, or refuses it with nil.
+func (e *Engine) beginCall(w http.ResponseWriter, r *http.Request) *Run {
 	now := time.Now()
 	run := newRun(r, now)
 	e.mu.Lock()
@@ -191,8 +191,8 @@
 	if refuse == 0 {
 		e.running++
 		run.Cold = e.cold
-		e.Record.begin(run)
-		e.remember(now)
+		e.Record.recordStart(run)
+		e.recordHistory(now)
 	}
 	boot := e.bootID()
 	e.mu.Unlock()
@@ -202,20 +202,20 @@
 		w.WriteHeader(http.StatusEarlyHints)
 		return run
 	}
-	e.refuse()
+	e.recordRefusal()
 	w.Header().Set("Retry-After", strconv.Itoa(int((refuse+time.Second-1)/time.Second)))
-	notRun(w, http.StatusServiceUnavailable, "overloaded")
+	replyNotRun(w, http.StatusServiceUnavailable, "overloaded")
 	return nil
 }
 
 // admit returns 0, or after what time to come back.
 func (e *Engine) admit(run *Run, now time.Time) time.Duration {
-	if now.Before(e.fallen) {
-		return e.fallen.Sub(now)
+	if now.Before(e.overloadedUntil) {
+		return e.overloadedUntil.Sub(now)
 	}
 	if e.cold && e.running >= e.cfg.ColdBears {
-		e.fallen = now.Add(e.cfg.FallTime)
-		e.overshoot(Overshoot{
+		e.overloadedUntil = now.Add(e.cfg.FallTime)
+		e.recordOvershoot(Overshoot{
 			At:      now,
 			Running: e.running + 1,
 			Bears:   e.cfg.ColdBears,
@@ -229,24 +229,24 @@
 	return 0
 }
 
-func (e *Engine) finish(run *Run, whole, cancelled bool, tokens int) {
+func (e *Engine) finishCall(run *Run, complete, cancelled bool, tokens int) {
 	now := time.Now()
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.running--
-	if whole {
+	if complete {
 		e.done++
-		e.doneCold++
+		e.doneSinceCold++
 	}
-	if e.cold && e.cfg.WarmAfter > 0 && e.doneCold >= e.cfg.WarmAfter {
+	if e.cold && e.cfg.WarmAfter > 0 && e.doneSinceCold >= e.cfg.WarmAfter {
 		e.cold = false
 	}
-	e.end(run, now, whole, cancelled, tokens)
-	e.remember(now)
+	e.recordEnd(run, now, complete, cancelled, tokens)
+	e.recordHistory(now)
 }
 
-// aged is how long d takes under the load of now.
-func (e *Engine) aged(d time.Duration) time.Duration {
+// scaleDuration is how long d takes under the load of now.
+func (e *Engine) scaleDuration(d time.Duration) time.Duration {
 	if d == 0 {
 		return 0
 	}
@@ -254,26 +254,26 @@
 	defer e.mu.Unlock()
 	others := float64(max(e.running-1, 0)) / float64(max(e.cfg.Capacity-1, 1))
 	d = time.Duration(float64(d) * (1 + e.cfg.LoadSlope*others) * max(e.slowness, 1))
-	if time.Now().Before(e.fallen) {
-		d *= fallenSlowness
+	if time.Now().Before(e.overloadedUntil) {
+		d *= overloadSlowness
 	}
 	return d
 }
 
-func (e *Engine) remember(now time.Time) {
+func (e *Engine) recordHistory(now time.Time) {
 	if e.cfg.LoadLag == 0 {
 		return
 	}
 	if len(e.history) >= maxHistory {
 		e.history = append(e.history[:0], e.history[maxHistory/2:]...)
 	}
-	e.history = append(e.history, snapshot{at: now, load: e.load()})
+	e.history = append(e.history, snapshot{at: now, load: e.currentLoad()})
 }
 
 // bootID changes with each restart. The caller holds e.mu.
 func (e *Engine) bootID() string { return string(e.cfg.ID) + "-" + strconv.Itoa(e.boot) }
 
-func (e *Engine) load() wire.Load {
+func (e *Engine) currentLoad() wire.Load {
 	return wire.Load{
 		Boot:    e.bootID(),
 		Running: e.running,
@@ -285,13 +285,13 @@
 	}
 }
 
-// lagging is the load as it was LoadLag ago.
-func (e *Engine) lagging(now time.Time) wire.Load {
+// laggedLoad is the load as it was LoadLag ago.
+func (e *Engine) laggedLoad(now time.Time) wire.Load {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	load := e.load()
+	load := e.currentLoad()
 	if e.cfg.LoadLag > 0 {
-		load = e.first
+		load = e.initialLoad
 	}
 	for _, old := range e.history {
 		if old.at.Add(e.cfg.LoadLag).After(now) {
@@ -306,11 +306,11 @@
 }
 
 func (e *Engine) serveLoad(w http.ResponseWriter, _ *http.Request) {
-	reply(w, http.StatusOK, e.lagging(time.Now()))
+	reply(w, http.StatusOK, e.laggedLoad(time.Now()))
 }
 
-// budget bounds ctx by the time that the call was sent with.
-func budget(r *http.Request) (context.Context, context.CancelFunc) {
+// withBudget bounds ctx by the time that the call was sent with.
+func withBudget(r *http.Request) (context.Context, context.CancelFunc) {
 	ms, err := strconv.ParseInt(r.Header.Get(wire.HeaderBudget), 10, 32)
 	if err != nil {
 		return context.WithCancel(r.Context())
@@ -327,18 +327,18 @@
 	return run
 }
 
-// read decodes a request's body, or answers 400.
-func read(w http.ResponseWriter, r *http.Request, body any) bool {
-	err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBody)).Decode(body)
+// readBody decodes a request's body, or answers 400.
+func readBody(w http.ResponseWriter, r *http.Request, body any) bool {
+	err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes)).Decode(body)
 	if err == nil {
 		return true
 	}
-	notRun(w, http.StatusBadRequest, "body is not the JSON expected")
+	replyNotRun(w, http.StatusBadRequest, "body is not the JSON expected")
 	return false
 }
 
-// notRun answers that the call was not run.
-func notRun(w http.ResponseWriter, status int, why string) {
+// replyNotRun answers that the call was not run.
+func replyNotRun(w http.ResponseWriter, status int, why string) {
 	w.Header().Set(wire.HeaderNotRun, wire.NotRunTrue)
 	reply(w, status, map[string]wire.ErrorReply{"error": {Message: why}})
 }
--- a/internal/stand/engine_test.go
+++ b/internal/stand/engine_test.go
@@ -27,7 +27,7 @@
 	}
 }
 
-func ask(h http.Handler, method, path, id, body string) *httptest.ResponseRecorder {
+func call(h http.Handler, method, path, id, body string) *httptest.ResponseRecorder {
 	r := httptest.NewRequest(method, path, strings.NewReader(body))
 	r.Header.Set(wire.HeaderCall, id)
 	w := httptest.NewRecorder()
@@ -35,12 +35,12 @@
 	return w
 }
 
-const chat = `{"stream":true,"max_tokens":10,"messages":[{"role":"user","content":"hail"}]}`
+const chatBody = `{"stream":true,"max_tokens":10,"messages":[{"role":"user","content":"hail"}]}`
 
 func load(t *testing.T, h http.Handler) wire.Load {
 	t.Helper()
 	var l wire.Load
-	require.NoError(t, json.Unmarshal(ask(h, "GET", wire.PathLoad, "", "").Body.Bytes(), &l))
+	require.NoError(t, json.Unmarshal(call(h, "GET", wire.PathLoad, "", "").Body.Bytes(), &l))
 	return l
 }
 
@@ -54,12 +54,12 @@
 		var group errgroup.Group
 		for _, id := range []string{"a/0/1", "b/0/1"} {
 			group.Go(func() error {
-				ask(e, "POST", wire.PathChat, id, chat)
+				call(e, "POST", wire.PathChat, id, chatBody)
 				return nil
 			})
 		}
 		synctest.Wait()
-		w := ask(e, "POST", wire.PathChat, "c/0/1", chat)
+		w := call(e, "POST", wire.PathChat, "c/0/1", chatBody)
 		require.Equal(t, http.StatusServiceUnavailable, w.Code)
 		require.Equal(t, "2", w.Header().Get("Retry-After"))
 		require.Equal(t, wire.NotRunTrue, w.Header().Get(wire.HeaderNotRun))
@@ -67,7 +67,7 @@
 		require.Equal(t, 3, e.ColdHigh())
 		require.NoError(t, group.Wait())
 		time.Sleep(2 * time.Second)
-		require.Equal(t, http.StatusOK, ask(e, "POST", wire.PathChat, "d/0/1", chat).Code)
+		require.Equal(t, http.StatusOK, call(e, "POST", wire.PathChat, "d/0/1", chatBody).Code)
 		require.False(t, e.Cold())
 		require.Equal(t, 2, e.High())
 	})
@@ -78,11 +78,11 @@
 		e := stand.NewEngine(stand.EngineConfig{Capacity: 1, TokenTime: time.Millisecond})
 		var group errgroup.Group
 		group.Go(func() error {
-			ask(e, "POST", wire.PathChat, "a/0/1", chat)
+			call(e, "POST", wire.PathChat, "a/0/1", chatBody)
 			return nil
 		})
 		synctest.Wait()
-		require.Equal(t, http.StatusServiceUnavailable, ask(e, "POST", wire.PathChat, "b/0/1", chat).Code)
+		require.Equal(t, http.StatusServiceUnavailable, call(e, "POST", wire.PathChat, "b/0/1", chatBody).Code)
 		require.NoError(t, group.Wait())
 		require.Empty(t, e.Overshoots())
 		require.Equal(t, 1, e.Refused())
@@ -94,7 +94,7 @@
 		e := stand.NewEngine(stand.EngineConfig{ID: "s1", LoadLag: time.Second, TokenTime: 300 * time.Millisecond})
 		var group errgroup.Group
 		group.Go(func() error {
-			ask(e, "POST", wire.PathChat, "a/0/1", chat)
+			call(e, "POST", wire.PathChat, "a/0/1", chatBody)
 			return nil
 		})
 		synctest.Wait()
@@ -116,17 +116,17 @@
 		})
 		took := func(body string) time.Duration {
 			began := time.Now()
-			ask(e, "POST", wire.PathChat, "a/0/1", body)
+			call(e, "POST", wire.PathChat, "a/0/1", body)
 			return time.Since(began)
 		}
-		other := strings.Replace(chat, "hail", "snow", 1)
-		require.Equal(t, 100*time.Millisecond, took(chat))
-		require.Equal(t, 10*time.Millisecond, took(chat))
+		other := strings.Replace(chatBody, "hail", "snow", 1)
+		require.Equal(t, 100*time.Millisecond, took(chatBody))
+		require.Equal(t, 10*time.Millisecond, took(chatBody))
 		require.Equal(t, 100*time.Millisecond, took(other))
-		require.Equal(t, 100*time.Millisecond, took(chat))
+		require.Equal(t, 100*time.Millisecond, took(chatBody))
 		time.Sleep(time.Second)
 		var got wire.CacheEvents
-		require.NoError(t, json.Unmarshal(ask(e, "GET", wire.PathCacheEvents, "", "").Body.Bytes(), &got))
+		require.NoError(t, json.Unmarshal(call(e, "GET", wire.PathCacheEvents, "", "").Body.Bytes(), &got))
 		var sequences []uint64
 		for _, ev := range got.Events {
 			sequences = append(sequences, ev.Sequence)
@@ -137,11 +137,11 @@
 
 func TestOrderTurnsTheEngineCold(t *testing.T) {
 	e := stand.NewEngine(stand.EngineConfig{Model: "m@1", WarmAfter: 1})
-	ask(e, "POST", wire.PathChat, "a/0/1", chat)
+	call(e, "POST", wire.PathChat, "a/0/1", chatBody)
 	require.False(t, e.Cold())
-	require.Equal(t, 200, ask(e, "POST", wire.PathOrders, "", `{"fence":9,"model":"m","version":"2"}`).Code)
+	require.Equal(t, 200, call(e, "POST", wire.PathOrders, "", `{"fence":9,"model":"m","version":"2"}`).Code)
 	require.True(t, e.Cold())
-	require.Equal(t, 200, ask(e, "POST", wire.PathOrders, "", `{"fence":3,"model":"m","version":"1"}`).Code)
+	require.Equal(t, 200, call(e, "POST", wire.PathOrders, "", `{"fence":3,"model":"m","version":"1"}`).Code)
 	require.EqualValues(t, 3, load(t, e).Fence)
 	require.Len(t, e.Orders(), 2)
 	e.Restart()
@@ -165,7 +165,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			w := ask(c.h, "POST", c.path, "a/0/1", c.body)
+			w := call(c.h, "POST", c.path, "a/0/1", c.body)
 			require.Equal(t, http.StatusBadRequest, w.Code)
 			require.Equal(t, wire.NotRunTrue, w.Header().Get(wire.HeaderNotRun))
 		})
@@ -177,19 +177,19 @@
 func TestServiceFaults(t *testing.T) {
 	s := stand.NewService(stand.ServiceConfig{})
 	s.Fail(stand.ServiceFailsBefore, stand.ServiceFailsAfter)
-	require.Equal(t, 503, ask(s, "POST", wire.PathCall, "a/0/1", `{"request":"a"}`).Code)
+	require.Equal(t, 503, call(s, "POST", wire.PathCall, "a/0/1", `{"request":"a"}`).Code)
 	require.Zero(t, s.RunsOf("a"))
-	require.Equal(t, 500, ask(s, "POST", wire.PathCall, "a/0/2", `{"request":"a"}`).Code)
-	require.Equal(t, 200, ask(s, "POST", wire.PathCall, "a/0/3", `{"request":"a"}`).Code)
+	require.Equal(t, 500, call(s, "POST", wire.PathCall, "a/0/2", `{"request":"a"}`).Code)
+	require.Equal(t, 200, call(s, "POST", wire.PathCall, "a/0/3", `{"request":"a"}`).Code)
 	require.Equal(t, 2, s.RunsOf("a"))
 	require.Equal(t, []string{"a"}, s.Doubled())
 }
 
 func TestOperatorsPublish(t *testing.T) {
 	p := stand.NewPlatform(stand.PlatformConfig{})
-	require.Equal(t, "1", ask(p.Admin(), "PUT", "/admin/values/rules", "", "x").Header().Get(wire.HeaderRevision))
-	require.Equal(t, http.StatusNotFound, ask(p, "PUT", "/admin/values/rules", "", "y").Code)
-	require.Equal(t, "x", ask(p, "GET", wire.PathValues+"rules", "", "").Body.String())
+	require.Equal(t, "1", call(p.Admin(), "PUT", "/admin/values/rules", "", "x").Header().Get(wire.HeaderRevision))
+	require.Equal(t, http.StatusNotFound, call(p, "PUT", "/admin/values/rules", "", "y").Code)
+	require.Equal(t, "x", call(p, "GET", wire.PathValues+"rules", "", "").Body.String())
 	large := strings.Repeat("x", 1<<20+1)
-	require.Equal(t, http.StatusRequestEntityTooLarge, ask(p.Admin(), "PUT", "/admin/values/rules", "", large).Code)
+	require.Equal(t, http.StatusRequestEntityTooLarge, call(p.Admin(), "PUT", "/admin/values/rules", "", large).Code)
 }
--- a/internal/stand/orders.go
+++ b/internal/stand/orders.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	// cachedPrefix is how many bytes of a prompt a cache entry stands for.
-	cachedPrefix = 256
+	// cachedPrefixBytes is how many bytes of a prompt a cache entry stands for.
+	cachedPrefixBytes = 256
 	// cacheSpeedup is how many times shorter a cached prefill is.
 	cacheSpeedup = 10
 	// maxCacheEvents bounds the events kept, and so the longest answer.
@@ -23,25 +23,25 @@
 
 func (e *Engine) serveOrder(w http.ResponseWriter, r *http.Request) {
 	if e.cfg.OrderToken != "" && r.Header.Get("Authorization") != "Bearer "+e.cfg.OrderToken {
-		notRun(w, http.StatusForbidden, "may not order")
+		replyNotRun(w, http.StatusForbidden, "may not order")
 		return
 	}
 	var order wire.Order
-	if !read(w, r, &order) {
+	if !readBody(w, r, &order) {
 		return
 	}
-	if !e.accept(order) {
-		notRun(w, http.StatusConflict, "old fencing number")
+	if !e.acceptOrder(order) {
+		replyNotRun(w, http.StatusConflict, "old fencing number")
 		return
 	}
 	if !pause(r.Context(), e.cfg.OrderTime) {
 		return
 	}
-	e.carryOut(order)
+	e.applyOrder(order)
 	reply(w, http.StatusOK, order)
 }
 
-func (e *Engine) accept(order wire.Order) bool {
+func (e *Engine) acceptOrder(order wire.Order) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.cfg.ChecksFence && order.Fence < e.fence {
@@ -52,14 +52,14 @@
 	return true
 }
 
-// carryOut loads the model; a load leaves the engine cold.
-func (e *Engine) carryOut(order wire.Order) {
+// applyOrder loads the model; a load leaves the engine cold.
+func (e *Engine) applyOrder(order wire.Order) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	model := order.Model + "@" + order.Version
 	if model != e.model && e.cfg.WarmAfter > 0 {
 		e.cold = true
-		e.doneCold = 0
+		e.doneSinceCold = 0
 	}
 	e.model = model
 	e.role = order.Role
@@ -78,7 +78,7 @@
 
 	mu       sync.Mutex
 	entries  map[uint64]*list.Element
-	uses     list.List
+	lru      list.List
 	sequence uint64
 	events   []cacheEvent
 }
@@ -93,20 +93,20 @@
 	if c.cfg.CacheEntries == 0 {
 		return false
 	}
-	prefix := xxhash.Sum64String(prompt[:min(len(prompt), cachedPrefix)])
+	prefix := xxhash.Sum64String(prompt[:min(len(prompt), cachedPrefixBytes)])
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if held, hit := c.entries[prefix]; hit {
-		c.uses.MoveToBack(held)
+	if element, hit := c.entries[prefix]; hit {
+		c.lru.MoveToBack(element)
 		return true
 	}
 	if c.entries == nil {
 		c.entries = map[uint64]*list.Element{}
 	}
-	c.entries[prefix] = c.uses.PushBack(prefix)
+	c.entries[prefix] = c.lru.PushBack(prefix)
 	c.publish(now, wire.CacheEvent{Stored: true, Prefix: prefix})
-	if c.uses.Len() > c.cfg.CacheEntries {
-		oldest := c.uses.Remove(c.uses.Front()).(uint64)
+	if c.lru.Len() > c.cfg.CacheEntries {
+		oldest := c.lru.Remove(c.lru.Front()).(uint64)
 		delete(c.entries, oldest)
 		c.publish(now, wire.CacheEvent{Prefix: oldest})
 	}
@@ -141,7 +141,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.entries = nil
-	c.uses.Init()
+	c.lru.Init()
 }
 
 func (e *Engine) serveCacheEvents(w http.ResponseWriter, r *http.Request) {
--- a/internal/stand/pipes.go
+++ b/internal/stand/pipes.go
@@ -44,15 +44,15 @@
 	if l == nil {
 		return nil, ErrNoListener
 	}
-	near, far := net.Pipe()
+	clientConn, serverConn := net.Pipe()
 	select {
-	case l.accept <- far:
+	case l.accept <- serverConn:
 	case <-l.closed:
 		return nil, ErrNoListener
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
-	c := &pipeConn{Conn: near, closed: make(chan struct{})}
+	c := &pipeConn{Conn: clientConn, closed: make(chan struct{})}
 	n.mu.Lock()
 	n.conns = append(n.conns, c)
 	n.mu.Unlock()
@@ -65,7 +65,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, c := range n.conns {
-		c.silent.Store(true)
+		c.blackholed.Store(true)
 	}
 	n.conns = nil
 }
@@ -73,15 +73,15 @@
 // pipeConn is the dialling end of a connection.
 type pipeConn struct {
 	net.Conn
-	silent atomic.Bool
-	once   sync.Once
-	closed chan struct{}
+	blackholed atomic.Bool
+	once       sync.Once
+	closed     chan struct{}
 }
 
 func (c *pipeConn) Read(b []byte) (int, error) {
 	for {
 		n, err := c.Conn.Read(b)
-		if !c.silent.Load() {
+		if !c.blackholed.Load() {
 			return n, err
 		}
 		if err != nil {
@@ -92,7 +92,7 @@
 }
 
 func (c *pipeConn) Write(b []byte) (int, error) {
-	if c.silent.Load() {
+	if c.blackholed.Load() {
 		return len(b), nil
 	}
 	return c.Conn.Write(b)
--- a/internal/stand/platform.go
+++ b/internal/stand/platform.go
@@ -14,10 +14,10 @@
 )
 
 const (
-	// maxValue is the largest value in bytes.
-	maxValue = 1 << 20
-	// readsPerSecond is the platform's call budget over all readers.
-	readsPerSecond = 2000
+	// maxValueBytes is the largest value in bytes.
+	maxValueBytes = 1 << 20
+	// defaultReadsPerSecond is the platform's call budget over all readers.
+	defaultReadsPerSecond = 2000
 	// maxWait bounds a watch.
 	maxWait = time.Minute
 )
@@ -45,8 +45,8 @@
 }
 
 type vmList struct {
-	from time.Time
-	vms  []wire.VM
+	visibleFrom time.Time
+	vms         []wire.VM
 }
 
 // Platform stands in for the platform's configuration service and VM list.
@@ -58,19 +58,19 @@
 	mu       sync.Mutex
 	revision shed.Revision
 	values   map[string]value
-	// stale is what is shown instead of values while the platform is stale.
-	stale   map[string]value
-	changed chan struct{}
-	lists   []vmList
-	calls   PlatformCalls
-	second  int64
-	spent   int
+	// staleValues is what is shown instead of values while the platform is stale.
+	staleValues  map[string]value
+	changed      chan struct{}
+	lists        []vmList
+	calls        PlatformCalls
+	budgetSecond int64
+	budgetUsed   int
 }
 
 // NewPlatform returns a platform without values.
 func NewPlatform(cfg PlatformConfig) *Platform {
 	if cfg.ReadsPerSecond == 0 {
-		cfg.ReadsPerSecond = readsPerSecond
+		cfg.ReadsPerSecond = defaultReadsPerSecond
 	}
 	p := &Platform{
 		cfg:     cfg,
@@ -85,7 +85,7 @@
 
 // ServeHTTP serves the daemons, which can only read.
 func (p *Platform) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	p.pass(r.Context())
+	p.applyFaults(r.Context())
 	p.mux.ServeHTTP(w, r)
 }
 
@@ -117,11 +117,11 @@
 func (p *Platform) SetStale(stale bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.stale = nil
+	p.staleValues = nil
 	if stale {
-		p.stale = make(map[string]value, len(p.values))
+		p.staleValues = make(map[string]value, len(p.values))
 		for key, v := range p.values {
-			p.stale[key] = v
+			p.staleValues[key] = v
 		}
 	}
 	close(p.changed)
@@ -133,11 +133,11 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	list := vmList{
-		from: time.Now().Add(p.cfg.VMLag),
-		vms:  append([]wire.VM{}, vms...),
+		visibleFrom: time.Now().Add(p.cfg.VMLag),
+		vms:         append([]wire.VM{}, vms...),
 	}
 	if len(p.lists) == 0 {
-		list.from = time.Time{}
+		list.visibleFrom = time.Time{}
 	}
 	p.lists = append(p.lists, list)
 }
@@ -149,15 +149,15 @@
 	return p.calls
 }
 
-// spend draws one call from the budget of this second.
-func (p *Platform) spend(now time.Time) bool {
-	if s := now.Unix(); s != p.second {
-		p.second = s
-		p.spent = 0
+// takeFromBudget draws one call from the budget of this second.
+func (p *Platform) takeFromBudget(now time.Time) bool {
+	if s := now.Unix(); s != p.budgetSecond {
+		p.budgetSecond = s
+		p.budgetUsed = 0
 	}
-	p.spent++
-	p.calls.Peak = max(p.calls.Peak, p.spent)
-	if p.spent <= p.cfg.ReadsPerSecond {
+	p.budgetUsed++
+	p.calls.Peak = max(p.calls.Peak, p.budgetUsed)
+	if p.budgetUsed <= p.cfg.ReadsPerSecond {
 		return true
 	}
 	p.calls.Refused++
@@ -170,11 +170,11 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	if !p.count(wait > 0) {
-		tooMany(w)
+	if !p.countRead(wait > 0) {
+		replyTooMany(w)
 		return
 	}
-	v, found := p.await(r.Context(), r.PathValue("key"), after, wait)
+	v, found := p.waitForChange(r.Context(), r.PathValue("key"), after, wait)
 	if !found {
 		http.Error(w, "no such key", http.StatusNotFound)
 		return
@@ -188,7 +188,7 @@
 	_, _ = w.Write(v.data)
 }
 
-func (p *Platform) count(watch bool) bool {
+func (p *Platform) countRead(watch bool) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if watch {
@@ -196,39 +196,39 @@
 	} else {
 		p.calls.Reads++
 	}
-	return p.spend(time.Now())
+	return p.takeFromBudget(time.Now())
 }
 
-// await returns the key's value once it is newer than after, or as it stands
+// waitForChange returns the key's value once it is newer than after, or as it stands
 // when the wait is over.
-func (p *Platform) await(ctx context.Context, key string, after shed.Revision, wait time.Duration) (value, bool) {
-	end := time.NewTimer(wait)
-	defer end.Stop()
-	over := wait <= 0
+func (p *Platform) waitForChange(ctx context.Context, key string, after shed.Revision, wait time.Duration) (value, bool) {
+	timer := time.NewTimer(wait)
+	defer timer.Stop()
+	timedOut := wait <= 0
 	for {
-		v, found, changed := p.get(key)
-		if over || (found && v.revision > after) {
+		v, found, changed := p.lookup(key)
+		if timedOut || (found && v.revision > after) {
 			return v, found
 		}
-		_, _, _, fault := p.state()
+		_, _, _, fault := p.current()
 		select {
 		case <-ctx.Done():
-			over = true
-		case <-end.C:
-			over = true
+			timedOut = true
+		case <-timer.C:
+			timedOut = true
 		case <-changed:
 		case <-fault:
-			p.pass(ctx)
+			p.applyFaults(ctx)
 		}
 	}
 }
 
-func (p *Platform) get(key string) (value, bool, chan struct{}) {
+func (p *Platform) lookup(key string) (value, bool, chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	values := p.values
-	if p.stale != nil {
-		values = p.stale
+	if p.staleValues != nil {
+		values = p.staleValues
 	}
 	v, found := values[key]
 	return v, found, p.changed
@@ -257,27 +257,27 @@
 func (p *Platform) serveVMs(w http.ResponseWriter, _ *http.Request) {
 	p.mu.Lock()
 	p.calls.VMs++
-	within := p.spend(time.Now())
-	vms := p.shownVMs(time.Now())
+	allowed := p.takeFromBudget(time.Now())
+	vms := p.visibleVMs(time.Now())
 	p.mu.Unlock()
-	if !within {
-		tooMany(w)
+	if !allowed {
+		replyTooMany(w)
 		return
 	}
 	reply(w, http.StatusOK, vms)
 }
 
-func (p *Platform) shownVMs(now time.Time) []wire.VM {
+func (p *Platform) visibleVMs(now time.Time) []wire.VM {
 	shown := []wire.VM{}
 	for _, list := range p.lists {
-		if !list.from.After(now) {
+		if !list.visibleFrom.After(now) {
 			shown = list.vms
 		}
 	}
 	return shown
 }
 
-func tooMany(w http.ResponseWriter) {
+func replyTooMany(w http.ResponseWriter) {
 	w.Header().Set("Retry-After", "1")
 	http.Error(w, "call budget spent", http.StatusTooManyRequests)
 }
@@ -286,13 +286,13 @@
 // the VMs with PUT /admin/vms. It never stands on the daemons' listener.
 func (p *Platform) Admin() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("PUT /admin/values/{key}", p.publishOne)
-	mux.HandleFunc("PUT /admin/vms", p.publishVMs)
+	mux.HandleFunc("PUT /admin/values/{key}", p.serveSetValue)
+	mux.HandleFunc("PUT /admin/vms", p.serveSetVMs)
 	return mux
 }
 
-func (p *Platform) publishOne(w http.ResponseWriter, r *http.Request) {
-	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxValue))
+func (p *Platform) serveSetValue(w http.ResponseWriter, r *http.Request) {
+	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxValueBytes))
 	if err != nil {
 		http.Error(w, "value over a megabyte or cut short", http.StatusRequestEntityTooLarge)
 		return
@@ -301,9 +301,9 @@
 	w.Header().Set(wire.HeaderRevision, strconv.FormatUint(uint64(revision), 10))
 }
 
-func (p *Platform) publishVMs(w http.ResponseWriter, r *http.Request) {
+func (p *Platform) serveSetVMs(w http.ResponseWriter, r *http.Request) {
 	var vms []wire.VM
-	if read(w, r, &vms) {
+	if readBody(w, r, &vms) {
 		p.SetVMs(vms)
 	}
 }
--- a/internal/stand/record.go
+++ b/internal/stand/record.go
@@ -36,47 +36,47 @@
 
 // Record is what a stand-in ran. It is safe for use by many goroutines.
 type Record struct {
-	mu         sync.Mutex
-	runs       []*Run
-	running    int
-	high       int
-	coldHigh   int
-	refused    int
-	overshoots []Overshoot
+	mu             sync.Mutex
+	runs           []*Run
+	running        int
+	maxRunning     int
+	maxColdRunning int
+	refused        int
+	overshoots     []Overshoot
 }
 
-func (r *Record) begin(run *Run) {
+func (r *Record) recordStart(run *Run) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.runs = append(r.runs, run)
 	r.running++
-	r.high = max(r.high, r.running)
+	r.maxRunning = max(r.maxRunning, r.running)
 	if run.Cold {
-		r.coldHigh = max(r.coldHigh, r.running)
+		r.maxColdRunning = max(r.maxColdRunning, r.running)
 	}
 }
 
-func (r *Record) end(run *Run, now time.Time, whole, cancelled bool, tokens int) {
+func (r *Record) recordEnd(run *Run, now time.Time, complete, cancelled bool, tokens int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	run.End = now
-	run.Whole = whole
+	run.Whole = complete
 	run.Cancelled = cancelled
 	run.Tokens = tokens
 	r.running--
 }
 
-func (r *Record) refuse() {
+func (r *Record) recordRefusal() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.refused++
 }
 
-func (r *Record) overshoot(o Overshoot) {
+func (r *Record) recordOvershoot(o Overshoot) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.overshoots = append(r.overshoots, o)
-	r.coldHigh = max(r.coldHigh, o.Running)
+	r.maxColdRunning = max(r.maxColdRunning, o.Running)
 }
 
 // Runs are all runs so far, in order of their start.
@@ -128,7 +128,7 @@
 func (r *Record) High() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.high
+	return r.maxRunning
 }
 
 // ColdHigh is the most calls at once that a cold server was given, with those
@@ -136,7 +136,7 @@
 func (r *Record) ColdHigh() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.coldHigh
+	return r.maxColdRunning
 }
 
 // Refused counts the calls refused before running.
--- a/internal/stand/service.go
+++ b/internal/stand/service.go
@@ -42,11 +42,11 @@
 	cfg ServiceConfig
 	mux *http.ServeMux
 
-	mu       sync.Mutex
-	running  int
-	sequence uint64
-	done     uint64
-	next     []ServiceFault
+	mu         sync.Mutex
+	running    int
+	sequence   uint64
+	done       uint64
+	nextFaults []ServiceFault
 }
 
 // NewService returns a service without faults.
@@ -62,7 +62,7 @@
 
 // ServeHTTP serves the daemons.
 func (s *Service) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	s.pass(r.Context())
+	s.applyFaults(r.Context())
 	s.mux.ServeHTTP(w, r)
 }
 
@@ -70,21 +70,21 @@
 func (s *Service) Fail(faults ...ServiceFault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.next = append(s.next, faults...)
+	s.nextFaults = append(s.nextFaults, faults...)
 }
 
 func (s *Service) serveCall(w http.ResponseWriter, r *http.Request) {
-	var ask wire.ServiceRequest
-	if !read(w, r, &ask) {
+	var req wire.ServiceRequest
+	if !readBody(w, r, &req) {
 		return
 	}
 	run := newRun(r, time.Now())
-	run.Request = string(ask.Request)
-	fault, admitted := s.begin(run)
+	run.Request = string(req.Request)
+	fault, admitted := s.beginCall(run)
 	if !admitted {
-		s.refuse()
+		s.recordRefusal()
 		w.Header().Set("Retry-After", "1")
-		notRun(w, http.StatusServiceUnavailable, "not run")
+		replyNotRun(w, http.StatusServiceUnavailable, "not run")
 		return
 	}
 	w.Header().Set(wire.HeaderBoot, s.bootID())
@@ -92,39 +92,39 @@
 	// The call runs to its end also when the caller has gone, as a publication
 	// does once it is under way.
 	<-time.After(s.cfg.CallTime)
-	s.end(run)
+	s.endCall(run)
 	switch fault {
 	case ServiceFailsAfter:
 		reply(w, http.StatusInternalServerError, wire.ErrorReply{Message: "failed after the run"})
 	case ServiceCuts:
 		panic(http.ErrAbortHandler)
 	default:
-		reply(w, http.StatusOK, wire.ServiceResponse{Receipt: Receipt(ask.Request, ask.Input)})
+		reply(w, http.StatusOK, wire.ServiceResponse{Receipt: Receipt(req.Request, req.Input)})
 	}
 }
 
-func (s *Service) begin(run *Run) (ServiceFault, bool) {
+func (s *Service) beginCall(run *Run) (ServiceFault, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	fault := ServiceWell
-	if len(s.next) > 0 {
-		fault = s.next[0]
-		s.next = s.next[1:]
+	if len(s.nextFaults) > 0 {
+		fault = s.nextFaults[0]
+		s.nextFaults = s.nextFaults[1:]
 	}
 	if fault == ServiceFailsBefore || s.running >= s.cfg.Capacity {
 		return fault, false
 	}
 	s.running++
-	s.Record.begin(run)
+	s.Record.recordStart(run)
 	return fault, true
 }
 
-func (s *Service) end(run *Run) {
+func (s *Service) endCall(run *Run) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.running--
 	s.done++
-	s.Record.end(run, time.Now(), true, false, 0)
+	s.Record.recordEnd(run, time.Now(), true, false, 0)
 }
 
 // bootID never changes: a service stand-in doesn't restart.
--- a/internal/stand/stand.go
+++ b/internal/stand/stand.go
@@ -17,10 +17,10 @@
 
 // Faults can be set on each stand-in while it runs.
 type Faults struct {
-	mu   sync.Mutex
-	down bool
-	mute bool
-	slow time.Duration
+	mu           sync.Mutex
+	down         bool
+	unresponsive bool
+	delay        time.Duration
 	// change is closed and replaced when a fault is set.
 	change chan struct{}
 }
@@ -31,13 +31,13 @@
 }
 
 // SetMute makes calls hang without any answer.
-func (f *Faults) SetMute(mute bool) {
-	f.set(func() { f.mute = mute })
+func (f *Faults) SetMute(unresponsive bool) {
+	f.set(func() { f.unresponsive = unresponsive })
 }
 
 // SetSlow delays every call by d.
 func (f *Faults) SetSlow(d time.Duration) {
-	f.set(func() { f.slow = d })
+	f.set(func() { f.delay = d })
 }
 
 func (f *Faults) set(change func()) {
@@ -50,24 +50,24 @@
 	f.change = make(chan struct{})
 }
 
-func (f *Faults) state() (down, mute bool, slow time.Duration, change chan struct{}) {
+func (f *Faults) current() (down, unresponsive bool, delay time.Duration, change chan struct{}) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.change == nil {
 		f.change = make(chan struct{})
 	}
-	return f.down, f.mute, f.slow, f.change
+	return f.down, f.unresponsive, f.delay, f.change
 }
 
-// pass lets a call through once no fault stands against it.
-func (f *Faults) pass(ctx context.Context) {
+// applyFaults lets a call through once no fault stands against it.
+func (f *Faults) applyFaults(ctx context.Context) {
 	for {
-		down, mute, slow, change := f.state()
+		down, unresponsive, delay, change := f.current()
 		if down {
 			panic(http.ErrAbortHandler)
 		}
-		if !mute {
-			pause(ctx, slow)
+		if !unresponsive {
+			pause(ctx, delay)
 			return
 		}
 		select {
--- a/internal/stand/text.go
+++ b/internal/stand/text.go
@@ -16,7 +16,7 @@
 const vectorSize = 16
 
 // retrieved is how many passages a retriever gives when it is given no limit.
-const retrieved = 8
+const defaultPassages = 8
 
 // WholeText is the text that an engine generates for an input: every token is a
 // function of the input and its own place, so a lost, doubled or foreign one
@@ -60,7 +60,7 @@
 // Passages are what a retriever finds for a query.
 func Passages(query string, limit int) []shed.Passage {
 	if limit <= 0 {
-		limit = retrieved
+		limit = defaultPassages
 	}
 	found := make([]shed.Passage, limit)
 	for i := range found {
