--- a/internal/stand/calls.go
+++ b/internal/stand/calls.go
@@ -7,7 +7,7 @@
 	"jasmineshed/internal/wire"
 )
 
-// serveOnce runs a call that answers with one body.
+// serveOnce serves a call that is not streamed: its answer is a single body.
 func (e *Engine) serveOnce(w http.ResponseWriter, r *http.Request, answer func() any) {
 	run := e.beginCall(w, r)
 	if run == nil {
--- a/internal/stand/chat.go
+++ b/internal/stand/chat.go
@@ -14,10 +14,10 @@
 	"jasmineshed/internal/wire"
 )
 
-// maxStreams bounds the streams that can be resumed or cancelled.
+// maxStreams bounds the streams kept for resuming and cancelling.
 const maxStreams = 1024
 
-// stream is one generation, which outlives its connection.
+// stream is one generation. It is kept after its connection ends, so that it can be resumed.
 type stream struct {
 	id     string
 	prompt string
@@ -26,7 +26,7 @@
 	cancel context.CancelFunc
 }
 
-// streams are the newest generations by id.
+// streams holds the newest maxStreams generations by id.
 type streams struct {
 	mu    sync.Mutex
 	byID  map[string]*stream
@@ -55,7 +55,8 @@
 	return s.byID[id]
 }
 
-// remove forgets the stream and stops it if it runs.
+// remove deletes the stream and cancels it if it still runs. It reports whether the
+// stream was known.
 func (s *streams) remove(id string) bool {
 	s.mu.Lock()
 	st := s.byID[id]
@@ -115,15 +116,16 @@
 	sent, complete = e.generate(ctx, w, st, from)
 }
 
-// sendAccepted sends the headers at once, so that the caller knows that the call has
-// been taken in, and by which boot of the engine, before the first token.
+// sendAccepted flushes the headers before the first token, so that the caller learns early
+// that the call was accepted, and by which boot of the engine.
 func sendAccepted(w http.ResponseWriter) error {
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.WriteHeader(http.StatusOK)
 	return http.NewResponseController(w).Flush()
 }
 
-// openStream finds the stream to resume, or makes a new one.
+// openStream returns the stream to resume and the index of its first token to send, or a
+// new stream. If there is no such stream it answers the request and returns false.
 func (e *Engine) openStream(w http.ResponseWriter, r *http.Request, req wire.ChatRequest) (*stream, int, bool) {
 	id := r.Header.Get(wire.HeaderCall)
 	resume := r.Header.Get(wire.HeaderResume)
@@ -140,8 +142,8 @@
 		replyNotRun(w, http.StatusNotFound, "no such stream")
 		return nil, 0, false
 	}
-	// The old connection may hang without either end knowing; the place it
-	// takes is freed here.
+	// The old connection may hang without either end noticing; cancelling its call
+	// frees the slot.
 	e.streams.remove(old)
 	next := *st
 	next.id = id
@@ -162,7 +164,7 @@
 	return st
 }
 
-// prefill is the time before the first token, shorter if the prefix is cached.
+// prefill returns the time before the first token, which is shorter if the prefix is cached.
 func (e *Engine) prefill(prompt string) time.Duration {
 	d := time.Duration(wordTokens(prompt)) * e.cfg.PrefillTime
 	if e.cache.touch(prompt, time.Now()) {
@@ -171,8 +173,8 @@
 	return d
 }
 
-// generate writes the tokens from from on, and tells how many, and whether the
-// stream came to its end.
+// generate writes the tokens starting at index from. It returns how many it wrote and
+// whether the stream is complete.
 func (e *Engine) generate(ctx context.Context, w http.ResponseWriter, st *stream, from int) (int, bool) {
 	flush := http.NewResponseController(w)
 	head := `data: {"id":` + strconv.Quote(st.id) + `,"choices":[{"index":0,"delta":{"content":"`
--- a/internal/stand/engine.go
+++ b/internal/stand/engine.go
@@ -18,41 +18,41 @@
 	ID shed.ServerID
 	// Capacity is how many calls run at once when warm; 0 means 8.
 	Capacity int
-	// ColdCapacity is how many it bears at once while cold; 0 means 1.
+	// ColdBears is how many calls it can run at once while cold; 0 means 1.
 	ColdBears int
-	// WarmAfter is how many calls must be done before it is warm; it starts warm
-	// if Done is no less.
+	// WarmAfter is how many calls must complete before it is warm. It starts warm if
+	// Done is at least as many.
 	WarmAfter int
-	// Done is how many calls it had completed before the test began; a server
-	// that has run for long is known to be warm by it.
+	// Done is how many calls it had completed before the test began. Daemons take a
+	// server with many completed calls for warm.
 	Done uint64
-	// FallTime is how long it refuses everything after too much load while
-	// cold; 0 means 2 s.
+	// FallTime is how long it refuses all calls after an overload while cold; 0 means
+	// 2 s.
 	FallTime time.Duration
-	// TokenTime is the time for each generated token with nothing else running.
+	// TokenTime is the time for each generated token while no other call runs.
 	TokenTime time.Duration
-	// PrefillTime is the time for each input token before the first one.
+	// PrefillTime is the time for each input token before the first generated one.
 	PrefillTime time.Duration
-	// CallTime is the time of a call that generates nothing.
+	// CallTime is the duration of a call without generation.
 	CallTime time.Duration
-	// LoadSlope is how much longer everything takes with Capacity calls running
-	// than with one; 1 doubles it.
+	// LoadSlope is the relative slowdown with Capacity calls running compared with one;
+	// 1 doubles all times.
 	LoadSlope float64
-	// LoadLag is how old the state is that a load report shows.
+	// LoadLag is the age of the state that a load report shows.
 	LoadLag time.Duration
-	// CacheEntries bounds the prefix cache; 0 means none.
+	// CacheEntries bounds the prefix cache; 0 disables it.
 	CacheEntries int
-	// CacheLag is how late cache events are.
+	// CacheLag is the delay of cache events.
 	CacheLag time.Duration
-	// CacheGap loses each CacheGap-th cache event; 0 loses none.
+	// CacheGap drops every CacheGap-th cache event; 0 drops none.
 	CacheGap int
-	// ChecksFence refuses orders with an old fencing number.
+	// ChecksFence makes it refuse orders with an old fencing number.
 	ChecksFence bool
 	// OrderToken, if set, must come with each order.
 	OrderToken string
-	// OrderTime is how long a load or a change of role takes.
+	// OrderTime is how long an order to load a model or change the role takes.
 	OrderTime time.Duration
-	// Model is loaded at the start, as "model@version".
+	// Model is the model loaded at the start, as "model@version".
 	Model string
 	Role  string
 }
@@ -61,11 +61,11 @@
 	defaultCapacity     = 8
 	defaultColdCapacity = 1
 	defaultOverloadTime = 2 * time.Second
-	// overloadSlowness is how many times longer everything takes after a fall.
+	// overloadSlowness multiplies all times after an overload while cold.
 	overloadSlowness = 4
 	// maxBodyBytes bounds a request's body in bytes.
 	maxBodyBytes = 16 << 20
-	// maxHistory bounds the states kept for lagging reports.
+	// maxHistory bounds the states kept for delayed load reports.
 	maxHistory = 4096
 )
 
@@ -83,17 +83,18 @@
 	sequence uint64
 	running  int
 	done     uint64
-	// doneSinceCold counts the calls done since the engine turned cold.
+	// doneSinceCold counts the calls completed since the engine turned cold.
 	doneSinceCold int
 	cold          bool
-	// slowness multiplies every time; 0 means 1.
+	// slowness multiplies all times; 0 means 1.
 	slowness        float64
 	overloadedUntil time.Time
 	fence           uint64
 	model           string
 	role            string
 	orders          []wire.Order
-	// initialLoad is the state at the last start; it shows until history is old enough.
+	// initialLoad is the state at the last start. Load reports show it until history
+	// holds a state that is at least LoadLag old.
 	initialLoad wire.Load
 	history     []snapshot
 }
@@ -103,7 +104,7 @@
 	load wire.Load
 }
 
-// NewEngine returns an engine that is cold if cfg.WarmAfter says so.
+// NewEngine returns an engine, which is cold if cfg.Done is below cfg.WarmAfter.
 func NewEngine(cfg EngineConfig) *Engine {
 	if cfg.Capacity == 0 {
 		cfg.Capacity = defaultCapacity
@@ -135,13 +136,13 @@
 	return e
 }
 
-// ServeHTTP serves the daemons.
+// ServeHTTP serves the requests of daemons.
 func (e *Engine) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	e.applyFaults(r.Context())
 	e.mux.ServeHTTP(w, r)
 }
 
-// TurnCold makes the engine cold without any warning.
+// TurnCold makes the engine cold. No report announces it beforehand.
 func (e *Engine) TurnCold() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -149,15 +150,15 @@
 	e.doneSinceCold = 0
 }
 
-// SetSlowness makes everything take so many times as long; 1 ends it.
+// SetSlowness multiplies all times; 1 restores normal speed.
 func (e *Engine) SetSlowness(times float64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.slowness = times
 }
 
-// Restart gives the engine a new boot id and forgets streams, cache and
-// counts. The calls that run keep running; cut them with SetDown.
+// Restart gives the engine a new boot id and clears streams, cache and counts. Running
+// calls continue; SetDown aborts them.
 func (e *Engine) Restart() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -175,14 +176,15 @@
 	e.cache.clear()
 }
 
-// Cold tells whether the engine is cold now.
+// Cold reports whether the engine is cold.
 func (e *Engine) Cold() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.cold
 }
 
-// beginCall admits a call, or refuses it with nil.
+// beginCall admits a call and returns its run. If it refuses the call it answers the
+// request and returns nil.
 func (e *Engine) beginCall(w http.ResponseWriter, r *http.Request) *Run {
 	now := time.Now()
 	run := newRun(r, now)
@@ -197,7 +199,7 @@
 	boot := e.bootID()
 	e.mu.Unlock()
 	if refuse == 0 {
-		// The early answer says at once that the call has been taken in.
+		// The early answer (103) tells the caller at once that the call was accepted.
 		w.Header().Set(wire.HeaderBoot, boot)
 		w.WriteHeader(http.StatusEarlyHints)
 		return run
@@ -208,7 +210,7 @@
 	return nil
 }
 
-// admit returns 0, or after what time to come back.
+// admit returns 0 if the call may run, else the time after which to retry.
 func (e *Engine) admit(run *Run, now time.Time) time.Duration {
 	if now.Before(e.overloadedUntil) {
 		return e.overloadedUntil.Sub(now)
@@ -245,7 +247,8 @@
 	e.recordHistory(now)
 }
 
-// scaleDuration is how long d takes under the load of now.
+// scaleDuration returns how long a step takes under the current load that takes d with no
+// other call running.
 func (e *Engine) scaleDuration(d time.Duration) time.Duration {
 	if d == 0 {
 		return 0
@@ -270,7 +273,7 @@
 	e.history = append(e.history, snapshot{at: now, load: e.currentLoad()})
 }
 
-// bootID changes with each restart. The caller holds e.mu.
+// bootID returns an id that changes with each restart. The caller holds e.mu.
 func (e *Engine) bootID() string { return string(e.cfg.ID) + "-" + strconv.Itoa(e.boot) }
 
 func (e *Engine) currentLoad() wire.Load {
@@ -285,7 +288,7 @@
 	}
 }
 
-// laggedLoad is the load as it was LoadLag ago.
+// laggedLoad returns the load as it was LoadLag ago.
 func (e *Engine) laggedLoad(now time.Time) wire.Load {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -309,7 +312,7 @@
 	reply(w, http.StatusOK, e.laggedLoad(time.Now()))
 }
 
-// withBudget bounds ctx by the time that the call was sent with.
+// withBudget returns the request's context, bounded by the call's budget header.
 func withBudget(r *http.Request) (context.Context, context.CancelFunc) {
 	ms, err := strconv.ParseInt(r.Header.Get(wire.HeaderBudget), 10, 32)
 	if err != nil {
@@ -327,7 +330,7 @@
 	return run
 }
 
-// readBody decodes a request's body, or answers 400.
+// readBody decodes a request's body. If it can't it answers 400 and returns false.
 func readBody(w http.ResponseWriter, r *http.Request, body any) bool {
 	err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes)).Decode(body)
 	if err == nil {
@@ -343,7 +346,7 @@
 	reply(w, status, map[string]wire.ErrorReply{"error": {Message: why}})
 }
 
-// wordTokens estimates the tokens of a text.
+// wordTokens estimates the number of tokens in a text by its words.
 func wordTokens(s string) int {
 	return strings.Count(s, " ") + 1
 }
--- a/internal/stand/engine_test.go
+++ b/internal/stand/engine_test.go
@@ -16,9 +16,8 @@
 	"jasmineshed/internal/wire"
 )
 
-// ask calls a handler in memory.
-// final records the final answer: a recorder would take an early answer (103)
-// for the whole one.
+// final records only the final answer: a recorder alone would take an early answer (103)
+// for the final one.
 type final struct{ *httptest.ResponseRecorder }
 
 func (f final) WriteHeader(status int) {
@@ -27,6 +26,7 @@
 	}
 }
 
+// call sends a request to a handler in memory.
 func call(h http.Handler, method, path, id, body string) *httptest.ResponseRecorder {
 	r := httptest.NewRequest(method, path, strings.NewReader(body))
 	r.Header.Set(wire.HeaderCall, id)
@@ -44,8 +44,8 @@
 	return l
 }
 
-// An engine that is cold gets one call more than it bears: it falls over,
-// refuses everything for a while, and the oracle can see by how much.
+// A cold engine that gets one call more than its cold capacity is overloaded: it refuses
+// all calls for a while and records by how many calls it was overloaded.
 func TestColdEngineFallsOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := stand.NewEngine(stand.EngineConfig{
--- a/internal/stand/orders.go
+++ b/internal/stand/orders.go
@@ -13,11 +13,11 @@
 )
 
 const (
-	// cachedPrefixBytes is how many bytes of a prompt a cache entry stands for.
+	// cachedPrefixBytes is the length of the prompt prefix that identifies a cache entry.
 	cachedPrefixBytes = 256
-	// cacheSpeedup is how many times shorter a cached prefill is.
+	// cacheSpeedup divides the prefill time of a cached prefix.
 	cacheSpeedup = 10
-	// maxCacheEvents bounds the events kept, and so the longest answer.
+	// maxCacheEvents bounds the events kept, and with them the length of an answer.
 	maxCacheEvents = 1024
 )
 
@@ -52,7 +52,7 @@
 	return true
 }
 
-// applyOrder loads the model; a load leaves the engine cold.
+// applyOrder sets model and role. Loading another model turns the engine cold.
 func (e *Engine) applyOrder(order wire.Order) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -65,14 +65,14 @@
 	e.role = order.Role
 }
 
-// Orders are the orders that the engine accepted, in turn.
+// Orders returns the orders that the engine accepted, in order of arrival.
 func (e *Engine) Orders() []wire.Order {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return append([]wire.Order(nil), e.orders...)
 }
 
-// prefixCache is a bounded cache of prompt prefixes, the oldest use going first.
+// prefixCache is a bounded cache of prompt prefixes that evicts the least recently used.
 type prefixCache struct {
 	cfg EngineConfig
 
@@ -88,7 +88,8 @@
 	wire.CacheEvent
 }
 
-// touch uses the prompt's prefix and tells whether it was there.
+// touch looks up the prompt's prefix, adds it if it is missing, and reports whether it
+// was cached.
 func (c *prefixCache) touch(prompt string, now time.Time) bool {
 	if c.cfg.CacheEntries == 0 {
 		return false
--- a/internal/stand/pipes.go
+++ b/internal/stand/pipes.go
@@ -8,23 +8,23 @@
 	"sync/atomic"
 )
 
-// ErrNoListener means that nothing listens at an address of a Net.
+// ErrNoListener is returned by Dial if nothing listens at the address.
 var ErrNoListener = errors.New("no listener at this address")
 
-// Net is a network in memory, for stand-ins without sockets. Its connections
-// can go silent for good while new ones work.
+// Net is a network in memory, for stand-ins without sockets. It can drop all traffic of
+// its open connections while new ones work.
 type Net struct {
 	mu        sync.Mutex
 	listeners map[string]*pipeListener
 	conns     []*pipeConn
 }
 
-// NewNet returns a network without listeners.
+// NewNet returns a network that has no listeners.
 func NewNet() *Net {
 	return &Net{listeners: map[string]*pipeListener{}}
 }
 
-// Listen opens a listener at addr, any text.
+// Listen opens a listener at addr, which may be any text.
 func (n *Net) Listen(addr string) (net.Listener, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -59,8 +59,8 @@
 	return c, nil
 }
 
-// Silence makes every connection that is open now silent for good: writing
-// succeeds, nothing arrives, and not even its end shows. New ones work.
+// Silence drops all further traffic of the connections that are open now: writes succeed,
+// nothing arrives, and neither end sees the other close. New connections work.
 func (n *Net) Silence() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -70,7 +70,7 @@
 	n.conns = nil
 }
 
-// pipeConn is the dialling end of a connection.
+// pipeConn is the client's end of a connection.
 type pipeConn struct {
 	net.Conn
 	blackholed atomic.Bool
--- a/internal/stand/platform.go
+++ b/internal/stand/platform.go
@@ -14,11 +14,11 @@
 )
 
 const (
-	// maxValueBytes is the largest value in bytes.
+	// maxValueBytes bounds the size of a value.
 	maxValueBytes = 1 << 20
-	// defaultReadsPerSecond is the platform's call budget over all readers.
+	// defaultReadsPerSecond is the platform's call budget for all readers together.
 	defaultReadsPerSecond = 2000
-	// maxWait bounds a watch.
+	// maxWait bounds the duration of a watch.
 	maxWait = time.Minute
 )
 
@@ -26,16 +26,16 @@
 type PlatformConfig struct {
 	// ReadsPerSecond is the call budget; 0 means 2,000.
 	ReadsPerSecond int
-	// VMLag is how late the VM list shows a change.
+	// VMLag is the delay after which the VM list shows a change.
 	VMLag time.Duration
 }
 
-// PlatformCalls counts the calls that the platform got.
+// PlatformCalls counts the calls that the platform received.
 type PlatformCalls struct {
 	Reads, Watches, VMs int
-	// Refused counts those above the budget.
+	// Refused counts the calls above the budget.
 	Refused int
-	// Peak is the most calls within one second of the clock.
+	// Peak is the largest number of calls within one second of the clock.
 	Peak int
 }
 
@@ -58,7 +58,7 @@
 	mu       sync.Mutex
 	revision shed.Revision
 	values   map[string]value
-	// staleValues is what is shown instead of values while the platform is stale.
+	// staleValues is served instead of values while the platform is stale.
 	staleValues  map[string]value
 	changed      chan struct{}
 	lists        []vmList
@@ -83,13 +83,13 @@
 	return p
 }
 
-// ServeHTTP serves the daemons, which can only read.
+// ServeHTTP serves the requests of daemons, which can only read.
 func (p *Platform) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	p.applyFaults(r.Context())
 	p.mux.ServeHTTP(w, r)
 }
 
-// Publish sets values at one new revision, as an operator does.
+// Publish sets all values at one new revision, as an operator does.
 func (p *Platform) Publish(values map[string][]byte) shed.Revision {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -102,7 +102,8 @@
 	return p.revision
 }
 
-// PublishRules packs the text of a rules file and publishes it at one revision.
+// PublishRules packs the text of a rules file and publishes its index and parts at one
+// revision.
 func (p *Platform) PublishRules(text []byte) shed.Revision {
 	index, parts := rules.Pack(text)
 	values := map[string][]byte{rules.IndexKey: index}
@@ -112,8 +113,8 @@
 	return p.Publish(values)
 }
 
-// SetStale makes the platform go on answering what it holds now, whatever is
-// published, until it is set to false.
+// SetStale makes the platform serve the values it holds now, whatever is published, until
+// it is set to false.
 func (p *Platform) SetStale(stale bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -128,7 +129,7 @@
 	p.changed = make(chan struct{})
 }
 
-// SetVMs changes the VM list; it shows after the lag.
+// SetVMs changes the VM list; the first list shows at once, later ones after VMLag.
 func (p *Platform) SetVMs(vms []wire.VM) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -142,14 +143,15 @@
 	p.lists = append(p.lists, list)
 }
 
-// Calls returns the counts so far.
+// Calls returns the counts of calls so far.
 func (p *Platform) Calls() PlatformCalls {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.calls
 }
 
-// takeFromBudget draws one call from the budget of this second.
+// takeFromBudget counts one call against the budget of the current second and reports
+// whether it is within the budget. The caller holds p.mu.
 func (p *Platform) takeFromBudget(now time.Time) bool {
 	if s := now.Unix(); s != p.budgetSecond {
 		p.budgetSecond = s
@@ -199,8 +201,8 @@
 	return p.takeFromBudget(time.Now())
 }
 
-// waitForChange returns the key's value once it is newer than after, or as it stands
-// when the wait is over.
+// waitForChange returns the key's value once it is newer than after, or its current value
+// when the wait ends.
 func (p *Platform) waitForChange(ctx context.Context, key string, after shed.Revision, wait time.Duration) (value, bool) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
@@ -282,8 +284,8 @@
 	http.Error(w, "call budget spent", http.StatusTooManyRequests)
 }
 
-// Admin serves the operators, who publish with PUT /admin/values/{key} and list
-// the VMs with PUT /admin/vms. It never stands on the daemons' listener.
+// Admin returns the handler for operators, who publish values with PUT /admin/values/{key}
+// and set the VM list with PUT /admin/vms. It must not be served on the daemons' listener.
 func (p *Platform) Admin() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("PUT /admin/values/{key}", p.serveSetValue)
--- a/internal/stand/record.go
+++ b/internal/stand/record.go
@@ -6,35 +6,36 @@
 	"time"
 )
 
-// Run is one call that a stand-in ran.
+// Run records one call that a stand-in ran.
 type Run struct {
-	// Call is the call's id as it came in.
+	// Call is the call's id as received.
 	Call string `json:"call"`
 	// Request is the id of the request that the call belongs to.
 	Request string    `json:"request"`
 	Path    string    `json:"path"`
 	Start   time.Time `json:"start"`
-	// End is zero while it runs.
+	// End is zero while the call runs.
 	End time.Time `json:"end"`
-	// Cold: the server was cold when the call began.
+	// Cold is whether the server was cold when the call began.
 	Cold bool `json:"cold"`
-	// Whole: the run came to its end and its answer was written.
+	// Whole is whether the call ran to its end and its answer was written.
 	Whole bool `json:"whole"`
-	// Cancelled by the client's order.
+	// Cancelled is whether a cancel request or the end of its budget ended the call.
 	Cancelled bool `json:"cancelled"`
 	Tokens    int  `json:"tokens"`
 }
 
-// Overshoot is one time that a cold server got more than it bears.
+// Overshoot records that a cold server received a call above its cold capacity.
 type Overshoot struct {
 	At time.Time
-	// Running counts the calls at once, with the one too many.
+	// Running counts the concurrent calls, including the one above the capacity.
 	Running int
-	Bears   int
-	Call    string
+	// Bears is the server's cold capacity.
+	Bears int
+	Call  string
 }
 
-// Record is what a stand-in ran. It is safe for use by many goroutines.
+// Record holds what a stand-in ran. It is safe for concurrent use.
 type Record struct {
 	mu             sync.Mutex
 	runs           []*Run
@@ -79,7 +80,7 @@
 	r.maxColdRunning = max(r.maxColdRunning, o.Running)
 }
 
-// Runs are all runs so far, in order of their start.
+// Runs returns all runs so far, in order of their start.
 func (r *Record) Runs() []Run {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -90,7 +91,7 @@
 	return runs
 }
 
-// RunsOf counts the runs of each request.
+// RunsOf returns how many times a request ran.
 func (r *Record) RunsOf(request string) int {
 	n := 0
 	for _, run := range r.Runs() {
@@ -101,7 +102,7 @@
 	return n
 }
 
-// Doubled are the requests that ran more than once, sorted.
+// Doubled returns the ids of the requests that ran more than once, sorted.
 func (r *Record) Doubled() []string {
 	count := map[string]int{}
 	for _, run := range r.Runs() {
@@ -117,36 +118,36 @@
 	return doubled
 }
 
-// Running counts the calls that run now.
+// Running returns the number of calls that run now.
 func (r *Record) Running() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.running
 }
 
-// High is the most calls that ran at once.
+// High returns the largest number of calls that ran at once.
 func (r *Record) High() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.maxRunning
 }
 
-// ColdHigh is the most calls at once that a cold server was given, with those
-// that made it fall over.
+// ColdHigh returns the largest number of concurrent calls that the server received while
+// cold, including those that overloaded it.
 func (r *Record) ColdHigh() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.maxColdRunning
 }
 
-// Refused counts the calls refused before running.
+// Refused returns the number of calls refused without running.
 func (r *Record) Refused() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.refused
 }
 
-// Overshoots are the times that the server was cold and got too much.
+// Overshoots returns the calls above capacity that the server received while cold.
 func (r *Record) Overshoots() []Overshoot {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/stand/service.go
+++ b/internal/stand/service.go
@@ -9,17 +9,17 @@
 	"jasmineshed/internal/wire"
 )
 
-// ServiceFault is what goes wrong with one call of a plain service.
+// ServiceFault is the fault that a plain service injects into one call.
 type ServiceFault uint8
 
-// The faults of a plain service's call.
+// The faults of a call to a plain service.
 const (
 	ServiceWell ServiceFault = iota
-	// ServiceFailsBefore: answers that it has not run the call.
+	// ServiceFailsBefore answers that the call was not run.
 	ServiceFailsBefore
-	// ServiceFailsAfter: runs the call and answers with an error.
+	// ServiceFailsAfter runs the call and answers with an error.
 	ServiceFailsAfter
-	// ServiceCuts: runs the call and cuts the connection.
+	// ServiceCuts runs the call and closes the connection without an answer.
 	ServiceCuts
 )
 
@@ -30,12 +30,11 @@
 	Capacity int
 	// Done is how many calls it had completed before the test began.
 	Done uint64
-	// CallTime is the time of one call.
+	// CallTime is the duration of one call.
 	CallTime time.Duration
 }
 
-// Service stands in for a plain service, some of whose calls may not be
-// repeated.
+// Service stands in for a plain service, whose calls may not be idempotent.
 type Service struct {
 	Faults
 	Record
@@ -60,13 +59,13 @@
 	return s
 }
 
-// ServeHTTP serves the daemons.
+// ServeHTTP serves the requests of daemons.
 func (s *Service) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.applyFaults(r.Context())
 	s.mux.ServeHTTP(w, r)
 }
 
-// Fail sets what goes wrong with the next calls, one each.
+// Fail queues faults for the next calls, one for each call.
 func (s *Service) Fail(faults ...ServiceFault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -89,8 +88,8 @@
 	}
 	w.Header().Set(wire.HeaderBoot, s.bootID())
 	w.WriteHeader(http.StatusEarlyHints)
-	// The call runs to its end also when the caller has gone, as a publication
-	// does once it is under way.
+	// The call runs to its end even if the caller has disconnected, as a publication that
+	// has started does.
 	<-time.After(s.cfg.CallTime)
 	s.endCall(run)
 	switch fault {
@@ -127,7 +126,7 @@
 	s.Record.recordEnd(run, time.Now(), true, false, 0)
 }
 
-// bootID never changes: a service stand-in doesn't restart.
+// bootID returns a constant: a service stand-in doesn't restart.
 func (s *Service) bootID() string { return string(s.cfg.ID) + "-0" }
 
 func (s *Service) serveLoad(w http.ResponseWriter, _ *http.Request) {
--- a/internal/stand/stand.go
+++ b/internal/stand/stand.go
@@ -1,6 +1,6 @@
-// Package stand holds small stand-ins of the platform, model engines and plain
+// Package stand holds small test stand-ins for the platform, model engines and plain
 // services. The same handlers serve in memory and on a listener, answer
-// deterministically, and record what they ran for an oracle to judge.
+// deterministically, and record what they ran so that tests can check it.
 package stand
 
 import (
@@ -15,7 +15,7 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Faults can be set on each stand-in while it runs.
+// Faults are the faults of a stand-in. They can be changed while it runs.
 type Faults struct {
 	mu           sync.Mutex
 	down         bool
@@ -25,12 +25,12 @@
 	change chan struct{}
 }
 
-// SetDown makes every call, also a waiting one, end with a cut connection.
+// SetDown closes the connection of every call, including calls that are waiting.
 func (f *Faults) SetDown(down bool) {
 	f.set(func() { f.down = down })
 }
 
-// SetMute makes calls hang without any answer.
+// SetMute makes calls hang without an answer.
 func (f *Faults) SetMute(unresponsive bool) {
 	f.set(func() { f.unresponsive = unresponsive })
 }
@@ -59,7 +59,7 @@
 	return f.down, f.unresponsive, f.delay, f.change
 }
 
-// applyFaults lets a call through once no fault stands against it.
+// applyFaults holds, delays or aborts a call as the current faults require.
 func (f *Faults) applyFaults(ctx context.Context) {
 	for {
 		down, unresponsive, delay, change := f.current()
@@ -78,7 +78,7 @@
 	}
 }
 
-// pause waits for d and tells whether ctx still lives.
+// pause waits for d. It returns false if ctx ended.
 func pause(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
@@ -100,7 +100,7 @@
 	group  errgroup.Group
 }
 
-// Listen serves h at addr, "ip:port"; port 0 takes a free one.
+// Listen serves h at addr, "ip:port"; port 0 picks a free port.
 func Listen(addr string, h http.Handler) (*Server, error) {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -121,13 +121,13 @@
 	return s
 }
 
-// Addr is the "ip:port" that it serves at.
+// Addr returns the "ip:port" that it serves at.
 func (s *Server) Addr() string { return s.addr }
 
-// URL is the base of its HTTP interface.
+// URL returns the base URL of its HTTP interface.
 func (s *Server) URL() string { return "http://" + s.addr }
 
-// Close cuts every connection off, as a killed process would.
+// Close closes every connection at once, as the end of a killed process does.
 func (s *Server) Close() error {
 	err := s.server.Close()
 	if served := s.group.Wait(); !errors.Is(served, http.ErrServerClosed) {
@@ -139,6 +139,6 @@
 func reply(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	// The caller may be gone; it is no matter of the stand-in's.
+	// An error means that the caller has disconnected, which is no fault of the stand-in.
 	_ = json.NewEncoder(w).Encode(body)
 }
--- a/internal/stand/text.go
+++ b/internal/stand/text.go
@@ -9,18 +9,17 @@
 	shed "jasmineshed"
 )
 
-// DefaultTokens is what an engine generates when it is given no limit.
+// DefaultTokens is how many tokens an engine generates if the request sets no limit.
 const DefaultTokens = 64
 
 // vectorSize is the length of an embedding.
 const vectorSize = 16
 
-// retrieved is how many passages a retriever gives when it is given no limit.
+// defaultPassages is how many passages a retriever returns if the request sets no limit.
 const defaultPassages = 8
 
-// WholeText is the text that an engine generates for an input: every token is a
-// function of the input and its own place, so a lost, doubled or foreign one
-// shows.
+// WholeText returns the text that an engine generates for an input. Each token depends on
+// the input and its own index, so that a lost, duplicate or foreign token can be detected.
 func WholeText(input string, tokens int) string {
 	return string(appendTokens(nil, xxhash.Sum64String(input), 0, tokens))
 }
@@ -39,7 +38,7 @@
 	return strconv.AppendInt(b, int64(i), 10)
 }
 
-// mix spreads the bits of x (the finaliser of splitmix64).
+// mix hashes x with the finaliser of splitmix64.
 func mix(x uint64) uint64 {
 	x += 0x9e3779b97f4a7c15
 	x = (x ^ (x >> 30)) * 0xbf58476d1ce4e5b9
@@ -47,7 +46,7 @@
 	return x ^ (x >> 31)
 }
 
-// Vector is the embedding of an input.
+// Vector returns the embedding of an input.
 func Vector(input string) []float32 {
 	seed := xxhash.Sum64String(input)
 	v := make([]float32, vectorSize)
@@ -57,7 +56,7 @@
 	return v
 }
 
-// Passages are what a retriever finds for a query.
+// Passages returns the passages that a retriever finds for a query.
 func Passages(query string, limit int) []shed.Passage {
 	if limit <= 0 {
 		limit = defaultPassages
@@ -74,7 +73,7 @@
 	return found
 }
 
-// Reranked orders passages as a reranker does for a query.
+// Reranked returns the passages in the order that a reranker gives them for a query.
 func Reranked(query string, passages []shed.Passage) []shed.Passage {
 	out := append([]shed.Passage(nil), passages...)
 	for i := range out {
@@ -88,7 +87,7 @@
 	return float64(xxhash.Sum64String(query+"\x00"+text)>>11) / (1 << 53)
 }
 
-// Receipt is what a plain service answers to a request.
+// Receipt returns the receipt with which a plain service answers a request.
 func Receipt(request shed.RequestID, input string) string {
 	return "r" + strconv.FormatUint(xxhash.Sum64String(string(request)+"\x00"+input), 36)
 }
