--- a/internal/gauge/arrive.go
+++ b/internal/gauge/arrivals.go
@@ -10,10 +10,10 @@
 )
 
 // topics is how many beginnings of prompts each workspace's users share.
-const topics = 8
+const topicsPerWorkspace = 8
 
 // sharedPrefix is the least length of instructions in bytes.
-const sharedPrefix = 320
+const minSharedPrefix = 320
 
 // Arrival is one planned request.
 type Arrival struct {
@@ -29,13 +29,13 @@
 func (s *Scenario) Arrivals() []Arrival {
 	rng := rand.New(rand.NewPCG(s.Seed, 0x6a09e667f3bcc908))
 	var plan []Arrival
-	for at := s.gap(rng, 0); at < s.Duration; at += s.gap(rng, at) {
-		plan = append(plan, s.arrival(rng, len(plan), at))
+	for at := s.nextGap(rng, 0); at < s.Duration; at += s.nextGap(rng, at) {
+		plan = append(plan, s.newArrival(rng, len(plan), at))
 	}
 	return plan
 }
 
-func (s *Scenario) gap(rng *rand.Rand, at time.Duration) time.Duration {
+func (s *Scenario) nextGap(rng *rand.Rand, at time.Duration) time.Duration {
 	return time.Duration(rng.ExpFloat64() / s.rateAt(at) * float64(time.Second))
 }
 
@@ -49,27 +49,27 @@
 	return rate
 }
 
-func (s *Scenario) arrival(rng *rand.Rand, n int, at time.Duration) Arrival {
-	ws := pick(rng, s.Workspaces)
-	pipeline := pick(rng, s.Pipelines)
-	topic := rng.IntN(topics)
+func (s *Scenario) newArrival(rng *rand.Rand, n int, at time.Duration) Arrival {
+	ws := pickWeighted(rng, s.Workspaces)
+	pipeline := pickWeighted(rng, s.Pipelines)
+	topic := rng.IntN(topicsPerWorkspace)
 	return Arrival{
 		Number:    n,
 		At:        at,
 		Workspace: shed.WorkspaceID(ws),
 		Pipeline:  shed.PipelineID(pipeline),
-		Input:     instructions(ws, topic) + fmt.Sprintf("This is request %d, for %s.", n, pipeline),
+		Input:     sharedInstructions(ws, topic) + fmt.Sprintf("This is request %d, for %s.", n, pipeline),
 	}
 }
 
-// instructions are the beginning that prompts of one workspace on one topic
+// sharedInstructions are the beginning that prompts of one workspace on one topic
 // share; longer than what caches tell apart.
-func instructions(workspace string, topic int) string {
+func sharedInstructions(workspace string, topic int) string {
 	line := fmt.Sprintf("Write for the readers of %s on topic %d, in short lines. ", workspace, topic)
-	return strings.Repeat(line, sharedPrefix/len(line)+1)
+	return strings.Repeat(line, minSharedPrefix/len(line)+1)
 }
 
-func pick(rng *rand.Rand, shares []Share) string {
+func pickWeighted(rng *rand.Rand, shares []Share) string {
 	sum := 0.0
 	for _, s := range shares {
 		sum += s.Weight
--- a/internal/gauge/bench_test.go
+++ b/internal/gauge/bench_test.go
@@ -27,7 +27,7 @@
 		var group errgroup.Group
 		for n := range streams {
 			group.Go(func() error {
-				a := Arrival{Number: n, Workspace: "noord", Pipeline: "rewrite", Input: instructions("noord", n)}
+				a := Arrival{Number: n, Workspace: "noord", Pipeline: "rewrite", Input: sharedInstructions("noord", n)}
 				_, err := rig.Call(b.Context(), a, tokens, func() {})
 				return err
 			})
--- a/internal/gauge/gauge_test.go
+++ b/internal/gauge/gauge_test.go
@@ -35,7 +35,7 @@
 	}
 }
 
-const tiny = `
+const tinyScenario = `
 [scenario]
 name = tiny
 about = two events
@@ -70,29 +70,29 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			require.Contains(t, tiny, c.from)
-			_, err := ParseScenario([]byte(strings.Replace(tiny, c.from, c.to, 1)))
+			require.Contains(t, tinyScenario, c.from)
+			_, err := ParseScenario([]byte(strings.Replace(tinyScenario, c.from, c.to, 1)))
 			require.ErrorIs(t, err, ErrScenario)
 			require.ErrorContains(t, err, c.want)
 		})
 	}
 }
 
-// fake answers every request after a second, but for some, and records events.
-type fake struct {
+// fakeFleet answers every request after a second, but for some, and records events.
+type fakeFleet struct {
 	rules    *shed.Rules
 	platform *stand.Platform
 	engine   *stand.Engine
 }
 
-func (f *fake) Rules() *shed.Rules              { return f.rules }
-func (f *fake) Platform() *stand.Platform       { return f.platform }
-func (f *fake) Do(context.Context, Event) error { return nil }
-func (f *fake) Servers() []Server {
+func (f *fakeFleet) Rules() *shed.Rules              { return f.rules }
+func (f *fakeFleet) Platform() *stand.Platform       { return f.platform }
+func (f *fakeFleet) Do(context.Context, Event) error { return nil }
+func (f *fakeFleet) Servers() []Server {
 	return []Server{{ID: "gen-1", Zone: "a", Record: &f.engine.Record}}
 }
 
-func (f *fake) Call(_ context.Context, a Arrival, tokens int, text func()) (*client.Answer, error) {
+func (f *fakeFleet) Call(_ context.Context, a Arrival, tokens int, text func()) (*client.Answer, error) {
 	time.Sleep(200 * time.Millisecond)
 	text()
 	time.Sleep(800 * time.Millisecond)
@@ -114,8 +114,8 @@
 	return out, nil
 }
 
-func newFake() *fake {
-	return &fake{
+func newFakeFleet() *fakeFleet {
+	return &fakeFleet{
 		rules: &shed.Rules{Pipelines: map[shed.PipelineID]*shed.Pipeline{"draft": {
 			Deadline: 1500 * time.Millisecond,
 			Stages:   []shed.Stage{{ID: "draft", Kind: shed.KindGenerate, Idempotent: true}},
@@ -128,12 +128,12 @@
 // One fleet of known behaviour gives one known report: every verdict comes up,
 // and the arrivals don't wait for the answers, each of which takes a second.
 func TestReportOfAKnownFleet(t *testing.T) {
-	s, err := ParseScenario([]byte(tiny))
+	s, err := ParseScenario([]byte(tinyScenario))
 	require.NoError(t, err)
 	var out, progress bytes.Buffer
 	var result *Result
 	synctest.Test(t, func(t *testing.T) {
-		f := newFake()
+		f := newFakeFleet()
 		result, err = Play(t.Context(), s, f, &progress)
 		require.NoError(t, err)
 		require.Zero(t, result.Lag)
@@ -150,7 +150,7 @@
 }
 
 func TestPlanIsTheSameEachTime(t *testing.T) {
-	s, err := ParseScenario([]byte(tiny))
+	s, err := ParseScenario([]byte(tinyScenario))
 	require.NoError(t, err)
 	require.Equal(t, s.Arrivals(), s.Arrivals())
 	other := s
--- a/internal/gauge/judge.go
+++ b/internal/gauge/judge.go
@@ -24,7 +24,7 @@
 	Wrong
 	// Refused: told that it was not run.
 	Refused
-	verdicts
+	numVerdicts
 )
 
 // String names the verdict as in reports.
@@ -55,7 +55,7 @@
 		s.Verdict = Refused
 	case answer.Outcome != client.Complete:
 		s.Verdict = Missing
-	case !right(p, answer, s.Input, tokens):
+	case !isCorrect(p, answer, s.Input, tokens):
 		s.Verdict = Wrong
 	case s.Took > p.Deadline:
 		s.Verdict = Late
@@ -64,8 +64,8 @@
 	}
 }
 
-// right tells whether the answer is what all stages of p make of the input.
-func right(p *shed.Pipeline, answer *client.Answer, input string, tokens int) bool {
+// isCorrect tells whether the answer is what all stages of p make of the input.
+func isCorrect(p *shed.Pipeline, answer *client.Answer, input string, tokens int) bool {
 	var want client.Payload
 	var passages []shed.Passage
 	for _, stage := range p.Stages {
--- a/internal/gauge/play.go
+++ b/internal/gauge/play.go
@@ -67,13 +67,13 @@
 	began    time.Time
 
 	// mu guards what follows.
-	mu       sync.Mutex
-	progress printer
-	samples  []Sample
-	counts   [verdicts]int
-	lag      time.Duration
-	done     []Happened
-	running  atomic.Int64
+	mu         sync.Mutex
+	progress   printer
+	samples    []Sample
+	counts     [numVerdicts]int
+	lag        time.Duration
+	doneEvents []Happened
+	running    atomic.Int64
 }
 
 // Play runs the scenario against the fleet and writes a line of progress every
@@ -81,13 +81,13 @@
 func Play(ctx context.Context, s Scenario, fleet Fleet, progress io.Writer) (*Result, error) {
 	p := &player{scenario: s, fleet: fleet, progress: printer{w: progress}, began: time.Now()}
 	group, ctx := errgroup.WithContext(ctx)
-	over, stop := context.WithCancel(ctx)
+	progressCtx, stop := context.WithCancel(ctx)
 	defer stop()
-	group.Go(func() error { return p.report(over) })
-	group.Go(func() error { return p.events(ctx) })
+	group.Go(func() error { return p.reportProgress(progressCtx) })
+	group.Go(func() error { return p.runEvents(ctx) })
 	group.Go(func() error {
 		defer stop()
-		return p.arrivals(ctx)
+		return p.sendArrivals(ctx)
 	})
 	if err := group.Wait(); err != nil {
 		return nil, err
@@ -96,16 +96,16 @@
 		Scenario: s,
 		Samples:  p.samples,
 		Lag:      p.lag,
-		Done:     p.done,
+		Done:     p.doneEvents,
 		Servers:  fleet.Servers(),
 		Calls:    fleet.Platform().Calls(),
 		Began:    p.began,
 	}, nil
 }
 
-// arrivals sends every request at its time, whatever became of the others, and
+// sendArrivals sends every request at its time, whatever became of the others, and
 // returns when all are answered.
-func (p *player) arrivals(ctx context.Context) error {
+func (p *player) sendArrivals(ctx context.Context) error {
 	var calls errgroup.Group
 	for _, a := range p.scenario.Arrivals() {
 		if err := p.sleepUntil(ctx, a.At); err != nil {
@@ -113,7 +113,7 @@
 		}
 		p.running.Add(1)
 		calls.Go(func() error {
-			p.one(ctx, a)
+			p.runRequest(ctx, a)
 			return nil
 		})
 	}
@@ -131,8 +131,8 @@
 	}
 }
 
-// one runs one request and keeps what became of it.
-func (p *player) one(ctx context.Context, a Arrival) {
+// runRequest runs one request and keeps what became of it.
+func (p *player) runRequest(ctx context.Context, a Arrival) {
 	due := p.began.Add(a.At)
 	lag := time.Since(due)
 	pipeline := p.fleet.Rules().Pipelines[a.Pipeline]
@@ -152,7 +152,7 @@
 	p.lag = max(p.lag, lag)
 }
 
-func (p *player) events(ctx context.Context) error {
+func (p *player) runEvents(ctx context.Context) error {
 	for _, ev := range p.scenario.Events {
 		if err := p.sleepUntil(ctx, ev.At); err != nil {
 			return err
@@ -162,14 +162,14 @@
 			return fmt.Errorf("event %s: %w", ev.Name, err)
 		}
 		p.mu.Lock()
-		p.done = append(p.done, Happened{Event: ev, Began: began, Took: time.Since(p.began) - began})
+		p.doneEvents = append(p.doneEvents, Happened{Event: ev, Began: began, Took: time.Since(p.began) - began})
 		p.progress.printf("%6.1fs  %s: %s %s\n", began.Seconds(), ev.Name, ev.Kind, ev.Target)
 		p.mu.Unlock()
 	}
 	return nil
 }
 
-func (p *player) report(ctx context.Context) error {
+func (p *player) reportProgress(ctx context.Context) error {
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
 	for {
@@ -177,16 +177,16 @@
 		case <-ctx.Done():
 			return nil
 		case <-tick.C:
-			p.line()
+			p.printProgress()
 		}
 	}
 }
 
-func (p *player) line() {
+func (p *player) printProgress() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.progress.printf("%6.1fs", time.Since(p.began).Seconds())
-	for v := range verdicts {
+	for v := range numVerdicts {
 		p.progress.printf("  %s %d", v, p.counts[v])
 	}
 	p.progress.printf("  running %d\n", p.running.Load())
--- a/internal/gauge/plot.go
+++ b/internal/gauge/plot.go
@@ -11,10 +11,10 @@
 )
 
 const (
-	// bucket is the time that one point of the plot stands for.
-	bucket     = 500 * time.Millisecond
-	plotWidth  = 24 * vg.Centimeter
-	plotHeight = 12 * vg.Centimeter
+	// plotInterval is the time that one point of the plot stands for.
+	plotInterval = 500 * time.Millisecond
+	plotWidth    = 24 * vg.Centimeter
+	plotHeight   = 12 * vg.Centimeter
 )
 
 // WritePlot draws served and refused shares over time, with the events marked.
@@ -48,7 +48,7 @@
 	}{
 		{"attained", (*Window).Served, color.RGBA{R: 20, G: 100, B: 180, A: 255}},
 		{"refused", func(w *Window) float64 { return share(w.Counts[Refused], w.Offered()) }, color.RGBA{R: 220, G: 130, A: 255}},
-		{"missed", missed, color.RGBA{R: 200, B: 40, A: 255}},
+		{"missed", missedShare, color.RGBA{R: 200, B: 40, A: 255}},
 	}
 	for _, l := range lines {
 		points := make(plotter.XYs, 0, len(series))
@@ -69,18 +69,18 @@
 	return nil
 }
 
-// missed is the share of late, missing and wrong answers.
-func missed(w *Window) float64 {
+// missedShare is the share of late, missing and wrong answers.
+func missedShare(w *Window) float64 {
 	return share(w.Counts[Late]+w.Counts[Missing]+w.Counts[Wrong], w.Offered())
 }
 
 func (r *Result) series() []*Window {
 	var series []*Window
-	for at := time.Duration(0); at < r.Scenario.Duration; at += bucket {
-		series = append(series, newWindow("", at, at+bucket))
+	for at := time.Duration(0); at < r.Scenario.Duration; at += plotInterval {
+		series = append(series, newWindow("", at, at+plotInterval))
 	}
 	for i := range r.Samples {
-		at := min(int(r.Samples[i].At/bucket), len(series)-1)
+		at := min(int(r.Samples[i].At/plotInterval), len(series)-1)
 		series[at].add(&r.Samples[i])
 	}
 	return series
--- a/internal/gauge/report.go
+++ b/internal/gauge/report.go
@@ -29,18 +29,18 @@
 	return &Report{
 		Scenario:        r.Scenario,
 		Windows:         r.Scenario.windows(r.Samples),
-		Workspaces:      byWorkspace(r.Samples, r.Scenario.Duration),
-		Costs:           costs(r.Samples),
-		Reasons:         reasons(r.Samples),
-		Safety:          r.safety(runsOnce(rules)),
+		Workspaces:      windowsByWorkspace(r.Samples, r.Scenario.Duration),
+		Costs:           sumCosts(r.Samples),
+		Reasons:         countReasons(r.Samples),
+		Safety:          r.safety(runsNonIdempotent(rules)),
 		Lag:             r.Lag,
 		PlatformPeak:    r.Calls.Peak,
 		PlatformRefused: r.Calls.Refused,
 	}
 }
 
-// runsOnce tells which servers carry stages that may run only once.
-func runsOnce(rules *shed.Rules) func(shed.ServerID) bool {
+// runsNonIdempotent tells which servers carry stages that may run only once.
+func runsNonIdempotent(rules *shed.Rules) func(shed.ServerID) bool {
 	pools := map[shed.PoolID]bool{}
 	for _, p := range rules.Pipelines {
 		for _, stage := range p.Stages {
@@ -109,7 +109,7 @@
 func (r *Report) writeCosts(p *printer) {
 	p.printf("pipeline\tstage\tcalls\tuseful\twasted\twasted %%\t\n")
 	for _, c := range r.Costs {
-		p.printf("%s\t%s\t%d\t%d\t%d\t%.2f\t\n", c.Pipeline, c.Stage, c.Calls, c.Useful, c.Wasted, 100*c.wasted())
+		p.printf("%s\t%s\t%d\t%d\t%d\t%.2f\t\n", c.Pipeline, c.Stage, c.Calls, c.Useful, c.Wasted, 100*c.wastedShare())
 	}
 }
 
@@ -120,8 +120,8 @@
 	}
 }
 
-// wasted is the wasted share of the stage's cost, from 0 to 1.
-func (c StageCost) wasted() float64 {
+// wastedShare is the wasted share of the stage's cost, from 0 to 1.
+func (c StageCost) wastedShare() float64 {
 	if c.Useful+c.Wasted == 0 {
 		return 0
 	}
@@ -157,14 +157,14 @@
 func (r *Result) WriteLines(w io.Writer) error {
 	enc := json.NewEncoder(w)
 	for i := range r.Samples {
-		if err := enc.Encode(lineOf(&r.Samples[i])); err != nil {
+		if err := enc.Encode(newLine(&r.Samples[i])); err != nil {
 			return fmt.Errorf("write the samples: %w", err)
 		}
 	}
 	return nil
 }
 
-func lineOf(s *Sample) line {
+func newLine(s *Sample) line {
 	return line{
 		Number:      s.Number,
 		AtMS:        s.At.Milliseconds(),
--- a/internal/gauge/rig.go
+++ b/internal/gauge/rig.go
@@ -19,69 +19,69 @@
 const (
 	// vmLag is how late the platform's VM list is in experiments.
 	vmLag = 2 * time.Second
-	// healthEvery is how often the balancer asks the daemons for readiness.
-	healthEvery = 100 * time.Millisecond
-	// settle is the time between readiness and the start of a scenario, in
+	// healthInterval is how often the balancer asks the daemons for readiness.
+	healthInterval = 100 * time.Millisecond
+	// settleTime is the time between readiness and the start of a scenario, in
 	// which load reports spread.
-	settle = time.Second
-	// slowness of a server that EventServerSlow slows down.
-	slowness = 10
-	// loadSlope of a drafter: at full capacity it takes twice as long.
-	loadSlope = 1
+	settleTime = time.Second
+	// slowServerFactor of a server that EventServerSlow slows down.
+	slowServerFactor = 10
+	// drafterLoadSlope of a drafter: at full capacity it takes twice as long.
+	drafterLoadSlope = 1
 	// loadLag of the engines' reports.
 	loadLag = 200 * time.Millisecond
-	// longRun is what a server has done that was up long before.
-	longRun = 100_000
+	// priorCalls is what a server has done that was up long before.
+	priorCalls = 100_000
 )
 
 // errEvent means that an event's target does not exist.
-var errEvent = errors.New("no such target")
+var errUnknownTarget = errors.New("no such target")
 
 // Rig is a fleet for a scenario, with the platform's balancer before it.
 type Rig struct {
-	scenario Scenario
-	fleet    *fleet.Fleet
-	cutter   *cutter
+	scenario    Scenario
+	fleet       *fleet.Fleet
+	partitioner *partitioner
 
 	mu sync.Mutex
-	// text of the rules as last published.
-	text []byte
+	// rulesText of the rules as last published.
+	rulesText []byte
 	// ready are the daemons that the balancer knows as ready.
-	ready   []*fleet.Member
-	asked   time.Time
-	next    int
-	clients map[string]*client.Client
+	ready           []*fleet.Member
+	lastHealthCheck time.Time
+	next            int
+	clients         map[string]*client.Client
 }
 
 // NewRig starts the fleet and waits until it is ready. Logs of the daemons go
 // to logTo.
 func NewRig(ctx context.Context, s Scenario, logTo io.Writer) (*Rig, error) {
-	r := &Rig{scenario: s, cutter: newCutter(), clients: map[string]*client.Client{}}
+	r := &Rig{scenario: s, partitioner: newPartitioner(), clients: map[string]*client.Client{}}
 	f, err := fleet.Start(ctx, fleet.Config{
 		Rules:       s.RulesText(),
 		PerZone:     s.Fleet.Daemons,
 		LogTo:       logTo,
 		Policy:      s.Policy,
-		Engine:      s.Fleet.engine,
+		Engine:      s.Fleet.engineConfig,
 		ServiceTime: s.Fleet.CallTime,
 		VMLag:       vmLag,
-		Node:        r.wire,
+		Node:        r.setDialers,
 	})
 	if err != nil {
 		return nil, err
 	}
 	r.fleet = f
-	r.text = f.Text()
-	r.place()
+	r.rulesText = f.Text()
+	r.setZones()
 	if err := f.WaitReady(ctx); err != nil {
 		f.Close()
 		return nil, err
 	}
-	time.Sleep(settle)
+	time.Sleep(settleTime)
 	return r, nil
 }
 
-func (s Shape) engine(server *shed.Server, kind shed.StageKind) stand.EngineConfig {
+func (s Shape) engineConfig(server *shed.Server, kind shed.StageKind) stand.EngineConfig {
 	cfg := stand.EngineConfig{
 		ID:           server.ID,
 		Capacity:     server.Capacity,
@@ -89,28 +89,28 @@
 		CallTime:     s.CallTime,
 		LoadLag:      loadLag,
 		CacheEntries: 256,
-		Done:         longRun,
+		Done:         priorCalls,
 	}
 	if kind == shed.KindGenerate {
 		cfg.WarmAfter = s.WarmAfter
 		cfg.TokenTime = s.TokenTime
 		cfg.PrefillTime = s.TokenTime / 10
-		cfg.LoadSlope = loadSlope
+		cfg.LoadSlope = drafterLoadSlope
 	}
 	return cfg
 }
 
-// wire makes a daemon dial through the cutter.
-func (r *Rig) wire(cfg *node.Config) {
+// setDialers makes a daemon dial through the cutter.
+func (r *Rig) setDialers(cfg *node.Config) {
 	zone := shed.ZoneID(cfg.Prefs.Node.Zone)
-	cfg.DialPeer = r.cutter.peer(zone)
-	cfg.DialPlatform = r.cutter.platform(zone)
+	cfg.DialPeer = r.partitioner.dialPeerFrom(zone)
+	cfg.DialPlatform = r.partitioner.dialPlatformFrom(zone)
 }
 
-// place tells the cutter where every daemon is.
-func (r *Rig) place() {
+// setZones tells the cutter where every daemon is.
+func (r *Rig) setZones() {
 	for _, m := range r.fleet.Members() {
-		r.cutter.place(m.Self().VM, m.Zone)
+		r.partitioner.setZone(m.Self().VM, m.Zone)
 	}
 }
 
@@ -127,15 +127,15 @@
 func (r *Rig) Servers() []Server {
 	var out []Server
 	for id, e := range r.fleet.Engines {
-		out = append(out, r.server(id, &e.Record))
+		out = append(out, r.newServer(id, &e.Record))
 	}
 	for id, s := range r.fleet.Services {
-		out = append(out, r.server(id, &s.Record))
+		out = append(out, r.newServer(id, &s.Record))
 	}
 	return out
 }
 
-func (r *Rig) server(id shed.ServerID, record *stand.Record) Server {
+func (r *Rig) newServer(id shed.ServerID, record *stand.Record) Server {
 	s := r.fleet.Rules.Servers[id]
 	return Server{ID: id, Zone: s.Zone, Supplier: s.Supplier, Record: record}
 }
@@ -143,7 +143,7 @@
 // Call sends one request through the balancer, which knows by a poll which
 // daemons are ready. Nothing is repeated.
 func (r *Rig) Call(ctx context.Context, a Arrival, tokens int, text func()) (*client.Answer, error) {
-	c, err := r.balance(string(a.Workspace))
+	c, err := r.pickClient(string(a.Workspace))
 	if err != nil {
 		return nil, err
 	}
@@ -154,12 +154,12 @@
 	return c.Stream(ctx, work, client.Events{Text: func(string, string) { text() }})
 }
 
-// balance picks the next ready daemon.
-func (r *Rig) balance(workspace string) (*client.Client, error) {
+// pickClient picks the next ready daemon.
+func (r *Rig) pickClient(workspace string) (*client.Client, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if now := time.Now(); now.Sub(r.asked) >= healthEvery {
-		r.asked = now
+	if now := time.Now(); now.Sub(r.lastHealthCheck) >= healthInterval {
+		r.lastHealthCheck = now
 		r.ready = r.ready[:0]
 		for _, m := range r.fleet.Members() {
 			if m.Daemon().Ready() {
@@ -183,7 +183,7 @@
 	c, err := client.New(client.Config{
 		URLs:      []string{url},
 		Workspace: workspace,
-		Token:     tokenOf(workspace),
+		Token:     workspaceToken(workspace),
 		Repeats:   -1,
 	})
 	r.clients[key] = c
@@ -194,64 +194,64 @@
 func (r *Rig) Do(ctx context.Context, ev Event) error {
 	switch ev.Kind {
 	case EventZoneOut:
-		return r.edit(zoneLine(ev.Target, false), zoneLine(ev.Target, true))
+		return r.replaceLine(zoneLine(ev.Target, false), zoneLine(ev.Target, true))
 	case EventZoneBack:
-		return r.edit(zoneLine(ev.Target, true), zoneLine(ev.Target, false))
+		return r.replaceLine(zoneLine(ev.Target, true), zoneLine(ev.Target, false))
 	case EventSupplierLeaving:
-		return r.edit(supplierLine(ev.Target, false), supplierLine(ev.Target, true))
+		return r.replaceLine(supplierLine(ev.Target, false), supplierLine(ev.Target, true))
 	case EventZoneCut:
-		r.cutter.set(shed.ZoneID(ev.Target), true)
+		r.partitioner.setPartitioned(shed.ZoneID(ev.Target), true)
 	case EventZoneHeal:
-		r.cutter.set(shed.ZoneID(ev.Target), false)
+		r.partitioner.setPartitioned(shed.ZoneID(ev.Target), false)
 	case EventPlatformDown:
 		r.fleet.Platform.SetDown(true)
 	case EventPlatformUp:
 		r.fleet.Platform.SetDown(false)
 	case EventRollingRestart:
-		return r.restart(ctx)
+		return r.restartAll(ctx)
 	default:
-		return r.turn(ev)
+		return r.changeEngine(ev)
 	}
 	return nil
 }
 
-// turn changes one engine.
-func (r *Rig) turn(ev Event) error {
+// changeEngine changes one engine.
+func (r *Rig) changeEngine(ev Event) error {
 	e := r.fleet.Engines[shed.ServerID(ev.Target)]
 	if e == nil {
-		return fmt.Errorf("%w: server %s", errEvent, ev.Target)
+		return fmt.Errorf("%w: server %s", errUnknownTarget, ev.Target)
 	}
 	switch ev.Kind {
 	case EventServerCold:
 		e.TurnCold()
 	case EventServerSlow:
-		e.SetSlowness(slowness)
+		e.SetSlowness(slowServerFactor)
 	case EventServerWell:
 		e.SetSlowness(1)
 	}
 	return nil
 }
 
-// edit changes one line of the rules and publishes them.
-func (r *Rig) edit(from, to string) error {
+// replaceLine changes one line of the rules and publishes them.
+func (r *Rig) replaceLine(from, to string) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if bytes.Count(r.text, []byte(from)) != 1 {
-		return fmt.Errorf("%w: line %q", errEvent, from)
+	if bytes.Count(r.rulesText, []byte(from)) != 1 {
+		return fmt.Errorf("%w: line %q", errUnknownTarget, from)
 	}
-	r.text = bytes.Replace(r.text, []byte(from), []byte(to), 1)
-	r.fleet.Publish(r.text)
+	r.rulesText = bytes.Replace(r.rulesText, []byte(from), []byte(to), 1)
+	r.fleet.Publish(r.rulesText)
 	return nil
 }
 
-// restart replaces every daemon in turn: the new one first, then a graceful
+// restartAll replaces every daemon in turn: the new one first, then a graceful
 // stop of the old one.
-func (r *Rig) restart(ctx context.Context) error {
+func (r *Rig) restartAll(ctx context.Context) error {
 	for _, old := range r.fleet.Members() {
 		if _, err := r.fleet.Add(ctx, old.Zone); err != nil {
 			return err
 		}
-		r.place()
+		r.setZones()
 		if err := r.fleet.WaitReady(ctx); err != nil {
 			return err
 		}
--- a/internal/gauge/rig_test.go
+++ b/internal/gauge/rig_test.go
@@ -15,7 +15,7 @@
 )
 
 func TestRulesOfScenariosAreAccepted(t *testing.T) {
-	s, err := ParseScenario([]byte(tiny))
+	s, err := ParseScenario([]byte(tinyScenario))
 	require.NoError(t, err)
 	text := s.RulesText()
 	_, faults := rules.Parse(text, 1)
@@ -58,8 +58,8 @@
 	require.Zero(t, report.Windows[0].Counts[Wrong])
 	require.NotZero(t, report.Windows[0].Counts[Attained])
 	require.Zero(t, report.Safety.Doubled)
-	require.ErrorIs(t, rig.Do(ctx, Event{Kind: EventZoneOut, Target: "nowhere"}), errEvent)
-	require.ErrorIs(t, rig.Do(ctx, Event{Kind: EventServerCold, Target: "nothing"}), errEvent)
+	require.ErrorIs(t, rig.Do(ctx, Event{Kind: EventZoneOut, Target: "nowhere"}), errUnknownTarget)
+	require.ErrorIs(t, rig.Do(ctx, Event{Kind: EventServerCold, Target: "nothing"}), errUnknownTarget)
 }
 
 // A zone is cut off: what is open goes silent in both directions, new links
@@ -70,32 +70,32 @@
 	require.NoError(t, err)
 	defer func() { _ = server.Close() }()
 	vm := shed.VM(server.Addr())
-	c := newCutter()
-	c.place(vm, "b")
-	far, err := c.peer("a")(t.Context(), vm)
+	c := newPartitioner()
+	c.setZone(vm, "b")
+	crossZone, err := c.dialPeerFrom("a")(t.Context(), vm)
 	require.NoError(t, err)
-	near, err := c.peer("b")(t.Context(), vm)
+	sameZone, err := c.dialPeerFrom("b")(t.Context(), vm)
 	require.NoError(t, err)
-	c.set("b", true)
-	const question = "GET /v1/vms HTTP/1.1\r\nHost: x\r\n\r\n"
-	require.Error(t, exchange(far, question))
-	require.NoError(t, exchange(near, question))
-	_, err = c.peer("a")(t.Context(), vm)
-	require.ErrorIs(t, err, errCut)
-	_, err = c.platform("b")(t.Context(), "tcp", server.Addr())
-	require.ErrorIs(t, err, errCut)
-	c.set("b", false)
-	again, err := c.peer("a")(t.Context(), vm)
+	c.setPartitioned("b", true)
+	const request = "GET /v1/vms HTTP/1.1\r\nHost: x\r\n\r\n"
+	require.Error(t, roundTrip(crossZone, request))
+	require.NoError(t, roundTrip(sameZone, request))
+	_, err = c.dialPeerFrom("a")(t.Context(), vm)
+	require.ErrorIs(t, err, errPartitioned)
+	_, err = c.dialPlatformFrom("b")(t.Context(), "tcp", server.Addr())
+	require.ErrorIs(t, err, errPartitioned)
+	c.setPartitioned("b", false)
+	again, err := c.dialPeerFrom("a")(t.Context(), vm)
 	require.NoError(t, err)
-	require.NoError(t, exchange(again, question))
-	for _, conn := range []net.Conn{far, near, again} {
+	require.NoError(t, roundTrip(again, request))
+	for _, conn := range []net.Conn{crossZone, sameZone, again} {
 		require.NoError(t, conn.Close())
 	}
 }
 
-func exchange(c net.Conn, question string) error {
+func roundTrip(c net.Conn, request string) error {
 	_ = c.SetDeadline(time.Now().Add(300 * time.Millisecond))
-	if _, err := c.Write([]byte(question)); err != nil {
+	if _, err := c.Write([]byte(request)); err != nil {
 		return err
 	}
 	_, err := c.Read(make([]byte, 1))
--- a/internal/gauge/rules.go
+++ b/internal/gauge/rules.go
@@ -15,7 +15,7 @@
 	supplierOwn   = "noorderlicht"
 	supplierOther = "zuiderlicht"
 	modelDrafter  = "drafter"
-	asked         = " ; experiment\n"
+	ruleOrigin    = " ; experiment\n"
 	// firstPort is the first of the ports that stand for the servers until the
 	// stand-ins are there.
 	firstPort = 21000
@@ -23,9 +23,9 @@
 
 // pool is one pool of an experiment, with its servers in each zone.
 type pool struct {
-	id, prefix, kind string
-	count            int
-	capacity, cold   int
+	id, prefix, kind       string
+	count                  int
+	capacity, coldCapacity int
 }
 
 // pools are the same for every experiment but for their sizes.
@@ -85,18 +85,18 @@
 	b.WriteString("\n[suppliers]\n")
 	b.WriteString(supplierLine(supplierOwn, false))
 	b.WriteString(supplierLine(supplierOther, false))
-	b.WriteString("\n[models]\n" + modelDrafter + " = version 1" + asked)
+	b.WriteString("\n[models]\n" + modelDrafter + " = version 1" + ruleOrigin)
 	b.WriteString("\n[pools]\n")
 	for _, p := range s.Fleet.pools() {
-		fmt.Fprintf(&b, "%s = kind %s, unit 1%s", p.id, p.kind, asked)
+		fmt.Fprintf(&b, "%s = kind %s, unit 1%s", p.id, p.kind, ruleOrigin)
 	}
 	b.WriteString("\n[servers]\n")
 	s.Fleet.writeServers(&b)
 	b.WriteString(fixedRules)
 	b.WriteString("\n[workspaces]\n")
 	for _, w := range s.Workspaces {
-		sum := sha256.Sum256([]byte(tokenOf(w.Name)))
-		fmt.Fprintf(&b, "%s = share 1, token_sha256 %s%s", w.Name, hex.EncodeToString(sum[:]), asked)
+		sum := sha256.Sum256([]byte(workspaceToken(w.Name)))
+		fmt.Fprintf(&b, "%s = share 1, token_sha256 %s%s", w.Name, hex.EncodeToString(sum[:]), ruleOrigin)
 	}
 	return []byte(b.String())
 }
@@ -111,7 +111,7 @@
 					supplier = supplierOther
 				}
 				fmt.Fprintf(b, "%s-%c-%d = pool %s, zone %s, supplier %s, url http://127.0.0.1:%d, capacity %d, cold_bears %d%s",
-					p.prefix, 'a'+i, n, p.id, zone, supplier, port, p.capacity, p.cold, asked)
+					p.prefix, 'a'+i, n, p.id, zone, supplier, port, p.capacity, p.coldCapacity, ruleOrigin)
 				port++
 			}
 		}
@@ -120,17 +120,17 @@
 
 func zoneLine(zone string, out bool) string {
 	if out {
-		return zone + " = region nl, out yes" + asked
+		return zone + " = region nl, out yes" + ruleOrigin
 	}
-	return zone + " = region nl" + asked
+	return zone + " = region nl" + ruleOrigin
 }
 
 func supplierLine(supplier string, leaving bool) string {
 	if leaving {
-		return supplier + " = leaving yes" + asked
+		return supplier + " = leaving yes" + ruleOrigin
 	}
-	return supplier + " = leaving no" + asked
+	return supplier + " = leaving no" + ruleOrigin
 }
 
-// tokenOf is the token of an experiment's workspace.
-func tokenOf(workspace string) string { return "experiment-" + workspace }
+// workspaceToken is the token of an experiment's workspace.
+func workspaceToken(workspace string) string { return "experiment-" + workspace }
--- a/internal/gauge/safety.go
+++ b/internal/gauge/safety.go
@@ -31,31 +31,31 @@
 }
 
 // safety reads the records of the stand-ins.
-func (r *Result) safety(once func(shed.ServerID) bool) Safety {
+func (r *Result) safety(mustRunOnce func(shed.ServerID) bool) Safety {
 	var out Safety
 	for _, server := range r.Servers {
 		for _, o := range server.Record.Overshoots() {
 			out.Overshoots++
 			out.WorstOvershoot = max(out.WorstOvershoot, o.Running-o.Bears)
 		}
-		if once(server.ID) {
+		if mustRunOnce(server.ID) {
 			out.Doubled += len(server.Record.Doubled())
 		}
 	}
 	for _, ev := range r.Done {
 		if ev.Kind == EventZoneOut || ev.Kind == EventSupplierLeaving {
-			out.Closings = append(out.Closings, r.closing(ev))
+			out.Closings = append(out.Closings, r.newClosing(ev))
 		}
 	}
 	return out
 }
 
-// closing looks for calls that began after ev on the servers that it closed.
-func (r *Result) closing(ev Happened) Closing {
+// newClosing looks for calls that began after ev on the servers that it closed.
+func (r *Result) newClosing(ev Happened) Closing {
 	from := r.Began.Add(ev.Began)
-	until := r.reopened(ev)
+	until := r.reopenedAt(ev)
 	out := Closing{Event: ev.Name}
-	for _, run := range r.closedRuns(ev.Event) {
+	for _, run := range r.runsOnClosed(ev.Event) {
 		if run.Start.Before(from) || (!until.IsZero() && run.Start.After(until)) {
 			continue
 		}
@@ -65,7 +65,7 @@
 	return out
 }
 
-func (r *Result) closedRuns(ev Event) []stand.Run {
+func (r *Result) runsOnClosed(ev Event) []stand.Run {
 	var runs []stand.Run
 	for _, server := range r.Servers {
 		if string(server.Zone) == ev.Target || string(server.Supplier) == ev.Target {
@@ -76,8 +76,8 @@
 	return runs
 }
 
-// reopened is when the zone of ev came back; zero if it did not.
-func (r *Result) reopened(ev Happened) time.Time {
+// reopenedAt is when the zone of ev came back; zero if it did not.
+func (r *Result) reopenedAt(ev Happened) time.Time {
 	for _, later := range r.Done {
 		if later.Kind == EventZoneBack && later.Target == ev.Target && later.Began > ev.Began {
 			return r.Began.Add(later.Began)
--- a/internal/gauge/scenario.go
+++ b/internal/gauge/scenario.go
@@ -117,7 +117,7 @@
 	}
 	r := &reader{file: file, used: map[string]bool{}}
 	s := r.scenario()
-	r.leftovers()
+	r.checkUnused()
 	if len(r.faults) > 0 {
 		return Scenario{}, fmt.Errorf("%w: %w", ErrScenario, errors.Join(r.faults...))
 	}
@@ -137,7 +137,7 @@
 		About:    r.text("scenario", "about", ""),
 		Seed:     uint64(r.number("scenario", "seed", 1)),
 		Duration: r.time("scenario", "duration", 20*time.Second),
-		Rate:     r.real("scenario", "rate", 50),
+		Rate:     r.float("scenario", "rate", 50),
 		Policy:   r.text("scenario", "policy", route.NameAffinity),
 		Tokens:   r.number("scenario", "tokens", 24),
 		Fleet: Shape{
@@ -157,10 +157,10 @@
 		Events:     r.events(),
 	}
 	if s.Name == "" || len(s.Pipelines) == 0 || len(s.Workspaces) == 0 {
-		r.fault("name, [pipelines] and [workspaces] are needed")
+		r.addFault("name, [pipelines] and [workspaces] are needed")
 	}
 	if s.Duration <= 0 || s.Rate <= 0 {
-		r.fault("duration and rate must be above 0")
+		r.addFault("duration and rate must be above 0")
 	}
 	if _, err := route.Named(s.Policy, 0); err != nil {
 		r.faults = append(r.faults, err)
@@ -168,41 +168,41 @@
 	return s
 }
 
-func (r *reader) fault(format string, args ...any) {
+func (r *reader) addFault(format string, args ...any) {
 	r.faults = append(r.faults, fmt.Errorf(format, args...))
 }
 
-func (r *reader) text(section, key, otherwise string) string {
+func (r *reader) text(section, key, def string) string {
 	r.used[section+"."+key] = true
-	return r.file.Section(section).Key(key).MustString(otherwise)
+	return r.file.Section(section).Key(key).MustString(def)
 }
 
-func (r *reader) number(section, key string, otherwise int) int {
-	text := r.text(section, key, strconv.Itoa(otherwise))
+func (r *reader) number(section, key string, def int) int {
+	text := r.text(section, key, strconv.Itoa(def))
 	n, err := strconv.Atoi(text)
 	if err != nil || n < 0 {
-		r.fault("%s: %s: %q is no count", section, key, text)
+		r.addFault("%s: %s: %q is no count", section, key, text)
 	}
 	return n
 }
 
-func (r *reader) real(section, key string, otherwise float64) float64 {
-	text := r.text(section, key, strconv.FormatFloat(otherwise, 'g', -1, 64))
+func (r *reader) float(section, key string, def float64) float64 {
+	text := r.text(section, key, strconv.FormatFloat(def, 'g', -1, 64))
 	x, err := strconv.ParseFloat(text, 64)
 	if err != nil {
-		r.fault("%s: %s: %q is no number", section, key, text)
+		r.addFault("%s: %s: %q is no number", section, key, text)
 	}
 	return x
 }
 
-func (r *reader) time(section, key string, otherwise time.Duration) time.Duration {
-	return r.duration(section+": "+key, r.text(section, key, otherwise.String()))
+func (r *reader) time(section, key string, def time.Duration) time.Duration {
+	return r.duration(section+": "+key, r.text(section, key, def.String()))
 }
 
 func (r *reader) duration(where, text string) time.Duration {
 	d, err := time.ParseDuration(text)
 	if err != nil || d < 0 {
-		r.fault("%s: %q is no time", where, text)
+		r.addFault("%s: %q is no time", where, text)
 	}
 	return d
 }
@@ -221,7 +221,7 @@
 	for _, key := range r.keys(section) {
 		weight, err := strconv.ParseFloat(key.String(), 64)
 		if err != nil || weight <= 0 {
-			r.fault("%s: %s: %q is no weight", section, key.Name(), key)
+			r.addFault("%s: %s: %q is no weight", section, key.Name(), key)
 		}
 		shares = append(shares, Share{Name: key.Name(), Weight: weight})
 	}
@@ -235,12 +235,12 @@
 		where := "bursts: " + key.Name()
 		f := strings.Fields(key.String())
 		if len(f) != 5 || f[1] != "at" || f[3] != "for" {
-			r.fault("%s: want FACTOR at TIME for TIME", where)
+			r.addFault("%s: want FACTOR at TIME for TIME", where)
 			continue
 		}
 		factor, err := strconv.ParseFloat(f[0], 64)
 		if err != nil || factor <= 0 {
-			r.fault("%s: %q is no factor", where, f[0])
+			r.addFault("%s: %q is no factor", where, f[0])
 		}
 		bursts = append(bursts, Burst{
 			Name:   key.Name(),
@@ -259,32 +259,32 @@
 		where := "events: " + key.Name()
 		f := strings.Fields(key.String())
 		if len(f) < 2 {
-			r.fault("%s: want TIME KIND TARGET", where)
+			r.addFault("%s: want TIME KIND TARGET", where)
 			continue
 		}
 		ev := Event{Name: key.Name(), At: r.duration(where, f[0]), Kind: EventKind(f[1])}
-		needs, known := eventKinds[ev.Kind]
-		if !known || needs != (len(f) == 3) {
-			r.fault("%s: %q is no event, or its target is wrong", where, key)
+		needsTarget, known := eventKinds[ev.Kind]
+		if !known || needsTarget != (len(f) == 3) {
+			r.addFault("%s: %q is no event, or its target is wrong", where, key)
 			continue
 		}
-		if needs {
+		if needsTarget {
 			ev.Target = f[2]
 		}
 		if n := len(events); n > 0 && events[n-1].At > ev.At {
-			r.fault("%s: earlier than the event before it", where)
+			r.addFault("%s: earlier than the event before it", where)
 		}
 		events = append(events, ev)
 	}
 	return events
 }
 
-// leftovers refuses keys that nothing reads, which are mistyped.
-func (r *reader) leftovers() {
+// checkUnused refuses keys that nothing reads, which are mistyped.
+func (r *reader) checkUnused() {
 	for _, section := range r.file.Sections() {
 		for _, key := range section.Keys() {
 			if !r.used[section.Name()+"."+key.Name()] {
-				r.fault("%s: %s: unknown key", section.Name(), key.Name())
+				r.addFault("%s: %s: unknown key", section.Name(), key.Name())
 			}
 		}
 	}
--- a/internal/gauge/tally.go
+++ b/internal/gauge/tally.go
@@ -12,10 +12,10 @@
 )
 
 const (
-	// longest latency that a histogram tells apart.
-	longest = 5 * time.Minute
-	// digits of a histogram's precision.
-	digits = 3
+	// maxLatency latency that a histogram tells apart.
+	maxLatency = 5 * time.Minute
+	// significantDigits of a histogram's precision.
+	significantDigits = 3
 )
 
 // Sample is what became of one arrival.
@@ -33,36 +33,36 @@
 
 // Window is the quality of service of the arrivals in a span of time.
 type Window struct {
-	Name     string
-	From, To time.Duration
-	Counts   [verdicts]int
-	took     *hdrhistogram.Histogram
-	first    *hdrhistogram.Histogram
+	Name       string
+	From, To   time.Duration
+	Counts     [numVerdicts]int
+	latencies  *hdrhistogram.Histogram
+	firstTexts *hdrhistogram.Histogram
 }
 
 func newWindow(name string, from, to time.Duration) *Window {
 	return &Window{
-		Name:  name,
-		From:  from,
-		To:    to,
-		took:  hdrhistogram.New(1, longest.Microseconds(), digits),
-		first: hdrhistogram.New(1, longest.Microseconds(), digits),
+		Name:       name,
+		From:       from,
+		To:         to,
+		latencies:  hdrhistogram.New(1, maxLatency.Microseconds(), significantDigits),
+		firstTexts: hdrhistogram.New(1, maxLatency.Microseconds(), significantDigits),
 	}
 }
 
 func (w *Window) add(s *Sample) {
 	w.Counts[s.Verdict]++
 	if s.Verdict == Attained || s.Verdict == Late {
-		record(w.took, s.Took)
+		record(w.latencies, s.Took)
 	}
 	if s.FirstText > 0 {
-		record(w.first, s.FirstText)
+		record(w.firstTexts, s.FirstText)
 	}
 }
 
 func record(h *hdrhistogram.Histogram, d time.Duration) {
 	// Values past the longest are taken for it.
-	_ = h.RecordValue(min(max(d.Microseconds(), 1), longest.Microseconds()))
+	_ = h.RecordValue(min(max(d.Microseconds(), 1), maxLatency.Microseconds()))
 }
 
 // Offered counts all arrivals.
@@ -87,19 +87,19 @@
 
 // Latency is a quantile, from 0 to 100, of the time to the whole answer.
 func (w *Window) Latency(q float64) time.Duration {
-	return time.Duration(w.took.ValueAtQuantile(q)) * time.Microsecond
+	return time.Duration(w.latencies.ValueAtQuantile(q)) * time.Microsecond
 }
 
 // FirstText is a quantile of the time to the first text.
 func (w *Window) FirstText(q float64) time.Duration {
-	return time.Duration(w.first.ValueAtQuantile(q)) * time.Microsecond
+	return time.Duration(w.firstTexts.ValueAtQuantile(q)) * time.Microsecond
 }
 
-func share(part, whole int) float64 {
-	if whole <= 0 {
+func share(part, total int) float64 {
+	if total <= 0 {
 		return 1
 	}
-	return float64(part) / float64(whole)
+	return float64(part) / float64(total)
 }
 
 // StageCost is the work of one stage, in millionths of a server-second.
@@ -120,27 +120,27 @@
 		}
 		names[m.At] = m.Name
 	}
-	cuts := make([]time.Duration, 0, len(names))
+	starts := make([]time.Duration, 0, len(names))
 	for at := range names {
-		cuts = append(cuts, at)
+		starts = append(starts, at)
 	}
-	slices.Sort(cuts)
+	slices.Sort(starts)
 	out := []*Window{newWindow("all", 0, s.Duration)}
-	for i, at := range cuts {
+	for i, at := range starts {
 		to := s.Duration
-		if i+1 < len(cuts) {
-			to = cuts[i+1]
+		if i+1 < len(starts) {
+			to = starts[i+1]
 		}
-		if len(cuts) > 1 {
+		if len(starts) > 1 {
 			out = append(out, newWindow(names[at], at, to))
 		}
 	}
-	fill(out, samples)
+	addSamples(out, samples)
 	return out
 }
 
-// byWorkspace gives a window for each workspace, sorted by name.
-func byWorkspace(samples []Sample, to time.Duration) []*Window {
+// windowsByWorkspace gives a window for each workspace, sorted by name.
+func windowsByWorkspace(samples []Sample, to time.Duration) []*Window {
 	found := map[shed.WorkspaceID]*Window{}
 	for i := range samples {
 		ws := samples[i].Workspace
@@ -157,7 +157,7 @@
 	return out
 }
 
-func fill(windows []*Window, samples []Sample) {
+func addSamples(windows []*Window, samples []Sample) {
 	for i := range samples {
 		for _, w := range windows {
 			if at := samples[i].At; at >= w.From && at < w.To {
@@ -186,8 +186,8 @@
 	return marks
 }
 
-// costs sums the stages' reports, sorted by pipeline and stage.
-func costs(samples []Sample) []StageCost {
+// sumCosts sums the stages' reports, sorted by pipeline and stage.
+func sumCosts(samples []Sample) []StageCost {
 	type key struct {
 		pipeline shed.PipelineID
 		stage    string
@@ -214,8 +214,8 @@
 	return out
 }
 
-// reasons counts the reasons of what was not attained, sorted.
-func reasons(samples []Sample) []ReasonCount {
+// countReasons counts the reasons of what was not attained, sorted.
+func countReasons(samples []Sample) []ReasonCount {
 	counts := map[ReasonCount]int{}
 	for _, s := range samples {
 		if s.Verdict != Attained {
