--- a/internal/gauge/arrivals.go
+++ b/internal/gauge/arrivals.go
@@ -9,10 +9,10 @@
 	shed "jasmineshed"
 )
 
-// topics is how many beginnings of prompts each workspace's users share.
+// topicsPerWorkspace is how many different prompt prefixes the users of a workspace share.
 const topicsPerWorkspace = 8
 
-// sharedPrefix is the least length of instructions in bytes.
+// minSharedPrefix is the minimum length of a shared prompt prefix in bytes.
 const minSharedPrefix = 320
 
 // Arrival is one planned request.
@@ -25,7 +25,7 @@
 }
 
 // Arrivals plans all requests of a scenario: a Poisson process whose rate
-// follows the bursts. The same scenario gives the same plan.
+// follows the bursts. The plan depends on the scenario alone.
 func (s *Scenario) Arrivals() []Arrival {
 	rng := rand.New(rand.NewPCG(s.Seed, 0x6a09e667f3bcc908))
 	var plan []Arrival
@@ -62,8 +62,8 @@
 	}
 }
 
-// sharedInstructions are the beginning that prompts of one workspace on one topic
-// share; longer than what caches tell apart.
+// sharedInstructions returns the prefix that all prompts of one workspace on one topic
+// share. It is longer than the prefix by which caches tell prompts apart.
 func sharedInstructions(workspace string, topic int) string {
 	line := fmt.Sprintf("Write for the readers of %s on topic %d, in short lines. ", workspace, topic)
 	return strings.Repeat(line, minSharedPrefix/len(line)+1)
--- a/internal/gauge/bench_test.go
+++ b/internal/gauge/bench_test.go
@@ -10,9 +10,9 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// BenchmarkTokensThroughDaemon streams 60 answers at once, a token a
-// millisecond each, through one daemon. The figure counts the processor time of
-// the engine's stand-in, the daemon and the callers together.
+// BenchmarkTokensThroughDaemon streams 60 concurrent answers, each with a token every
+// millisecond, through one daemon. The result counts the processor time of the engine
+// stand-in, the daemon and the callers together.
 func BenchmarkTokensThroughDaemon(b *testing.B) {
 	const streams, tokens = 60, 1000
 	rig, err := NewRig(b.Context(), Scenario{
--- a/internal/gauge/gauge_test.go
+++ b/internal/gauge/gauge_test.go
@@ -59,14 +59,14 @@
 	}{
 		{"unknown key", "rate = 10", "rat = 10", "scenario: rat: unknown key"},
 		{"no rate", "rate = 10", "rate = 0", "must be above 0"},
-		{"no number", "rate = 10", "rate = ten", "no number"},
-		{"unknown event", "zone_out", "zone_off", "is no event"},
+		{"no number", "rate = 10", "rate = ten", "is not a number"},
+		{"unknown event", "zone_out", "zone_off", "is not an event"},
 		{"missing target", "zone_out a", "zone_out", "its target is wrong"},
 		{"out of order", "3500ms zone_back", "1s zone_back", "earlier"},
 		{"unknown policy", "duration = 4s", "policy = best", "unknown policy"},
 		{"bad burst", "3 at 1s", "3 1s", "want FACTOR at TIME"},
-		{"no pipelines", "draft = 1", "", "are needed"},
-		{"bad weight", "draft = 1", "draft = -1", "no weight"},
+		{"no pipelines", "draft = 1", "", "are required"},
+		{"bad weight", "draft = 1", "draft = -1", "is not a weight"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -78,7 +78,7 @@
 	}
 }
 
-// fakeFleet answers every request after a second, but for some, and records events.
+// fakeFleet answers requests after one second, and some of them with faults by their number.
 type fakeFleet struct {
 	rules    *shed.Rules
 	platform *stand.Platform
@@ -125,8 +125,8 @@
 	}
 }
 
-// One fleet of known behaviour gives one known report: every verdict comes up,
-// and the arrivals don't wait for the answers, each of which takes a second.
+// A fleet of known behaviour gives the report in the golden files. Every verdict occurs,
+// and arrivals don't wait for answers, which take a second each.
 func TestReportOfAKnownFleet(t *testing.T) {
 	s, err := ParseScenario([]byte(tinyScenario))
 	require.NoError(t, err)
--- a/internal/gauge/judge.go
+++ b/internal/gauge/judge.go
@@ -9,34 +9,34 @@
 	"jasmineshed/pkg/client"
 )
 
-// Verdict is what a request was worth to its caller. The set is closed.
+// Verdict is the result of a request for its caller. The set is closed.
 type Verdict uint8
 
 // The verdicts.
 const (
-	// Attained: the whole and right answer, within the deadline.
+	// Attained is the complete and correct answer within the deadline.
 	Attained Verdict = iota
-	// Late: whole and right, but after the deadline.
+	// Late is the complete and correct answer after the deadline.
 	Late
-	// Missing: no whole answer, though the request was accepted.
+	// Missing is no complete answer, although the request was not refused.
 	Missing
-	// Wrong: an answer that is not the one to this request.
+	// Wrong is a complete answer that differs from the correct one to this request.
 	Wrong
-	// Refused: told that it was not run.
+	// Refused is an answer that the request was not run.
 	Refused
 	numVerdicts
 )
 
-// String names the verdict as in reports.
+// String returns the verdict's name in reports.
 func (v Verdict) String() string {
 	return [...]string{"attained", "late", "missing", "wrong", "refused"}[v]
 }
 
-// reasonNoAnswer is given where a connection to a daemon broke.
+// reasonNoAnswer is the reason if the connection to a daemon broke.
 const reasonNoAnswer = "no_answer"
 
-// judge says what an answer was worth. It compares with what the stand-ins
-// answer to this input, which no daemon knows.
+// judge sets the verdict of an answer. It compares the answer with what the stand-ins
+// compute for this input, which no daemon knows.
 func (s *Sample) judge(p *shed.Pipeline, tokens int, answer *client.Answer, err error) {
 	s.Verdict = Missing
 	s.Reason = reasonNoAnswer
@@ -64,7 +64,7 @@
 	}
 }
 
-// isCorrect tells whether the answer is what all stages of p make of the input.
+// isCorrect reports whether the answer is what the stages of p compute for the input.
 func isCorrect(p *shed.Pipeline, answer *client.Answer, input string, tokens int) bool {
 	var want client.Payload
 	var passages []shed.Passage
--- a/internal/gauge/partition.go
+++ b/internal/gauge/partition.go
@@ -10,16 +10,17 @@
 	shed "jasmineshed"
 )
 
-// errCut ends the dialling over a link that is cut.
-var errPartitioned = errors.New("link cut")
+// errPartitioned is the error of dialling across a partition.
+var errPartitioned = errors.New("network partition")
 
-// partitioner cuts zones off from each other and from the platform. Connections over
-// a cut link go silent, as behind a broken switch, and don't come back.
+// partitioner simulates network partitions between zones and to the platform. Connections
+// across a partition drop all traffic, as behind a broken switch, and stay dead after the
+// partition ends.
 type partitioner struct {
 	dialer net.Dialer
 
 	mu sync.Mutex
-	// zones of the daemons by their peer addresses.
+	// zones holds the zone of each daemon by its peer address.
 	zones       map[shed.VM]shed.ZoneID
 	partitioned map[shed.ZoneID]bool
 	links       []*link
@@ -29,14 +30,14 @@
 	return &partitioner{zones: map[shed.VM]shed.ZoneID{}, partitioned: map[shed.ZoneID]bool{}}
 }
 
-// setZone tells where a daemon is.
+// setZone records the zone of a daemon.
 func (c *partitioner) setZone(vm shed.VM, zone shed.ZoneID) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.zones[vm] = zone
 }
 
-// setPartitioned cuts zone off, or ends that.
+// setPartitioned starts or ends the partition of zone from everything outside it.
 func (c *partitioner) setPartitioned(zone shed.ZoneID, partitioned bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -54,20 +55,20 @@
 	c.links = kept
 }
 
-// isSeparated tells whether no link between the two works; the platform is in no
-// zone. The caller holds c.mu.
+// isSeparated reports whether a partition lies between two zones. The platform is in no
+// zone, which is the empty one. The caller holds c.mu.
 func (c *partitioner) isSeparated(a, b shed.ZoneID) bool {
 	return a != b && (c.partitioned[a] || c.partitioned[b])
 }
 
-// dialPeerFrom dials a daemon from a zone.
+// dialPeerFrom returns a function that dials a daemon from a zone.
 func (c *partitioner) dialPeerFrom(from shed.ZoneID) func(context.Context, shed.VM) (net.Conn, error) {
 	return func(ctx context.Context, to shed.VM) (net.Conn, error) {
 		return c.dial(ctx, from, to, string(to))
 	}
 }
 
-// dialPlatformFrom dials the platform from a zone.
+// dialPlatformFrom returns a function that dials the platform from a zone.
 func (c *partitioner) dialPlatformFrom(from shed.ZoneID) func(context.Context, string, string) (net.Conn, error) {
 	return func(ctx context.Context, _, addr string) (net.Conn, error) {
 		return c.dial(ctx, from, "", addr)
@@ -92,11 +93,11 @@
 	return l, nil
 }
 
-// link is a connection that can go silent.
+// link is a connection that can drop all its traffic.
 type link struct {
 	net.Conn
 	from shed.ZoneID
-	// to is the daemon's address, or empty for the platform.
+	// to is the daemon's address; empty for the platform.
 	to         shed.VM
 	blackholed atomic.Bool
 	closed     atomic.Bool
--- a/internal/gauge/play.go
+++ b/internal/gauge/play.go
@@ -15,22 +15,23 @@
 	"jasmineshed/pkg/client"
 )
 
-// Fleet is a running fleet before stand-ins, with the platform's balancer.
+// Fleet is a running fleet of daemons in front of stand-ins, with the platform's load
+// balancer.
 type Fleet interface {
-	// Rules that the fleet was started with.
+	// Rules returns the rules that the fleet was started with.
 	Rules() *shed.Rules
-	// Call runs a request at the daemon that the balancer picks, with a ticket
-	// if its pipeline may run only once, and calls text when some came.
+	// Call runs a request at the daemon that the load balancer picks, with a ticket if its
+	// pipeline is not idempotent. It calls text whenever text arrives.
 	Call(ctx context.Context, a Arrival, tokens int, text func()) (*client.Answer, error)
-	// Do makes an event happen.
+	// Do performs an event.
 	Do(ctx context.Context, ev Event) error
-	// Servers are the stand-ins of backend servers.
+	// Servers returns the stand-ins of backend servers.
 	Servers() []Server
-	// Platform is the stand-in of the platform.
+	// Platform returns the stand-in of the platform.
 	Platform() *stand.Platform
 }
 
-// Server is one stand-in of a backend server.
+// Server is the stand-in of one backend server.
 type Server struct {
 	ID       shed.ServerID
 	Zone     shed.ZoneID
@@ -38,35 +39,35 @@
 	Record   *stand.Record
 }
 
-// Result is what a scenario gave.
+// Result is the outcome of a scenario.
 type Result struct {
 	Scenario Scenario
 	Samples  []Sample
-	// Lag is the most that an arrival was sent after its planned time; the
-	// machine was too busy for the figures if it is large.
+	// Lag is the largest delay of a request after its planned arrival. If it is large, the
+	// machine was too busy and the results are not valid.
 	Lag time.Duration
-	// Done are the events with the times at which they happened.
+	// Done holds the events with the times at which they were performed.
 	Done    []Happened
 	Servers []Server
 	Calls   stand.PlatformCalls
-	// Began is the time of the start.
+	// Began is when the scenario started.
 	Began time.Time
 }
 
-// Happened is an event that was done.
+// Happened is an event that was performed.
 type Happened struct {
 	Event
-	// Began and Took say when it really happened, from the scenario's start.
+	// Began is the actual time from the scenario's start, Took the event's duration.
 	Began, Took time.Duration
 }
 
-// player plays one scenario.
+// player runs one scenario.
 type player struct {
 	scenario Scenario
 	fleet    Fleet
 	began    time.Time
 
-	// mu guards what follows.
+	// mu guards the fields below.
 	mu         sync.Mutex
 	progress   printer
 	samples    []Sample
@@ -77,7 +78,7 @@
 }
 
 // Play runs the scenario against the fleet and writes a line of progress every
-// second. It fails if ctx ends or an event can't be done.
+// second. It fails if ctx ends or an event can't be performed.
 func Play(ctx context.Context, s Scenario, fleet Fleet, progress io.Writer) (*Result, error) {
 	p := &player{scenario: s, fleet: fleet, progress: printer{w: progress}, began: time.Now()}
 	group, ctx := errgroup.WithContext(ctx)
@@ -103,8 +104,8 @@
 	}, nil
 }
 
-// sendArrivals sends every request at its time, whatever became of the others, and
-// returns when all are answered.
+// sendArrivals sends every request at its planned time, regardless of the others, and
+// returns when all calls have ended.
 func (p *player) sendArrivals(ctx context.Context) error {
 	var calls errgroup.Group
 	for _, a := range p.scenario.Arrivals() {
@@ -131,7 +132,7 @@
 	}
 }
 
-// runRequest runs one request and keeps what became of it.
+// runRequest sends one request and records its sample.
 func (p *player) runRequest(ctx context.Context, a Arrival) {
 	due := p.began.Add(a.At)
 	lag := time.Since(due)
--- a/internal/gauge/plot.go
+++ b/internal/gauge/plot.go
@@ -11,14 +11,14 @@
 )
 
 const (
-	// plotInterval is the time that one point of the plot stands for.
+	// plotInterval is the time between two points of the plot.
 	plotInterval = 500 * time.Millisecond
 	plotWidth    = 24 * vg.Centimeter
 	plotHeight   = 12 * vg.Centimeter
 )
 
-// WritePlot draws served and refused shares over time, with the events marked.
-// The file's ending gives its format.
+// WritePlot draws the served, refused and missed shares over time, with the events marked.
+// The file extension determines the format.
 func (r *Result) WritePlot(path string) error {
 	p := plot.New()
 	p.Title.Text = r.Scenario.Name + ": " + r.Scenario.About
@@ -69,7 +69,7 @@
 	return nil
 }
 
-// missedShare is the share of late, missing and wrong answers.
+// missedShare returns the share of late, missing and wrong answers.
 func missedShare(w *Window) float64 {
 	return share(w.Counts[Late]+w.Counts[Missing]+w.Counts[Wrong], w.Offered())
 }
--- a/internal/gauge/report.go
+++ b/internal/gauge/report.go
@@ -11,7 +11,7 @@
 	"jasmineshed/pkg/client"
 )
 
-// Report is a result worked out.
+// Report is the evaluation of a result.
 type Report struct {
 	Scenario   Scenario
 	Windows    []*Window
@@ -20,11 +20,12 @@
 	Reasons    []ReasonCount
 	Safety     Safety
 	Lag        time.Duration
-	// PlatformPeak is the most calls that the platform got in one second.
+	// PlatformPeak is the largest number of calls to the platform in one second, and
+	// PlatformRefused the number of calls above its budget.
 	PlatformPeak, PlatformRefused int
 }
 
-// Report works the result out. The rules tell which stages may run only once.
+// Report evaluates the result. The rules tell which stages are not idempotent.
 func (r *Result) Report(rules *shed.Rules) *Report {
 	return &Report{
 		Scenario:        r.Scenario,
@@ -39,7 +40,8 @@
 	}
 }
 
-// runsNonIdempotent tells which servers carry stages that may run only once.
+// runsNonIdempotent returns a function that reports whether a server runs a stage that is
+// not idempotent.
 func runsNonIdempotent(rules *shed.Rules) func(shed.ServerID) bool {
 	pools := map[shed.PoolID]bool{}
 	for _, p := range rules.Pipelines {
@@ -55,7 +57,7 @@
 	}
 }
 
-// printer keeps the first error of writing.
+// printer writes formatted text and keeps the first error.
 type printer struct {
 	w   io.Writer
 	err error
@@ -67,7 +69,7 @@
 	}
 }
 
-// table writes aligned columns, with an empty line after them.
+// table writes aligned columns, followed by an empty line.
 func (p *printer) table(write func(*printer)) {
 	tw := tabwriter.NewWriter(p.w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	columns := &printer{w: tw, err: p.err}
@@ -79,7 +81,7 @@
 	p.printf("\n")
 }
 
-// WriteTable writes the report for reading.
+// WriteTable writes the report as text.
 func (r *Report) WriteTable(w io.Writer) error {
 	p := &printer{w: w}
 	p.printf("\n%s: %s\npolicy %s, seed %d, %.0f/s for %s\n\n",
@@ -120,7 +122,7 @@
 	}
 }
 
-// wastedShare is the wasted share of the stage's cost, from 0 to 1.
+// wastedShare returns the wasted share of the stage's cost, from 0 to 1.
 func (c StageCost) wastedShare() float64 {
 	if c.Useful+c.Wasted == 0 {
 		return 0
@@ -139,7 +141,7 @@
 	p.printf("most lag of the load generator: %d ms\n", r.Lag.Milliseconds())
 }
 
-// line is one request in the file of JSON lines.
+// line is the JSON record of one request.
 type line struct {
 	Number      int              `json:"number"`
 	AtMS        int64            `json:"at_ms"`
@@ -153,7 +155,7 @@
 	Stages      []client.Stage   `json:"stages,omitempty"`
 }
 
-// WriteLines writes one JSON line for each request, in order of answers.
+// WriteLines writes one JSON line for each request, in the order in which the calls ended.
 func (r *Result) WriteLines(w io.Writer) error {
 	enc := json.NewEncoder(w)
 	for i := range r.Samples {
--- a/internal/gauge/rig.go
+++ b/internal/gauge/rig.go
@@ -17,44 +17,44 @@
 )
 
 const (
-	// vmLag is how late the platform's VM list is in experiments.
+	// vmLag is the delay of the platform's VM list in experiments.
 	vmLag = 2 * time.Second
-	// healthInterval is how often the balancer asks the daemons for readiness.
+	// healthInterval is how often the load balancer checks the readiness of the daemons.
 	healthInterval = 100 * time.Millisecond
-	// settleTime is the time between readiness and the start of a scenario, in
-	// which load reports spread.
+	// settleTime is the time between readiness and the start of a scenario, during
+	// which load reports propagate.
 	settleTime = time.Second
-	// slowServerFactor of a server that EventServerSlow slows down.
+	// slowServerFactor multiplies the times of a server that EventServerSlow slows down.
 	slowServerFactor = 10
-	// drafterLoadSlope of a drafter: at full capacity it takes twice as long.
+	// drafterLoadSlope makes calls to a drafter take twice as long at full capacity.
 	drafterLoadSlope = 1
-	// loadLag of the engines' reports.
+	// loadLag is the age of the state in the engines' load reports.
 	loadLag = 200 * time.Millisecond
-	// priorCalls is what a server has done that was up long before.
+	// priorCalls is the number of completed calls of a server that has been up for long.
 	priorCalls = 100_000
 )
 
-// errEvent means that an event's target does not exist.
-var errUnknownTarget = errors.New("no such target")
+// errUnknownTarget is returned if an event's target does not exist.
+var errUnknownTarget = errors.New("unknown target of an event")
 
-// Rig is a fleet for a scenario, with the platform's balancer before it.
+// Rig is a fleet for a scenario, with the platform's load balancer in front of it.
 type Rig struct {
 	scenario    Scenario
 	fleet       *fleet.Fleet
 	partitioner *partitioner
 
 	mu sync.Mutex
-	// rulesText of the rules as last published.
+	// rulesText is the text of the rules as last published.
 	rulesText []byte
-	// ready are the daemons that the balancer knows as ready.
+	// ready holds the daemons that were ready at the last health check.
 	ready           []*fleet.Member
 	lastHealthCheck time.Time
 	next            int
 	clients         map[string]*client.Client
 }
 
-// NewRig starts the fleet and waits until it is ready. Logs of the daemons go
-// to logTo.
+// NewRig starts the fleet and waits until it is ready. The daemons log to
+// logTo.
 func NewRig(ctx context.Context, s Scenario, logTo io.Writer) (*Rig, error) {
 	r := &Rig{scenario: s, partitioner: newPartitioner(), clients: map[string]*client.Client{}}
 	f, err := fleet.Start(ctx, fleet.Config{
@@ -100,30 +100,30 @@
 	return cfg
 }
 
-// setDialers makes a daemon dial through the cutter.
+// setDialers makes a daemon dial through the partitioner, which can drop its connections.
 func (r *Rig) setDialers(cfg *node.Config) {
 	zone := shed.ZoneID(cfg.Prefs.Node.Zone)
 	cfg.DialPeer = r.partitioner.dialPeerFrom(zone)
 	cfg.DialPlatform = r.partitioner.dialPlatformFrom(zone)
 }
 
-// setZones tells the cutter where every daemon is.
+// setZones records the zone of every daemon in the partitioner.
 func (r *Rig) setZones() {
 	for _, m := range r.fleet.Members() {
 		r.partitioner.setZone(m.Self().VM, m.Zone)
 	}
 }
 
-// Close ends the fleet.
+// Close stops the fleet.
 func (r *Rig) Close() { r.fleet.Close() }
 
-// Rules that the fleet was started with.
+// Rules returns the rules that the fleet was started with.
 func (r *Rig) Rules() *shed.Rules { return r.fleet.Rules }
 
-// Platform is the stand-in of the platform.
+// Platform returns the stand-in of the platform.
 func (r *Rig) Platform() *stand.Platform { return r.fleet.Platform }
 
-// Servers are the stand-ins of the backend servers.
+// Servers returns the stand-ins of the backend servers.
 func (r *Rig) Servers() []Server {
 	var out []Server
 	for id, e := range r.fleet.Engines {
@@ -140,8 +140,8 @@
 	return Server{ID: id, Zone: s.Zone, Supplier: s.Supplier, Record: record}
 }
 
-// Call sends one request through the balancer, which knows by a poll which
-// daemons are ready. Nothing is repeated.
+// Call sends one request through the load balancer, which polls the daemons for
+// readiness. Failed requests are not retried.
 func (r *Rig) Call(ctx context.Context, a Arrival, tokens int, text func()) (*client.Answer, error) {
 	c, err := r.pickClient(string(a.Workspace))
 	if err != nil {
@@ -154,7 +154,8 @@
 	return c.Stream(ctx, work, client.Events{Text: func(string, string) { text() }})
 }
 
-// pickClient picks the next ready daemon.
+// pickClient returns a client of the next ready daemon, round robin. If none is ready it
+// picks among all.
 func (r *Rig) pickClient(workspace string) (*client.Client, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -190,7 +191,7 @@
 	return c, err
 }
 
-// Do makes an event happen.
+// Do performs an event.
 func (r *Rig) Do(ctx context.Context, ev Event) error {
 	switch ev.Kind {
 	case EventZoneOut:
@@ -215,7 +216,7 @@
 	return nil
 }
 
-// changeEngine changes one engine.
+// changeEngine performs an event that concerns one engine.
 func (r *Rig) changeEngine(ev Event) error {
 	e := r.fleet.Engines[shed.ServerID(ev.Target)]
 	if e == nil {
@@ -232,7 +233,7 @@
 	return nil
 }
 
-// replaceLine changes one line of the rules and publishes them.
+// replaceLine replaces one line of the rules and publishes them.
 func (r *Rig) replaceLine(from, to string) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -244,8 +245,8 @@
 	return nil
 }
 
-// restartAll replaces every daemon in turn: the new one first, then a graceful
-// stop of the old one.
+// restartAll replaces the daemons one by one: it starts a new one, then stops the old one
+// gracefully.
 func (r *Rig) restartAll(ctx context.Context) error {
 	for _, old := range r.fleet.Members() {
 		if _, err := r.fleet.Add(ctx, old.Zone); err != nil {
--- a/internal/gauge/rig_test.go
+++ b/internal/gauge/rig_test.go
@@ -22,8 +22,8 @@
 	require.Empty(t, faults)
 }
 
-// A small real fleet, once through: the answers are right part for part, and
-// the events of a scenario can be made to happen.
+// Runs a scenario with an event of every kind but a rolling restart against a small real
+// fleet. No answer may be wrong, and no request may run twice at a plain service.
 func TestRigPlaysAScenario(t *testing.T) {
 	s := Scenario{
 		Name: "rig", Seed: 3, Duration: 2 * time.Second, Rate: 20, Policy: "affinity", Tokens: 8,
@@ -62,8 +62,8 @@
 	require.ErrorIs(t, rig.Do(ctx, Event{Kind: EventServerCold, Target: "nothing"}), errUnknownTarget)
 }
 
-// A zone is cut off: what is open goes silent in both directions, new links
-// can't be opened, and links within a zone go on.
+// During a partition of a zone its open connections to others drop all traffic, new ones
+// can't be opened, and connections within the zone work.
 func TestCutter(t *testing.T) {
 	h := stand.NewPlatform(stand.PlatformConfig{})
 	server, err := stand.Listen("127.0.0.1:0", h)
--- a/internal/gauge/rules.go
+++ b/internal/gauge/rules.go
@@ -10,25 +10,25 @@
 // Names in the rules of an experiment.
 const (
 	zonePrefix = "nl-west-"
-	// supplierOwn supplies everything but every second drafter, which comes
-	// from supplierOther.
+	// supplierOwn supplies all servers except every second drafter, which
+	// supplierOther supplies.
 	supplierOwn   = "noorderlicht"
 	supplierOther = "zuiderlicht"
 	modelDrafter  = "drafter"
 	ruleOrigin    = " ; experiment\n"
-	// firstPort is the first of the ports that stand for the servers until the
-	// stand-ins are there.
+	// firstPort is the first of the placeholder ports of the servers, used until the
+	// stand-ins listen.
 	firstPort = 21000
 )
 
-// pool is one pool of an experiment, with its servers in each zone.
+// pool describes one pool of an experiment; count is its number of servers in each zone.
 type pool struct {
 	id, prefix, kind       string
 	count                  int
 	capacity, coldCapacity int
 }
 
-// pools are the same for every experiment but for their sizes.
+// pools returns the pools, which differ between experiments only in their sizes.
 func (s Shape) pools() []pool {
 	return []pool{
 		{"encoders", "enc", "encode", s.Others, otherCapacity, otherCapacity},
@@ -39,7 +39,7 @@
 	}
 }
 
-// otherCapacity is the capacity of everything but drafters.
+// otherCapacity is the capacity of all servers except drafters.
 const otherCapacity = 32
 
 const fixedRules = `
@@ -65,7 +65,7 @@
 weight_loads = 6 ; experiment
 `
 
-// zoneNames are nl-west-a, nl-west-b and so on.
+// zoneNames returns nl-west-a, nl-west-b and so on.
 func (s Shape) zoneNames() []string {
 	names := make([]string, s.Zones)
 	for i := range names {
@@ -74,7 +74,7 @@
 	return names
 }
 
-// RulesText is the rules file of the experiment, with placeholders for the
+// RulesText returns the rules file of the experiment, with placeholders for the
 // addresses of servers.
 func (s *Scenario) RulesText() []byte {
 	var b strings.Builder
@@ -132,5 +132,5 @@
 	return supplier + " = leaving no" + ruleOrigin
 }
 
-// workspaceToken is the token of an experiment's workspace.
+// workspaceToken returns the token of an experiment's workspace.
 func workspaceToken(workspace string) string { return "experiment-" + workspace }
--- a/internal/gauge/safety.go
+++ b/internal/gauge/safety.go
@@ -9,28 +9,28 @@
 	"jasmineshed/internal/stand"
 )
 
-// Safety is what the stand-ins saw, against what must always hold.
+// Safety compares the records of the stand-ins with the invariants that must always hold.
 type Safety struct {
-	// Overshoots counts how often a cold server got more than it bears, and
-	// WorstOvershoot is by how many calls.
+	// Overshoots counts how often a cold server received a call above its cold capacity,
+	// and WorstOvershoot is the largest excess in calls.
 	Overshoots, WorstOvershoot int
-	// Doubled are requests that a plain service ran more than once.
+	// Doubled counts the requests that a plain service ran more than once.
 	Doubled int
-	// Closings tell how long new work still came after a zone or a supplier
-	// was told to get no more.
+	// Closings holds how long new calls still began after the rules closed a zone or a
+	// supplier.
 	Closings []Closing
 }
 
-// Closing is one event after which some servers get no new work.
+// Closing is one event after which some servers must get no new work.
 type Closing struct {
 	Event string
-	// Last is the time from the event to the last call begun there, before
-	// they were opened again; 0 if none began.
+	// Last is the time from the event to the last call that began there before they were
+	// reopened; 0 if none began.
 	Last  time.Duration
 	Calls int
 }
 
-// safety reads the records of the stand-ins.
+// safety evaluates the records of the stand-ins.
 func (r *Result) safety(mustRunOnce func(shed.ServerID) bool) Safety {
 	var out Safety
 	for _, server := range r.Servers {
@@ -50,7 +50,7 @@
 	return out
 }
 
-// newClosing looks for calls that began after ev on the servers that it closed.
+// newClosing counts the calls that began after ev on the servers that it closed.
 func (r *Result) newClosing(ev Happened) Closing {
 	from := r.Began.Add(ev.Began)
 	until := r.reopenedAt(ev)
@@ -76,7 +76,7 @@
 	return runs
 }
 
-// reopenedAt is when the zone of ev came back; zero if it did not.
+// reopenedAt returns when the zone of ev was reopened; zero if it was not.
 func (r *Result) reopenedAt(ev Happened) time.Time {
 	for _, later := range r.Done {
 		if later.Kind == EventZoneBack && later.Target == ev.Target && later.Began > ev.Began {
--- a/internal/gauge/scenario.go
+++ b/internal/gauge/scenario.go
@@ -12,55 +12,55 @@
 	"jasmineshed/internal/route"
 )
 
-// ErrScenario means that a scenario file can't be used.
-var ErrScenario = errors.New("scenario can't be used")
+// ErrScenario is returned for a scenario file that is not valid.
+var ErrScenario = errors.New("invalid scenario")
 
 // Scenario is one experiment.
 type Scenario struct {
 	Name  string
 	About string
-	// Seed of arrivals and of the fleet.
+	// Seed of the arrivals.
 	Seed uint64
-	// Duration of the arrivals; answers are waited for afterwards.
+	// Duration of the arrivals; the run ends when all answers have arrived.
 	Duration time.Duration
-	// Rate of arrivals a second, outside bursts.
+	// Rate of arrivals per second, outside bursts.
 	Rate float64
-	// Policy that picks servers; see route.Named.
+	// Policy that picks servers; see route.NewPolicy.
 	Policy string
-	// Tokens that each generate stage is asked for.
+	// Tokens is how many tokens each generate stage is to generate.
 	Tokens int
 	Fleet  Shape
 	// Pipelines and Workspaces share the arrivals by weight.
 	Pipelines  []Share
 	Workspaces []Share
 	Bursts     []Burst
-	// Events in order of their time.
+	// Events, ordered by time.
 	Events []Event
 }
 
 // Shape is the size of the fleet.
 type Shape struct {
 	Zones int
-	// Daemons, Drafters (language models) and Others (of each other pool) are
-	// counts in each zone.
+	// Daemons, Drafters (language models) and Others (servers of each other pool) are
+	// counts per zone.
 	Daemons, Drafters, Others int
-	// Capacity and ColdCapacity of a drafter.
+	// Capacity and ColdBears (the cold capacity) of a drafter.
 	Capacity, ColdBears int
-	// WarmAfter calls a drafter is warm; 0 starts warm.
+	// WarmAfter is after how many calls a drafter is warm; 0 starts warm.
 	WarmAfter int
-	// TokenTime of a drafter with one call.
+	// TokenTime of a drafter that runs one call.
 	TokenTime time.Duration
-	// CallTime of the others.
+	// CallTime of the other servers.
 	CallTime time.Duration
 }
 
-// Share weighs a pipeline or a workspace among the arrivals.
+// Share is the weight of a pipeline or a workspace among the arrivals.
 type Share struct {
 	Name   string
 	Weight float64
 }
 
-// Burst multiplies the rate for some time.
+// Burst multiplies the arrival rate by Factor from At on, for the duration For.
 type Burst struct {
 	Name   string
 	At     time.Duration
@@ -68,7 +68,7 @@
 	Factor float64
 }
 
-// EventKind is what happens to the fleet. The set is closed.
+// EventKind is the kind of an event. The set is closed.
 type EventKind string
 
 // The kinds of event.
@@ -86,7 +86,7 @@
 	EventSupplierLeaving EventKind = "supplier_leaving"
 )
 
-// eventKinds tells which kinds need a target.
+// eventKinds holds all kinds and whether they need a target.
 var eventKinds = map[EventKind]bool{
 	EventZoneOut:         true,
 	EventZoneBack:        true,
@@ -101,7 +101,7 @@
 	EventSupplierLeaving: true,
 }
 
-// Event is something done to the fleet.
+// Event is a change of the fleet during a scenario.
 type Event struct {
 	Name   string
 	At     time.Duration
@@ -109,7 +109,7 @@
 	Target string
 }
 
-// ParseScenario reads the text of a scenario file. It fails with ErrScenario.
+// ParseScenario parses the text of a scenario file. Its errors wrap ErrScenario.
 func ParseScenario(text []byte) (Scenario, error) {
 	file, err := ini.LoadSources(ini.LoadOptions{AllowShadows: false}, text)
 	if err != nil {
@@ -124,7 +124,7 @@
 	return s, nil
 }
 
-// reader gathers every fault of a file.
+// reader reads a file and collects all its faults.
 type reader struct {
 	file   *ini.File
 	used   map[string]bool
@@ -157,7 +157,7 @@
 		Events:     r.events(),
 	}
 	if s.Name == "" || len(s.Pipelines) == 0 || len(s.Workspaces) == 0 {
-		r.addFault("name, [pipelines] and [workspaces] are needed")
+		r.addFault("name, [pipelines] and [workspaces] are required")
 	}
 	if s.Duration <= 0 || s.Rate <= 0 {
 		r.addFault("duration and rate must be above 0")
@@ -181,7 +181,7 @@
 	text := r.text(section, key, strconv.Itoa(def))
 	n, err := strconv.Atoi(text)
 	if err != nil || n < 0 {
-		r.addFault("%s: %s: %q is no count", section, key, text)
+		r.addFault("%s: %s: %q is not a whole number of at least 0", section, key, text)
 	}
 	return n
 }
@@ -190,7 +190,7 @@
 	text := r.text(section, key, strconv.FormatFloat(def, 'g', -1, 64))
 	x, err := strconv.ParseFloat(text, 64)
 	if err != nil {
-		r.addFault("%s: %s: %q is no number", section, key, text)
+		r.addFault("%s: %s: %q is not a number", section, key, text)
 	}
 	return x
 }
@@ -202,12 +202,12 @@
 func (r *reader) duration(where, text string) time.Duration {
 	d, err := time.ParseDuration(text)
 	if err != nil || d < 0 {
-		r.addFault("%s: %q is no time", where, text)
+		r.addFault("%s: %q is not a duration of at least 0", where, text)
 	}
 	return d
 }
 
-// keys gives the keys of a section of free names.
+// keys returns the keys of a section whose key names are free.
 func (r *reader) keys(section string) []*ini.Key {
 	keys := r.file.Section(section).Keys()
 	for _, key := range keys {
@@ -221,14 +221,14 @@
 	for _, key := range r.keys(section) {
 		weight, err := strconv.ParseFloat(key.String(), 64)
 		if err != nil || weight <= 0 {
-			r.addFault("%s: %s: %q is no weight", section, key.Name(), key)
+			r.addFault("%s: %s: %q is not a weight above 0", section, key.Name(), key)
 		}
 		shares = append(shares, Share{Name: key.Name(), Weight: weight})
 	}
 	return shares
 }
 
-// bursts reads lines like "surge = 2 at 8s for 4s".
+// bursts parses lines like "surge = 2 at 8s for 4s".
 func (r *reader) bursts() []Burst {
 	var bursts []Burst
 	for _, key := range r.keys("bursts") {
@@ -240,7 +240,7 @@
 		}
 		factor, err := strconv.ParseFloat(f[0], 64)
 		if err != nil || factor <= 0 {
-			r.addFault("%s: %q is no factor", where, f[0])
+			r.addFault("%s: %q is not a factor above 0", where, f[0])
 		}
 		bursts = append(bursts, Burst{
 			Name:   key.Name(),
@@ -252,7 +252,7 @@
 	return bursts
 }
 
-// events reads lines like "leave = 10s zone_out nl-west-a".
+// events parses lines like "leave = 10s zone_out nl-west-a".
 func (r *reader) events() []Event {
 	var events []Event
 	for _, key := range r.keys("events") {
@@ -265,7 +265,7 @@
 		ev := Event{Name: key.Name(), At: r.duration(where, f[0]), Kind: EventKind(f[1])}
 		needsTarget, known := eventKinds[ev.Kind]
 		if !known || needsTarget != (len(f) == 3) {
-			r.addFault("%s: %q is no event, or its target is wrong", where, key)
+			r.addFault("%s: %q is not an event, or its target is wrong", where, key)
 			continue
 		}
 		if needsTarget {
@@ -279,7 +279,7 @@
 	return events
 }
 
-// checkUnused refuses keys that nothing reads, which are mistyped.
+// checkUnused reports keys that nothing has read, which are probably misspelt.
 func (r *reader) checkUnused() {
 	for _, section := range r.file.Sections() {
 		for _, key := range section.Keys() {
--- a/internal/gauge/tally.go
+++ b/internal/gauge/tally.go
@@ -12,26 +12,26 @@
 )
 
 const (
-	// maxLatency latency that a histogram tells apart.
+	// maxLatency is the largest value of a histogram.
 	maxLatency = 5 * time.Minute
-	// significantDigits of a histogram's precision.
+	// significantDigits is the precision of a histogram.
 	significantDigits = 3
 )
 
-// Sample is what became of one arrival.
+// Sample is the result of one arrival.
 type Sample struct {
 	Arrival
 	Verdict Verdict
 	Outcome client.Outcome
 	Reason  string
-	// Took is counted from the planned arrival.
+	// Took is measured from the planned arrival.
 	Took time.Duration
-	// FirstText is the time to the first text; 0 if none came.
+	// FirstText is the time from the planned arrival to the first text; 0 if there was none.
 	FirstText time.Duration
 	Stages    []client.Stage
 }
 
-// Window is the quality of service of the arrivals in a span of time.
+// Window holds the quality of service of the arrivals within a time span.
 type Window struct {
 	Name       string
 	From, To   time.Duration
@@ -61,11 +61,11 @@
 }
 
 func record(h *hdrhistogram.Histogram, d time.Duration) {
-	// Values past the longest are taken for it.
+	// Values above the maximum count as the maximum.
 	_ = h.RecordValue(min(max(d.Microseconds(), 1), maxLatency.Microseconds()))
 }
 
-// Offered counts all arrivals.
+// Offered returns the number of all arrivals.
 func (w *Window) Offered() int {
 	n := 0
 	for _, c := range w.Counts {
@@ -74,23 +74,23 @@
 	return n
 }
 
-// Attainment is the share of the accepted requests that were attained, from 0
+// Attainment returns the share of the accepted requests that were attained, from 0
 // to 1; it is 1 if none was accepted.
 func (w *Window) Attainment() float64 {
 	return share(w.Counts[Attained], w.Offered()-w.Counts[Refused])
 }
 
-// Served is the share of all offered requests that were attained.
+// Served returns the share of all offered requests that were attained.
 func (w *Window) Served() float64 {
 	return share(w.Counts[Attained], w.Offered())
 }
 
-// Latency is a quantile, from 0 to 100, of the time to the whole answer.
+// Latency returns a percentile, q from 0 to 100, of the time to the complete answer.
 func (w *Window) Latency(q float64) time.Duration {
 	return time.Duration(w.latencies.ValueAtQuantile(q)) * time.Microsecond
 }
 
-// FirstText is a quantile of the time to the first text.
+// FirstText returns a percentile of the time to the first text.
 func (w *Window) FirstText(q float64) time.Duration {
 	return time.Duration(w.firstTexts.ValueAtQuantile(q)) * time.Microsecond
 }
@@ -110,8 +110,8 @@
 	Useful, Wasted uint64
 }
 
-// windows cuts the samples at the events and bursts of the scenario, with all
-// of them first.
+// windows splits the samples at the events and bursts of the scenario. The first window
+// covers all samples.
 func (s *Scenario) windows(samples []Sample) []*Window {
 	names := map[time.Duration]string{0: "before"}
 	for _, m := range s.Marks() {
@@ -139,7 +139,7 @@
 	return out
 }
 
-// windowsByWorkspace gives a window for each workspace, sorted by name.
+// windowsByWorkspace returns a window for each workspace, sorted by name.
 func windowsByWorkspace(samples []Sample, to time.Duration) []*Window {
 	found := map[shed.WorkspaceID]*Window{}
 	for i := range samples {
@@ -167,13 +167,13 @@
 	}
 }
 
-// Mark is a moment of the scenario that shows in reports.
+// Mark is a time in the scenario that is marked in reports.
 type Mark struct {
 	Name string
 	At   time.Duration
 }
 
-// Marks are the events and the bursts' ends in order of time.
+// Marks returns the events and the starts and ends of bursts, ordered by time.
 func (s *Scenario) Marks() []Mark {
 	var marks []Mark
 	for _, ev := range s.Events {
@@ -186,7 +186,7 @@
 	return marks
 }
 
-// sumCosts sums the stages' reports, sorted by pipeline and stage.
+// sumCosts sums the reported costs of each stage, sorted by pipeline and stage.
 func sumCosts(samples []Sample) []StageCost {
 	type key struct {
 		pipeline shed.PipelineID
@@ -214,7 +214,7 @@
 	return out
 }
 
-// countReasons counts the reasons of what was not attained, sorted.
+// countReasons counts the reasons of requests that were not attained, sorted.
 func countReasons(samples []Sample) []ReasonCount {
 	counts := map[ReasonCount]int{}
 	for _, s := range samples {
@@ -233,7 +233,7 @@
 	return out
 }
 
-// ReasonCount is how often a verdict had a reason.
+// ReasonCount is how often a verdict occurred with a reason.
 type ReasonCount struct {
 	Verdict Verdict
 	Reason  string
