--- a/internal/single/single.go
+++ b/internal/single/single.go
@@ -31,7 +31,7 @@
 func Main(args []string, stdout, stderr io.Writer) int {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	cmd := command(stdout)
+	cmd := newRootCommand(stdout)
 	cmd.SetArgs(args)
 	cmd.SetErr(stderr)
 	if err := cmd.ExecuteContext(ctx); err != nil {
@@ -40,18 +40,18 @@
 	return 0
 }
 
-func command(stdout io.Writer) *cobra.Command {
+func newRootCommand(stdout io.Writer) *cobra.Command {
 	root := &cobra.Command{
 		Use:          "standin",
 		Short:        "Run a stand-in of the platform, an engine or a plain service",
 		SilenceUsage: true,
 	}
 	addr := root.PersistentFlags().String("addr", "127.0.0.1:0", "address to serve at")
-	root.AddCommand(platformCmd(addr, stdout), engineCmd(addr, stdout), serviceCmd(addr, stdout))
+	root.AddCommand(newPlatformCommand(addr, stdout), newEngineCommand(addr, stdout), newServiceCommand(addr, stdout))
 	return root
 }
 
-func platformCmd(addr *string, stdout io.Writer) *cobra.Command {
+func newPlatformCommand(addr *string, stdout io.Writer) *cobra.Command {
 	var cfg stand.PlatformConfig
 	cmd := &cobra.Command{Use: "platform", Short: "Configuration service and VM list"}
 	flags := cmd.Flags()
@@ -71,7 +71,7 @@
 	return cmd
 }
 
-func engineCmd(addr *string, stdout io.Writer) *cobra.Command {
+func newEngineCommand(addr *string, stdout io.Writer) *cobra.Command {
 	var cfg stand.EngineConfig
 	cmd := &cobra.Command{Use: "engine", Short: "Model engine, encoder, retriever or reranker"}
 	flags := cmd.Flags()
@@ -98,7 +98,7 @@
 	return cmd
 }
 
-func serviceCmd(addr *string, stdout io.Writer) *cobra.Command {
+func newServiceCommand(addr *string, stdout io.Writer) *cobra.Command {
 	cmd := &cobra.Command{Use: "service", Short: "Plain service"}
 	flags := cmd.Flags()
 	id := flags.String("id", "service", "the server's id")
--- a/internal/single/single_test.go
+++ b/internal/single/single_test.go
@@ -30,7 +30,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			ctx, stop := context.WithCancel(t.Context())
 			out, in := io.Pipe()
-			cmd := command(in)
+			cmd := newRootCommand(in)
 			cmd.SetArgs(c.args)
 			var group errgroup.Group
 			group.Go(func() error { return cmd.ExecuteContext(ctx) })
@@ -51,7 +51,7 @@
 }
 
 func TestAddressInUse(t *testing.T) {
-	cmd := command(io.Discard)
+	cmd := newRootCommand(io.Discard)
 	cmd.SetErr(io.Discard)
 	cmd.SetArgs([]string{"engine", "--addr", "256.0.0.1:1"})
 	require.ErrorContains(t, cmd.ExecuteContext(t.Context()), "listen")
