--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -34,7 +34,7 @@
 const maxTokens = 24
 
 // startFor bounds how long the fleet may take to be ready.
-const startFor = 30 * time.Second
+const startTimeout = 30 * time.Second
 
 // ErrNotWhole is returned if an answer was not whole.
 var ErrNotWhole = errors.New("an answer was not whole")
@@ -50,56 +50,56 @@
 		return err
 	}
 	defer f.Close()
-	wait, cancel := context.WithTimeout(ctx, startFor)
+	startCtx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
-	if err := f.WaitReady(wait); err != nil {
+	if err := f.WaitReady(startCtx); err != nil {
 		return err
 	}
-	s := &show{cfg: cfg, fleet: f}
-	s.intro()
-	if err := s.requests(ctx); err != nil {
+	s := &session{cfg: cfg, fleet: f}
+	s.printSummary()
+	if err := s.runAll(ctx); err != nil {
 		return err
 	}
 	if cfg.Keep {
-		return s.keep(ctx)
+		return s.waitUntilDone(ctx)
 	}
 	return nil
 }
 
-// show prints one demo.
-type show struct {
+// session prints one demo.
+type session struct {
 	cfg   Config
 	fleet *fleet.Fleet
-	costs []costLine
+	costs []stageCost
 }
 
-// costLine is what one stage of one request cost.
-type costLine struct {
+// stageCost is what one stage of one request cost.
+type stageCost struct {
 	pipeline, stage string
 	cost            client.Cost
 }
 
-func (s *show) printf(format string, args ...any) {
+func (s *session) printf(format string, args ...any) {
 	// A terminal that is gone must not fail the requests.
 	_, _ = fmt.Fprintf(s.cfg.Out, format, args...)
 }
 
-func (s *show) intro() {
+func (s *session) printSummary() {
 	r := s.fleet.Rules
 	s.printf("%s: %d zones, %d daemons, %d backend servers, %d pipelines\n\n",
 		s.cfg.Example, len(r.Zones), len(s.fleet.Members()), len(r.Servers), len(r.Pipelines))
 }
 
-// requests runs one request for each pipeline.
-func (s *show) requests(ctx context.Context) error {
+// runAll runs one request for each pipeline.
+func (s *session) runAll(ctx context.Context) error {
 	failed := 0
 	for _, id := range sortedPipelines(s.fleet.Rules) {
-		if err := s.request(ctx, s.fleet.Rules.Pipelines[id]); err != nil {
+		if err := s.runPipeline(ctx, s.fleet.Rules.Pipelines[id]); err != nil {
 			s.printf("  failed: %v\n\n", err)
 			failed++
 		}
 	}
-	s.costTable()
+	s.printCosts()
 	if failed > 0 {
 		return fmt.Errorf("%w: %d of %d pipelines", ErrNotWhole, failed, len(s.fleet.Rules.Pipelines))
 	}
@@ -115,8 +115,8 @@
 	return out
 }
 
-// allowed is a workspace that may run the pipeline.
-func allowed(r *shed.Rules, id shed.PipelineID) (shed.WorkspaceID, bool) {
+// allowedWorkspace is a workspace that may run the pipeline.
+func allowedWorkspace(r *shed.Rules, id shed.PipelineID) (shed.WorkspaceID, bool) {
 	var names []string
 	for ws, w := range r.Workspaces {
 		if len(w.Pipelines) == 0 || slices.Contains(w.Pipelines, id) {
@@ -130,8 +130,8 @@
 	return shed.WorkspaceID(names[0]), true
 }
 
-func (s *show) request(ctx context.Context, p *shed.Pipeline) error {
-	ws, ok := allowed(s.fleet.Rules, p.ID)
+func (s *session) runPipeline(ctx context.Context, p *shed.Pipeline) error {
+	ws, ok := allowedWorkspace(s.fleet.Rules, p.ID)
 	if !ok {
 		return errors.New("no workspace may run it")
 	}
@@ -148,16 +148,16 @@
 		MaxTokens: maxTokens,
 	}
 	start := time.Now()
-	answer, err := s.run(ctx, c, p, work)
+	answer, err := s.send(ctx, c, p, work)
 	if err != nil {
 		return err
 	}
-	s.answer(p, answer, time.Since(start))
-	return whole(p, work, answer)
+	s.printAnswer(p, answer, time.Since(start))
+	return checkAnswer(p, work, answer)
 }
 
-// run streams an idempotent pipeline and runs any other by a ticket.
-func (s *show) run(ctx context.Context, c *client.Client, p *shed.Pipeline, work client.Work) (*client.Answer, error) {
+// send streams an idempotent pipeline and runs any other by a ticket.
+func (s *session) send(ctx context.Context, c *client.Client, p *shed.Pipeline, work client.Work) (*client.Answer, error) {
 	if !p.Idempotent() {
 		return c.RunOnce(ctx, work)
 	}
@@ -169,19 +169,19 @@
 	return answer, err
 }
 
-func (s *show) answer(p *shed.Pipeline, a *client.Answer, took time.Duration) {
+func (s *session) printAnswer(p *shed.Pipeline, a *client.Answer, took time.Duration) {
 	if !p.Idempotent() {
 		s.printf("  %s\n  receipt %s\n", a.Payload.Text, a.Payload.Receipt)
 	}
 	for _, st := range a.Stages {
 		s.printf("  %-10s %-22s %-14s %8.1f ms  attempts %d\n", st.Stage, st.Server, st.Zone, st.TookMs, st.Attempts)
-		s.costs = append(s.costs, costLine{pipeline: string(p.ID), stage: st.Stage, cost: st.Cost})
+		s.costs = append(s.costs, stageCost{pipeline: string(p.ID), stage: st.Stage, cost: st.Cost})
 	}
 	s.printf("  whole answer in %.1f ms, request %s\n\n", float64(took)/float64(time.Millisecond), a.RequestID)
 }
 
-// whole checks the answer against what the stand-ins must have said.
-func whole(p *shed.Pipeline, work client.Work, a *client.Answer) error {
+// checkAnswer checks the answer against what the stand-ins must have said.
+func checkAnswer(p *shed.Pipeline, work client.Work, a *client.Answer) error {
 	if a.Outcome != client.Complete {
 		return fmt.Errorf("%w: outcome %s", ErrNotWhole, a.Outcome)
 	}
@@ -196,21 +196,21 @@
 	return nil
 }
 
-func (s *show) costTable() {
+func (s *session) printCosts() {
 	s.printf("cost by stage, in millionths of a server-second\n")
 	for _, l := range s.costs {
 		s.printf("  %-12s %-10s useful %6d  wasted %6d\n", l.pipeline, l.stage, l.cost.Useful, l.cost.Wasted)
 	}
 }
 
-// keep prints how to reach the fleet and waits.
-func (s *show) keep(ctx context.Context) error {
+// waitUntilDone prints how to reach the fleet and waits.
+func (s *session) waitUntilDone(ctx context.Context) error {
 	s.printf("\nThe fleet stays up until you press Ctrl-C.\n")
 	for _, m := range s.fleet.Members() {
 		s.printf("  zone %-14s callers %s  operators %s\n", m.Zone, m.CallerURL(), m.OperatorURL())
 	}
 	for _, id := range sortedPipelines(s.fleet.Rules) {
-		ws, ok := allowed(s.fleet.Rules, id)
+		ws, ok := allowedWorkspace(s.fleet.Rules, id)
 		if !ok || !s.fleet.Rules.Pipelines[id].Idempotent() {
 			continue
 		}
