--- a/internal/fault/link.go
+++ b/internal/fault/link.go
@@ -9,11 +9,11 @@
 
 // linkChunk is how much passes a Link at once, in bytes; small, so that
 // connections share the link as they would share a real one.
-const linkChunk = 4 << 10
+const maxLinkRead = 4 << 10
 
 // linkBuffer is the receive buffer of a connection over a Link, in bytes: a sender
 // must not get far ahead of what has passed.
-const linkBuffer = 32 << 10
+const linkReceiveBuffer = 32 << 10
 
 // Link is a link of limited bandwidth that connections share, in the direction to
 // the process that reads from them.
@@ -21,8 +21,8 @@
 	bytesPerSecond float64
 
 	mu sync.Mutex
-	// free is when all that was taken so far has passed.
-	free time.Time
+	// idleAt is when all that was taken so far has passed.
+	idleAt time.Time
 }
 
 // NewLink returns a link of so many megabits a second.
@@ -31,9 +31,9 @@
 // Conn puts a connection on the link.
 func (l *Link) Conn(c net.Conn) net.Conn {
 	if tcp, ok := c.(*net.TCPConn); ok {
-		_ = tcp.SetReadBuffer(linkBuffer)
+		_ = tcp.SetReadBuffer(linkReceiveBuffer)
 	}
-	return linked{Conn: c, link: l}
+	return linkConn{Conn: c, link: l}
 }
 
 // Dial connects over the link.
@@ -47,41 +47,41 @@
 }
 
 // Listener puts all connections that come in on the link.
-func (l *Link) Listener(lis net.Listener) net.Listener { return linkedListener{Listener: lis, link: l} }
+func (l *Link) Listener(lis net.Listener) net.Listener { return linkListener{Listener: lis, link: l} }
 
-// pass waits until n bytes have passed, behind those taken before.
-func (l *Link) pass(n int) {
+// transmit waits until n bytes have passed, behind those taken before.
+func (l *Link) transmit(n int) {
 	l.mu.Lock()
 	now := time.Now()
-	if l.free.Before(now) {
-		l.free = now
+	if l.idleAt.Before(now) {
+		l.idleAt = now
 	}
-	l.free = l.free.Add(time.Duration(float64(n) / l.bytesPerSecond * float64(time.Second)))
-	until := l.free
+	l.idleAt = l.idleAt.Add(time.Duration(float64(n) / l.bytesPerSecond * float64(time.Second)))
+	until := l.idleAt
 	l.mu.Unlock()
 	time.Sleep(until.Sub(now))
 }
 
-// linked is a connection on a Link.
-type linked struct {
+// linkConn is a connection on a Link.
+type linkConn struct {
 	net.Conn
 	link *Link
 }
 
 // Read implements net.Conn.
-func (c linked) Read(p []byte) (int, error) {
-	n, err := c.Conn.Read(p[:min(len(p), linkChunk)])
-	c.link.pass(n)
+func (c linkConn) Read(p []byte) (int, error) {
+	n, err := c.Conn.Read(p[:min(len(p), maxLinkRead)])
+	c.link.transmit(n)
 	return n, err
 }
 
-type linkedListener struct {
+type linkListener struct {
 	net.Listener
 	link *Link
 }
 
 // Accept implements net.Listener.
-func (l linkedListener) Accept() (net.Conn, error) {
+func (l linkListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
--- a/internal/fault/process.go
+++ b/internal/fault/process.go
@@ -15,9 +15,9 @@
 	// Log is the file that holds what it prints.
 	Log string
 	cmd *exec.Cmd
-	// ended is closed once the system has taken the process back.
-	ended chan struct{}
-	wait  errgroup.Group
+	// exited is closed once the system has taken the process back.
+	exited chan struct{}
+	wait   errgroup.Group
 }
 
 // Start runs a program; what it prints is added to the file log.
@@ -27,7 +27,7 @@
 		return nil, fmt.Errorf("log of a process: %w", err)
 	}
 	defer func() { _ = out.Close() }()
-	p := &Process{Log: log, cmd: exec.Command(program, args...), ended: make(chan struct{})}
+	p := &Process{Log: log, cmd: exec.Command(program, args...), exited: make(chan struct{})}
 	p.cmd.Stdout, p.cmd.Stderr = out, out
 	// A test run that is broken off by its own timeout runs no cleanup; the
 	// system ends the process then.
@@ -36,7 +36,7 @@
 		return nil, fmt.Errorf("start %s: %w", program, err)
 	}
 	p.wait.Go(func() error {
-		defer close(p.ended)
+		defer close(p.exited)
 		return p.cmd.Wait()
 	})
 	return p, nil
@@ -49,13 +49,13 @@
 func (p *Process) Kill() {
 	// It may have ended by itself.
 	_ = p.cmd.Process.Kill()
-	<-p.ended
+	<-p.exited
 }
 
 // Running tells whether the process has not ended yet.
 func (p *Process) Running() bool {
 	select {
-	case <-p.ended:
+	case <-p.exited:
 		return false
 	default:
 		return true
@@ -64,21 +64,21 @@
 
 // Wait waits for the process to end by itself; false if it doesn't in time. The
 // error is that of its exit.
-func (p *Process) Wait(within time.Duration) (bool, error) {
+func (p *Process) Wait(timeout time.Duration) (bool, error) {
 	select {
-	case <-p.ended:
+	case <-p.exited:
 		return true, p.wait.Wait()
-	case <-time.After(within):
+	case <-time.After(timeout):
 		return false, nil
 	}
 }
 
 // Tail is the end of what the process printed.
 func (p *Process) Tail() string {
-	const most = 4000
+	const maxTail = 4000
 	out, err := os.ReadFile(p.Log)
 	if err != nil {
 		return err.Error()
 	}
-	return string(out[max(0, len(out)-most):])
+	return string(out[max(0, len(out)-maxTail):])
 }
--- a/internal/fault/proxy.go
+++ b/internal/fault/proxy.go
@@ -32,27 +32,27 @@
 
 // slowBy is the delay of each piece of data in mode Slow: far above loopback,
 // below all timeouts.
-const slowBy = 60 * time.Millisecond
+const slowDelay = 60 * time.Millisecond
 
 // Proxy stands between two processes, as a firewall that tracks connections.
 type Proxy struct {
-	listener net.Listener
-	mode     atomic.Uint32
-	bytes    atomic.Int64
-	work     errgroup.Group
-
-	mu    sync.Mutex
-	to    string
-	links map[*link]struct{}
+	listener       net.Listener
+	mode           atomic.Uint32
+	bytesForwarded atomic.Int64
+	group          errgroup.Group
+
+	mu     sync.Mutex
+	target string
+	links  map[*link]struct{}
 }
 
 // link is one connection through the proxy.
 type link struct {
-	proxy     *Proxy
-	near, far net.Conn
-	// lostIn and lostOut: the direction is silent for good. What was lost on the
+	proxy          *Proxy
+	client, server net.Conn
+	// dropIn and lostOut: the direction is silent for good. What was lost on the
 	// way can't arrive later, nor anything behind it.
-	lostIn, lostOut atomic.Bool
+	dropIn, dropOut atomic.Bool
 	once            sync.Once
 }
 
@@ -62,8 +62,8 @@
 	if err != nil {
 		return nil, fmt.Errorf("listener of a proxy: %w", err)
 	}
-	p := &Proxy{listener: l, to: to, links: map[*link]struct{}{}}
-	p.work.Go(p.serve)
+	p := &Proxy{listener: l, target: to, links: map[*link]struct{}{}}
+	p.group.Go(p.serve)
 	return p, nil
 }
 
@@ -71,66 +71,66 @@
 func (p *Proxy) Addr() string { return p.listener.Addr().String() }
 
 // Bytes is how many bytes were passed on, both ways.
-func (p *Proxy) Bytes() int64 { return p.bytes.Load() }
+func (p *Proxy) Bytes() int64 { return p.bytesForwarded.Load() }
 
 // Set changes the mode, for open connections too.
 func (p *Proxy) Set(m Mode) { p.mode.Store(uint32(m)) }
 
-func (p *Proxy) now() Mode { return Mode(p.mode.Load()) }
+func (p *Proxy) currentMode() Mode { return Mode(p.mode.Load()) }
 
 func (p *Proxy) serve() error {
 	for {
-		near, err := p.listener.Accept()
+		client, err := p.listener.Accept()
 		if err != nil {
 			// The proxy was closed.
 			return nil
 		}
-		if p.now() == Refuse {
-			_ = near.Close()
+		if p.currentMode() == Refuse {
+			_ = client.Close()
 			continue
 		}
-		p.work.Go(func() error {
-			p.open(near)
+		p.group.Go(func() error {
+			p.openLink(client)
 			return nil
 		})
 	}
 }
 
-func (p *Proxy) open(near net.Conn) {
-	far, err := net.Dial("tcp", p.to)
+func (p *Proxy) openLink(client net.Conn) {
+	server, err := net.Dial("tcp", p.target)
 	if err != nil {
-		_ = near.Close()
+		_ = client.Close()
 		return
 	}
-	l := &link{proxy: p, near: near, far: far}
+	l := &link{proxy: p, client: client, server: server}
 	p.mu.Lock()
 	p.links[l] = struct{}{}
 	p.mu.Unlock()
-	p.work.Go(func() error { return l.carry(near, far, CutIn, &l.lostIn) })
-	p.work.Go(func() error { return l.carry(far, near, CutOut, &l.lostOut) })
+	p.group.Go(func() error { return l.forward(client, server, CutIn, &l.dropIn) })
+	p.group.Go(func() error { return l.forward(server, client, CutOut, &l.dropOut) })
 }
 
-// carry passes on what comes, and the end, unless this direction is cut or was
+// forward passes on what comes, and the end, unless this direction is cut or was
 // cut before.
-func (l *link) carry(from, to net.Conn, cut Mode, lost *atomic.Bool) error {
+func (l *link) forward(from, to net.Conn, blocked Mode, drop *atomic.Bool) error {
 	buf := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buf)
-		mode := l.proxy.now()
+		mode := l.proxy.currentMode()
 		if mode == Slow {
-			time.Sleep(slowBy)
+			time.Sleep(slowDelay)
 		}
-		if mode == cut || mode == CutBoth {
-			lost.Store(true)
+		if mode == blocked || mode == CutBoth {
+			drop.Store(true)
 		}
-		if lost.Load() {
+		if drop.Load() {
 			if err != nil {
 				return nil
 			}
 			continue
 		}
 		if n > 0 {
-			l.proxy.bytes.Add(int64(n))
+			l.proxy.bytesForwarded.Add(int64(n))
 			if _, werr := to.Write(buf[:n]); werr != nil {
 				err = io.ErrClosedPipe
 			}
@@ -144,17 +144,17 @@
 
 func (l *link) close() {
 	l.once.Do(func() {
-		l.lostIn.Store(true)
-		l.lostOut.Store(true)
-		_ = l.near.Close()
-		_ = l.far.Close()
+		l.dropIn.Store(true)
+		l.dropOut.Store(true)
+		_ = l.client.Close()
+		_ = l.server.Close()
 		l.proxy.mu.Lock()
 		delete(l.proxy.links, l)
 		l.proxy.mu.Unlock()
 	})
 }
 
-func (p *Proxy) snapshot() []*link {
+func (p *Proxy) openLinks() []*link {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	out := make([]*link, 0, len(p.links))
@@ -168,8 +168,8 @@
 // returns how many went silent.
 func (p *Proxy) Lose() int {
 	lost := 0
-	for _, l := range p.snapshot() {
-		in, out := l.lostIn.Swap(true), l.lostOut.Swap(true)
+	for _, l := range p.openLinks() {
+		in, out := l.dropIn.Swap(true), l.dropOut.Swap(true)
 		if !in || !out {
 			lost++
 		}
@@ -179,8 +179,8 @@
 
 // Reset resets every connection of now, on both sides.
 func (p *Proxy) Reset() {
-	for _, l := range p.snapshot() {
-		for _, c := range []net.Conn{l.near, l.far} {
+	for _, l := range p.openLinks() {
+		for _, c := range []net.Conn{l.client, l.server} {
 			if tcp, ok := c.(*net.TCPConn); ok {
 				_ = tcp.SetLinger(0)
 			}
@@ -192,8 +192,8 @@
 // Close ends the proxy and all its connections.
 func (p *Proxy) Close() {
 	_ = p.listener.Close()
-	for _, l := range p.snapshot() {
+	for _, l := range p.openLinks() {
 		l.close()
 	}
-	_ = p.work.Wait()
+	_ = p.group.Wait()
 }
