--- a/internal/single/single.go
+++ b/internal/single/single.go
@@ -1,4 +1,4 @@
-// Package single runs one stand-in as a process of its own.
+// Package single is the command that runs one stand-in as a process.
 package single
 
 import (
@@ -18,15 +18,15 @@
 	"jasmineshed/internal/stand"
 )
 
-// Started is the line that a stand-in prints once it serves.
+// Started is the JSON line that a stand-in prints once it listens.
 type Started struct {
 	Kind string `json:"kind"`
 	Addr string `json:"addr"`
-	// Admin is where operators publish; only the platform has it.
+	// Admin is the address at which operators publish; only the platform has one.
 	Admin string `json:"admin,omitempty"`
 }
 
-// Main runs the stand-in that args ask for until SIGTERM or SIGINT, and returns
+// Main runs the stand-in that args name until SIGTERM or SIGINT, and returns
 // the process's exit code.
 func Main(args []string, stdout, stderr io.Writer) int {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
@@ -56,8 +56,8 @@
 	cmd := &cobra.Command{Use: "platform", Short: "Configuration service and VM list"}
 	flags := cmd.Flags()
 	admin := flags.String("admin", "127.0.0.1:0", "address at which operators publish")
-	flags.IntVar(&cfg.ReadsPerSecond, "reads", 0, "reads a second over all readers; 0 means 2000")
-	flags.DurationVar(&cfg.VMLag, "vm-lag", 0, "how late the VM list is")
+	flags.IntVar(&cfg.ReadsPerSecond, "reads", 0, "reads per second of all readers together; 0 means 2000")
+	flags.DurationVar(&cfg.VMLag, "vm-lag", 0, "delay of the VM list")
 	cmd.RunE = func(cmd *cobra.Command, _ []string) error {
 		p := stand.NewPlatform(cfg)
 		operators, err := stand.Listen(*admin, p.Admin())
@@ -76,15 +76,15 @@
 	cmd := &cobra.Command{Use: "engine", Short: "Model engine, encoder, retriever or reranker"}
 	flags := cmd.Flags()
 	flags.StringVar((*string)(&cfg.ID), "id", "engine", "the server's id")
-	flags.IntVar(&cfg.Capacity, "capacity", 0, "calls at once when warm; 0 means 8")
-	flags.IntVar(&cfg.ColdBears, "cold-bears", 0, "calls at once when cold; 0 means 1")
-	flags.IntVar(&cfg.WarmAfter, "warm-after", 0, "calls done until warm; 0 starts warm")
-	flags.DurationVar(&cfg.FallTime, "fall-time", 0, "refusing time after too much load while cold")
-	flags.DurationVar(&cfg.TokenTime, "token-time", 0, "time for each token")
+	flags.IntVar(&cfg.Capacity, "capacity", 0, "concurrent calls when warm; 0 means 8")
+	flags.IntVar(&cfg.ColdBears, "cold-bears", 0, "concurrent calls when cold; 0 means 1")
+	flags.IntVar(&cfg.WarmAfter, "warm-after", 0, "completed calls until warm; 0 starts warm")
+	flags.DurationVar(&cfg.FallTime, "fall-time", 0, "how long all calls are refused after an overload while cold")
+	flags.DurationVar(&cfg.TokenTime, "token-time", 0, "time for each generated token")
 	flags.DurationVar(&cfg.PrefillTime, "prefill-time", 0, "time for each input token")
 	flags.DurationVar(&cfg.CallTime, "call-time", 0, "time of a call without generation")
-	flags.Float64Var(&cfg.LoadSlope, "load-slope", 0, "slowing at full load; 1 doubles the times")
-	flags.DurationVar(&cfg.LoadLag, "load-lag", 0, "how late load reports are")
+	flags.Float64Var(&cfg.LoadSlope, "load-slope", 0, "slowdown at full load; 1 doubles all times")
+	flags.DurationVar(&cfg.LoadLag, "load-lag", 0, "delay of load reports")
 	flags.IntVar(&cfg.CacheEntries, "cache", 0, "entries of the prefix cache")
 	flags.BoolVar(&cfg.ChecksFence, "checks-fence", false, "refuse orders with an old fencing number")
 	flags.StringVar(&cfg.OrderToken, "order-token", "", "token that orders must carry")
@@ -102,7 +102,7 @@
 	cmd := &cobra.Command{Use: "service", Short: "Plain service"}
 	flags := cmd.Flags()
 	id := flags.String("id", "service", "the server's id")
-	capacity := flags.Int("capacity", 0, "calls at once; 0 means 8")
+	capacity := flags.Int("capacity", 0, "concurrent calls; 0 means 8")
 	callTime := flags.Duration("call-time", 10*time.Millisecond, "time of a call")
 	done := flags.Uint64("done", 0, "calls completed before the start")
 	cmd.RunE = func(cmd *cobra.Command, _ []string) error {
@@ -117,23 +117,23 @@
 	return cmd
 }
 
-// PathRuns is where an engine or a service tells what it has run, as a JSON
+// PathRuns is the path at which an engine or a service lists what it has run, as a JSON
 // array of stand.Run.
 const PathRuns = "/admin/runs"
 
-// withRuns serves the record beside the stand-in.
+// withRuns adds PathRuns to the stand-in's handler.
 func withRuns(h http.Handler, record *stand.Record) http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("/", h)
 	mux.HandleFunc("GET "+PathRuns, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
-		// The caller may be gone; the record stays for the next one.
+		// An error means that the caller has disconnected; the record is kept for the next one.
 		_ = json.NewEncoder(w).Encode(record.Runs())
 	})
 	return mux
 }
 
-// serve prints where it serves, and serves until ctx ends.
+// serve prints the addresses and serves until ctx ends.
 func serve(ctx context.Context, addr string, h http.Handler, started Started, stdout io.Writer) error {
 	server, err := stand.Listen(addr, h)
 	if err != nil {
