--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -1,5 +1,5 @@
-// Package demo runs a whole fleet with stand-ins in one process, sends one
-// request through each pipeline, and shows what happened.
+// Package demo runs a complete fleet with stand-ins in one process, sends one
+// request through each pipeline, and prints the answers and their costs.
 package demo
 
 import (
@@ -19,25 +19,25 @@
 	"jasmineshed/pkg/client"
 )
 
-// Config is what a demo needs.
+// Config configures a demo.
 type Config struct {
 	Out io.Writer
 	// Example names the rules file.
 	Example string
-	// LogTo takes the daemons' logs; nil for none.
+	// LogTo receives the daemons' logs; nil discards them.
 	LogTo io.Writer
-	// Keep stays up after the requests, until ctx ends.
+	// Keep keeps the fleet running after the requests until ctx ends.
 	Keep bool
 }
 
 // maxTokens is the length of the generated answers.
 const maxTokens = 24
 
-// startFor bounds how long the fleet may take to be ready.
+// startTimeout bounds how long the fleet may take to become ready.
 const startTimeout = 30 * time.Second
 
-// ErrNotWhole is returned if an answer was not whole.
-var ErrNotWhole = errors.New("an answer was not whole")
+// ErrNotWhole is returned if an answer is incomplete or wrong.
+var ErrNotWhole = errors.New("incomplete or wrong answer")
 
 // Run runs the demo.
 func Run(ctx context.Context, cfg Config) error {
@@ -66,21 +66,21 @@
 	return nil
 }
 
-// session prints one demo.
+// session is one run of the demo.
 type session struct {
 	cfg   Config
 	fleet *fleet.Fleet
 	costs []stageCost
 }
 
-// stageCost is what one stage of one request cost.
+// stageCost is the cost of one stage of one request.
 type stageCost struct {
 	pipeline, stage string
 	cost            client.Cost
 }
 
 func (s *session) printf(format string, args ...any) {
-	// A terminal that is gone must not fail the requests.
+	// Requests must not fail because the terminal is closed.
 	_, _ = fmt.Fprintf(s.cfg.Out, format, args...)
 }
 
@@ -90,7 +90,7 @@
 		s.cfg.Example, len(r.Zones), len(s.fleet.Members()), len(r.Servers), len(r.Pipelines))
 }
 
-// runAll runs one request for each pipeline.
+// runAll sends one request through each pipeline.
 func (s *session) runAll(ctx context.Context) error {
 	failed := 0
 	for _, id := range sortedPipelines(s.fleet.Rules) {
@@ -115,7 +115,7 @@
 	return out
 }
 
-// allowedWorkspace is a workspace that may run the pipeline.
+// allowedWorkspace returns the first workspace by name that may run the pipeline.
 func allowedWorkspace(r *shed.Rules, id shed.PipelineID) (shed.WorkspaceID, bool) {
 	var names []string
 	for ws, w := range r.Workspaces {
@@ -133,7 +133,7 @@
 func (s *session) runPipeline(ctx context.Context, p *shed.Pipeline) error {
 	ws, ok := allowedWorkspace(s.fleet.Rules, p.ID)
 	if !ok {
-		return errors.New("no workspace may run it")
+		return errors.New("no workspace may run this pipeline")
 	}
 	c, err := client.New(client.Config{
 		URLs: s.fleet.CallerURLs(), Workspace: string(ws), Token: sample.Token(string(ws)),
@@ -156,7 +156,7 @@
 	return checkAnswer(p, work, answer)
 }
 
-// send streams an idempotent pipeline and runs any other by a ticket.
+// send streams an idempotent pipeline and runs any other with a ticket.
 func (s *session) send(ctx context.Context, c *client.Client, p *shed.Pipeline, work client.Work) (*client.Answer, error) {
 	if !p.Idempotent() {
 		return c.RunOnce(ctx, work)
@@ -180,7 +180,7 @@
 	s.printf("  whole answer in %.1f ms, request %s\n\n", float64(took)/float64(time.Millisecond), a.RequestID)
 }
 
-// checkAnswer checks the answer against what the stand-ins must have said.
+// checkAnswer compares the answer with what the stand-ins must have returned.
 func checkAnswer(p *shed.Pipeline, work client.Work, a *client.Answer) error {
 	if a.Outcome != client.Complete {
 		return fmt.Errorf("%w: outcome %s", ErrNotWhole, a.Outcome)
@@ -203,7 +203,7 @@
 	}
 }
 
-// waitUntilDone prints how to reach the fleet and waits.
+// waitUntilDone prints how to reach the fleet and waits for ctx to end.
 func (s *session) waitUntilDone(ctx context.Context) error {
 	s.printf("\nThe fleet stays up until you press Ctrl-C.\n")
 	for _, m := range s.fleet.Members() {
