--- a/internal/fault/doc.go
+++ b/internal/fault/doc.go
@@ -1,4 +1,4 @@
-// Package fault runs programs as processes for tests and strikes them from
-// outside: by signals, and by proxies on loopback that stand on their
-// connections. The product does not import it.
+// Package fault runs programs as processes for tests and injects faults from outside:
+// with signals, and with proxies on loopback that delay, drop or reset their
+// connections. The product must not import it.
 package fault
--- a/internal/fault/link.go
+++ b/internal/fault/link.go
@@ -7,28 +7,28 @@
 	"time"
 )
 
-// linkChunk is how much passes a Link at once, in bytes; small, so that
-// connections share the link as they would share a real one.
+// maxLinkRead bounds one read over a Link, in bytes. It is small so that
+// connections share the link's bandwidth as they share a real one.
 const maxLinkRead = 4 << 10
 
-// linkBuffer is the receive buffer of a connection over a Link, in bytes: a sender
-// must not get far ahead of what has passed.
+// linkReceiveBuffer is the receive buffer of a connection over a Link, in bytes. It is
+// small so that a sender can't get far ahead of what the link has transmitted.
 const linkReceiveBuffer = 32 << 10
 
-// Link is a link of limited bandwidth that connections share, in the direction to
-// the process that reads from them.
+// Link is a network link of limited bandwidth that connections share. It limits only the
+// direction to the process that reads from them.
 type Link struct {
 	bytesPerSecond float64
 
 	mu sync.Mutex
-	// idleAt is when all that was taken so far has passed.
+	// idleAt is when all data accepted so far has been transmitted.
 	idleAt time.Time
 }
 
-// NewLink returns a link of so many megabits a second.
+// NewLink returns a link of the given bandwidth in megabits per second.
 func NewLink(mbps float64) *Link { return &Link{bytesPerSecond: mbps * 1e6 / 8} }
 
-// Conn puts a connection on the link.
+// Conn returns a connection that shares the link.
 func (l *Link) Conn(c net.Conn) net.Conn {
 	if tcp, ok := c.(*net.TCPConn); ok {
 		_ = tcp.SetReadBuffer(linkReceiveBuffer)
@@ -46,10 +46,10 @@
 	return l.Conn(c), nil
 }
 
-// Listener puts all connections that come in on the link.
+// Listener returns a listener whose accepted connections share the link.
 func (l *Link) Listener(lis net.Listener) net.Listener { return linkListener{Listener: lis, link: l} }
 
-// transmit waits until n bytes have passed, behind those taken before.
+// transmit waits until the link has transmitted n bytes, after those accepted before.
 func (l *Link) transmit(n int) {
 	l.mu.Lock()
 	now := time.Now()
@@ -62,7 +62,7 @@
 	time.Sleep(until.Sub(now))
 }
 
-// linkConn is a connection on a Link.
+// linkConn is a connection over a Link.
 type linkConn struct {
 	net.Conn
 	link *Link
--- a/internal/fault/process.go
+++ b/internal/fault/process.go
@@ -10,27 +10,27 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Process is one program that a test started.
+// Process is a program that a test started.
 type Process struct {
-	// Log is the file that holds what it prints.
+	// Log is the file that holds its standard output and error.
 	Log string
 	cmd *exec.Cmd
-	// exited is closed once the system has taken the process back.
+	// exited is closed once the process has been waited for.
 	exited chan struct{}
 	wait   errgroup.Group
 }
 
-// Start runs a program; what it prints is added to the file log.
+// Start runs a program and appends its standard output and error to the file log.
 func Start(log, program string, args ...string) (*Process, error) {
 	out, err := os.OpenFile(log, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
 	if err != nil {
-		return nil, fmt.Errorf("log of a process: %w", err)
+		return nil, fmt.Errorf("open the log of a process: %w", err)
 	}
 	defer func() { _ = out.Close() }()
 	p := &Process{Log: log, cmd: exec.Command(program, args...), exited: make(chan struct{})}
 	p.cmd.Stdout, p.cmd.Stderr = out, out
-	// A test run that is broken off by its own timeout runs no cleanup; the
-	// system ends the process then.
+	// A test run that its own timeout aborts runs no cleanup; the kernel kills the
+	// process then.
 	p.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := p.cmd.Start(); err != nil {
 		return nil, fmt.Errorf("start %s: %w", program, err)
@@ -45,14 +45,14 @@
 // Signal sends the process a signal.
 func (p *Process) Signal(s syscall.Signal) error { return p.cmd.Process.Signal(s) }
 
-// Kill ends the process at once, a stopped one too, and waits for its end.
+// Kill kills the process, even if it is suspended by a signal, and waits for its exit.
 func (p *Process) Kill() {
-	// It may have ended by itself.
+	// An error means that the process has already exited.
 	_ = p.cmd.Process.Kill()
 	<-p.exited
 }
 
-// Running tells whether the process has not ended yet.
+// Running reports whether the process has not exited yet.
 func (p *Process) Running() bool {
 	select {
 	case <-p.exited:
@@ -62,8 +62,8 @@
 	}
 }
 
-// Wait waits for the process to end by itself; false if it doesn't in time. The
-// error is that of its exit.
+// Wait waits for the process to exit by itself. It returns false if it doesn't within the
+// timeout, else true and the error of the exit.
 func (p *Process) Wait(timeout time.Duration) (bool, error) {
 	select {
 	case <-p.exited:
@@ -73,7 +73,7 @@
 	}
 }
 
-// Tail is the end of what the process printed.
+// Tail returns the end of the process's log.
 func (p *Process) Tail() string {
 	const maxTail = 4000
 	out, err := os.ReadFile(p.Log)
--- a/internal/fault/proxy.go
+++ b/internal/fault/proxy.go
@@ -14,27 +14,27 @@
 // Mode is how a Proxy treats bytes and new connections. The set is closed.
 type Mode uint32
 
-// The modes. In all but Pass and Slow, nothing arrives in the directions named,
-// and neither side is told.
+// The modes. The Cut modes drop all data in their directions without any sign to either
+// side.
 const (
-	// Pass passes everything on.
+	// Pass forwards everything.
 	Pass Mode = iota
-	// Slow passes everything on after a delay.
+	// Slow forwards everything after a delay.
 	Slow
-	// CutIn loses what goes to the process behind the proxy, CutOut what comes
-	// from it, CutBoth either.
+	// CutIn drops what is sent to the process behind the proxy, CutOut what that process
+	// sends, CutBoth both.
 	CutIn
 	CutOut
 	CutBoth
-	// Refuse closes new connections at once.
+	// Refuse closes new connections at once. Open ones continue.
 	Refuse
 )
 
-// slowBy is the delay of each piece of data in mode Slow: far above loopback,
+// slowDelay is the delay of each read in mode Slow: far above the latency of loopback,
 // below all timeouts.
 const slowDelay = 60 * time.Millisecond
 
-// Proxy stands between two processes, as a firewall that tracks connections.
+// Proxy forwards TCP connections between two processes, like a stateful firewall.
 type Proxy struct {
 	listener       net.Listener
 	mode           atomic.Uint32
@@ -50,30 +50,30 @@
 type link struct {
 	proxy          *Proxy
 	client, server net.Conn
-	// dropIn and lostOut: the direction is silent for good. What was lost on the
-	// way can't arrive later, nor anything behind it.
+	// dropIn and dropOut are whether all further data in the direction is dropped. They
+	// are never reset: lost bytes can't arrive later, nor can the bytes after them.
 	dropIn, dropOut atomic.Bool
 	once            sync.Once
 }
 
-// NewProxy starts a proxy to an address.
+// NewProxy starts a proxy that forwards to an address.
 func NewProxy(to string) (*Proxy, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return nil, fmt.Errorf("listener of a proxy: %w", err)
+		return nil, fmt.Errorf("listen for a proxy: %w", err)
 	}
 	p := &Proxy{listener: l, target: to, links: map[*link]struct{}{}}
 	p.group.Go(p.serve)
 	return p, nil
 }
 
-// Addr is where the proxy takes connections.
+// Addr returns the address at which the proxy accepts connections.
 func (p *Proxy) Addr() string { return p.listener.Addr().String() }
 
-// Bytes is how many bytes were passed on, both ways.
+// Bytes returns how many bytes were forwarded in both directions together.
 func (p *Proxy) Bytes() int64 { return p.bytesForwarded.Load() }
 
-// Set changes the mode, for open connections too.
+// Set changes the mode, also for open connections.
 func (p *Proxy) Set(m Mode) { p.mode.Store(uint32(m)) }
 
 func (p *Proxy) currentMode() Mode { return Mode(p.mode.Load()) }
@@ -110,8 +110,8 @@
 	p.group.Go(func() error { return l.forward(server, client, CutOut, &l.dropOut) })
 }
 
-// forward passes on what comes, and the end, unless this direction is cut or was
-// cut before.
+// forward copies data and the end of the connection in one direction, unless the mode
+// drops this direction or did so before.
 func (l *link) forward(from, to net.Conn, blocked Mode, drop *atomic.Bool) error {
 	buf := make([]byte, 32<<10)
 	for {
@@ -164,8 +164,8 @@
 	return out
 }
 
-// Lose makes every connection of now go silent for good; new ones work. It
-// returns how many went silent.
+// Lose drops all further data of the connections that are open now, in both directions;
+// new ones work. It returns how many connections were not already dropped in both.
 func (p *Proxy) Lose() int {
 	lost := 0
 	for _, l := range p.openLinks() {
@@ -177,7 +177,7 @@
 	return lost
 }
 
-// Reset resets every connection of now, on both sides.
+// Reset resets all open connections on both sides.
 func (p *Proxy) Reset() {
 	for _, l := range p.openLinks() {
 		for _, c := range []net.Conn{l.client, l.server} {
@@ -189,7 +189,7 @@
 	}
 }
 
-// Close ends the proxy and all its connections.
+// Close stops the proxy and closes all its connections.
 func (p *Proxy) Close() {
 	_ = p.listener.Close()
 	for _, l := range p.openLinks() {
