--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -26,8 +26,8 @@
 	Example string
 	// LogTo receives the daemons' logs; nil discards them.
 	LogTo io.Writer
-	// Keep keeps the fleet running after the requests until ctx ends.
-	Keep bool
+	// KeepRunning keeps the fleet running after the requests until ctx ends.
+	KeepRunning bool
 }
 
 // maxTokens is the length of the generated answers.
@@ -37,7 +37,7 @@
 const startTimeout = 30 * time.Second
 
 // ErrNotWhole is returned if an answer is incomplete or wrong.
-var ErrNotWhole = errors.New("incomplete or wrong answer")
+var ErrBadAnswer = errors.New("incomplete or wrong answer")
 
 // Run runs the demo.
 func Run(ctx context.Context, cfg Config) error {
@@ -60,7 +60,7 @@
 	if err := s.runAll(ctx); err != nil {
 		return err
 	}
-	if cfg.Keep {
+	if cfg.KeepRunning {
 		return s.waitUntilDone(ctx)
 	}
 	return nil
@@ -101,7 +101,7 @@
 	}
 	s.printCosts()
 	if failed > 0 {
-		return fmt.Errorf("%w: %d of %d pipelines", ErrNotWhole, failed, len(s.fleet.Rules.Pipelines))
+		return fmt.Errorf("%w: %d of %d pipelines", ErrBadAnswer, failed, len(s.fleet.Rules.Pipelines))
 	}
 	return nil
 }
@@ -183,14 +183,14 @@
 // checkAnswer compares the answer with what the stand-ins must have returned.
 func checkAnswer(p *shed.Pipeline, work client.Work, a *client.Answer) error {
 	if a.Outcome != client.Complete {
-		return fmt.Errorf("%w: outcome %s", ErrNotWhole, a.Outcome)
+		return fmt.Errorf("%w: outcome %s", ErrBadAnswer, a.Outcome)
 	}
 	for _, st := range p.Stages {
 		switch {
-		case st.Kind == shed.KindGenerate && a.Payload.Text != stand.WholeText(work.Input, maxTokens):
-			return fmt.Errorf("%w: text differs from what the engine generated", ErrNotWhole)
+		case st.Kind == shed.KindGenerate && a.Payload.Text != stand.FullText(work.Input, maxTokens):
+			return fmt.Errorf("%w: text differs from what the engine generated", ErrBadAnswer)
 		case st.Kind == shed.KindService && a.Payload.Receipt == "":
-			return fmt.Errorf("%w: no receipt", ErrNotWhole)
+			return fmt.Errorf("%w: no receipt", ErrBadAnswer)
 		}
 	}
 	return nil
--- a/internal/fault/link.go
+++ b/internal/fault/link.go
@@ -28,8 +28,8 @@
 // NewLink returns a link of the given bandwidth in megabits per second.
 func NewLink(mbps float64) *Link { return &Link{bytesPerSecond: mbps * 1e6 / 8} }
 
-// Conn returns a connection that shares the link.
-func (l *Link) Conn(c net.Conn) net.Conn {
+// WrapConn returns a connection that shares the link.
+func (l *Link) WrapConn(c net.Conn) net.Conn {
 	if tcp, ok := c.(*net.TCPConn); ok {
 		_ = tcp.SetReadBuffer(linkReceiveBuffer)
 	}
@@ -43,11 +43,13 @@
 	if err != nil {
 		return nil, err
 	}
-	return l.Conn(c), nil
+	return l.WrapConn(c), nil
 }
 
-// Listener returns a listener whose accepted connections share the link.
-func (l *Link) Listener(lis net.Listener) net.Listener { return linkListener{Listener: lis, link: l} }
+// WrapListener returns a listener whose accepted connections share the link.
+func (l *Link) WrapListener(lis net.Listener) net.Listener {
+	return linkListener{Listener: lis, link: l}
+}
 
 // transmit waits until the link has transmitted n bytes, after those accepted before.
 func (l *Link) transmit(n int) {
@@ -86,5 +88,5 @@
 	if err != nil {
 		return nil, err
 	}
-	return l.link.Conn(c), nil
+	return l.link.WrapConn(c), nil
 }
--- a/internal/fault/proxy.go
+++ b/internal/fault/proxy.go
@@ -17,15 +17,15 @@
 // The modes. The Cut modes drop all data in their directions without any sign to either
 // side.
 const (
-	// Pass forwards everything.
-	Pass Mode = iota
-	// Slow forwards everything after a delay.
-	Slow
-	// CutIn drops what is sent to the process behind the proxy, CutOut what that process
+	// Forward forwards everything.
+	Forward Mode = iota
+	// Delay forwards everything after a delay.
+	Delay
+	// DropIn drops what is sent to the process behind the proxy, CutOut what that process
 	// sends, CutBoth both.
-	CutIn
-	CutOut
-	CutBoth
+	DropIn
+	DropOut
+	DropBoth
 	// Refuse closes new connections at once. Open ones continue.
 	Refuse
 )
@@ -73,8 +73,8 @@
 // Bytes returns how many bytes were forwarded in both directions together.
 func (p *Proxy) Bytes() int64 { return p.bytesForwarded.Load() }
 
-// Set changes the mode, also for open connections.
-func (p *Proxy) Set(m Mode) { p.mode.Store(uint32(m)) }
+// SetMode changes the mode, also for open connections.
+func (p *Proxy) SetMode(m Mode) { p.mode.Store(uint32(m)) }
 
 func (p *Proxy) currentMode() Mode { return Mode(p.mode.Load()) }
 
@@ -106,8 +106,8 @@
 	p.mu.Lock()
 	p.links[l] = struct{}{}
 	p.mu.Unlock()
-	p.group.Go(func() error { return l.forward(client, server, CutIn, &l.dropIn) })
-	p.group.Go(func() error { return l.forward(server, client, CutOut, &l.dropOut) })
+	p.group.Go(func() error { return l.forward(client, server, DropIn, &l.dropIn) })
+	p.group.Go(func() error { return l.forward(server, client, DropOut, &l.dropOut) })
 }
 
 // forward copies data and the end of the connection in one direction, unless the mode
@@ -117,10 +117,10 @@
 	for {
 		n, err := from.Read(buf)
 		mode := l.proxy.currentMode()
-		if mode == Slow {
+		if mode == Delay {
 			time.Sleep(slowDelay)
 		}
-		if mode == blocked || mode == CutBoth {
+		if mode == blocked || mode == DropBoth {
 			drop.Store(true)
 		}
 		if drop.Load() {
@@ -164,9 +164,9 @@
 	return out
 }
 
-// Lose drops all further data of the connections that are open now, in both directions;
+// Blackhole drops all further data of the connections that are open now, in both directions;
 // new ones work. It returns how many connections were not already dropped in both.
-func (p *Proxy) Lose() int {
+func (p *Proxy) Blackhole() int {
 	lost := 0
 	for _, l := range p.openLinks() {
 		in, out := l.dropIn.Swap(true), l.dropOut.Swap(true)
--- a/internal/gauge/play.go
+++ b/internal/gauge/play.go
@@ -23,8 +23,8 @@
 	// Call runs a request at the daemon that the load balancer picks, with a ticket if its
 	// pipeline is not idempotent. It calls text whenever text arrives.
 	Call(ctx context.Context, a Arrival, tokens int, text func()) (*client.Answer, error)
-	// Do performs an event.
-	Do(ctx context.Context, ev Event) error
+	// ApplyEvent performs an event.
+	ApplyEvent(ctx context.Context, ev Event) error
 	// Servers returns the stand-ins of backend servers.
 	Servers() []Server
 	// Platform returns the stand-in of the platform.
@@ -46,19 +46,19 @@
 	// Lag is the largest delay of a request after its planned arrival. If it is large, the
 	// machine was too busy and the results are not valid.
 	Lag time.Duration
-	// Done holds the events with the times at which they were performed.
-	Done    []Happened
+	// Events holds the events with the times at which they were performed.
+	Events  []PerformedEvent
 	Servers []Server
 	Calls   stand.PlatformCalls
-	// Began is when the scenario started.
-	Began time.Time
+	// StartTime is when the scenario started.
+	StartTime time.Time
 }
 
-// Happened is an event that was performed.
-type Happened struct {
+// PerformedEvent is an event that was performed.
+type PerformedEvent struct {
 	Event
-	// Began is the actual time from the scenario's start, Took the event's duration.
-	Began, Took time.Duration
+	// StartedAfter is the actual time from the scenario's start, Took the event's duration.
+	StartedAfter, Took time.Duration
 }
 
 // player runs one scenario.
@@ -73,13 +73,13 @@
 	samples    []Sample
 	counts     [numVerdicts]int
 	lag        time.Duration
-	doneEvents []Happened
+	doneEvents []PerformedEvent
 	running    atomic.Int64
 }
 
-// Play runs the scenario against the fleet and writes a line of progress every
+// RunScenario runs the scenario against the fleet and writes a line of progress every
 // second. It fails if ctx ends or an event can't be performed.
-func Play(ctx context.Context, s Scenario, fleet Fleet, progress io.Writer) (*Result, error) {
+func RunScenario(ctx context.Context, s Scenario, fleet Fleet, progress io.Writer) (*Result, error) {
 	p := &player{scenario: s, fleet: fleet, progress: printer{w: progress}, began: time.Now()}
 	group, ctx := errgroup.WithContext(ctx)
 	progressCtx, stop := context.WithCancel(ctx)
@@ -94,13 +94,13 @@
 		return nil, err
 	}
 	return &Result{
-		Scenario: s,
-		Samples:  p.samples,
-		Lag:      p.lag,
-		Done:     p.doneEvents,
-		Servers:  fleet.Servers(),
-		Calls:    fleet.Platform().Calls(),
-		Began:    p.began,
+		Scenario:  s,
+		Samples:   p.samples,
+		Lag:       p.lag,
+		Events:    p.doneEvents,
+		Servers:   fleet.Servers(),
+		Calls:     fleet.Platform().Calls(),
+		StartTime: p.began,
 	}, nil
 }
 
@@ -159,11 +159,11 @@
 			return err
 		}
 		began := time.Since(p.began)
-		if err := p.fleet.Do(ctx, ev); err != nil {
+		if err := p.fleet.ApplyEvent(ctx, ev); err != nil {
 			return fmt.Errorf("event %s: %w", ev.Name, err)
 		}
 		p.mu.Lock()
-		p.doneEvents = append(p.doneEvents, Happened{Event: ev, Began: began, Took: time.Since(p.began) - began})
+		p.doneEvents = append(p.doneEvents, PerformedEvent{Event: ev, StartedAfter: began, Took: time.Since(p.began) - began})
 		p.progress.printf("%6.1fs  %s: %s %s\n", began.Seconds(), ev.Name, ev.Kind, ev.Target)
 		p.mu.Unlock()
 	}
--- a/internal/gauge/rig.go
+++ b/internal/gauge/rig.go
@@ -81,15 +81,15 @@
 	return r, nil
 }
 
-func (s Shape) engineConfig(server *shed.Server, kind shed.StageKind) stand.EngineConfig {
+func (s FleetSize) engineConfig(server *shed.Server, kind shed.StageKind) stand.EngineConfig {
 	cfg := stand.EngineConfig{
 		ID:           server.ID,
 		Capacity:     server.Capacity,
-		ColdBears:    server.ColdCapacity,
+		ColdCapacity: server.ColdCapacity,
 		CallTime:     s.CallTime,
 		LoadLag:      loadLag,
 		CacheEntries: 256,
-		Done:         priorCalls,
+		PriorCalls:   priorCalls,
 	}
 	if kind == shed.KindGenerate {
 		cfg.WarmAfter = s.WarmAfter
@@ -191,18 +191,18 @@
 	return c, err
 }
 
-// Do performs an event.
-func (r *Rig) Do(ctx context.Context, ev Event) error {
+// ApplyEvent performs an event.
+func (r *Rig) ApplyEvent(ctx context.Context, ev Event) error {
 	switch ev.Kind {
-	case EventZoneOut:
+	case EventZoneClosed:
 		return r.replaceLine(zoneLine(ev.Target, false), zoneLine(ev.Target, true))
-	case EventZoneBack:
+	case EventZoneReopened:
 		return r.replaceLine(zoneLine(ev.Target, true), zoneLine(ev.Target, false))
 	case EventSupplierLeaving:
 		return r.replaceLine(supplierLine(ev.Target, false), supplierLine(ev.Target, true))
-	case EventZoneCut:
+	case EventZonePartitioned:
 		r.partitioner.setPartitioned(shed.ZoneID(ev.Target), true)
-	case EventZoneHeal:
+	case EventZoneHealed:
 		r.partitioner.setPartitioned(shed.ZoneID(ev.Target), false)
 	case EventPlatformDown:
 		r.fleet.Platform.SetDown(true)
@@ -227,7 +227,7 @@
 		e.TurnCold()
 	case EventServerSlow:
 		e.SetSlowness(slowServerFactor)
-	case EventServerWell:
+	case EventServerNormal:
 		e.SetSlowness(1)
 	}
 	return nil
--- a/internal/gauge/safety.go
+++ b/internal/gauge/safety.go
@@ -12,22 +12,22 @@
 // Safety compares the records of the stand-ins with the invariants that must always hold.
 type Safety struct {
 	// Overshoots counts how often a cold server received a call above its cold capacity,
-	// and WorstOvershoot is the largest excess in calls.
-	Overshoots, WorstOvershoot int
-	// Doubled counts the requests that a plain service ran more than once.
-	Doubled int
-	// Closings holds how long new calls still began after the rules closed a zone or a
+	// and MaxOvershoot is the largest excess in calls.
+	Overshoots, MaxOvershoot int
+	// DuplicateRequests counts the requests that a plain service ran more than once.
+	DuplicateRequests int
+	// Closures holds how long new calls still began after the rules closed a zone or a
 	// supplier.
-	Closings []Closing
+	Closures []Closure
 }
 
-// Closing is one event after which some servers must get no new work.
-type Closing struct {
+// Closure is one event after which some servers must get no new work.
+type Closure struct {
 	Event string
-	// Last is the time from the event to the last call that began there before they were
+	// LastCallAfter is the time from the event to the last call that began there before they were
 	// reopened; 0 if none began.
-	Last  time.Duration
-	Calls int
+	LastCallAfter time.Duration
+	Calls         int
 }
 
 // safety evaluates the records of the stand-ins.
@@ -36,31 +36,31 @@
 	for _, server := range r.Servers {
 		for _, o := range server.Record.Overshoots() {
 			out.Overshoots++
-			out.WorstOvershoot = max(out.WorstOvershoot, o.Running-o.Bears)
+			out.MaxOvershoot = max(out.MaxOvershoot, o.Running-o.ColdCapacity)
 		}
 		if mustRunOnce(server.ID) {
-			out.Doubled += len(server.Record.Doubled())
+			out.DuplicateRequests += len(server.Record.DuplicateRequests())
 		}
 	}
-	for _, ev := range r.Done {
-		if ev.Kind == EventZoneOut || ev.Kind == EventSupplierLeaving {
-			out.Closings = append(out.Closings, r.newClosing(ev))
+	for _, ev := range r.Events {
+		if ev.Kind == EventZoneClosed || ev.Kind == EventSupplierLeaving {
+			out.Closures = append(out.Closures, r.newClosing(ev))
 		}
 	}
 	return out
 }
 
 // newClosing counts the calls that began after ev on the servers that it closed.
-func (r *Result) newClosing(ev Happened) Closing {
-	from := r.Began.Add(ev.Began)
+func (r *Result) newClosing(ev PerformedEvent) Closure {
+	from := r.StartTime.Add(ev.StartedAfter)
 	until := r.reopenedAt(ev)
-	out := Closing{Event: ev.Name}
+	out := Closure{Event: ev.Name}
 	for _, run := range r.runsOnClosed(ev.Event) {
 		if run.Start.Before(from) || (!until.IsZero() && run.Start.After(until)) {
 			continue
 		}
 		out.Calls++
-		out.Last = max(out.Last, run.Start.Sub(from))
+		out.LastCallAfter = max(out.LastCallAfter, run.Start.Sub(from))
 	}
 	return out
 }
@@ -77,10 +77,10 @@
 }
 
 // reopenedAt returns when the zone of ev was reopened; zero if it was not.
-func (r *Result) reopenedAt(ev Happened) time.Time {
-	for _, later := range r.Done {
-		if later.Kind == EventZoneBack && later.Target == ev.Target && later.Began > ev.Began {
-			return r.Began.Add(later.Began)
+func (r *Result) reopenedAt(ev PerformedEvent) time.Time {
+	for _, later := range r.Events {
+		if later.Kind == EventZoneReopened && later.Target == ev.Target && later.StartedAfter > ev.StartedAfter {
+			return r.StartTime.Add(later.StartedAfter)
 		}
 	}
 	return time.Time{}
--- a/internal/procs/load_test.go
+++ b/internal/procs/load_test.go
@@ -154,7 +154,7 @@
 		if e.err != nil {
 			require.NoError(f.t, e.err, "%s of %d\n%s", e.input, len(ends), f.story(e))
 		}
-		require.Equal(f.t, stand.WholeText(e.input, tokens), e.answer.Payload.Text, e.input)
+		require.Equal(f.t, stand.FullText(e.input, tokens), e.answer.Payload.Text, e.input)
 	}
 }
 
@@ -187,7 +187,7 @@
 		switch e.outcome() {
 		case client.Complete:
 			require.Equal(f.t, 1, runs, e.input)
-			require.Equal(f.t, stand.WholeText(e.input, tokens), e.answer.Payload.Text, e.input)
+			require.Equal(f.t, stand.FullText(e.input, tokens), e.answer.Payload.Text, e.input)
 		case client.NotRun, client.Refused:
 			require.Zero(f.t, runs, "%s: %v", e.input, e.err)
 		default:
--- a/internal/procs/silent_test.go
+++ b/internal/procs/silent_test.go
@@ -39,7 +39,7 @@
 	f.goesSilent(f.vms[2*perZone:], func() int {
 		lost := 0
 		for _, p := range proxies {
-			lost += p.Lose()
+			lost += p.Blackhole()
 		}
 		return lost
 	})
@@ -63,7 +63,7 @@
 			return engine.Addr()
 		},
 	})
-	f.goesSilent(f.vms[2*perZone:], func() int { return engine.Lose() })
+	f.goesSilent(f.vms[2*perZone:], func() int { return engine.Blackhole() })
 	require.NotEmpty(t, f.runs(silent))
 }
 
--- a/internal/stand/calls.go
+++ b/internal/stand/calls.go
@@ -62,7 +62,7 @@
 		index[text] = i
 	}
 	var out wire.RerankResponse
-	for _, p := range Reranked(req.Query, passages) {
+	for _, p := range Rerank(req.Query, passages) {
 		out.Results = append(out.Results, wire.RankedDocument{Index: index[p.Text], Score: p.Score})
 	}
 	return out
--- a/internal/stand/engine.go
+++ b/internal/stand/engine.go
@@ -18,17 +18,17 @@
 	ID shed.ServerID
 	// Capacity is how many calls run at once when warm; 0 means 8.
 	Capacity int
-	// ColdBears is how many calls it can run at once while cold; 0 means 1.
-	ColdBears int
+	// ColdCapacity is how many calls it can run at once while cold; 0 means 1.
+	ColdCapacity int
 	// WarmAfter is how many calls must complete before it is warm. It starts warm if
 	// Done is at least as many.
 	WarmAfter int
-	// Done is how many calls it had completed before the test began. Daemons take a
+	// PriorCalls is how many calls it had completed before the test began. Daemons take a
 	// server with many completed calls for warm.
-	Done uint64
-	// FallTime is how long it refuses all calls after an overload while cold; 0 means
+	PriorCalls uint64
+	// OverloadTime is how long it refuses all calls after an overload while cold; 0 means
 	// 2 s.
-	FallTime time.Duration
+	OverloadTime time.Duration
 	// TokenTime is the time for each generated token while no other call runs.
 	TokenTime time.Duration
 	// PrefillTime is the time for each input token before the first generated one.
@@ -109,17 +109,17 @@
 	if cfg.Capacity == 0 {
 		cfg.Capacity = defaultCapacity
 	}
-	if cfg.ColdBears == 0 {
-		cfg.ColdBears = defaultColdCapacity
+	if cfg.ColdCapacity == 0 {
+		cfg.ColdCapacity = defaultColdCapacity
 	}
-	if cfg.FallTime == 0 {
-		cfg.FallTime = defaultOverloadTime
+	if cfg.OverloadTime == 0 {
+		cfg.OverloadTime = defaultOverloadTime
 	}
 	e := &Engine{
 		cfg:   cfg,
 		mux:   http.NewServeMux(),
-		cold:  cfg.Done < uint64(cfg.WarmAfter),
-		done:  cfg.Done,
+		cold:  cfg.PriorCalls < uint64(cfg.WarmAfter),
+		done:  cfg.PriorCalls,
 		model: cfg.Model,
 		role:  cfg.Role,
 	}
@@ -215,15 +215,15 @@
 	if now.Before(e.overloadedUntil) {
 		return e.overloadedUntil.Sub(now)
 	}
-	if e.cold && e.running >= e.cfg.ColdBears {
-		e.overloadedUntil = now.Add(e.cfg.FallTime)
+	if e.cold && e.running >= e.cfg.ColdCapacity {
+		e.overloadedUntil = now.Add(e.cfg.OverloadTime)
 		e.recordOvershoot(Overshoot{
-			At:      now,
-			Running: e.running + 1,
-			Bears:   e.cfg.ColdBears,
-			Call:    run.Call,
+			At:           now,
+			Running:      e.running + 1,
+			ColdCapacity: e.cfg.ColdCapacity,
+			Call:         run.Call,
 		})
-		return e.cfg.FallTime
+		return e.cfg.OverloadTime
 	}
 	if e.running >= e.cfg.Capacity {
 		return time.Second
--- a/internal/stand/pipes.go
+++ b/internal/stand/pipes.go
@@ -59,9 +59,9 @@
 	return c, nil
 }
 
-// Silence drops all further traffic of the connections that are open now: writes succeed,
+// Blackhole drops all further traffic of the connections that are open now: writes succeed,
 // nothing arrives, and neither end sees the other close. New connections work.
-func (n *Net) Silence() {
+func (n *Net) Blackhole() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, c := range n.conns {
--- a/internal/stand/record.go
+++ b/internal/stand/record.go
@@ -18,8 +18,8 @@
 	End time.Time `json:"end"`
 	// Cold is whether the server was cold when the call began.
 	Cold bool `json:"cold"`
-	// Whole is whether the call ran to its end and its answer was written.
-	Whole bool `json:"whole"`
+	// Complete is whether the call ran to its end and its answer was written.
+	Complete bool `json:"whole"`
 	// Cancelled is whether a cancel request or the end of its budget ended the call.
 	Cancelled bool `json:"cancelled"`
 	Tokens    int  `json:"tokens"`
@@ -30,9 +30,9 @@
 	At time.Time
 	// Running counts the concurrent calls, including the one above the capacity.
 	Running int
-	// Bears is the server's cold capacity.
-	Bears int
-	Call  string
+	// ColdCapacity is the server's cold capacity.
+	ColdCapacity int
+	Call         string
 }
 
 // Record holds what a stand-in ran. It is safe for concurrent use.
@@ -61,7 +61,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	run.End = now
-	run.Whole = complete
+	run.Complete = complete
 	run.Cancelled = cancelled
 	run.Tokens = tokens
 	r.running--
@@ -91,8 +91,8 @@
 	return runs
 }
 
-// RunsOf returns how many times a request ran.
-func (r *Record) RunsOf(request string) int {
+// CountRuns returns how many times a request ran.
+func (r *Record) CountRuns(request string) int {
 	n := 0
 	for _, run := range r.Runs() {
 		if run.Request == request {
@@ -102,8 +102,8 @@
 	return n
 }
 
-// Doubled returns the ids of the requests that ran more than once, sorted.
-func (r *Record) Doubled() []string {
+// DuplicateRequests returns the ids of the requests that ran more than once, sorted.
+func (r *Record) DuplicateRequests() []string {
 	count := map[string]int{}
 	for _, run := range r.Runs() {
 		count[run.Request]++
@@ -125,16 +125,16 @@
 	return r.running
 }
 
-// High returns the largest number of calls that ran at once.
-func (r *Record) High() int {
+// MaxRunning returns the largest number of calls that ran at once.
+func (r *Record) MaxRunning() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.maxRunning
 }
 
-// ColdHigh returns the largest number of concurrent calls that the server received while
+// MaxColdRunning returns the largest number of concurrent calls that the server received while
 // cold, including those that overloaded it.
-func (r *Record) ColdHigh() int {
+func (r *Record) MaxColdRunning() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.maxColdRunning
--- a/internal/stand/service.go
+++ b/internal/stand/service.go
@@ -14,13 +14,13 @@
 
 // The faults of a call to a plain service.
 const (
-	ServiceWell ServiceFault = iota
+	ServiceOK ServiceFault = iota
 	// ServiceFailsBefore answers that the call was not run.
 	ServiceFailsBefore
 	// ServiceFailsAfter runs the call and answers with an error.
 	ServiceFailsAfter
-	// ServiceCuts runs the call and closes the connection without an answer.
-	ServiceCuts
+	// ServiceAborts runs the call and closes the connection without an answer.
+	ServiceAborts
 )
 
 // ServiceConfig configures a Service.
@@ -28,8 +28,8 @@
 	ID shed.ServerID
 	// Capacity is how many calls run at once; 0 means 8.
 	Capacity int
-	// Done is how many calls it had completed before the test began.
-	Done uint64
+	// PriorCalls is how many calls it had completed before the test began.
+	PriorCalls uint64
 	// CallTime is the duration of one call.
 	CallTime time.Duration
 }
@@ -53,7 +53,7 @@
 	if cfg.Capacity == 0 {
 		cfg.Capacity = defaultCapacity
 	}
-	s := &Service{cfg: cfg, mux: http.NewServeMux(), done: cfg.Done}
+	s := &Service{cfg: cfg, mux: http.NewServeMux(), done: cfg.PriorCalls}
 	s.mux.HandleFunc("POST "+wire.PathCall, s.serveCall)
 	s.mux.HandleFunc("GET "+wire.PathLoad, s.serveLoad)
 	return s
@@ -65,8 +65,8 @@
 	s.mux.ServeHTTP(w, r)
 }
 
-// Fail queues faults for the next calls, one for each call.
-func (s *Service) Fail(faults ...ServiceFault) {
+// InjectFaults queues faults for the next calls, one for each call.
+func (s *Service) InjectFaults(faults ...ServiceFault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.nextFaults = append(s.nextFaults, faults...)
@@ -95,7 +95,7 @@
 	switch fault {
 	case ServiceFailsAfter:
 		reply(w, http.StatusInternalServerError, wire.ErrorReply{Message: "failed after the run"})
-	case ServiceCuts:
+	case ServiceAborts:
 		panic(http.ErrAbortHandler)
 	default:
 		reply(w, http.StatusOK, wire.ServiceResponse{Receipt: Receipt(req.Request, req.Input)})
@@ -105,7 +105,7 @@
 func (s *Service) beginCall(run *Run) (ServiceFault, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	fault := ServiceWell
+	fault := ServiceOK
 	if len(s.nextFaults) > 0 {
 		fault = s.nextFaults[0]
 		s.nextFaults = s.nextFaults[1:]
--- a/internal/stand/stand.go
+++ b/internal/stand/stand.go
@@ -30,13 +30,13 @@
 	f.set(func() { f.down = down })
 }
 
-// SetMute makes calls hang without an answer.
-func (f *Faults) SetMute(unresponsive bool) {
+// SetUnresponsive makes calls hang without an answer.
+func (f *Faults) SetUnresponsive(unresponsive bool) {
 	f.set(func() { f.unresponsive = unresponsive })
 }
 
-// SetSlow delays every call by d.
-func (f *Faults) SetSlow(d time.Duration) {
+// SetDelay delays every call by d.
+func (f *Faults) SetDelay(d time.Duration) {
 	f.set(func() { f.delay = d })
 }
 
--- a/internal/stand/text.go
+++ b/internal/stand/text.go
@@ -18,9 +18,9 @@
 // defaultPassages is how many passages a retriever returns if the request sets no limit.
 const defaultPassages = 8
 
-// WholeText returns the text that an engine generates for an input. Each token depends on
+// FullText returns the text that an engine generates for an input. Each token depends on
 // the input and its own index, so that a lost, duplicate or foreign token can be detected.
-func WholeText(input string, tokens int) string {
+func FullText(input string, tokens int) string {
 	return string(appendTokens(nil, xxhash.Sum64String(input), 0, tokens))
 }
 
@@ -66,15 +66,15 @@
 		id := "p" + strconv.Itoa(i)
 		found[i] = shed.Passage{
 			ID:    id,
-			Text:  WholeText(id+query, 6),
+			Text:  FullText(id+query, 6),
 			Score: 1 / float64(i+1),
 		}
 	}
 	return found
 }
 
-// Reranked returns the passages in the order that a reranker gives them for a query.
-func Reranked(query string, passages []shed.Passage) []shed.Passage {
+// Rerank returns the passages in the order that a reranker gives them for a query.
+func Rerank(query string, passages []shed.Passage) []shed.Passage {
 	out := append([]shed.Passage(nil), passages...)
 	for i := range out {
 		out[i].Score = rankScore(query, out[i].Text)
