--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -36,7 +36,7 @@
 // startTimeout bounds how long the fleet may take to become ready.
 const startTimeout = 30 * time.Second
 
-// ErrNotWhole is returned if an answer is incomplete or wrong.
+// ErrBadAnswer is returned if an answer is incomplete or wrong.
 var ErrBadAnswer = errors.New("incomplete or wrong answer")
 
 // Run runs the demo.
--- a/internal/fault/proxy.go
+++ b/internal/fault/proxy.go
@@ -14,15 +14,15 @@
 // Mode is how a Proxy treats bytes and new connections. The set is closed.
 type Mode uint32
 
-// The modes. The Cut modes drop all data in their directions without any sign to either
+// The modes. The Drop modes drop all data in their directions without any sign to either
 // side.
 const (
 	// Forward forwards everything.
 	Forward Mode = iota
 	// Delay forwards everything after a delay.
 	Delay
-	// DropIn drops what is sent to the process behind the proxy, CutOut what that process
-	// sends, CutBoth both.
+	// DropIn drops what is sent to the process behind the proxy, DropOut what that process
+	// sends, DropBoth both.
 	DropIn
 	DropOut
 	DropBoth
--- a/internal/gauge/safety.go
+++ b/internal/gauge/safety.go
@@ -24,8 +24,8 @@
 // Closure is one event after which some servers must get no new work.
 type Closure struct {
 	Event string
-	// LastCallAfter is the time from the event to the last call that began there before they were
-	// reopened; 0 if none began.
+	// LastCallAfter is the time from the event to the last call that began there before they
+	// were reopened; 0 if none began.
 	LastCallAfter time.Duration
 	Calls         int
 }
--- a/internal/gauge/scenario.go
+++ b/internal/gauge/scenario.go
@@ -60,7 +60,7 @@
 	Weight float64
 }
 
-// Burst multiplies the arrival rate by Factor from At on, for the duration For.
+// Burst multiplies the arrival rate by Factor from At on, for Duration.
 type Burst struct {
 	Name     string
 	At       time.Duration
--- a/internal/stand/pipes.go
+++ b/internal/stand/pipes.go
@@ -60,7 +60,7 @@
 }
 
 // Blackhole drops all further traffic of the connections that are open now: writes succeed,
-// nothing arrives, and neither end sees the other close. New connections work.
+// nothing arrives, and the dialling end does not see the other close. New connections work.
 func (n *Net) Blackhole() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
