--- a/internal/stand/engine.go
+++ b/internal/stand/engine.go
@@ -193,7 +193,7 @@
 	if refuse == 0 {
 		e.running++
 		run.Cold = e.cold
-		e.Record.recordStart(run)
+		e.Record.beginCall(run)
 		e.recordHistory(now)
 	}
 	boot := e.bootID()
@@ -243,7 +243,7 @@
 	if e.cold && e.cfg.WarmAfter > 0 && e.doneSinceCold >= e.cfg.WarmAfter {
 		e.cold = false
 	}
-	e.recordEnd(run, now, complete, cancelled, tokens)
+	e.endCall(run, now, complete, cancelled, tokens)
 	e.recordHistory(now)
 }
 
--- a/internal/stand/record.go
+++ b/internal/stand/record.go
@@ -46,7 +46,7 @@
 	overshoots     []Overshoot
 }
 
-func (r *Record) recordStart(run *Run) {
+func (r *Record) beginCall(run *Run) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.runs = append(r.runs, run)
@@ -57,7 +57,7 @@
 	}
 }
 
-func (r *Record) recordEnd(run *Run, now time.Time, complete, cancelled bool, tokens int) {
+func (r *Record) endCall(run *Run, now time.Time, complete, cancelled bool, tokens int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	run.End = now
--- a/internal/stand/service.go
+++ b/internal/stand/service.go
@@ -114,7 +114,7 @@
 		return fault, false
 	}
 	s.running++
-	s.Record.recordStart(run)
+	s.Record.beginCall(run)
 	return fault, true
 }
 
@@ -123,7 +123,7 @@
 	defer s.mu.Unlock()
 	s.running--
 	s.done++
-	s.Record.recordEnd(run, time.Now(), true, false, 0)
+	s.Record.endCall(run, time.Now(), true, false, 0)
 }
 
 // bootID returns a constant: a service stand-in doesn't restart.
