--- a/internal/gauge/scenario.go
+++ b/internal/gauge/scenario.go
@@ -162,7 +162,7 @@
 	if s.Duration <= 0 || s.Rate <= 0 {
 		r.addFault("duration and rate must be above 0")
 	}
-	if _, err := route.Named(s.Policy, 0); err != nil {
+	if _, err := route.NewPolicy(s.Policy, 0); err != nil {
 		r.faults = append(r.faults, err)
 	}
 	return s
