--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -142,7 +142,7 @@
 		return err
 	}
 	s.printf("%s for workspace %s\n", p.ID, ws)
-	work := client.Work{
+	work := client.Request{
 		Pipeline:  string(p.ID),
 		Input:     fmt.Sprintf("Please draft a %s for tomorrow.", p.ID),
 		MaxTokens: maxTokens,
@@ -157,7 +157,7 @@
 }
 
 // send streams an idempotent pipeline and runs any other with a ticket.
-func (s *session) send(ctx context.Context, c *client.Client, p *shed.Pipeline, work client.Work) (*client.Answer, error) {
+func (s *session) send(ctx context.Context, c *client.Client, p *shed.Pipeline, work client.Request) (*client.Answer, error) {
 	if !p.Idempotent() {
 		return c.RunOnce(ctx, work)
 	}
@@ -181,7 +181,7 @@
 }
 
 // checkAnswer compares the answer with what the stand-ins must have returned.
-func checkAnswer(p *shed.Pipeline, work client.Work, a *client.Answer) error {
+func checkAnswer(p *shed.Pipeline, work client.Request, a *client.Answer) error {
 	if a.Outcome != client.Complete {
 		return fmt.Errorf("%w: outcome %s", ErrBadAnswer, a.Outcome)
 	}
--- a/internal/gauge/tally.go
+++ b/internal/gauge/tally.go
@@ -28,7 +28,7 @@
 	Took time.Duration
 	// FirstText is the time from the planned arrival to the first text; 0 if there was none.
 	FirstText time.Duration
-	Stages    []client.Stage
+	Stages    []client.StageReport
 }
 
 // Window holds the quality of service of the arrivals within a time span.
--- a/internal/procs/examples_test.go
+++ b/internal/procs/examples_test.go
@@ -39,7 +39,7 @@
 func (f *fleet) answersWhole(v *vm, pipeline string) {
 	f.t.Helper()
 	input := fmt.Sprintf("%s through VM %d: wind from the west", pipeline, v.index)
-	answer, err := f.caller(-1, v).Run(f.t.Context(), client.Work{Pipeline: pipeline, Input: input, MaxTokens: tokens})
+	answer, err := f.caller(-1, v).Run(f.t.Context(), client.Request{Pipeline: pipeline, Input: input, MaxTokens: tokens})
 	require.NoError(f.t, err, "%s through %s", pipeline, v.name)
 	require.Equal(f.t, stand.FullText(input, tokens), answer.Payload.Text)
 }
@@ -50,7 +50,7 @@
 	ctx := f.t.Context()
 	ticket, err := f.caller(-1, issuer).Ticket(ctx, pipeline)
 	require.NoError(f.t, err)
-	work := client.Work{
+	work := client.Request{
 		Pipeline: pipeline, MaxTokens: tokens,
 		Input: fmt.Sprintf("%s by a ticket of VM %d", pipeline, i),
 	}
--- a/internal/procs/fleet_test.go
+++ b/internal/procs/fleet_test.go
@@ -350,7 +350,7 @@
 	}
 	workspace := f.workspace()
 	c, err := client.New(client.Config{
-		URLs: urls, Workspace: workspace, Token: sample.Token(workspace), Repeats: repeats,
+		URLs: urls, Workspace: workspace, Token: sample.Token(workspace), MaxRetries: repeats,
 	})
 	require.NoError(f.t, err)
 	return c
--- a/internal/procs/home_test.go
+++ b/internal/procs/home_test.go
@@ -62,7 +62,7 @@
 	if err != nil {
 		return end{err: err}
 	}
-	work := client.Work{Pipeline: "warning", Input: input, MaxTokens: tokens}
+	work := client.Request{Pipeline: "warning", Input: input, MaxTokens: tokens}
 	answer, err := o.to.RunTicket(ctx, ticket.RequestID, work)
 	return end{ticket: ticket.RequestID, answer: answer, err: err}
 }
--- a/internal/procs/load_test.go
+++ b/internal/procs/load_test.go
@@ -128,7 +128,7 @@
 // captions asks for captions, which may be repeated.
 func captions(c *client.Client) func(context.Context, string) end {
 	return func(ctx context.Context, input string) end {
-		answer, err := c.Run(ctx, client.Work{Pipeline: "caption", Input: input, MaxTokens: tokens})
+		answer, err := c.Run(ctx, client.Request{Pipeline: "caption", Input: input, MaxTokens: tokens})
 		return end{answer: answer, err: err}
 	}
 }
@@ -140,7 +140,7 @@
 		if err != nil {
 			return end{err: err}
 		}
-		work := client.Work{Pipeline: "warning", Input: input, MaxTokens: tokens}
+		work := client.Request{Pipeline: "warning", Input: input, MaxTokens: tokens}
 		answer, err := c.RunTicket(ctx, ticket.RequestID, work)
 		return end{ticket: ticket.RequestID, answer: answer, err: err}
 	}
