--- a/internal/fault/link.go
+++ b/internal/fault/link.go
@@ -7,33 +7,33 @@
 	"time"
 )
 
-// linkChunk is how much passes a Link at once, in bytes; small, so that
-// connections share the link as they would share a real one.
-const linkChunk = 4 << 10
+// maxLinkRead bounds one read over a Link, in bytes. It is small so that
+// connections share the link's bandwidth as they share a real one.
+const maxLinkRead = 4 << 10
 
-// linkBuffer is the receive buffer of a connection over a Link, in bytes: a sender
-// must not get far ahead of what has passed.
-const linkBuffer = 32 << 10
+// linkReceiveBuffer is the receive buffer of a connection over a Link, in bytes. It is
+// small so that a sender can't get far ahead of what the link has transmitted.
+const linkReceiveBuffer = 32 << 10
 
-// Link is a link of limited bandwidth that connections share, in the direction to
-// the process that reads from them.
+// Link is a network link of limited bandwidth that connections share. It limits only the
+// direction to the process that reads from them.
 type Link struct {
 	bytesPerSecond float64
 
 	mu sync.Mutex
-	// free is when all that was taken so far has passed.
-	free time.Time
+	// idleAt is when all data accepted so far has been transmitted.
+	idleAt time.Time
 }
 
-// NewLink returns a link of so many megabits a second.
+// NewLink returns a link of the given bandwidth in megabits per second.
 func NewLink(mbps float64) *Link { return &Link{bytesPerSecond: mbps * 1e6 / 8} }
 
-// Conn puts a connection on the link.
-func (l *Link) Conn(c net.Conn) net.Conn {
+// WrapConn returns a connection that shares the link.
+func (l *Link) WrapConn(c net.Conn) net.Conn {
 	if tcp, ok := c.(*net.TCPConn); ok {
-		_ = tcp.SetReadBuffer(linkBuffer)
+		_ = tcp.SetReadBuffer(linkReceiveBuffer)
 	}
-	return linked{Conn: c, link: l}
+	return linkConn{Conn: c, link: l}
 }
 
 // Dial connects over the link.
@@ -43,48 +43,50 @@
 	if err != nil {
 		return nil, err
 	}
-	return l.Conn(c), nil
+	return l.WrapConn(c), nil
 }
 
-// Listener puts all connections that come in on the link.
-func (l *Link) Listener(lis net.Listener) net.Listener { return linkedListener{Listener: lis, link: l} }
+// WrapListener returns a listener whose accepted connections share the link.
+func (l *Link) WrapListener(lis net.Listener) net.Listener {
+	return linkListener{Listener: lis, link: l}
+}
 
-// pass waits until n bytes have passed, behind those taken before.
-func (l *Link) pass(n int) {
+// transmit waits until the link has transmitted n bytes, after those accepted before.
+func (l *Link) transmit(n int) {
 	l.mu.Lock()
 	now := time.Now()
-	if l.free.Before(now) {
-		l.free = now
+	if l.idleAt.Before(now) {
+		l.idleAt = now
 	}
-	l.free = l.free.Add(time.Duration(float64(n) / l.bytesPerSecond * float64(time.Second)))
-	until := l.free
+	l.idleAt = l.idleAt.Add(time.Duration(float64(n) / l.bytesPerSecond * float64(time.Second)))
+	until := l.idleAt
 	l.mu.Unlock()
 	time.Sleep(until.Sub(now))
 }
 
-// linked is a connection on a Link.
-type linked struct {
+// linkConn is a connection over a Link.
+type linkConn struct {
 	net.Conn
 	link *Link
 }
 
 // Read implements net.Conn.
-func (c linked) Read(p []byte) (int, error) {
-	n, err := c.Conn.Read(p[:min(len(p), linkChunk)])
-	c.link.pass(n)
+func (c linkConn) Read(p []byte) (int, error) {
+	n, err := c.Conn.Read(p[:min(len(p), maxLinkRead)])
+	c.link.transmit(n)
 	return n, err
 }
 
-type linkedListener struct {
+type linkListener struct {
 	net.Listener
 	link *Link
 }
 
 // Accept implements net.Listener.
-func (l linkedListener) Accept() (net.Conn, error) {
+func (l linkListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return l.link.Conn(c), nil
+	return l.link.WrapConn(c), nil
 }
--- a/internal/fault/proxy.go
+++ b/internal/fault/proxy.go
@@ -14,123 +14,123 @@
 // Mode is how a Proxy treats bytes and new connections. The set is closed.
 type Mode uint32
 
-// The modes. In all but Pass and Slow, nothing arrives in the directions named,
-// and neither side is told.
+// The modes. The Drop modes drop all data in their directions without any sign to either
+// side.
 const (
-	// Pass passes everything on.
-	Pass Mode = iota
-	// Slow passes everything on after a delay.
-	Slow
-	// CutIn loses what goes to the process behind the proxy, CutOut what comes
-	// from it, CutBoth either.
-	CutIn
-	CutOut
-	CutBoth
-	// Refuse closes new connections at once.
+	// Forward forwards everything.
+	Forward Mode = iota
+	// Delay forwards everything after a delay.
+	Delay
+	// DropIn drops what is sent to the process behind the proxy, DropOut what that process
+	// sends, DropBoth both.
+	DropIn
+	DropOut
+	DropBoth
+	// Refuse closes new connections at once. Open ones continue.
 	Refuse
 )
 
-// slowBy is the delay of each piece of data in mode Slow: far above loopback,
+// slowDelay is the delay of each read in mode Slow: far above the latency of loopback,
 // below all timeouts.
-const slowBy = 60 * time.Millisecond
+const slowDelay = 60 * time.Millisecond
 
-// Proxy stands between two processes, as a firewall that tracks connections.
+// Proxy forwards TCP connections between two processes, like a stateful firewall.
 type Proxy struct {
-	listener net.Listener
-	mode     atomic.Uint32
-	bytes    atomic.Int64
-	work     errgroup.Group
-
-	mu    sync.Mutex
-	to    string
-	links map[*link]struct{}
+	listener       net.Listener
+	mode           atomic.Uint32
+	bytesForwarded atomic.Int64
+	group          errgroup.Group
+
+	mu     sync.Mutex
+	target string
+	links  map[*link]struct{}
 }
 
 // link is one connection through the proxy.
 type link struct {
-	proxy     *Proxy
-	near, far net.Conn
-	// lostIn and lostOut: the direction is silent for good. What was lost on the
-	// way can't arrive later, nor anything behind it.
-	lostIn, lostOut atomic.Bool
+	proxy          *Proxy
+	client, server net.Conn
+	// dropIn and dropOut are whether all further data in the direction is dropped. They
+	// are never reset: lost bytes can't arrive later, nor can the bytes after them.
+	dropIn, dropOut atomic.Bool
 	once            sync.Once
 }
 
-// NewProxy starts a proxy to an address.
+// NewProxy starts a proxy that forwards to an address.
 func NewProxy(to string) (*Proxy, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return nil, fmt.Errorf("listener of a proxy: %w", err)
+		return nil, fmt.Errorf("listen for a proxy: %w", err)
 	}
-	p := &Proxy{listener: l, to: to, links: map[*link]struct{}{}}
-	p.work.Go(p.serve)
+	p := &Proxy{listener: l, target: to, links: map[*link]struct{}{}}
+	p.group.Go(p.serve)
 	return p, nil
 }
 
-// Addr is where the proxy takes connections.
+// Addr returns the address at which the proxy accepts connections.
 func (p *Proxy) Addr() string { return p.listener.Addr().String() }
 
-// Bytes is how many bytes were passed on, both ways.
-func (p *Proxy) Bytes() int64 { return p.bytes.Load() }
+// Bytes returns how many bytes were forwarded in both directions together.
+func (p *Proxy) Bytes() int64 { return p.bytesForwarded.Load() }
 
-// Set changes the mode, for open connections too.
-func (p *Proxy) Set(m Mode) { p.mode.Store(uint32(m)) }
+// SetMode changes the mode, also for open connections.
+func (p *Proxy) SetMode(m Mode) { p.mode.Store(uint32(m)) }
 
-func (p *Proxy) now() Mode { return Mode(p.mode.Load()) }
+func (p *Proxy) currentMode() Mode { return Mode(p.mode.Load()) }
 
 func (p *Proxy) serve() error {
 	for {
-		near, err := p.listener.Accept()
+		client, err := p.listener.Accept()
 		if err != nil {
 			// The proxy was closed.
 			return nil
 		}
-		if p.now() == Refuse {
-			_ = near.Close()
+		if p.currentMode() == Refuse {
+			_ = client.Close()
 			continue
 		}
-		p.work.Go(func() error {
-			p.open(near)
+		p.group.Go(func() error {
+			p.openLink(client)
 			return nil
 		})
 	}
 }
 
-func (p *Proxy) open(near net.Conn) {
-	far, err := net.Dial("tcp", p.to)
+func (p *Proxy) openLink(client net.Conn) {
+	server, err := net.Dial("tcp", p.target)
 	if err != nil {
-		_ = near.Close()
+		_ = client.Close()
 		return
 	}
-	l := &link{proxy: p, near: near, far: far}
+	l := &link{proxy: p, client: client, server: server}
 	p.mu.Lock()
 	p.links[l] = struct{}{}
 	p.mu.Unlock()
-	p.work.Go(func() error { return l.carry(near, far, CutIn, &l.lostIn) })
-	p.work.Go(func() error { return l.carry(far, near, CutOut, &l.lostOut) })
+	p.group.Go(func() error { return l.forward(client, server, DropIn, &l.dropIn) })
+	p.group.Go(func() error { return l.forward(server, client, DropOut, &l.dropOut) })
 }
 
-// carry passes on what comes, and the end, unless this direction is cut or was
-// cut before.
-func (l *link) carry(from, to net.Conn, cut Mode, lost *atomic.Bool) error {
+// forward copies data and the end of the connection in one direction, unless the mode
+// drops this direction or did so before.
+func (l *link) forward(from, to net.Conn, blocked Mode, drop *atomic.Bool) error {
 	buf := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buf)
-		mode := l.proxy.now()
-		if mode == Slow {
-			time.Sleep(slowBy)
+		mode := l.proxy.currentMode()
+		if mode == Delay {
+			time.Sleep(slowDelay)
 		}
-		if mode == cut || mode == CutBoth {
-			lost.Store(true)
+		if mode == blocked || mode == DropBoth {
+			drop.Store(true)
 		}
-		if lost.Load() {
+		if drop.Load() {
 			if err != nil {
 				return nil
 			}
 			continue
 		}
 		if n > 0 {
-			l.proxy.bytes.Add(int64(n))
+			l.proxy.bytesForwarded.Add(int64(n))
 			if _, werr := to.Write(buf[:n]); werr != nil {
 				err = io.ErrClosedPipe
 			}
@@ -144,17 +144,17 @@
 
 func (l *link) close() {
 	l.once.Do(func() {
-		l.lostIn.Store(true)
-		l.lostOut.Store(true)
-		_ = l.near.Close()
-		_ = l.far.Close()
+		l.dropIn.Store(true)
+		l.dropOut.Store(true)
+		_ = l.client.Close()
+		_ = l.server.Close()
 		l.proxy.mu.Lock()
 		delete(l.proxy.links, l)
 		l.proxy.mu.Unlock()
 	})
 }
 
-func (p *Proxy) snapshot() []*link {
+func (p *Proxy) openLinks() []*link {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	out := make([]*link, 0, len(p.links))
@@ -164,12 +164,12 @@
 	return out
 }
 
-// Lose makes every connection of now go silent for good; new ones work. It
-// returns how many went silent.
-func (p *Proxy) Lose() int {
+// Blackhole drops all further data of the connections that are open now, in both directions;
+// new ones work. It returns how many connections were not already dropped in both.
+func (p *Proxy) Blackhole() int {
 	lost := 0
-	for _, l := range p.snapshot() {
-		in, out := l.lostIn.Swap(true), l.lostOut.Swap(true)
+	for _, l := range p.openLinks() {
+		in, out := l.dropIn.Swap(true), l.dropOut.Swap(true)
 		if !in || !out {
 			lost++
 		}
@@ -177,10 +177,10 @@
 	return lost
 }
 
-// Reset resets every connection of now, on both sides.
+// Reset resets all open connections on both sides.
 func (p *Proxy) Reset() {
-	for _, l := range p.snapshot() {
-		for _, c := range []net.Conn{l.near, l.far} {
+	for _, l := range p.openLinks() {
+		for _, c := range []net.Conn{l.client, l.server} {
 			if tcp, ok := c.(*net.TCPConn); ok {
 				_ = tcp.SetLinger(0)
 			}
@@ -189,11 +189,11 @@
 	}
 }
 
-// Close ends the proxy and all its connections.
+// Close stops the proxy and closes all its connections.
 func (p *Proxy) Close() {
 	_ = p.listener.Close()
-	for _, l := range p.snapshot() {
+	for _, l := range p.openLinks() {
 		l.close()
 	}
-	_ = p.work.Wait()
+	_ = p.group.Wait()
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -109,9 +109,9 @@
 // DefaultEngine returns the configuration of a fast engine that has long been warm.
 func DefaultEngine(s *shed.Server, _ shed.StageKind) stand.EngineConfig {
 	return stand.EngineConfig{
-		ID: s.ID, Capacity: s.Capacity, ColdBears: s.ColdCapacity,
+		ID: s.ID, Capacity: s.Capacity, ColdCapacity: s.ColdCapacity,
 		TokenTime: 2 * time.Millisecond, PrefillTime: 50 * time.Microsecond, CallTime: 5 * time.Millisecond,
-		ChecksFence: s.Fenced, CacheEntries: 256, Done: warmCompleted,
+		ChecksFence: s.Fenced, CacheEntries: 256, PriorCalls: warmCompleted,
 	}
 }
 
@@ -171,7 +171,7 @@
 func (f *Fleet) startServer(r *shed.Rules, s *shed.Server) (*stand.Server, error) {
 	pool := r.Pools[s.Pool]
 	if pool.Kind == shed.KindService {
-		svc := stand.NewService(stand.ServiceConfig{ID: s.ID, Capacity: s.Capacity, CallTime: f.cfg.ServiceTime, Done: warmCompleted})
+		svc := stand.NewService(stand.ServiceConfig{ID: s.ID, Capacity: s.Capacity, CallTime: f.cfg.ServiceTime, PriorCalls: warmCompleted})
 		f.Services[s.ID] = svc
 		return stand.Listen(anyPort, svc)
 	}
--- a/internal/gauge/bench_test.go
+++ b/internal/gauge/bench_test.go
@@ -10,14 +10,14 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// BenchmarkTokensThroughDaemon streams 60 answers at once, a token a
-// millisecond each, through one daemon. The figure counts the processor time of
-// the engine's stand-in, the daemon and the callers together.
+// BenchmarkTokensThroughDaemon streams 60 concurrent answers, each with a token every
+// millisecond, through one daemon. The result counts the processor time of the engine
+// stand-in, the daemon and the callers together.
 func BenchmarkTokensThroughDaemon(b *testing.B) {
 	const streams, tokens = 60, 1000
 	rig, err := NewRig(b.Context(), Scenario{
 		Name: "tokens", Policy: "affinity",
-		Fleet:      Shape{Zones: 1, Daemons: 1, Drafters: 1, Others: 1, Capacity: 64, ColdBears: 64, TokenTime: time.Millisecond},
+		Fleet:      FleetSize{Zones: 1, Daemons: 1, Drafters: 1, OtherServers: 1, Capacity: 64, ColdCapacity: 64, TokenTime: time.Millisecond},
 		Workspaces: []Share{{"noord", 1}},
 	}, io.Discard)
 	require.NoError(b, err)
@@ -27,7 +27,7 @@
 		var group errgroup.Group
 		for n := range streams {
 			group.Go(func() error {
-				a := Arrival{Number: n, Workspace: "noord", Pipeline: "rewrite", Input: instructions("noord", n)}
+				a := Arrival{Number: n, Workspace: "noord", Pipeline: "rewrite", Input: sharedInstructions("noord", n)}
 				_, err := rig.Call(b.Context(), a, tokens, func() {})
 				return err
 			})
--- a/internal/gauge/gauge_test.go
+++ b/internal/gauge/gauge_test.go
@@ -35,7 +35,7 @@
 	}
 }
 
-const tiny = `
+const tinyScenario = `
 [scenario]
 name = tiny
 about = two events
@@ -59,51 +59,51 @@
 	}{
 		{"unknown key", "rate = 10", "rat = 10", "scenario: rat: unknown key"},
 		{"no rate", "rate = 10", "rate = 0", "must be above 0"},
-		{"no number", "rate = 10", "rate = ten", "no number"},
-		{"unknown event", "zone_out", "zone_off", "is no event"},
+		{"no number", "rate = 10", "rate = ten", "is not a number"},
+		{"unknown event", "zone_out", "zone_off", "is not an event"},
 		{"missing target", "zone_out a", "zone_out", "its target is wrong"},
 		{"out of order", "3500ms zone_back", "1s zone_back", "earlier"},
 		{"unknown policy", "duration = 4s", "policy = best", "unknown policy"},
 		{"bad burst", "3 at 1s", "3 1s", "want FACTOR at TIME"},
-		{"no pipelines", "draft = 1", "", "are needed"},
-		{"bad weight", "draft = 1", "draft = -1", "no weight"},
+		{"no pipelines", "draft = 1", "", "are required"},
+		{"bad weight", "draft = 1", "draft = -1", "is not a weight"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			require.Contains(t, tiny, c.from)
-			_, err := ParseScenario([]byte(strings.Replace(tiny, c.from, c.to, 1)))
+			require.Contains(t, tinyScenario, c.from)
+			_, err := ParseScenario([]byte(strings.Replace(tinyScenario, c.from, c.to, 1)))
 			require.ErrorIs(t, err, ErrScenario)
 			require.ErrorContains(t, err, c.want)
 		})
 	}
 }
 
-// fake answers every request after a second, but for some, and records events.
-type fake struct {
+// fakeFleet answers requests after one second, and some of them with faults by their number.
+type fakeFleet struct {
 	rules    *shed.Rules
 	platform *stand.Platform
 	engine   *stand.Engine
 }
 
-func (f *fake) Rules() *shed.Rules              { return f.rules }
-func (f *fake) Platform() *stand.Platform       { return f.platform }
-func (f *fake) Do(context.Context, Event) error { return nil }
-func (f *fake) Servers() []Server {
+func (f *fakeFleet) Rules() *shed.Rules                      { return f.rules }
+func (f *fakeFleet) Platform() *stand.Platform               { return f.platform }
+func (f *fakeFleet) ApplyEvent(context.Context, Event) error { return nil }
+func (f *fakeFleet) Servers() []Server {
 	return []Server{{ID: "gen-1", Zone: "a", Record: &f.engine.Record}}
 }
 
-func (f *fake) Call(_ context.Context, a Arrival, tokens int, text func()) (*client.Answer, error) {
+func (f *fakeFleet) Call(_ context.Context, a Arrival, tokens int, text func()) (*client.Answer, error) {
 	time.Sleep(200 * time.Millisecond)
 	text()
 	time.Sleep(800 * time.Millisecond)
 	out := &client.Answer{Outcome: client.Complete}
-	out.Payload.Text = stand.WholeText(a.Input, tokens)
+	out.Payload.Text = stand.FullText(a.Input, tokens)
 	out.Stages = []client.StageReport{{Stage: "draft", Attempts: 2, Cost: client.Cost{Useful: 30, Wasted: 10}}}
 	switch a.Number % 10 {
 	case 1:
 		return nil, &client.AnswerError{Answer: &client.Answer{Outcome: client.NotRun, Reason: "queue_full"}}
 	case 2:
-		out.Payload.Text = stand.WholeText("another's", tokens)
+		out.Payload.Text = stand.FullText("another's", tokens)
 	case 3:
 		time.Sleep(time.Second)
 	case 4:
@@ -114,8 +114,8 @@
 	return out, nil
 }
 
-func newFake() *fake {
-	return &fake{
+func newFakeFleet() *fakeFleet {
+	return &fakeFleet{
 		rules: &shed.Rules{Pipelines: map[shed.PipelineID]*shed.Pipeline{"draft": {
 			Deadline: 1500 * time.Millisecond,
 			Stages:   []shed.Stage{{ID: "draft", Kind: shed.KindGenerate, Idempotent: true}},
@@ -125,16 +125,16 @@
 	}
 }
 
-// One fleet of known behaviour gives one known report: every verdict comes up,
-// and the arrivals don't wait for the answers, each of which takes a second.
+// A fleet of known behaviour gives the report in the golden files. Every verdict occurs,
+// and arrivals don't wait for answers, which take a second each.
 func TestReportOfAKnownFleet(t *testing.T) {
-	s, err := ParseScenario([]byte(tiny))
+	s, err := ParseScenario([]byte(tinyScenario))
 	require.NoError(t, err)
 	var out, progress bytes.Buffer
 	var result *Result
 	synctest.Test(t, func(t *testing.T) {
-		f := newFake()
-		result, err = Play(t.Context(), s, f, &progress)
+		f := newFakeFleet()
+		result, err = RunScenario(t.Context(), s, f, &progress)
 		require.NoError(t, err)
 		require.Zero(t, result.Lag)
 		require.NoError(t, result.Report(f.rules).WriteTable(&out))
@@ -150,7 +150,7 @@
 }
 
 func TestPlanIsTheSameEachTime(t *testing.T) {
-	s, err := ParseScenario([]byte(tiny))
+	s, err := ParseScenario([]byte(tinyScenario))
 	require.NoError(t, err)
 	require.Equal(t, s.Arrivals(), s.Arrivals())
 	other := s
--- a/internal/gauge/play.go
+++ b/internal/gauge/play.go
@@ -15,22 +15,23 @@
 	"jasmineshed/pkg/client"
 )
 
-// Fleet is a running fleet before stand-ins, with the platform's balancer.
+// Fleet is a running fleet of daemons in front of stand-ins, with the platform's load
+// balancer.
 type Fleet interface {
-	// Rules that the fleet was started with.
+	// Rules returns the rules that the fleet was started with.
 	Rules() *shed.Rules
-	// Call runs a request at the daemon that the balancer picks, with a ticket
-	// if its pipeline may run only once, and calls text when some came.
+	// Call runs a request at the daemon that the load balancer picks, with a ticket if its
+	// pipeline is not idempotent. It calls text whenever text arrives.
 	Call(ctx context.Context, a Arrival, tokens int, text func()) (*client.Answer, error)
-	// Do makes an event happen.
-	Do(ctx context.Context, ev Event) error
-	// Servers are the stand-ins of backend servers.
+	// ApplyEvent performs an event.
+	ApplyEvent(ctx context.Context, ev Event) error
+	// Servers returns the stand-ins of backend servers.
 	Servers() []Server
-	// Platform is the stand-in of the platform.
+	// Platform returns the stand-in of the platform.
 	Platform() *stand.Platform
 }
 
-// Server is one stand-in of a backend server.
+// Server is the stand-in of one backend server.
 type Server struct {
 	ID       shed.ServerID
 	Zone     shed.ZoneID
@@ -38,74 +39,74 @@
 	Record   *stand.Record
 }
 
-// Result is what a scenario gave.
+// Result is the outcome of a scenario.
 type Result struct {
 	Scenario Scenario
 	Samples  []Sample
-	// Lag is the most that an arrival was sent after its planned time; the
-	// machine was too busy for the figures if it is large.
+	// Lag is the largest delay of a request after its planned arrival. If it is large, the
+	// machine was too busy and the results are not valid.
 	Lag time.Duration
-	// Done are the events with the times at which they happened.
-	Done    []Happened
+	// Events holds the events with the times at which they were performed.
+	Events  []PerformedEvent
 	Servers []Server
 	Calls   stand.PlatformCalls
-	// Began is the time of the start.
-	Began time.Time
+	// StartTime is when the scenario started.
+	StartTime time.Time
 }
 
-// Happened is an event that was done.
-type Happened struct {
+// PerformedEvent is an event that was performed.
+type PerformedEvent struct {
 	Event
-	// Began and Took say when it really happened, from the scenario's start.
-	Began, Took time.Duration
+	// StartedAfter is the actual time from the scenario's start, Took the event's duration.
+	StartedAfter, Took time.Duration
 }
 
-// player plays one scenario.
+// player runs one scenario.
 type player struct {
 	scenario Scenario
 	fleet    Fleet
 	began    time.Time
 
-	// mu guards what follows.
-	mu       sync.Mutex
-	progress printer
-	samples  []Sample
-	counts   [verdicts]int
-	lag      time.Duration
-	done     []Happened
-	running  atomic.Int64
+	// mu guards the fields below.
+	mu         sync.Mutex
+	progress   printer
+	samples    []Sample
+	counts     [numVerdicts]int
+	lag        time.Duration
+	doneEvents []PerformedEvent
+	running    atomic.Int64
 }
 
-// Play runs the scenario against the fleet and writes a line of progress every
-// second. It fails if ctx ends or an event can't be done.
-func Play(ctx context.Context, s Scenario, fleet Fleet, progress io.Writer) (*Result, error) {
+// RunScenario runs the scenario against the fleet and writes a line of progress every
+// second. It fails if ctx ends or an event can't be performed.
+func RunScenario(ctx context.Context, s Scenario, fleet Fleet, progress io.Writer) (*Result, error) {
 	p := &player{scenario: s, fleet: fleet, progress: printer{w: progress}, began: time.Now()}
 	group, ctx := errgroup.WithContext(ctx)
-	over, stop := context.WithCancel(ctx)
+	progressCtx, stop := context.WithCancel(ctx)
 	defer stop()
-	group.Go(func() error { return p.report(over) })
-	group.Go(func() error { return p.events(ctx) })
+	group.Go(func() error { return p.reportProgress(progressCtx) })
+	group.Go(func() error { return p.runEvents(ctx) })
 	group.Go(func() error {
 		defer stop()
-		return p.arrivals(ctx)
+		return p.sendArrivals(ctx)
 	})
 	if err := group.Wait(); err != nil {
 		return nil, err
 	}
 	return &Result{
-		Scenario: s,
-		Samples:  p.samples,
-		Lag:      p.lag,
-		Done:     p.done,
-		Servers:  fleet.Servers(),
-		Calls:    fleet.Platform().Calls(),
-		Began:    p.began,
+		Scenario:  s,
+		Samples:   p.samples,
+		Lag:       p.lag,
+		Events:    p.doneEvents,
+		Servers:   fleet.Servers(),
+		Calls:     fleet.Platform().Calls(),
+		StartTime: p.began,
 	}, nil
 }
 
-// arrivals sends every request at its time, whatever became of the others, and
-// returns when all are answered.
-func (p *player) arrivals(ctx context.Context) error {
+// sendArrivals sends every request at its planned time, regardless of the others, and
+// returns when all calls have ended.
+func (p *player) sendArrivals(ctx context.Context) error {
 	var calls errgroup.Group
 	for _, a := range p.scenario.Arrivals() {
 		if err := p.sleepUntil(ctx, a.At); err != nil {
@@ -113,7 +114,7 @@
 		}
 		p.running.Add(1)
 		calls.Go(func() error {
-			p.one(ctx, a)
+			p.runRequest(ctx, a)
 			return nil
 		})
 	}
@@ -131,8 +132,8 @@
 	}
 }
 
-// one runs one request and keeps what became of it.
-func (p *player) one(ctx context.Context, a Arrival) {
+// runRequest sends one request and records its sample.
+func (p *player) runRequest(ctx context.Context, a Arrival) {
 	due := p.began.Add(a.At)
 	lag := time.Since(due)
 	pipeline := p.fleet.Rules().Pipelines[a.Pipeline]
@@ -152,24 +153,24 @@
 	p.lag = max(p.lag, lag)
 }
 
-func (p *player) events(ctx context.Context) error {
+func (p *player) runEvents(ctx context.Context) error {
 	for _, ev := range p.scenario.Events {
 		if err := p.sleepUntil(ctx, ev.At); err != nil {
 			return err
 		}
 		began := time.Since(p.began)
-		if err := p.fleet.Do(ctx, ev); err != nil {
+		if err := p.fleet.ApplyEvent(ctx, ev); err != nil {
 			return fmt.Errorf("event %s: %w", ev.Name, err)
 		}
 		p.mu.Lock()
-		p.done = append(p.done, Happened{Event: ev, Began: began, Took: time.Since(p.began) - began})
+		p.doneEvents = append(p.doneEvents, PerformedEvent{Event: ev, StartedAfter: began, Took: time.Since(p.began) - began})
 		p.progress.printf("%6.1fs  %s: %s %s\n", began.Seconds(), ev.Name, ev.Kind, ev.Target)
 		p.mu.Unlock()
 	}
 	return nil
 }
 
-func (p *player) report(ctx context.Context) error {
+func (p *player) reportProgress(ctx context.Context) error {
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
 	for {
@@ -177,16 +178,16 @@
 		case <-ctx.Done():
 			return nil
 		case <-tick.C:
-			p.line()
+			p.printProgress()
 		}
 	}
 }
 
-func (p *player) line() {
+func (p *player) printProgress() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.progress.printf("%6.1fs", time.Since(p.began).Seconds())
-	for v := range verdicts {
+	for v := range numVerdicts {
 		p.progress.printf("  %s %d", v, p.counts[v])
 	}
 	p.progress.printf("  running %d\n", p.running.Load())
--- a/internal/gauge/report.go
+++ b/internal/gauge/report.go
@@ -11,7 +11,7 @@
 	"jasmineshed/pkg/client"
 )
 
-// Report is a result worked out.
+// Report is the evaluation of a result.
 type Report struct {
 	Scenario   Scenario
 	Windows    []*Window
@@ -20,27 +20,29 @@
 	Reasons    []ReasonCount
 	Safety     Safety
 	Lag        time.Duration
-	// PlatformPeak is the most calls that the platform got in one second.
+	// PlatformPeak is the largest number of calls to the platform in one second, and
+	// PlatformRefused the number of calls above its budget.
 	PlatformPeak, PlatformRefused int
 }
 
-// Report works the result out. The rules tell which stages may run only once.
+// Report evaluates the result. The rules tell which stages are not idempotent.
 func (r *Result) Report(rules *shed.Rules) *Report {
 	return &Report{
 		Scenario:        r.Scenario,
 		Windows:         r.Scenario.windows(r.Samples),
-		Workspaces:      byWorkspace(r.Samples, r.Scenario.Duration),
-		Costs:           costs(r.Samples),
-		Reasons:         reasons(r.Samples),
-		Safety:          r.safety(runsOnce(rules)),
+		Workspaces:      windowsByWorkspace(r.Samples, r.Scenario.Duration),
+		Costs:           sumCosts(r.Samples),
+		Reasons:         countReasons(r.Samples),
+		Safety:          r.safety(runsNonIdempotent(rules)),
 		Lag:             r.Lag,
 		PlatformPeak:    r.Calls.Peak,
 		PlatformRefused: r.Calls.Refused,
 	}
 }
 
-// runsOnce tells which servers carry stages that may run only once.
-func runsOnce(rules *shed.Rules) func(shed.ServerID) bool {
+// runsNonIdempotent returns a function that reports whether a server runs a stage that is
+// not idempotent.
+func runsNonIdempotent(rules *shed.Rules) func(shed.ServerID) bool {
 	pools := map[shed.PoolID]bool{}
 	for _, p := range rules.Pipelines {
 		for _, stage := range p.Stages {
@@ -55,7 +57,7 @@
 	}
 }
 
-// printer keeps the first error of writing.
+// printer writes formatted text and keeps the first error.
 type printer struct {
 	w   io.Writer
 	err error
@@ -67,7 +69,7 @@
 	}
 }
 
-// table writes aligned columns, with an empty line after them.
+// table writes aligned columns, followed by an empty line.
 func (p *printer) table(write func(*printer)) {
 	tw := tabwriter.NewWriter(p.w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	columns := &printer{w: tw, err: p.err}
@@ -79,7 +81,7 @@
 	p.printf("\n")
 }
 
-// WriteTable writes the report for reading.
+// WriteTable writes the report as text.
 func (r *Report) WriteTable(w io.Writer) error {
 	p := &printer{w: w}
 	p.printf("\n%s: %s\npolicy %s, seed %d, %.0f/s for %s\n\n",
@@ -109,7 +111,7 @@
 func (r *Report) writeCosts(p *printer) {
 	p.printf("pipeline\tstage\tcalls\tuseful\twasted\twasted %%\t\n")
 	for _, c := range r.Costs {
-		p.printf("%s\t%s\t%d\t%d\t%d\t%.2f\t\n", c.Pipeline, c.Stage, c.Calls, c.Useful, c.Wasted, 100*c.wasted())
+		p.printf("%s\t%s\t%d\t%d\t%d\t%.2f\t\n", c.Pipeline, c.Stage, c.Calls, c.Useful, c.Wasted, 100*c.wastedShare())
 	}
 }
 
@@ -120,8 +122,8 @@
 	}
 }
 
-// wasted is the wasted share of the stage's cost, from 0 to 1.
-func (c StageCost) wasted() float64 {
+// wastedShare returns the wasted share of the stage's cost, from 0 to 1.
+func (c StageCost) wastedShare() float64 {
 	if c.Useful+c.Wasted == 0 {
 		return 0
 	}
@@ -130,16 +132,16 @@
 
 func (r *Report) writeSafety(p *printer) {
 	p.printf("cold servers: given too much %d times, by %d calls at the most\n",
-		r.Safety.Overshoots, r.Safety.WorstOvershoot)
-	p.printf("requests run twice by a service that may run them once: %d\n", r.Safety.Doubled)
-	for _, c := range r.Safety.Closings {
-		p.printf("after %s: %d calls still began there, the last %.2f s later\n", c.Event, c.Calls, c.Last.Seconds())
+		r.Safety.Overshoots, r.Safety.MaxOvershoot)
+	p.printf("requests run twice by a service that may run them once: %d\n", r.Safety.DuplicateRequests)
+	for _, c := range r.Safety.Closures {
+		p.printf("after %s: %d calls still began there, the last %.2f s later\n", c.Event, c.Calls, c.LastCallAfter.Seconds())
 	}
 	p.printf("platform: %d calls in its busiest second, %d refused\n", r.PlatformPeak, r.PlatformRefused)
 	p.printf("most lag of the load generator: %d ms\n", r.Lag.Milliseconds())
 }
 
-// line is one request in the file of JSON lines.
+// line is the JSON record of one request.
 type line struct {
 	Number      int                  `json:"number"`
 	AtMS        int64                `json:"at_ms"`
@@ -153,18 +155,18 @@
 	Stages      []client.StageReport `json:"stages,omitempty"`
 }
 
-// WriteLines writes one JSON line for each request, in order of answers.
+// WriteLines writes one JSON line for each request, in the order in which the calls ended.
 func (r *Result) WriteLines(w io.Writer) error {
 	enc := json.NewEncoder(w)
 	for i := range r.Samples {
-		if err := enc.Encode(lineOf(&r.Samples[i])); err != nil {
+		if err := enc.Encode(newLine(&r.Samples[i])); err != nil {
 			return fmt.Errorf("write the samples: %w", err)
 		}
 	}
 	return nil
 }
 
-func lineOf(s *Sample) line {
+func newLine(s *Sample) line {
 	return line{
 		Number:      s.Number,
 		AtMS:        s.At.Milliseconds(),
--- a/internal/gauge/rig.go
+++ b/internal/gauge/rig.go
@@ -17,133 +17,133 @@
 )
 
 const (
-	// vmLag is how late the platform's VM list is in experiments.
+	// vmLag is the delay of the platform's VM list in experiments.
 	vmLag = 2 * time.Second
-	// healthEvery is how often the balancer asks the daemons for readiness.
-	healthEvery = 100 * time.Millisecond
-	// settle is the time between readiness and the start of a scenario, in
-	// which load reports spread.
-	settle = time.Second
-	// slowness of a server that EventServerSlow slows down.
-	slowness = 10
-	// loadSlope of a drafter: at full capacity it takes twice as long.
-	loadSlope = 1
-	// loadLag of the engines' reports.
+	// healthInterval is how often the load balancer checks the readiness of the daemons.
+	healthInterval = 100 * time.Millisecond
+	// settleTime is the time between readiness and the start of a scenario, during
+	// which load reports propagate.
+	settleTime = time.Second
+	// slowServerFactor multiplies the times of a server that EventServerSlow slows down.
+	slowServerFactor = 10
+	// drafterLoadSlope makes calls to a drafter take twice as long at full capacity.
+	drafterLoadSlope = 1
+	// loadLag is the age of the state in the engines' load reports.
 	loadLag = 200 * time.Millisecond
-	// longRun is what a server has done that was up long before.
-	longRun = 100_000
+	// priorCalls is the number of completed calls of a server that has been up for long.
+	priorCalls = 100_000
 )
 
-// errEvent means that an event's target does not exist.
-var errEvent = errors.New("no such target")
+// errUnknownTarget is returned if an event's target does not exist.
+var errUnknownTarget = errors.New("unknown target of an event")
 
-// Rig is a fleet for a scenario, with the platform's balancer before it.
+// Rig is a fleet for a scenario, with the platform's load balancer in front of it.
 type Rig struct {
-	scenario Scenario
-	fleet    *fleet.Fleet
-	cutter   *cutter
+	scenario    Scenario
+	fleet       *fleet.Fleet
+	partitioner *partitioner
 
 	mu sync.Mutex
-	// text of the rules as last published.
-	text []byte
-	// ready are the daemons that the balancer knows as ready.
-	ready   []*fleet.Member
-	asked   time.Time
-	next    int
-	clients map[string]*client.Client
+	// rulesText is the text of the rules as last published.
+	rulesText []byte
+	// ready holds the daemons that were ready at the last health check.
+	ready           []*fleet.Member
+	lastHealthCheck time.Time
+	next            int
+	clients         map[string]*client.Client
 }
 
-// NewRig starts the fleet and waits until it is ready. Logs of the daemons go
-// to logTo.
+// NewRig starts the fleet and waits until it is ready. The daemons log to
+// logTo.
 func NewRig(ctx context.Context, s Scenario, logTo io.Writer) (*Rig, error) {
-	r := &Rig{scenario: s, cutter: newCutter(), clients: map[string]*client.Client{}}
+	r := &Rig{scenario: s, partitioner: newPartitioner(), clients: map[string]*client.Client{}}
 	f, err := fleet.Start(ctx, fleet.Config{
 		Rules:          s.RulesText(),
 		DaemonsPerZone: s.Fleet.Daemons,
 		LogTo:          logTo,
 		Policy:         s.Policy,
-		Engine:         s.Fleet.engine,
+		Engine:         s.Fleet.engineConfig,
 		ServiceTime:    s.Fleet.CallTime,
 		VMLag:          vmLag,
-		TuneNode:       r.wire,
+		TuneNode:       r.setDialers,
 	})
 	if err != nil {
 		return nil, err
 	}
 	r.fleet = f
-	r.text = f.RulesText()
-	r.place()
+	r.rulesText = f.RulesText()
+	r.setZones()
 	if err := f.WaitReady(ctx); err != nil {
 		f.Close()
 		return nil, err
 	}
-	time.Sleep(settle)
+	time.Sleep(settleTime)
 	return r, nil
 }
 
-func (s Shape) engine(server *shed.Server, kind shed.StageKind) stand.EngineConfig {
+func (s FleetSize) engineConfig(server *shed.Server, kind shed.StageKind) stand.EngineConfig {
 	cfg := stand.EngineConfig{
 		ID:           server.ID,
 		Capacity:     server.Capacity,
-		ColdBears:    server.ColdCapacity,
+		ColdCapacity: server.ColdCapacity,
 		CallTime:     s.CallTime,
 		LoadLag:      loadLag,
 		CacheEntries: 256,
-		Done:         longRun,
+		PriorCalls:   priorCalls,
 	}
 	if kind == shed.KindGenerate {
 		cfg.WarmAfter = s.WarmAfter
 		cfg.TokenTime = s.TokenTime
 		cfg.PrefillTime = s.TokenTime / 10
-		cfg.LoadSlope = loadSlope
+		cfg.LoadSlope = drafterLoadSlope
 	}
 	return cfg
 }
 
-// wire makes a daemon dial through the cutter.
-func (r *Rig) wire(cfg *node.Config) {
+// setDialers makes a daemon dial through the partitioner, which can drop its connections.
+func (r *Rig) setDialers(cfg *node.Config) {
 	zone := shed.ZoneID(cfg.Prefs.Node.Zone)
-	cfg.DialPeer = r.cutter.peer(zone)
-	cfg.DialPlatform = r.cutter.platform(zone)
+	cfg.DialPeer = r.partitioner.dialPeerFrom(zone)
+	cfg.DialPlatform = r.partitioner.dialPlatformFrom(zone)
 }
 
-// place tells the cutter where every daemon is.
-func (r *Rig) place() {
+// setZones records the zone of every daemon in the partitioner.
+func (r *Rig) setZones() {
 	for _, m := range r.fleet.Members() {
-		r.cutter.place(m.Self().VM, m.Zone)
+		r.partitioner.setZone(m.Self().VM, m.Zone)
 	}
 }
 
-// Close ends the fleet.
+// Close stops the fleet.
 func (r *Rig) Close() { r.fleet.Close() }
 
-// Rules that the fleet was started with.
+// Rules returns the rules that the fleet was started with.
 func (r *Rig) Rules() *shed.Rules { return r.fleet.Rules }
 
-// Platform is the stand-in of the platform.
+// Platform returns the stand-in of the platform.
 func (r *Rig) Platform() *stand.Platform { return r.fleet.Platform }
 
-// Servers are the stand-ins of the backend servers.
+// Servers returns the stand-ins of the backend servers.
 func (r *Rig) Servers() []Server {
 	var out []Server
 	for id, e := range r.fleet.Engines {
-		out = append(out, r.server(id, &e.Record))
+		out = append(out, r.newServer(id, &e.Record))
 	}
 	for id, s := range r.fleet.Services {
-		out = append(out, r.server(id, &s.Record))
+		out = append(out, r.newServer(id, &s.Record))
 	}
 	return out
 }
 
-func (r *Rig) server(id shed.ServerID, record *stand.Record) Server {
+func (r *Rig) newServer(id shed.ServerID, record *stand.Record) Server {
 	s := r.fleet.Rules.Servers[id]
 	return Server{ID: id, Zone: s.Zone, Supplier: s.Supplier, Record: record}
 }
 
-// Call sends one request through the balancer, which knows by a poll which
-// daemons are ready. Nothing is repeated.
+// Call sends one request through the load balancer, which polls the daemons for
+// readiness. Failed requests are not retried.
 func (r *Rig) Call(ctx context.Context, a Arrival, tokens int, text func()) (*client.Answer, error) {
-	c, err := r.balance(string(a.Workspace))
+	c, err := r.pickClient(string(a.Workspace))
 	if err != nil {
 		return nil, err
 	}
@@ -154,12 +154,13 @@
 	return c.Stream(ctx, work, client.Events{Text: func(string, string) { text() }})
 }
 
-// balance picks the next ready daemon.
-func (r *Rig) balance(workspace string) (*client.Client, error) {
+// pickClient returns a client of the next ready daemon, round robin. If none is ready it
+// picks among all.
+func (r *Rig) pickClient(workspace string) (*client.Client, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if now := time.Now(); now.Sub(r.asked) >= healthEvery {
-		r.asked = now
+	if now := time.Now(); now.Sub(r.lastHealthCheck) >= healthInterval {
+		r.lastHealthCheck = now
 		r.ready = r.ready[:0]
 		for _, m := range r.fleet.Members() {
 			if m.Daemon().Ready() {
@@ -183,75 +184,75 @@
 	c, err := client.New(client.Config{
 		URLs:       []string{url},
 		Workspace:  workspace,
-		Token:      tokenOf(workspace),
+		Token:      workspaceToken(workspace),
 		MaxRetries: -1,
 	})
 	r.clients[key] = c
 	return c, err
 }
 
-// Do makes an event happen.
-func (r *Rig) Do(ctx context.Context, ev Event) error {
+// ApplyEvent performs an event.
+func (r *Rig) ApplyEvent(ctx context.Context, ev Event) error {
 	switch ev.Kind {
-	case EventZoneOut:
-		return r.edit(zoneLine(ev.Target, false), zoneLine(ev.Target, true))
-	case EventZoneBack:
-		return r.edit(zoneLine(ev.Target, true), zoneLine(ev.Target, false))
+	case EventZoneClosed:
+		return r.replaceLine(zoneLine(ev.Target, false), zoneLine(ev.Target, true))
+	case EventZoneReopened:
+		return r.replaceLine(zoneLine(ev.Target, true), zoneLine(ev.Target, false))
 	case EventSupplierLeaving:
-		return r.edit(supplierLine(ev.Target, false), supplierLine(ev.Target, true))
-	case EventZoneCut:
-		r.cutter.set(shed.ZoneID(ev.Target), true)
-	case EventZoneHeal:
-		r.cutter.set(shed.ZoneID(ev.Target), false)
+		return r.replaceLine(supplierLine(ev.Target, false), supplierLine(ev.Target, true))
+	case EventZonePartitioned:
+		r.partitioner.setPartitioned(shed.ZoneID(ev.Target), true)
+	case EventZoneHealed:
+		r.partitioner.setPartitioned(shed.ZoneID(ev.Target), false)
 	case EventPlatformDown:
 		r.fleet.Platform.SetDown(true)
 	case EventPlatformUp:
 		r.fleet.Platform.SetDown(false)
 	case EventRollingRestart:
-		return r.restart(ctx)
+		return r.restartAll(ctx)
 	default:
-		return r.turn(ev)
+		return r.changeEngine(ev)
 	}
 	return nil
 }
 
-// turn changes one engine.
-func (r *Rig) turn(ev Event) error {
+// changeEngine performs an event that concerns one engine.
+func (r *Rig) changeEngine(ev Event) error {
 	e := r.fleet.Engines[shed.ServerID(ev.Target)]
 	if e == nil {
-		return fmt.Errorf("%w: server %s", errEvent, ev.Target)
+		return fmt.Errorf("%w: server %s", errUnknownTarget, ev.Target)
 	}
 	switch ev.Kind {
 	case EventServerCold:
 		e.TurnCold()
 	case EventServerSlow:
-		e.SetSlowness(slowness)
-	case EventServerWell:
+		e.SetSlowness(slowServerFactor)
+	case EventServerNormal:
 		e.SetSlowness(1)
 	}
 	return nil
 }
 
-// edit changes one line of the rules and publishes them.
-func (r *Rig) edit(from, to string) error {
+// replaceLine replaces one line of the rules and publishes them.
+func (r *Rig) replaceLine(from, to string) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if bytes.Count(r.text, []byte(from)) != 1 {
-		return fmt.Errorf("%w: line %q", errEvent, from)
+	if bytes.Count(r.rulesText, []byte(from)) != 1 {
+		return fmt.Errorf("%w: line %q", errUnknownTarget, from)
 	}
-	r.text = bytes.Replace(r.text, []byte(from), []byte(to), 1)
-	r.fleet.Publish(r.text)
+	r.rulesText = bytes.Replace(r.rulesText, []byte(from), []byte(to), 1)
+	r.fleet.Publish(r.rulesText)
 	return nil
 }
 
-// restart replaces every daemon in turn: the new one first, then a graceful
-// stop of the old one.
-func (r *Rig) restart(ctx context.Context) error {
+// restartAll replaces the daemons one by one: it starts a new one, then stops the old one
+// gracefully.
+func (r *Rig) restartAll(ctx context.Context) error {
 	for _, old := range r.fleet.Members() {
 		if _, err := r.fleet.AddDaemon(ctx, old.Zone); err != nil {
 			return err
 		}
-		r.place()
+		r.setZones()
 		if err := r.fleet.WaitReady(ctx); err != nil {
 			return err
 		}
--- a/internal/gauge/rules.go
+++ b/internal/gauge/rules.go
@@ -10,36 +10,36 @@
 // Names in the rules of an experiment.
 const (
 	zonePrefix = "nl-west-"
-	// supplierOwn supplies everything but every second drafter, which comes
-	// from supplierOther.
+	// supplierOwn supplies all servers except every second drafter, which
+	// supplierOther supplies.
 	supplierOwn   = "noorderlicht"
 	supplierOther = "zuiderlicht"
 	modelDrafter  = "drafter"
-	asked         = " ; experiment\n"
-	// firstPort is the first of the ports that stand for the servers until the
-	// stand-ins are there.
+	ruleOrigin    = " ; experiment\n"
+	// firstPort is the first of the placeholder ports of the servers, used until the
+	// stand-ins listen.
 	firstPort = 21000
 )
 
-// pool is one pool of an experiment, with its servers in each zone.
+// pool describes one pool of an experiment; count is its number of servers in each zone.
 type pool struct {
-	id, prefix, kind string
-	count            int
-	capacity, cold   int
+	id, prefix, kind       string
+	count                  int
+	capacity, coldCapacity int
 }
 
-// pools are the same for every experiment but for their sizes.
-func (s Shape) pools() []pool {
+// pools returns the pools, which differ between experiments only in their sizes.
+func (s FleetSize) pools() []pool {
 	return []pool{
-		{"encoders", "enc", "encode", s.Others, otherCapacity, otherCapacity},
-		{"finders", "fin", "retrieve", s.Others, otherCapacity, otherCapacity},
-		{"rankers", "ran", "rerank", s.Others, otherCapacity, otherCapacity},
-		{"drafters", "gen", "generate, model " + modelDrafter, s.Drafters, s.Capacity, s.ColdBears},
-		{"playouts", "pub", "service", s.Others, otherCapacity, otherCapacity},
+		{"encoders", "enc", "encode", s.OtherServers, otherCapacity, otherCapacity},
+		{"finders", "fin", "retrieve", s.OtherServers, otherCapacity, otherCapacity},
+		{"rankers", "ran", "rerank", s.OtherServers, otherCapacity, otherCapacity},
+		{"drafters", "gen", "generate, model " + modelDrafter, s.Drafters, s.Capacity, s.ColdCapacity},
+		{"playouts", "pub", "service", s.OtherServers, otherCapacity, otherCapacity},
 	}
 }
 
-// otherCapacity is the capacity of everything but drafters.
+// otherCapacity is the capacity of all servers except drafters.
 const otherCapacity = 32
 
 const fixedRules = `
@@ -65,8 +65,8 @@
 weight_loads = 6 ; experiment
 `
 
-// zoneNames are nl-west-a, nl-west-b and so on.
-func (s Shape) zoneNames() []string {
+// zoneNames returns nl-west-a, nl-west-b and so on.
+func (s FleetSize) zoneNames() []string {
 	names := make([]string, s.Zones)
 	for i := range names {
 		names[i] = zonePrefix + string(rune('a'+i))
@@ -74,7 +74,7 @@
 	return names
 }
 
-// RulesText is the rules file of the experiment, with placeholders for the
+// RulesText returns the rules file of the experiment, with placeholders for the
 // addresses of servers.
 func (s *Scenario) RulesText() []byte {
 	var b strings.Builder
@@ -85,23 +85,23 @@
 	b.WriteString("\n[suppliers]\n")
 	b.WriteString(supplierLine(supplierOwn, false))
 	b.WriteString(supplierLine(supplierOther, false))
-	b.WriteString("\n[models]\n" + modelDrafter + " = version 1" + asked)
+	b.WriteString("\n[models]\n" + modelDrafter + " = version 1" + ruleOrigin)
 	b.WriteString("\n[pools]\n")
 	for _, p := range s.Fleet.pools() {
-		fmt.Fprintf(&b, "%s = kind %s, unit 1%s", p.id, p.kind, asked)
+		fmt.Fprintf(&b, "%s = kind %s, unit 1%s", p.id, p.kind, ruleOrigin)
 	}
 	b.WriteString("\n[servers]\n")
 	s.Fleet.writeServers(&b)
 	b.WriteString(fixedRules)
 	b.WriteString("\n[workspaces]\n")
 	for _, w := range s.Workspaces {
-		sum := sha256.Sum256([]byte(tokenOf(w.Name)))
-		fmt.Fprintf(&b, "%s = share 1, token_sha256 %s%s", w.Name, hex.EncodeToString(sum[:]), asked)
+		sum := sha256.Sum256([]byte(workspaceToken(w.Name)))
+		fmt.Fprintf(&b, "%s = share 1, token_sha256 %s%s", w.Name, hex.EncodeToString(sum[:]), ruleOrigin)
 	}
 	return []byte(b.String())
 }
 
-func (s Shape) writeServers(b *strings.Builder) {
+func (s FleetSize) writeServers(b *strings.Builder) {
 	port := firstPort
 	for _, p := range s.pools() {
 		for i, zone := range s.zoneNames() {
@@ -111,7 +111,7 @@
 					supplier = supplierOther
 				}
 				fmt.Fprintf(b, "%s-%c-%d = pool %s, zone %s, supplier %s, url http://127.0.0.1:%d, capacity %d, cold_bears %d%s",
-					p.prefix, 'a'+i, n, p.id, zone, supplier, port, p.capacity, p.cold, asked)
+					p.prefix, 'a'+i, n, p.id, zone, supplier, port, p.capacity, p.coldCapacity, ruleOrigin)
 				port++
 			}
 		}
@@ -120,17 +120,17 @@
 
 func zoneLine(zone string, out bool) string {
 	if out {
-		return zone + " = region nl, out yes" + asked
+		return zone + " = region nl, out yes" + ruleOrigin
 	}
-	return zone + " = region nl" + asked
+	return zone + " = region nl" + ruleOrigin
 }
 
 func supplierLine(supplier string, leaving bool) string {
 	if leaving {
-		return supplier + " = leaving yes" + asked
+		return supplier + " = leaving yes" + ruleOrigin
 	}
-	return supplier + " = leaving no" + asked
+	return supplier + " = leaving no" + ruleOrigin
 }
 
-// tokenOf is the token of an experiment's workspace.
-func tokenOf(workspace string) string { return "experiment-" + workspace }
+// workspaceToken returns the token of an experiment's workspace.
+func workspaceToken(workspace string) string { return "experiment-" + workspace }
--- a/internal/gauge/safety.go
+++ b/internal/gauge/safety.go
@@ -9,63 +9,63 @@
 	"jasmineshed/internal/stand"
 )
 
-// Safety is what the stand-ins saw, against what must always hold.
+// Safety compares the records of the stand-ins with the invariants that must always hold.
 type Safety struct {
-	// Overshoots counts how often a cold server got more than it bears, and
-	// WorstOvershoot is by how many calls.
-	Overshoots, WorstOvershoot int
-	// Doubled are requests that a plain service ran more than once.
-	Doubled int
-	// Closings tell how long new work still came after a zone or a supplier
-	// was told to get no more.
-	Closings []Closing
+	// Overshoots counts how often a cold server received a call above its cold capacity,
+	// and MaxOvershoot is the largest excess in calls.
+	Overshoots, MaxOvershoot int
+	// DuplicateRequests counts the requests that a plain service ran more than once.
+	DuplicateRequests int
+	// Closures holds how long new calls still began after the rules closed a zone or a
+	// supplier.
+	Closures []Closure
 }
 
-// Closing is one event after which some servers get no new work.
-type Closing struct {
+// Closure is one event after which some servers must get no new work.
+type Closure struct {
 	Event string
-	// Last is the time from the event to the last call begun there, before
-	// they were opened again; 0 if none began.
-	Last  time.Duration
-	Calls int
+	// LastCallAfter is the time from the event to the last call that began there before they
+	// were reopened; 0 if none began.
+	LastCallAfter time.Duration
+	Calls         int
 }
 
-// safety reads the records of the stand-ins.
-func (r *Result) safety(once func(shed.ServerID) bool) Safety {
+// safety evaluates the records of the stand-ins.
+func (r *Result) safety(mustRunOnce func(shed.ServerID) bool) Safety {
 	var out Safety
 	for _, server := range r.Servers {
 		for _, o := range server.Record.Overshoots() {
 			out.Overshoots++
-			out.WorstOvershoot = max(out.WorstOvershoot, o.Running-o.Bears)
+			out.MaxOvershoot = max(out.MaxOvershoot, o.Running-o.ColdCapacity)
 		}
-		if once(server.ID) {
-			out.Doubled += len(server.Record.Doubled())
+		if mustRunOnce(server.ID) {
+			out.DuplicateRequests += len(server.Record.DuplicateRequests())
 		}
 	}
-	for _, ev := range r.Done {
-		if ev.Kind == EventZoneOut || ev.Kind == EventSupplierLeaving {
-			out.Closings = append(out.Closings, r.closing(ev))
+	for _, ev := range r.Events {
+		if ev.Kind == EventZoneClosed || ev.Kind == EventSupplierLeaving {
+			out.Closures = append(out.Closures, r.newClosing(ev))
 		}
 	}
 	return out
 }
 
-// closing looks for calls that began after ev on the servers that it closed.
-func (r *Result) closing(ev Happened) Closing {
-	from := r.Began.Add(ev.Began)
-	until := r.reopened(ev)
-	out := Closing{Event: ev.Name}
-	for _, run := range r.closedRuns(ev.Event) {
+// newClosing counts the calls that began after ev on the servers that it closed.
+func (r *Result) newClosing(ev PerformedEvent) Closure {
+	from := r.StartTime.Add(ev.StartedAfter)
+	until := r.reopenedAt(ev)
+	out := Closure{Event: ev.Name}
+	for _, run := range r.runsOnClosed(ev.Event) {
 		if run.Start.Before(from) || (!until.IsZero() && run.Start.After(until)) {
 			continue
 		}
 		out.Calls++
-		out.Last = max(out.Last, run.Start.Sub(from))
+		out.LastCallAfter = max(out.LastCallAfter, run.Start.Sub(from))
 	}
 	return out
 }
 
-func (r *Result) closedRuns(ev Event) []stand.Run {
+func (r *Result) runsOnClosed(ev Event) []stand.Run {
 	var runs []stand.Run
 	for _, server := range r.Servers {
 		if string(server.Zone) == ev.Target || string(server.Supplier) == ev.Target {
@@ -76,11 +76,11 @@
 	return runs
 }
 
-// reopened is when the zone of ev came back; zero if it did not.
-func (r *Result) reopened(ev Happened) time.Time {
-	for _, later := range r.Done {
-		if later.Kind == EventZoneBack && later.Target == ev.Target && later.Began > ev.Began {
-			return r.Began.Add(later.Began)
+// reopenedAt returns when the zone of ev was reopened; zero if it was not.
+func (r *Result) reopenedAt(ev PerformedEvent) time.Time {
+	for _, later := range r.Events {
+		if later.Kind == EventZoneReopened && later.Target == ev.Target && later.StartedAfter > ev.StartedAfter {
+			return r.StartTime.Add(later.StartedAfter)
 		}
 	}
 	return time.Time{}
--- a/internal/gauge/scenario.go
+++ b/internal/gauge/scenario.go
@@ -12,96 +12,96 @@
 	"jasmineshed/internal/route"
 )
 
-// ErrScenario means that a scenario file can't be used.
-var ErrScenario = errors.New("scenario can't be used")
+// ErrScenario is returned for a scenario file that is not valid.
+var ErrScenario = errors.New("invalid scenario")
 
 // Scenario is one experiment.
 type Scenario struct {
 	Name  string
 	About string
-	// Seed of arrivals and of the fleet.
+	// Seed of the arrivals.
 	Seed uint64
-	// Duration of the arrivals; answers are waited for afterwards.
+	// Duration of the arrivals; the run ends when all answers have arrived.
 	Duration time.Duration
-	// Rate of arrivals a second, outside bursts.
+	// Rate of arrivals per second, outside bursts.
 	Rate float64
 	// Policy that picks servers; see route.NewPolicy.
 	Policy string
-	// Tokens that each generate stage is asked for.
+	// Tokens is how many tokens each generate stage is to generate.
 	Tokens int
-	Fleet  Shape
+	Fleet  FleetSize
 	// Pipelines and Workspaces share the arrivals by weight.
 	Pipelines  []Share
 	Workspaces []Share
 	Bursts     []Burst
-	// Events in order of their time.
+	// Events, ordered by time.
 	Events []Event
 }
 
-// Shape is the size of the fleet.
-type Shape struct {
+// FleetSize is the size of the fleet.
+type FleetSize struct {
 	Zones int
-	// Daemons, Drafters (language models) and Others (of each other pool) are
-	// counts in each zone.
-	Daemons, Drafters, Others int
-	// Capacity and ColdCapacity of a drafter.
-	Capacity, ColdBears int
-	// WarmAfter calls a drafter is warm; 0 starts warm.
+	// Daemons, Drafters (language models) and OtherServers (servers of each other pool) are
+	// counts per zone.
+	Daemons, Drafters, OtherServers int
+	// Capacity and ColdCapacity (the cold capacity) of a drafter.
+	Capacity, ColdCapacity int
+	// WarmAfter is after how many calls a drafter is warm; 0 starts warm.
 	WarmAfter int
-	// TokenTime of a drafter with one call.
+	// TokenTime of a drafter that runs one call.
 	TokenTime time.Duration
-	// CallTime of the others.
+	// CallTime of the other servers.
 	CallTime time.Duration
 }
 
-// Share weighs a pipeline or a workspace among the arrivals.
+// Share is the weight of a pipeline or a workspace among the arrivals.
 type Share struct {
 	Name   string
 	Weight float64
 }
 
-// Burst multiplies the rate for some time.
+// Burst multiplies the arrival rate by Factor from At on, for Duration.
 type Burst struct {
-	Name   string
-	At     time.Duration
-	For    time.Duration
-	Factor float64
+	Name     string
+	At       time.Duration
+	Duration time.Duration
+	Factor   float64
 }
 
-// EventKind is what happens to the fleet. The set is closed.
+// EventKind is the kind of an event. The set is closed.
 type EventKind string
 
 // The kinds of event.
 const (
-	EventZoneOut         EventKind = "zone_out"
-	EventZoneBack        EventKind = "zone_back"
-	EventZoneCut         EventKind = "zone_cut"
-	EventZoneHeal        EventKind = "zone_heal"
+	EventZoneClosed      EventKind = "zone_out"
+	EventZoneReopened    EventKind = "zone_back"
+	EventZonePartitioned EventKind = "zone_cut"
+	EventZoneHealed      EventKind = "zone_heal"
 	EventServerCold      EventKind = "server_cold"
 	EventServerSlow      EventKind = "server_slow"
-	EventServerWell      EventKind = "server_well"
+	EventServerNormal    EventKind = "server_well"
 	EventRollingRestart  EventKind = "rolling_restart"
 	EventPlatformDown    EventKind = "platform_down"
 	EventPlatformUp      EventKind = "platform_up"
 	EventSupplierLeaving EventKind = "supplier_leaving"
 )
 
-// eventKinds tells which kinds need a target.
+// eventKinds holds all kinds and whether they need a target.
 var eventKinds = map[EventKind]bool{
-	EventZoneOut:         true,
-	EventZoneBack:        true,
-	EventZoneCut:         true,
-	EventZoneHeal:        true,
+	EventZoneClosed:      true,
+	EventZoneReopened:    true,
+	EventZonePartitioned: true,
+	EventZoneHealed:      true,
 	EventServerCold:      true,
 	EventServerSlow:      true,
-	EventServerWell:      true,
+	EventServerNormal:    true,
 	EventRollingRestart:  false,
 	EventPlatformDown:    false,
 	EventPlatformUp:      false,
 	EventSupplierLeaving: true,
 }
 
-// Event is something done to the fleet.
+// Event is a change of the fleet during a scenario.
 type Event struct {
 	Name   string
 	At     time.Duration
@@ -109,7 +109,7 @@
 	Target string
 }
 
-// ParseScenario reads the text of a scenario file. It fails with ErrScenario.
+// ParseScenario parses the text of a scenario file. Its errors wrap ErrScenario.
 func ParseScenario(text []byte) (Scenario, error) {
 	file, err := ini.LoadSources(ini.LoadOptions{AllowShadows: false}, text)
 	if err != nil {
@@ -117,14 +117,14 @@
 	}
 	r := &reader{file: file, used: map[string]bool{}}
 	s := r.scenario()
-	r.leftovers()
+	r.checkUnused()
 	if len(r.faults) > 0 {
 		return Scenario{}, fmt.Errorf("%w: %w", ErrScenario, errors.Join(r.faults...))
 	}
 	return s, nil
 }
 
-// reader gathers every fault of a file.
+// reader reads a file and collects all its faults.
 type reader struct {
 	file   *ini.File
 	used   map[string]bool
@@ -137,19 +137,19 @@
 		About:    r.text("scenario", "about", ""),
 		Seed:     uint64(r.number("scenario", "seed", 1)),
 		Duration: r.time("scenario", "duration", 20*time.Second),
-		Rate:     r.real("scenario", "rate", 50),
+		Rate:     r.float("scenario", "rate", 50),
 		Policy:   r.text("scenario", "policy", route.NameAffinity),
 		Tokens:   r.number("scenario", "tokens", 24),
-		Fleet: Shape{
-			Zones:     r.number("fleet", "zones", 3),
-			Daemons:   r.number("fleet", "daemons", 3),
-			Drafters:  r.number("fleet", "drafters", 4),
-			Others:    r.number("fleet", "others", 1),
-			Capacity:  r.number("fleet", "capacity", 8),
-			ColdBears: r.number("fleet", "cold_bears", 2),
-			WarmAfter: r.number("fleet", "warm_after", 20),
-			TokenTime: r.time("fleet", "token_time", 10*time.Millisecond),
-			CallTime:  r.time("fleet", "call_time", 10*time.Millisecond),
+		Fleet: FleetSize{
+			Zones:        r.number("fleet", "zones", 3),
+			Daemons:      r.number("fleet", "daemons", 3),
+			Drafters:     r.number("fleet", "drafters", 4),
+			OtherServers: r.number("fleet", "others", 1),
+			Capacity:     r.number("fleet", "capacity", 8),
+			ColdCapacity: r.number("fleet", "cold_bears", 2),
+			WarmAfter:    r.number("fleet", "warm_after", 20),
+			TokenTime:    r.time("fleet", "token_time", 10*time.Millisecond),
+			CallTime:     r.time("fleet", "call_time", 10*time.Millisecond),
 		},
 		Pipelines:  r.shares("pipelines"),
 		Workspaces: r.shares("workspaces"),
@@ -157,10 +157,10 @@
 		Events:     r.events(),
 	}
 	if s.Name == "" || len(s.Pipelines) == 0 || len(s.Workspaces) == 0 {
-		r.fault("name, [pipelines] and [workspaces] are needed")
+		r.addFault("name, [pipelines] and [workspaces] are required")
 	}
 	if s.Duration <= 0 || s.Rate <= 0 {
-		r.fault("duration and rate must be above 0")
+		r.addFault("duration and rate must be above 0")
 	}
 	if _, err := route.NewPolicy(s.Policy, 0); err != nil {
 		r.faults = append(r.faults, err)
@@ -168,46 +168,46 @@
 	return s
 }
 
-func (r *reader) fault(format string, args ...any) {
+func (r *reader) addFault(format string, args ...any) {
 	r.faults = append(r.faults, fmt.Errorf(format, args...))
 }
 
-func (r *reader) text(section, key, otherwise string) string {
+func (r *reader) text(section, key, def string) string {
 	r.used[section+"."+key] = true
-	return r.file.Section(section).Key(key).MustString(otherwise)
+	return r.file.Section(section).Key(key).MustString(def)
 }
 
-func (r *reader) number(section, key string, otherwise int) int {
-	text := r.text(section, key, strconv.Itoa(otherwise))
+func (r *reader) number(section, key string, def int) int {
+	text := r.text(section, key, strconv.Itoa(def))
 	n, err := strconv.Atoi(text)
 	if err != nil || n < 0 {
-		r.fault("%s: %s: %q is no count", section, key, text)
+		r.addFault("%s: %s: %q is not a whole number of at least 0", section, key, text)
 	}
 	return n
 }
 
-func (r *reader) real(section, key string, otherwise float64) float64 {
-	text := r.text(section, key, strconv.FormatFloat(otherwise, 'g', -1, 64))
+func (r *reader) float(section, key string, def float64) float64 {
+	text := r.text(section, key, strconv.FormatFloat(def, 'g', -1, 64))
 	x, err := strconv.ParseFloat(text, 64)
 	if err != nil {
-		r.fault("%s: %s: %q is no number", section, key, text)
+		r.addFault("%s: %s: %q is not a number", section, key, text)
 	}
 	return x
 }
 
-func (r *reader) time(section, key string, otherwise time.Duration) time.Duration {
-	return r.duration(section+": "+key, r.text(section, key, otherwise.String()))
+func (r *reader) time(section, key string, def time.Duration) time.Duration {
+	return r.duration(section+": "+key, r.text(section, key, def.String()))
 }
 
 func (r *reader) duration(where, text string) time.Duration {
 	d, err := time.ParseDuration(text)
 	if err != nil || d < 0 {
-		r.fault("%s: %q is no time", where, text)
+		r.addFault("%s: %q is not a duration of at least 0", where, text)
 	}
 	return d
 }
 
-// keys gives the keys of a section of free names.
+// keys returns the keys of a section whose key names are free.
 func (r *reader) keys(section string) []*ini.Key {
 	keys := r.file.Section(section).Keys()
 	for _, key := range keys {
@@ -221,70 +221,70 @@
 	for _, key := range r.keys(section) {
 		weight, err := strconv.ParseFloat(key.String(), 64)
 		if err != nil || weight <= 0 {
-			r.fault("%s: %s: %q is no weight", section, key.Name(), key)
+			r.addFault("%s: %s: %q is not a weight above 0", section, key.Name(), key)
 		}
 		shares = append(shares, Share{Name: key.Name(), Weight: weight})
 	}
 	return shares
 }
 
-// bursts reads lines like "surge = 2 at 8s for 4s".
+// bursts parses lines like "surge = 2 at 8s for 4s".
 func (r *reader) bursts() []Burst {
 	var bursts []Burst
 	for _, key := range r.keys("bursts") {
 		where := "bursts: " + key.Name()
 		f := strings.Fields(key.String())
 		if len(f) != 5 || f[1] != "at" || f[3] != "for" {
-			r.fault("%s: want FACTOR at TIME for TIME", where)
+			r.addFault("%s: want FACTOR at TIME for TIME", where)
 			continue
 		}
 		factor, err := strconv.ParseFloat(f[0], 64)
 		if err != nil || factor <= 0 {
-			r.fault("%s: %q is no factor", where, f[0])
+			r.addFault("%s: %q is not a factor above 0", where, f[0])
 		}
 		bursts = append(bursts, Burst{
-			Name:   key.Name(),
-			At:     r.duration(where, f[2]),
-			For:    r.duration(where, f[4]),
-			Factor: factor,
+			Name:     key.Name(),
+			At:       r.duration(where, f[2]),
+			Duration: r.duration(where, f[4]),
+			Factor:   factor,
 		})
 	}
 	return bursts
 }
 
-// events reads lines like "leave = 10s zone_out nl-west-a".
+// events parses lines like "leave = 10s zone_out nl-west-a".
 func (r *reader) events() []Event {
 	var events []Event
 	for _, key := range r.keys("events") {
 		where := "events: " + key.Name()
 		f := strings.Fields(key.String())
 		if len(f) < 2 {
-			r.fault("%s: want TIME KIND TARGET", where)
+			r.addFault("%s: want TIME KIND TARGET", where)
 			continue
 		}
 		ev := Event{Name: key.Name(), At: r.duration(where, f[0]), Kind: EventKind(f[1])}
-		needs, known := eventKinds[ev.Kind]
-		if !known || needs != (len(f) == 3) {
-			r.fault("%s: %q is no event, or its target is wrong", where, key)
+		needsTarget, known := eventKinds[ev.Kind]
+		if !known || needsTarget != (len(f) == 3) {
+			r.addFault("%s: %q is not an event, or its target is wrong", where, key)
 			continue
 		}
-		if needs {
+		if needsTarget {
 			ev.Target = f[2]
 		}
 		if n := len(events); n > 0 && events[n-1].At > ev.At {
-			r.fault("%s: earlier than the event before it", where)
+			r.addFault("%s: earlier than the event before it", where)
 		}
 		events = append(events, ev)
 	}
 	return events
 }
 
-// leftovers refuses keys that nothing reads, which are mistyped.
-func (r *reader) leftovers() {
+// checkUnused reports keys that nothing has read, which are probably misspelt.
+func (r *reader) checkUnused() {
 	for _, section := range r.file.Sections() {
 		for _, key := range section.Keys() {
 			if !r.used[section.Name()+"."+key.Name()] {
-				r.fault("%s: %s: unknown key", section.Name(), key.Name())
+				r.addFault("%s: %s: unknown key", section.Name(), key.Name())
 			}
 		}
 	}
--- a/internal/gauge/tally.go
+++ b/internal/gauge/tally.go
@@ -12,60 +12,60 @@
 )
 
 const (
-	// longest latency that a histogram tells apart.
-	longest = 5 * time.Minute
-	// digits of a histogram's precision.
-	digits = 3
+	// maxLatency is the largest value of a histogram.
+	maxLatency = 5 * time.Minute
+	// significantDigits is the precision of a histogram.
+	significantDigits = 3
 )
 
-// Sample is what became of one arrival.
+// Sample is the result of one arrival.
 type Sample struct {
 	Arrival
 	Verdict Verdict
 	Outcome client.Outcome
 	Reason  string
-	// Took is counted from the planned arrival.
+	// Took is measured from the planned arrival.
 	Took time.Duration
-	// FirstText is the time to the first text; 0 if none came.
+	// FirstText is the time from the planned arrival to the first text; 0 if there was none.
 	FirstText time.Duration
 	Stages    []client.StageReport
 }
 
-// Window is the quality of service of the arrivals in a span of time.
+// Window holds the quality of service of the arrivals within a time span.
 type Window struct {
-	Name     string
-	From, To time.Duration
-	Counts   [verdicts]int
-	took     *hdrhistogram.Histogram
-	first    *hdrhistogram.Histogram
+	Name       string
+	From, To   time.Duration
+	Counts     [numVerdicts]int
+	latencies  *hdrhistogram.Histogram
+	firstTexts *hdrhistogram.Histogram
 }
 
 func newWindow(name string, from, to time.Duration) *Window {
 	return &Window{
-		Name:  name,
-		From:  from,
-		To:    to,
-		took:  hdrhistogram.New(1, longest.Microseconds(), digits),
-		first: hdrhistogram.New(1, longest.Microseconds(), digits),
+		Name:       name,
+		From:       from,
+		To:         to,
+		latencies:  hdrhistogram.New(1, maxLatency.Microseconds(), significantDigits),
+		firstTexts: hdrhistogram.New(1, maxLatency.Microseconds(), significantDigits),
 	}
 }
 
 func (w *Window) add(s *Sample) {
 	w.Counts[s.Verdict]++
 	if s.Verdict == Attained || s.Verdict == Late {
-		record(w.took, s.Took)
+		record(w.latencies, s.Took)
 	}
 	if s.FirstText > 0 {
-		record(w.first, s.FirstText)
+		record(w.firstTexts, s.FirstText)
 	}
 }
 
 func record(h *hdrhistogram.Histogram, d time.Duration) {
-	// Values past the longest are taken for it.
-	_ = h.RecordValue(min(max(d.Microseconds(), 1), longest.Microseconds()))
+	// Values above the maximum count as the maximum.
+	_ = h.RecordValue(min(max(d.Microseconds(), 1), maxLatency.Microseconds()))
 }
 
-// Offered counts all arrivals.
+// Offered returns the number of all arrivals.
 func (w *Window) Offered() int {
 	n := 0
 	for _, c := range w.Counts {
@@ -74,32 +74,32 @@
 	return n
 }
 
-// Attainment is the share of the accepted requests that were attained, from 0
+// Attainment returns the share of the accepted requests that were attained, from 0
 // to 1; it is 1 if none was accepted.
 func (w *Window) Attainment() float64 {
 	return share(w.Counts[Attained], w.Offered()-w.Counts[Refused])
 }
 
-// Served is the share of all offered requests that were attained.
+// Served returns the share of all offered requests that were attained.
 func (w *Window) Served() float64 {
 	return share(w.Counts[Attained], w.Offered())
 }
 
-// Latency is a quantile, from 0 to 100, of the time to the whole answer.
+// Latency returns a percentile, q from 0 to 100, of the time to the complete answer.
 func (w *Window) Latency(q float64) time.Duration {
-	return time.Duration(w.took.ValueAtQuantile(q)) * time.Microsecond
+	return time.Duration(w.latencies.ValueAtQuantile(q)) * time.Microsecond
 }
 
-// FirstText is a quantile of the time to the first text.
+// FirstText returns a percentile of the time to the first text.
 func (w *Window) FirstText(q float64) time.Duration {
-	return time.Duration(w.first.ValueAtQuantile(q)) * time.Microsecond
+	return time.Duration(w.firstTexts.ValueAtQuantile(q)) * time.Microsecond
 }
 
-func share(part, whole int) float64 {
-	if whole <= 0 {
+func share(part, total int) float64 {
+	if total <= 0 {
 		return 1
 	}
-	return float64(part) / float64(whole)
+	return float64(part) / float64(total)
 }
 
 // StageCost is the work of one stage, in millionths of a server-second.
@@ -110,8 +110,8 @@
 	Useful, Wasted uint64
 }
 
-// windows cuts the samples at the events and bursts of the scenario, with all
-// of them first.
+// windows splits the samples at the events and bursts of the scenario. The first window
+// covers all samples.
 func (s *Scenario) windows(samples []Sample) []*Window {
 	names := map[time.Duration]string{0: "before"}
 	for _, m := range s.Marks() {
@@ -120,27 +120,27 @@
 		}
 		names[m.At] = m.Name
 	}
-	cuts := make([]time.Duration, 0, len(names))
+	starts := make([]time.Duration, 0, len(names))
 	for at := range names {
-		cuts = append(cuts, at)
+		starts = append(starts, at)
 	}
-	slices.Sort(cuts)
+	slices.Sort(starts)
 	out := []*Window{newWindow("all", 0, s.Duration)}
-	for i, at := range cuts {
+	for i, at := range starts {
 		to := s.Duration
-		if i+1 < len(cuts) {
-			to = cuts[i+1]
+		if i+1 < len(starts) {
+			to = starts[i+1]
 		}
-		if len(cuts) > 1 {
+		if len(starts) > 1 {
 			out = append(out, newWindow(names[at], at, to))
 		}
 	}
-	fill(out, samples)
+	addSamples(out, samples)
 	return out
 }
 
-// byWorkspace gives a window for each workspace, sorted by name.
-func byWorkspace(samples []Sample, to time.Duration) []*Window {
+// windowsByWorkspace returns a window for each workspace, sorted by name.
+func windowsByWorkspace(samples []Sample, to time.Duration) []*Window {
 	found := map[shed.WorkspaceID]*Window{}
 	for i := range samples {
 		ws := samples[i].Workspace
@@ -157,7 +157,7 @@
 	return out
 }
 
-func fill(windows []*Window, samples []Sample) {
+func addSamples(windows []*Window, samples []Sample) {
 	for i := range samples {
 		for _, w := range windows {
 			if at := samples[i].At; at >= w.From && at < w.To {
@@ -167,27 +167,27 @@
 	}
 }
 
-// Mark is a moment of the scenario that shows in reports.
+// Mark is a time in the scenario that is marked in reports.
 type Mark struct {
 	Name string
 	At   time.Duration
 }
 
-// Marks are the events and the bursts' ends in order of time.
+// Marks returns the events and the starts and ends of bursts, ordered by time.
 func (s *Scenario) Marks() []Mark {
 	var marks []Mark
 	for _, ev := range s.Events {
 		marks = append(marks, Mark{Name: ev.Name, At: ev.At})
 	}
 	for _, b := range s.Bursts {
-		marks = append(marks, Mark{Name: b.Name, At: b.At}, Mark{Name: b.Name + "_over", At: b.At + b.For})
+		marks = append(marks, Mark{Name: b.Name, At: b.At}, Mark{Name: b.Name + "_over", At: b.At + b.Duration})
 	}
 	slices.SortStableFunc(marks, func(a, b Mark) int { return cmp.Compare(a.At, b.At) })
 	return marks
 }
 
-// costs sums the stages' reports, sorted by pipeline and stage.
-func costs(samples []Sample) []StageCost {
+// sumCosts sums the reported costs of each stage, sorted by pipeline and stage.
+func sumCosts(samples []Sample) []StageCost {
 	type key struct {
 		pipeline shed.PipelineID
 		stage    string
@@ -214,8 +214,8 @@
 	return out
 }
 
-// reasons counts the reasons of what was not attained, sorted.
-func reasons(samples []Sample) []ReasonCount {
+// countReasons counts the reasons of requests that were not attained, sorted.
+func countReasons(samples []Sample) []ReasonCount {
 	counts := map[ReasonCount]int{}
 	for _, s := range samples {
 		if s.Verdict != Attained {
@@ -233,7 +233,7 @@
 	return out
 }
 
-// ReasonCount is how often a verdict had a reason.
+// ReasonCount is how often a verdict occurred with a reason.
 type ReasonCount struct {
 	Verdict Verdict
 	Reason  string
--- a/internal/plat/plat_test.go
+++ b/internal/plat/plat_test.go
@@ -132,11 +132,11 @@
 		first, _ := configValues("a")
 		fake.Publish(first)
 		began := time.Now()
-		fake.SetMute(true)
+		fake.SetUnresponsive(true)
 		_, err := p.Config(t.Context(), shed.ReadConfig{})
 		require.ErrorIs(t, err, plat.ErrUnreachable)
 		require.Equal(t, 3*time.Second, time.Since(began))
-		fake.SetMute(false)
+		fake.SetUnresponsive(false)
 
 		var group errgroup.Group
 		group.Go(func() error {
--- a/internal/single/single.go
+++ b/internal/single/single.go
@@ -1,4 +1,4 @@
-// Package single runs one stand-in as a process of its own.
+// Package single is the command that runs one stand-in as a process.
 package single
 
 import (
@@ -18,20 +18,20 @@
 	"jasmineshed/internal/stand"
 )
 
-// Started is the line that a stand-in prints once it serves.
+// Started is the JSON line that a stand-in prints once it listens.
 type Started struct {
 	Kind string `json:"kind"`
 	Addr string `json:"addr"`
-	// Admin is where operators publish; only the platform has it.
+	// Admin is the address at which operators publish; only the platform has one.
 	Admin string `json:"admin,omitempty"`
 }
 
-// Main runs the stand-in that args ask for until SIGTERM or SIGINT, and returns
+// Main runs the stand-in that args name until SIGTERM or SIGINT, and returns
 // the process's exit code.
 func Main(args []string, stdout, stderr io.Writer) int {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	cmd := command(stdout)
+	cmd := newRootCommand(stdout)
 	cmd.SetArgs(args)
 	cmd.SetErr(stderr)
 	if err := cmd.ExecuteContext(ctx); err != nil {
@@ -40,24 +40,24 @@
 	return 0
 }
 
-func command(stdout io.Writer) *cobra.Command {
+func newRootCommand(stdout io.Writer) *cobra.Command {
 	root := &cobra.Command{
 		Use:          "standin",
 		Short:        "Run a stand-in of the platform, an engine or a plain service",
 		SilenceUsage: true,
 	}
 	addr := root.PersistentFlags().String("addr", "127.0.0.1:0", "address to serve at")
-	root.AddCommand(platformCmd(addr, stdout), engineCmd(addr, stdout), serviceCmd(addr, stdout))
+	root.AddCommand(newPlatformCommand(addr, stdout), newEngineCommand(addr, stdout), newServiceCommand(addr, stdout))
 	return root
 }
 
-func platformCmd(addr *string, stdout io.Writer) *cobra.Command {
+func newPlatformCommand(addr *string, stdout io.Writer) *cobra.Command {
 	var cfg stand.PlatformConfig
 	cmd := &cobra.Command{Use: "platform", Short: "Configuration service and VM list"}
 	flags := cmd.Flags()
 	admin := flags.String("admin", "127.0.0.1:0", "address at which operators publish")
-	flags.IntVar(&cfg.ReadsPerSecond, "reads", 0, "reads a second over all readers; 0 means 2000")
-	flags.DurationVar(&cfg.VMLag, "vm-lag", 0, "how late the VM list is")
+	flags.IntVar(&cfg.ReadsPerSecond, "reads", 0, "reads per second of all readers together; 0 means 2000")
+	flags.DurationVar(&cfg.VMLag, "vm-lag", 0, "delay of the VM list")
 	cmd.RunE = func(cmd *cobra.Command, _ []string) error {
 		p := stand.NewPlatform(cfg)
 		operators, err := stand.Listen(*admin, p.Admin())
@@ -71,26 +71,26 @@
 	return cmd
 }
 
-func engineCmd(addr *string, stdout io.Writer) *cobra.Command {
+func newEngineCommand(addr *string, stdout io.Writer) *cobra.Command {
 	var cfg stand.EngineConfig
 	cmd := &cobra.Command{Use: "engine", Short: "Model engine, encoder, retriever or reranker"}
 	flags := cmd.Flags()
 	flags.StringVar((*string)(&cfg.ID), "id", "engine", "the server's id")
-	flags.IntVar(&cfg.Capacity, "capacity", 0, "calls at once when warm; 0 means 8")
-	flags.IntVar(&cfg.ColdBears, "cold-bears", 0, "calls at once when cold; 0 means 1")
-	flags.IntVar(&cfg.WarmAfter, "warm-after", 0, "calls done until warm; 0 starts warm")
-	flags.DurationVar(&cfg.FallTime, "fall-time", 0, "refusing time after too much load while cold")
-	flags.DurationVar(&cfg.TokenTime, "token-time", 0, "time for each token")
+	flags.IntVar(&cfg.Capacity, "capacity", 0, "concurrent calls when warm; 0 means 8")
+	flags.IntVar(&cfg.ColdCapacity, "cold-bears", 0, "concurrent calls when cold; 0 means 1")
+	flags.IntVar(&cfg.WarmAfter, "warm-after", 0, "completed calls until warm; 0 starts warm")
+	flags.DurationVar(&cfg.OverloadTime, "fall-time", 0, "how long all calls are refused after an overload while cold")
+	flags.DurationVar(&cfg.TokenTime, "token-time", 0, "time for each generated token")
 	flags.DurationVar(&cfg.PrefillTime, "prefill-time", 0, "time for each input token")
 	flags.DurationVar(&cfg.CallTime, "call-time", 0, "time of a call without generation")
-	flags.Float64Var(&cfg.LoadSlope, "load-slope", 0, "slowing at full load; 1 doubles the times")
-	flags.DurationVar(&cfg.LoadLag, "load-lag", 0, "how late load reports are")
+	flags.Float64Var(&cfg.LoadSlope, "load-slope", 0, "slowdown at full load; 1 doubles all times")
+	flags.DurationVar(&cfg.LoadLag, "load-lag", 0, "delay of load reports")
 	flags.IntVar(&cfg.CacheEntries, "cache", 0, "entries of the prefix cache")
 	flags.BoolVar(&cfg.ChecksFence, "checks-fence", false, "refuse orders with an old fencing number")
 	flags.StringVar(&cfg.OrderToken, "order-token", "", "token that orders must carry")
 	flags.StringVar(&cfg.Model, "model", "", "model loaded at the start, model@version")
 	flags.StringVar(&cfg.Role, "role", "", "role at the start")
-	flags.Uint64Var(&cfg.Done, "done", 0, "calls completed before the start")
+	flags.Uint64Var(&cfg.PriorCalls, "done", 0, "calls completed before the start")
 	cmd.RunE = func(cmd *cobra.Command, _ []string) error {
 		e := stand.NewEngine(cfg)
 		return serve(cmd.Context(), *addr, withRuns(e, &e.Record), Started{Kind: cmd.Use}, stdout)
@@ -98,42 +98,42 @@
 	return cmd
 }
 
-func serviceCmd(addr *string, stdout io.Writer) *cobra.Command {
+func newServiceCommand(addr *string, stdout io.Writer) *cobra.Command {
 	cmd := &cobra.Command{Use: "service", Short: "Plain service"}
 	flags := cmd.Flags()
 	id := flags.String("id", "service", "the server's id")
-	capacity := flags.Int("capacity", 0, "calls at once; 0 means 8")
+	capacity := flags.Int("capacity", 0, "concurrent calls; 0 means 8")
 	callTime := flags.Duration("call-time", 10*time.Millisecond, "time of a call")
 	done := flags.Uint64("done", 0, "calls completed before the start")
 	cmd.RunE = func(cmd *cobra.Command, _ []string) error {
 		s := stand.NewService(stand.ServiceConfig{
-			ID:       shed.ServerID(*id),
-			Capacity: *capacity,
-			CallTime: *callTime,
-			Done:     *done,
+			ID:         shed.ServerID(*id),
+			Capacity:   *capacity,
+			CallTime:   *callTime,
+			PriorCalls: *done,
 		})
 		return serve(cmd.Context(), *addr, withRuns(s, &s.Record), Started{Kind: cmd.Use}, stdout)
 	}
 	return cmd
 }
 
-// PathRuns is where an engine or a service tells what it has run, as a JSON
+// PathRuns is the path at which an engine or a service lists what it has run, as a JSON
 // array of stand.Run.
 const PathRuns = "/admin/runs"
 
-// withRuns serves the record beside the stand-in.
+// withRuns adds PathRuns to the stand-in's handler.
 func withRuns(h http.Handler, record *stand.Record) http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("/", h)
 	mux.HandleFunc("GET "+PathRuns, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
-		// The caller may be gone; the record stays for the next one.
+		// An error means that the caller has disconnected; the record is kept for the next one.
 		_ = json.NewEncoder(w).Encode(record.Runs())
 	})
 	return mux
 }
 
-// serve prints where it serves, and serves until ctx ends.
+// serve prints the addresses and serves until ctx ends.
 func serve(ctx context.Context, addr string, h http.Handler, started Started, stdout io.Writer) error {
 	server, err := stand.Listen(addr, h)
 	if err != nil {
--- a/internal/stand/engine.go
+++ b/internal/stand/engine.go
@@ -18,54 +18,54 @@
 	ID shed.ServerID
 	// Capacity is how many calls run at once when warm; 0 means 8.
 	Capacity int
-	// ColdCapacity is how many it bears at once while cold; 0 means 1.
-	ColdBears int
-	// WarmAfter is how many calls must be done before it is warm; it starts warm
-	// if Done is no less.
+	// ColdCapacity is how many calls it can run at once while cold; 0 means 1.
+	ColdCapacity int
+	// WarmAfter is how many calls must complete before it is warm. It starts warm if
+	// Done is at least as many.
 	WarmAfter int
-	// Done is how many calls it had completed before the test began; a server
-	// that has run for long is known to be warm by it.
-	Done uint64
-	// FallTime is how long it refuses everything after too much load while
-	// cold; 0 means 2 s.
-	FallTime time.Duration
-	// TokenTime is the time for each generated token with nothing else running.
+	// PriorCalls is how many calls it had completed before the test began. Daemons take a
+	// server with many completed calls for warm.
+	PriorCalls uint64
+	// OverloadTime is how long it refuses all calls after an overload while cold; 0 means
+	// 2 s.
+	OverloadTime time.Duration
+	// TokenTime is the time for each generated token while no other call runs.
 	TokenTime time.Duration
-	// PrefillTime is the time for each input token before the first one.
+	// PrefillTime is the time for each input token before the first generated one.
 	PrefillTime time.Duration
-	// CallTime is the time of a call that generates nothing.
+	// CallTime is the duration of a call without generation.
 	CallTime time.Duration
-	// LoadSlope is how much longer everything takes with Capacity calls running
-	// than with one; 1 doubles it.
+	// LoadSlope is the relative slowdown with Capacity calls running compared with one;
+	// 1 doubles all times.
 	LoadSlope float64
-	// LoadLag is how old the state is that a load report shows.
+	// LoadLag is the age of the state that a load report shows.
 	LoadLag time.Duration
-	// CacheEntries bounds the prefix cache; 0 means none.
+	// CacheEntries bounds the prefix cache; 0 disables it.
 	CacheEntries int
-	// CacheLag is how late cache events are.
+	// CacheLag is the delay of cache events.
 	CacheLag time.Duration
-	// CacheGap loses each CacheGap-th cache event; 0 loses none.
+	// CacheGap drops every CacheGap-th cache event; 0 drops none.
 	CacheGap int
-	// ChecksFence refuses orders with an old fencing number.
+	// ChecksFence makes it refuse orders with an old fencing number.
 	ChecksFence bool
 	// OrderToken, if set, must come with each order.
 	OrderToken string
-	// OrderTime is how long a load or a change of role takes.
+	// OrderTime is how long an order to load a model or change the role takes.
 	OrderTime time.Duration
-	// Model is loaded at the start, as "model@version".
+	// Model is the model loaded at the start, as "model@version".
 	Model string
 	Role  string
 }
 
 const (
-	defaultCapacity  = 8
-	defaultColdBears = 1
-	defaultFallTime  = 2 * time.Second
-	// fallenSlowness is how many times longer everything takes after a fall.
-	fallenSlowness = 4
-	// maxBody bounds a request's body in bytes.
-	maxBody = 16 << 20
-	// maxHistory bounds the states kept for lagging reports.
+	defaultCapacity     = 8
+	defaultColdCapacity = 1
+	defaultOverloadTime = 2 * time.Second
+	// overloadSlowness multiplies all times after an overload while cold.
+	overloadSlowness = 4
+	// maxBodyBytes bounds a request's body in bytes.
+	maxBodyBytes = 16 << 20
+	// maxHistory bounds the states kept for delayed load reports.
 	maxHistory = 4096
 )
 
@@ -83,19 +83,20 @@
 	sequence uint64
 	running  int
 	done     uint64
-	// doneCold counts the calls done since the engine turned cold.
-	doneCold int
-	cold     bool
-	// slowness multiplies every time; 0 means 1.
-	slowness float64
-	fallen   time.Time
-	fence    uint64
-	model    string
-	role     string
-	orders   []wire.Order
-	// first is the state at the last start; it shows until history is old enough.
-	first   wire.Load
-	history []snapshot
+	// doneSinceCold counts the calls completed since the engine turned cold.
+	doneSinceCold int
+	cold          bool
+	// slowness multiplies all times; 0 means 1.
+	slowness        float64
+	overloadedUntil time.Time
+	fence           uint64
+	model           string
+	role            string
+	orders          []wire.Order
+	// initialLoad is the state at the last start. Load reports show it until history
+	// holds a state that is at least LoadLag old.
+	initialLoad wire.Load
+	history     []snapshot
 }
 
 type snapshot struct {
@@ -103,27 +104,27 @@
 	load wire.Load
 }
 
-// NewEngine returns an engine that is cold if cfg.WarmAfter says so.
+// NewEngine returns an engine, which is cold if cfg.Done is below cfg.WarmAfter.
 func NewEngine(cfg EngineConfig) *Engine {
 	if cfg.Capacity == 0 {
 		cfg.Capacity = defaultCapacity
 	}
-	if cfg.ColdBears == 0 {
-		cfg.ColdBears = defaultColdBears
+	if cfg.ColdCapacity == 0 {
+		cfg.ColdCapacity = defaultColdCapacity
 	}
-	if cfg.FallTime == 0 {
-		cfg.FallTime = defaultFallTime
+	if cfg.OverloadTime == 0 {
+		cfg.OverloadTime = defaultOverloadTime
 	}
 	e := &Engine{
 		cfg:   cfg,
 		mux:   http.NewServeMux(),
-		cold:  cfg.Done < uint64(cfg.WarmAfter),
-		done:  cfg.Done,
+		cold:  cfg.PriorCalls < uint64(cfg.WarmAfter),
+		done:  cfg.PriorCalls,
 		model: cfg.Model,
 		role:  cfg.Role,
 	}
 	e.cache.cfg = cfg
-	e.first = e.load()
+	e.initialLoad = e.currentLoad()
 	e.mux.HandleFunc("POST "+wire.PathChat, e.serveChat)
 	e.mux.HandleFunc("POST "+wire.PathEmbeddings, e.serveEmbed)
 	e.mux.HandleFunc("POST "+wire.PathRerank, e.serveRerank)
@@ -135,55 +136,56 @@
 	return e
 }
 
-// ServeHTTP serves the daemons.
+// ServeHTTP serves the requests of daemons.
 func (e *Engine) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	e.pass(r.Context())
+	e.applyFaults(r.Context())
 	e.mux.ServeHTTP(w, r)
 }
 
-// TurnCold makes the engine cold without any warning.
+// TurnCold makes the engine cold. No report announces it beforehand.
 func (e *Engine) TurnCold() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.cold = true
-	e.doneCold = 0
+	e.doneSinceCold = 0
 }
 
-// SetSlowness makes everything take so many times as long; 1 ends it.
+// SetSlowness multiplies all times; 1 restores normal speed.
 func (e *Engine) SetSlowness(times float64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.slowness = times
 }
 
-// Restart gives the engine a new boot id and forgets streams, cache and
-// counts. The calls that run keep running; cut them with SetDown.
+// Restart gives the engine a new boot id and clears streams, cache and counts. Running
+// calls continue; SetDown aborts them.
 func (e *Engine) Restart() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.boot++
 	e.cold = e.cfg.WarmAfter > 0
-	e.doneCold = 0
+	e.doneSinceCold = 0
 	e.done = 0
 	e.sequence = 0
 	e.fence = 0
 	e.model = e.cfg.Model
 	e.role = e.cfg.Role
 	e.history = nil
-	e.first = e.load()
+	e.initialLoad = e.currentLoad()
 	e.streams.clear()
 	e.cache.clear()
 }
 
-// Cold tells whether the engine is cold now.
+// Cold reports whether the engine is cold.
 func (e *Engine) Cold() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.cold
 }
 
-// begin admits a call, or refuses it with nil.
-func (e *Engine) begin(w http.ResponseWriter, r *http.Request) *Run {
+// beginCall admits a call and returns its run. If it refuses the call it answers the
+// request and returns nil.
+func (e *Engine) beginCall(w http.ResponseWriter, r *http.Request) *Run {
 	now := time.Now()
 	run := newRun(r, now)
 	e.mu.Lock()
@@ -191,37 +193,37 @@
 	if refuse == 0 {
 		e.running++
 		run.Cold = e.cold
-		e.Record.begin(run)
-		e.remember(now)
+		e.Record.beginCall(run)
+		e.recordHistory(now)
 	}
 	boot := e.bootID()
 	e.mu.Unlock()
 	if refuse == 0 {
-		// The early answer says at once that the call has been taken in.
+		// The early answer (103) tells the caller at once that the call was accepted.
 		w.Header().Set(wire.HeaderBoot, boot)
 		w.WriteHeader(http.StatusEarlyHints)
 		return run
 	}
-	e.refuse()
+	e.recordRefusal()
 	w.Header().Set("Retry-After", strconv.Itoa(int((refuse+time.Second-1)/time.Second)))
-	notRun(w, http.StatusServiceUnavailable, "overloaded")
+	replyNotRun(w, http.StatusServiceUnavailable, "overloaded")
 	return nil
 }
 
-// admit returns 0, or after what time to come back.
+// admit returns 0 if the call may run, else the time after which to retry.
 func (e *Engine) admit(run *Run, now time.Time) time.Duration {
-	if now.Before(e.fallen) {
-		return e.fallen.Sub(now)
+	if now.Before(e.overloadedUntil) {
+		return e.overloadedUntil.Sub(now)
 	}
-	if e.cold && e.running >= e.cfg.ColdBears {
-		e.fallen = now.Add(e.cfg.FallTime)
-		e.overshoot(Overshoot{
-			At:      now,
-			Running: e.running + 1,
-			Bears:   e.cfg.ColdBears,
-			Call:    run.Call,
+	if e.cold && e.running >= e.cfg.ColdCapacity {
+		e.overloadedUntil = now.Add(e.cfg.OverloadTime)
+		e.recordOvershoot(Overshoot{
+			At:           now,
+			Running:      e.running + 1,
+			ColdCapacity: e.cfg.ColdCapacity,
+			Call:         run.Call,
 		})
-		return e.cfg.FallTime
+		return e.cfg.OverloadTime
 	}
 	if e.running >= e.cfg.Capacity {
 		return time.Second
@@ -229,24 +231,25 @@
 	return 0
 }
 
-func (e *Engine) finish(run *Run, whole, cancelled bool, tokens int) {
+func (e *Engine) finishCall(run *Run, complete, cancelled bool, tokens int) {
 	now := time.Now()
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.running--
-	if whole {
+	if complete {
 		e.done++
-		e.doneCold++
+		e.doneSinceCold++
 	}
-	if e.cold && e.cfg.WarmAfter > 0 && e.doneCold >= e.cfg.WarmAfter {
+	if e.cold && e.cfg.WarmAfter > 0 && e.doneSinceCold >= e.cfg.WarmAfter {
 		e.cold = false
 	}
-	e.end(run, now, whole, cancelled, tokens)
-	e.remember(now)
+	e.endCall(run, now, complete, cancelled, tokens)
+	e.recordHistory(now)
 }
 
-// aged is how long d takes under the load of now.
-func (e *Engine) aged(d time.Duration) time.Duration {
+// scaleDuration returns how long a step takes under the current load that takes d with no
+// other call running.
+func (e *Engine) scaleDuration(d time.Duration) time.Duration {
 	if d == 0 {
 		return 0
 	}
@@ -254,26 +257,26 @@
 	defer e.mu.Unlock()
 	others := float64(max(e.running-1, 0)) / float64(max(e.cfg.Capacity-1, 1))
 	d = time.Duration(float64(d) * (1 + e.cfg.LoadSlope*others) * max(e.slowness, 1))
-	if time.Now().Before(e.fallen) {
-		d *= fallenSlowness
+	if time.Now().Before(e.overloadedUntil) {
+		d *= overloadSlowness
 	}
 	return d
 }
 
-func (e *Engine) remember(now time.Time) {
+func (e *Engine) recordHistory(now time.Time) {
 	if e.cfg.LoadLag == 0 {
 		return
 	}
 	if len(e.history) >= maxHistory {
 		e.history = append(e.history[:0], e.history[maxHistory/2:]...)
 	}
-	e.history = append(e.history, snapshot{at: now, load: e.load()})
+	e.history = append(e.history, snapshot{at: now, load: e.currentLoad()})
 }
 
-// bootID changes with each restart. The caller holds e.mu.
+// bootID returns an id that changes with each restart. The caller holds e.mu.
 func (e *Engine) bootID() string { return string(e.cfg.ID) + "-" + strconv.Itoa(e.boot) }
 
-func (e *Engine) load() wire.Load {
+func (e *Engine) currentLoad() wire.Load {
 	return wire.Load{
 		Boot:    e.bootID(),
 		Running: e.running,
@@ -285,13 +288,13 @@
 	}
 }
 
-// lagging is the load as it was LoadLag ago.
-func (e *Engine) lagging(now time.Time) wire.Load {
+// laggedLoad returns the load as it was LoadLag ago.
+func (e *Engine) laggedLoad(now time.Time) wire.Load {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	load := e.load()
+	load := e.currentLoad()
 	if e.cfg.LoadLag > 0 {
-		load = e.first
+		load = e.initialLoad
 	}
 	for _, old := range e.history {
 		if old.at.Add(e.cfg.LoadLag).After(now) {
@@ -306,11 +309,11 @@
 }
 
 func (e *Engine) serveLoad(w http.ResponseWriter, _ *http.Request) {
-	reply(w, http.StatusOK, e.lagging(time.Now()))
+	reply(w, http.StatusOK, e.laggedLoad(time.Now()))
 }
 
-// budget bounds ctx by the time that the call was sent with.
-func budget(r *http.Request) (context.Context, context.CancelFunc) {
+// withBudget returns the request's context, bounded by the call's budget header.
+func withBudget(r *http.Request) (context.Context, context.CancelFunc) {
 	ms, err := strconv.ParseInt(r.Header.Get(wire.HeaderBudget), 10, 32)
 	if err != nil {
 		return context.WithCancel(r.Context())
@@ -327,23 +330,23 @@
 	return run
 }
 
-// read decodes a request's body, or answers 400.
-func read(w http.ResponseWriter, r *http.Request, body any) bool {
-	err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBody)).Decode(body)
+// readBody decodes a request's body. If it can't it answers 400 and returns false.
+func readBody(w http.ResponseWriter, r *http.Request, body any) bool {
+	err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes)).Decode(body)
 	if err == nil {
 		return true
 	}
-	notRun(w, http.StatusBadRequest, "body is not the JSON expected")
+	replyNotRun(w, http.StatusBadRequest, "body is not the JSON expected")
 	return false
 }
 
-// notRun answers that the call was not run.
-func notRun(w http.ResponseWriter, status int, why string) {
+// replyNotRun answers that the call was not run.
+func replyNotRun(w http.ResponseWriter, status int, why string) {
 	w.Header().Set(wire.HeaderNotRun, wire.NotRunTrue)
 	reply(w, status, map[string]wire.ErrorReply{"error": {Message: why}})
 }
 
-// wordTokens estimates the tokens of a text.
+// wordTokens estimates the number of tokens in a text by its words.
 func wordTokens(s string) int {
 	return strings.Count(s, " ") + 1
 }
--- a/internal/stand/pipes.go
+++ b/internal/stand/pipes.go
@@ -8,23 +8,23 @@
 	"sync/atomic"
 )
 
-// ErrNoListener means that nothing listens at an address of a Net.
+// ErrNoListener is returned by Dial if nothing listens at the address.
 var ErrNoListener = errors.New("no listener at this address")
 
-// Net is a network in memory, for stand-ins without sockets. Its connections
-// can go silent for good while new ones work.
+// Net is a network in memory, for stand-ins without sockets. It can drop all traffic of
+// its open connections while new ones work.
 type Net struct {
 	mu        sync.Mutex
 	listeners map[string]*pipeListener
 	conns     []*pipeConn
 }
 
-// NewNet returns a network without listeners.
+// NewNet returns a network that has no listeners.
 func NewNet() *Net {
 	return &Net{listeners: map[string]*pipeListener{}}
 }
 
-// Listen opens a listener at addr, any text.
+// Listen opens a listener at addr, which may be any text.
 func (n *Net) Listen(addr string) (net.Listener, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -44,44 +44,44 @@
 	if l == nil {
 		return nil, ErrNoListener
 	}
-	near, far := net.Pipe()
+	clientConn, serverConn := net.Pipe()
 	select {
-	case l.accept <- far:
+	case l.accept <- serverConn:
 	case <-l.closed:
 		return nil, ErrNoListener
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
-	c := &pipeConn{Conn: near, closed: make(chan struct{})}
+	c := &pipeConn{Conn: clientConn, closed: make(chan struct{})}
 	n.mu.Lock()
 	n.conns = append(n.conns, c)
 	n.mu.Unlock()
 	return c, nil
 }
 
-// Silence makes every connection that is open now silent for good: writing
-// succeeds, nothing arrives, and not even its end shows. New ones work.
-func (n *Net) Silence() {
+// Blackhole drops all further traffic of the connections that are open now: writes succeed,
+// nothing arrives, and the dialling end does not see the other close. New connections work.
+func (n *Net) Blackhole() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, c := range n.conns {
-		c.silent.Store(true)
+		c.blackholed.Store(true)
 	}
 	n.conns = nil
 }
 
-// pipeConn is the dialling end of a connection.
+// pipeConn is the client's end of a connection.
 type pipeConn struct {
 	net.Conn
-	silent atomic.Bool
-	once   sync.Once
-	closed chan struct{}
+	blackholed atomic.Bool
+	once       sync.Once
+	closed     chan struct{}
 }
 
 func (c *pipeConn) Read(b []byte) (int, error) {
 	for {
 		n, err := c.Conn.Read(b)
-		if !c.silent.Load() {
+		if !c.blackholed.Load() {
 			return n, err
 		}
 		if err != nil {
@@ -92,7 +92,7 @@
 }
 
 func (c *pipeConn) Write(b []byte) (int, error) {
-	if c.silent.Load() {
+	if c.blackholed.Load() {
 		return len(b), nil
 	}
 	return c.Conn.Write(b)
--- a/internal/stand/record.go
+++ b/internal/stand/record.go
@@ -6,80 +6,81 @@
 	"time"
 )
 
-// Run is one call that a stand-in ran.
+// Run records one call that a stand-in ran.
 type Run struct {
-	// Call is the call's id as it came in.
+	// Call is the call's id as received.
 	Call string `json:"call"`
 	// Request is the id of the request that the call belongs to.
 	Request string    `json:"request"`
 	Path    string    `json:"path"`
 	Start   time.Time `json:"start"`
-	// End is zero while it runs.
+	// End is zero while the call runs.
 	End time.Time `json:"end"`
-	// Cold: the server was cold when the call began.
+	// Cold is whether the server was cold when the call began.
 	Cold bool `json:"cold"`
-	// Whole: the run came to its end and its answer was written.
-	Whole bool `json:"whole"`
-	// Cancelled by the client's order.
+	// Complete is whether the call ran to its end and its answer was written.
+	Complete bool `json:"whole"`
+	// Cancelled is whether a cancel request or the end of its budget ended the call.
 	Cancelled bool `json:"cancelled"`
 	Tokens    int  `json:"tokens"`
 }
 
-// Overshoot is one time that a cold server got more than it bears.
+// Overshoot records that a cold server received a call above its cold capacity.
 type Overshoot struct {
 	At time.Time
-	// Running counts the calls at once, with the one too many.
+	// Running counts the concurrent calls, including the one above the capacity.
 	Running int
-	Bears   int
-	Call    string
+	// ColdCapacity is the server's cold capacity.
+	ColdCapacity int
+	Call         string
 }
 
-// Record is what a stand-in ran. It is safe for use by many goroutines.
+// Record holds what a stand-in ran. It is safe for concurrent use.
 type Record struct {
-	mu         sync.Mutex
-	runs       []*Run
-	running    int
-	high       int
-	coldHigh   int
-	refused    int
-	overshoots []Overshoot
+	mu             sync.Mutex
+	runs           []*Run
+	running        int
+	maxRunning     int
+	maxColdRunning int
+	refused        int
+	overshoots     []Overshoot
 }
 
-func (r *Record) begin(run *Run) {
+func (r *Record) beginCall(run *Run) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.runs = append(r.runs, run)
 	r.running++
-	r.high = max(r.high, r.running)
+	r.maxRunning = max(r.maxRunning, r.running)
 	if run.Cold {
-		r.coldHigh = max(r.coldHigh, r.running)
+		r.maxColdRunning = max(r.maxColdRunning, r.running)
 	}
 }
 
-func (r *Record) end(run *Run, now time.Time, whole, cancelled bool, tokens int) {
+func (r *Record) endCall(run *Run, now time.Time, complete, cancelled bool, tokens int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	run.End = now
-	run.Whole = whole
+	run.Complete = complete
 	run.Cancelled = cancelled
 	run.Tokens = tokens
 	r.running--
 }
 
-func (r *Record) refuse() {
+func (r *Record) recordRefusal() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.refused++
 }
 
-func (r *Record) overshoot(o Overshoot) {
+func (r *Record) recordOvershoot(o Overshoot) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.overshoots = append(r.overshoots, o)
-	r.coldHigh = max(r.coldHigh, o.Running)
+	r.maxColdRunning = max(r.maxColdRunning, o.Running)
 }
 
-// Runs are all runs so far, in order of their start.
+// Runs returns all runs so far, in order of their start.
 func (r *Record) Runs() []Run {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -90,8 +91,8 @@
 	return runs
 }
 
-// RunsOf counts the runs of each request.
-func (r *Record) RunsOf(request string) int {
+// CountRuns returns how many times a request ran.
+func (r *Record) CountRuns(request string) int {
 	n := 0
 	for _, run := range r.Runs() {
 		if run.Request == request {
@@ -101,8 +102,8 @@
 	return n
 }
 
-// Doubled are the requests that ran more than once, sorted.
-func (r *Record) Doubled() []string {
+// DuplicateRequests returns the ids of the requests that ran more than once, sorted.
+func (r *Record) DuplicateRequests() []string {
 	count := map[string]int{}
 	for _, run := range r.Runs() {
 		count[run.Request]++
@@ -117,36 +118,36 @@
 	return doubled
 }
 
-// Running counts the calls that run now.
+// Running returns the number of calls that run now.
 func (r *Record) Running() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.running
 }
 
-// High is the most calls that ran at once.
-func (r *Record) High() int {
+// MaxRunning returns the largest number of calls that ran at once.
+func (r *Record) MaxRunning() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.high
+	return r.maxRunning
 }
 
-// ColdHigh is the most calls at once that a cold server was given, with those
-// that made it fall over.
-func (r *Record) ColdHigh() int {
+// MaxColdRunning returns the largest number of concurrent calls that the server received while
+// cold, including those that overloaded it.
+func (r *Record) MaxColdRunning() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.coldHigh
+	return r.maxColdRunning
 }
 
-// Refused counts the calls refused before running.
+// Refused returns the number of calls refused without running.
 func (r *Record) Refused() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.refused
 }
 
-// Overshoots are the times that the server was cold and got too much.
+// Overshoots returns the calls above capacity that the server received while cold.
 func (r *Record) Overshoots() []Overshoot {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/stand/service.go
+++ b/internal/stand/service.go
@@ -9,18 +9,18 @@
 	"jasmineshed/internal/wire"
 )
 
-// ServiceFault is what goes wrong with one call of a plain service.
+// ServiceFault is the fault that a plain service injects into one call.
 type ServiceFault uint8
 
-// The faults of a plain service's call.
+// The faults of a call to a plain service.
 const (
-	ServiceWell ServiceFault = iota
-	// ServiceFailsBefore: answers that it has not run the call.
+	ServiceOK ServiceFault = iota
+	// ServiceFailsBefore answers that the call was not run.
 	ServiceFailsBefore
-	// ServiceFailsAfter: runs the call and answers with an error.
+	// ServiceFailsAfter runs the call and answers with an error.
 	ServiceFailsAfter
-	// ServiceCuts: runs the call and cuts the connection.
-	ServiceCuts
+	// ServiceAborts runs the call and closes the connection without an answer.
+	ServiceAborts
 )
 
 // ServiceConfig configures a Service.
@@ -28,25 +28,24 @@
 	ID shed.ServerID
 	// Capacity is how many calls run at once; 0 means 8.
 	Capacity int
-	// Done is how many calls it had completed before the test began.
-	Done uint64
-	// CallTime is the time of one call.
+	// PriorCalls is how many calls it had completed before the test began.
+	PriorCalls uint64
+	// CallTime is the duration of one call.
 	CallTime time.Duration
 }
 
-// Service stands in for a plain service, some of whose calls may not be
-// repeated.
+// Service stands in for a plain service, whose calls may not be idempotent.
 type Service struct {
 	Faults
 	Record
 	cfg ServiceConfig
 	mux *http.ServeMux
 
-	mu       sync.Mutex
-	running  int
-	sequence uint64
-	done     uint64
-	next     []ServiceFault
+	mu         sync.Mutex
+	running    int
+	sequence   uint64
+	done       uint64
+	nextFaults []ServiceFault
 }
 
 // NewService returns a service without faults.
@@ -54,80 +53,80 @@
 	if cfg.Capacity == 0 {
 		cfg.Capacity = defaultCapacity
 	}
-	s := &Service{cfg: cfg, mux: http.NewServeMux(), done: cfg.Done}
+	s := &Service{cfg: cfg, mux: http.NewServeMux(), done: cfg.PriorCalls}
 	s.mux.HandleFunc("POST "+wire.PathCall, s.serveCall)
 	s.mux.HandleFunc("GET "+wire.PathLoad, s.serveLoad)
 	return s
 }
 
-// ServeHTTP serves the daemons.
+// ServeHTTP serves the requests of daemons.
 func (s *Service) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	s.pass(r.Context())
+	s.applyFaults(r.Context())
 	s.mux.ServeHTTP(w, r)
 }
 
-// Fail sets what goes wrong with the next calls, one each.
-func (s *Service) Fail(faults ...ServiceFault) {
+// InjectFaults queues faults for the next calls, one for each call.
+func (s *Service) InjectFaults(faults ...ServiceFault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.next = append(s.next, faults...)
+	s.nextFaults = append(s.nextFaults, faults...)
 }
 
 func (s *Service) serveCall(w http.ResponseWriter, r *http.Request) {
-	var ask wire.ServiceRequest
-	if !read(w, r, &ask) {
+	var req wire.ServiceRequest
+	if !readBody(w, r, &req) {
 		return
 	}
 	run := newRun(r, time.Now())
-	run.Request = string(ask.Request)
-	fault, admitted := s.begin(run)
+	run.Request = string(req.Request)
+	fault, admitted := s.beginCall(run)
 	if !admitted {
-		s.refuse()
+		s.recordRefusal()
 		w.Header().Set("Retry-After", "1")
-		notRun(w, http.StatusServiceUnavailable, "not run")
+		replyNotRun(w, http.StatusServiceUnavailable, "not run")
 		return
 	}
 	w.Header().Set(wire.HeaderBoot, s.bootID())
 	w.WriteHeader(http.StatusEarlyHints)
-	// The call runs to its end also when the caller has gone, as a publication
-	// does once it is under way.
+	// The call runs to its end even if the caller has disconnected, as a publication that
+	// has started does.
 	<-time.After(s.cfg.CallTime)
-	s.end(run)
+	s.endCall(run)
 	switch fault {
 	case ServiceFailsAfter:
 		reply(w, http.StatusInternalServerError, wire.ErrorReply{Message: "failed after the run"})
-	case ServiceCuts:
+	case ServiceAborts:
 		panic(http.ErrAbortHandler)
 	default:
-		reply(w, http.StatusOK, wire.ServiceResponse{Receipt: Receipt(ask.Request, ask.Input)})
+		reply(w, http.StatusOK, wire.ServiceResponse{Receipt: Receipt(req.Request, req.Input)})
 	}
 }
 
-func (s *Service) begin(run *Run) (ServiceFault, bool) {
+func (s *Service) beginCall(run *Run) (ServiceFault, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	fault := ServiceWell
-	if len(s.next) > 0 {
-		fault = s.next[0]
-		s.next = s.next[1:]
+	fault := ServiceOK
+	if len(s.nextFaults) > 0 {
+		fault = s.nextFaults[0]
+		s.nextFaults = s.nextFaults[1:]
 	}
 	if fault == ServiceFailsBefore || s.running >= s.cfg.Capacity {
 		return fault, false
 	}
 	s.running++
-	s.Record.begin(run)
+	s.Record.beginCall(run)
 	return fault, true
 }
 
-func (s *Service) end(run *Run) {
+func (s *Service) endCall(run *Run) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.running--
 	s.done++
-	s.Record.end(run, time.Now(), true, false, 0)
+	s.Record.endCall(run, time.Now(), true, false, 0)
 }
 
-// bootID never changes: a service stand-in doesn't restart.
+// bootID returns a constant: a service stand-in doesn't restart.
 func (s *Service) bootID() string { return string(s.cfg.ID) + "-0" }
 
 func (s *Service) serveLoad(w http.ResponseWriter, _ *http.Request) {
