--- a/internal/proof/calls_test.go
+++ b/internal/proof/calls_test.go
@@ -6,22 +6,22 @@
 	shed "jasmineshed"
 )
 
-func (c *calling) end() {
-	if c.over {
+func (c *outgoingCall) end() {
+	if c.ended {
 		return
 	}
-	c.over = true
+	c.ended = true
 	if c.cancel != nil {
 		c.cancel()
 	}
 }
 
-func (g *guest) answer(end shed.CallEnded, result string) {
-	if g.over {
+func (g *forwardedCall) finish(end shed.CallEnded, result string) {
+	if g.ended {
 		return
 	}
-	g.over = true
-	g.end(end, result)
+	g.ended = true
+	g.sendResult(end, result)
 }
 
 func sortedCalls[V any](m map[shed.Call]V) []shed.Call {
@@ -42,7 +42,7 @@
 	return out
 }
 
-func sortedRuns(m map[shed.RequestID]*run) []shed.RequestID {
+func sortedRequests(m map[shed.RequestID]*activeRequest) []shed.RequestID {
 	var out []shed.RequestID
 	for id := range m {
 		out = append(out, id)
@@ -53,29 +53,29 @@
 
 // input of a call: a guest's or a run's.
 func (n *node) input(c shed.Call) string {
-	if g := n.guests[c]; g != nil {
+	if g := n.forwarded[c]; g != nil {
 		return g.payload
 	}
-	if r := n.runs[c.Request]; r != nil {
+	if r := n.requests[c.Request]; r != nil {
 		return r.payload
 	}
 	return ""
 }
 
-// ended tells the core how a call ended, once.
-func (n *node) ended(x *calling, e shed.CallEnded, result string) {
-	if x.over {
+// endCall tells the core how a call ended, once.
+func (n *node) endCall(x *outgoingCall, e shed.CallEnded, result string) {
+	if x.ended {
 		return
 	}
-	x.over = true
+	x.ended = true
 	delete(n.calls, e.Call)
-	if r := n.runs[e.Call.Request]; r != nil && n.guests[e.Call] == nil && e.End == shed.EndComplete {
+	if r := n.requests[e.Call.Request]; r != nil && n.forwarded[e.Call] == nil && e.End == shed.EndComplete {
 		r.results[e.Call] = result
 	}
 	n.handle(e)
-	if g := n.guests[e.Call]; g != nil {
-		delete(n.guests, e.Call)
-		g.answer(e, result)
+	if g := n.forwarded[e.Call]; g != nil {
+		delete(n.forwarded, e.Call)
+		g.finish(e, result)
 	}
 }
 
@@ -83,47 +83,47 @@
 func (n *node) startCall(a shed.StartCall) {
 	w := n.w
 	s := w.server(a.Server)
-	x := &calling{}
+	x := &outgoingCall{}
 	n.calls[a.Call] = x
 	end := shed.CallEnded{Call: a.Call, Server: s.id, Zone: s.zone}
 	finish := func(kind shed.CallEnd, reason shed.Reason, result string) {
 		e := end
 		e.End, e.Reason = kind, reason
-		n.ended(x, e, result)
+		n.endCall(x, e, result)
 	}
 	in := n.input(a.Call)
 	// Between the decision and the send the process may be paused.
-	n.at(latency/5, func() {
-		if x.over {
+	n.after(latency/5, func() {
+		if x.ended {
 			return
 		}
 		if !w.now.Before(a.SendBy) {
 			finish(shed.EndNotStarted, shed.ReasonDeadline, "")
 			return
 		}
-		if s.down || !w.reach(n.labels(), s.labels()) {
-			n.at(dialTimeout, func() { finish(shed.EndNotStarted, shed.ReasonBroken, "") })
+		if s.down || !w.canReach(n.labels(), s.labels()) {
+			n.after(dialTimeout, func() { finish(shed.EndNotStarted, shed.ReasonBroken, "") })
 			return
 		}
-		x.cancel = func() { w.after(w.travel(), func() { s.cancel(a.Call) }) }
-		w.after(w.travel(), func() { n.arriveAt(s, a, x, in, finish) })
-		n.at(a.IdleTimeout, func() { finish(shed.EndBroken, shed.ReasonSilent, "") })
+		x.cancel = func() { w.after(w.networkDelay(), func() { s.cancel(a.Call) }) }
+		w.after(w.networkDelay(), func() { n.deliverCall(s, a, x, in, finish) })
+		n.after(a.IdleTimeout, func() { finish(shed.EndBroken, shed.ReasonSilent, "") })
 	})
 }
 
-// arriveAt is the call's arrival at the server.
-func (n *node) arriveAt(s *server, a shed.StartCall, x *calling, in string, finish func(shed.CallEnd, shed.Reason, string)) {
+// deliverCall is the call's arrival at the server.
+func (n *node) deliverCall(s *server, a shed.StartCall, x *outgoingCall, in string, finish func(shed.CallEnd, shed.Reason, string)) {
 	w := n.w
-	back := func(do func()) {
-		if w.reach(s.labels(), n.labels()) {
-			n.at(w.travel(), do)
+	reply := func(do func()) {
+		if w.canReach(s.labels(), n.labels()) {
+			n.after(w.networkDelay(), do)
 		}
 	}
 	if s.down {
 		return
 	}
-	taken := s.take(a.Call, a.Stage.ID, in, func(result string) {
-		back(func() {
+	accepted := s.accept(a.Call, a.Stage.ID, in, func(result string) {
+		reply(func() {
 			if result == "" {
 				finish(shed.EndBroken, shed.ReasonBroken, "")
 				return
@@ -131,47 +131,47 @@
 			finish(shed.EndComplete, "", result)
 		})
 	})
-	if !taken {
-		back(func() { finish(shed.EndOverloaded, shed.ReasonOverloaded, "") })
+	if !accepted {
+		reply(func() { finish(shed.EndOverloaded, shed.ReasonOverloaded, "") })
 		return
 	}
 	boot := s.bootID()
-	back(func() {
-		if !x.over {
+	reply(func() {
+		if !x.ended {
 			n.progress(shed.CallProgress{Call: a.Call, Server: s.id, Zone: s.zone, Boot: boot})
 		}
 	})
-	w.after(s.takes/2, func() {
-		back(func() {
-			if !x.over {
+	w.after(s.duration/2, func() {
+		reply(func() {
+			if !x.ended {
 				n.progress(shed.CallProgress{Call: a.Call, Tokens: 1, Server: s.id, Zone: s.zone})
 			}
 		})
 	})
 }
 
-// handStage hands a call over to a peer.
-func (n *node) handStage(a shed.ForwardStage) {
+// forwardStage hands a call over to a peer.
+func (n *node) forwardStage(a shed.ForwardStage) {
 	w := n.w
 	call := a.Request.Call
-	x := &calling{}
+	x := &outgoingCall{}
 	n.calls[call] = x
 	finish := func(e shed.CallEnded, result string) {
 		e.Call = call
-		n.ended(x, e, result)
+		n.endCall(x, e, result)
 	}
 	to := w.node(a.To)
 	in := n.input(call)
-	n.at(latency/5, func() {
-		if x.over {
+	n.after(latency/5, func() {
+		if x.ended {
 			return
 		}
 		if !w.now.Before(a.SendBy) {
 			finish(shed.CallEnded{End: shed.EndNotStarted, Reason: shed.ReasonDeadline}, "")
 			return
 		}
-		if !to.up || !w.reach(n.labels(), to.labels()) || !w.reach(to.labels(), n.labels()) {
-			n.at(dialTimeout, func() {
+		if !to.up || !w.canReach(n.labels(), to.labels()) || !w.canReach(to.labels(), n.labels()) {
+			n.after(dialTimeout, func() {
 				n.handle(shed.PeerLost{Peer: a.To})
 				finish(shed.CallEnded{End: shed.EndNotStarted, Reason: shed.ReasonBroken}, "")
 			})
@@ -180,9 +180,9 @@
 		n.watchLink(to, x, func() {
 			finish(shed.CallEnded{End: shed.EndBroken, Reason: shed.ReasonSilent}, "")
 		})
-		from, life := n.self, to.life
-		w.after(w.travel(), func() {
-			to.now(life, func() { to.host(n, from, a.Request, x, in, finish) })
+		from, generation := n.self, to.generation
+		w.after(w.networkDelay(), func() {
+			to.runIfAlive(generation, func() { to.receiveStage(n, from, a.Request, x, in, finish) })
 		})
 	})
 }
@@ -190,110 +190,110 @@
 // progress tells the core, and the peer that handed the call over.
 func (n *node) progress(p shed.CallProgress) {
 	n.handle(p)
-	if g := n.guests[p.Call]; g != nil && !g.over {
-		g.told(p)
+	if g := n.forwarded[p.Call]; g != nil && !g.ended {
+		g.sendProgress(p)
 	}
 }
 
 // watchLink breaks a call whose peer gives no heartbeat for linkSilence.
-func (n *node) watchLink(to *node, x *calling, broken func()) {
-	heard := n.w.now
-	life := to.life
-	var look func()
-	look = func() {
-		if x.over {
+func (n *node) watchLink(to *node, x *outgoingCall, broken func()) {
+	lastHeartbeat := n.w.now
+	generation := to.generation
+	var check func()
+	check = func() {
+		if x.ended {
 			return
 		}
-		if to.up && to.life == life && !to.frozen && n.w.reach(to.labels(), n.labels()) {
-			heard = n.w.now
+		if to.up && to.generation == generation && !to.frozen && n.w.canReach(to.labels(), n.labels()) {
+			lastHeartbeat = n.w.now
 		}
-		if n.w.now.Sub(heard) >= linkSilence {
+		if n.w.now.Sub(lastHeartbeat) >= heartbeatTimeout {
 			n.handle(shed.PeerLost{Peer: to.vm})
 			broken()
 			return
 		}
-		n.at(beat, look)
+		n.after(heartbeatInterval, check)
 	}
-	n.at(beat, look)
+	n.after(heartbeatInterval, check)
 }
 
-// resend brings an answer to a process, as TCP does: a cut only delays it, for
+// sendReply brings an answer to a process, as TCP does: a cut only delays it, for
 // as long as somebody waits for it.
-func (n *node) resend(to *node, life int, x *calling, do func()) {
-	if x.over || to.life != life {
+func (n *node) sendReply(to *node, generation int, x *outgoingCall, do func()) {
+	if x.ended || to.generation != generation {
 		return
 	}
-	if !n.w.reach(n.labels(), to.labels()) {
-		n.w.after(beat, func() { n.resend(to, life, x, do) })
+	if !n.w.canReach(n.labels(), to.labels()) {
+		n.w.after(heartbeatInterval, func() { n.sendReply(to, generation, x, do) })
 		return
 	}
-	to.at(n.w.travel(), func() {
-		if !x.over {
+	to.after(n.w.networkDelay(), func() {
+		if !x.ended {
 			do()
 		}
 	})
 }
 
-// host takes in a call that peer n handed over.
-func (n *node) host(from *node, peer shed.Peer, ask shed.StageRequest, x *calling, in string, finish func(shed.CallEnded, string)) {
-	if n.guests[ask.Call] != nil || n.calls[ask.Call] != nil {
+// receiveStage takes in a call that peer n handed over.
+func (n *node) receiveStage(from *node, peer shed.Peer, ask shed.StageRequest, x *outgoingCall, in string, finish func(shed.CallEnded, string)) {
+	if n.forwarded[ask.Call] != nil || n.calls[ask.Call] != nil {
 		return
 	}
-	life := from.life
-	g := &guest{payload: in, end: func(e shed.CallEnded, result string) {
-		n.resend(from, life, x, func() { finish(e, result) })
-	}, told: func(p shed.CallProgress) {
-		n.resend(from, life, x, func() { from.progress(p) })
+	generation := from.generation
+	g := &forwardedCall{payload: in, sendResult: func(e shed.CallEnded, result string) {
+		n.sendReply(from, generation, x, func() { finish(e, result) })
+	}, sendProgress: func(p shed.CallProgress) {
+		n.sendReply(from, generation, x, func() { from.progress(p) })
 	}}
-	n.guests[ask.Call] = g
-	x.cancel = func() { n.at(n.w.travel(), func() { n.cancelCall(ask.Call) }) }
+	n.forwarded[ask.Call] = g
+	x.cancel = func() { n.after(n.w.networkDelay(), func() { n.cancelCall(ask.Call) }) }
 	n.handle(shed.StageRequested{Request: ask, From: peer})
 }
 
 func (n *node) refuseStage(a shed.RefuseStage) {
-	g := n.guests[a.Call]
+	g := n.forwarded[a.Call]
 	if g == nil {
 		return
 	}
-	delete(n.guests, a.Call)
-	g.answer(shed.CallEnded{Call: a.Call, End: shed.EndNotStarted, Reason: a.Reason, RetryAfter: a.RetryAfter}, "")
+	delete(n.forwarded, a.Call)
+	g.finish(shed.CallEnded{Call: a.Call, End: shed.EndNotStarted, Reason: a.Reason, RetryAfter: a.RetryAfter}, "")
 }
 
 // cancelCall tells the far side; the call's end comes back as cancelled.
 func (n *node) cancelCall(call shed.Call) {
 	x := n.calls[call]
-	if x == nil || x.over {
+	if x == nil || x.ended {
 		return
 	}
 	if x.cancel != nil {
 		x.cancel()
 	}
-	n.at(latency/5, func() {
-		n.ended(x, shed.CallEnded{Call: call, End: shed.EndCancelled, Reason: shed.ReasonCallerGone}, "")
+	n.after(latency/5, func() {
+		n.endCall(x, shed.CallEnded{Call: call, End: shed.EndCancelled, Reason: shed.ReasonCallerGone}, "")
 	})
 }
 
 func (n *node) stageDone(call shed.Call) {
-	if r := n.runs[call.Request]; r != nil {
+	if r := n.requests[call.Request]; r != nil {
 		r.payload = r.results[call]
 	}
 }
 
 func (n *node) finish(f shed.Finish) {
-	r := n.runs[f.Request]
+	r := n.requests[f.Request]
 	if r == nil || r.final != nil {
 		return
 	}
 	r.end(answer{at: n.w.now, outcome: f.Outcome, reason: f.Reason, retry: f.RetryAfter, request: f.Request, payload: r.payload})
 }
 
-func (r *run) end(a answer) {
+func (r *activeRequest) end(a answer) {
 	r.final = &a
-	r.tell(a)
+	r.notify(a)
 }
 
-// tell answers everyone who waits.
-func (r *run) tell(a answer) {
+// notify answers everyone who waits.
+func (r *activeRequest) notify(a answer) {
 	waiters := r.waiters
 	r.waiters = nil
 	for _, f := range waiters {
--- a/internal/proof/fuzz_test.go
+++ b/internal/proof/fuzz_test.go
@@ -10,8 +10,8 @@
 	shed "jasmineshed"
 )
 
-// stroke is one fault at a time, around one process.
-type stroke struct {
+// plannedFault is one fault at a time, around one process.
+type plannedFault struct {
 	at    time.Duration
 	fault int
 	node  int
@@ -19,14 +19,14 @@
 
 // plan is one random story.
 type plan struct {
-	seed    uint64
-	cold    bool
-	strokes []stroke
+	seed   uint64
+	cold   bool
+	faults []plannedFault
 	// rules are published one after the other.
-	rules []planned
+	rules []plannedRules
 }
 
-type planned struct {
+type plannedRules struct {
 	at      time.Duration
 	out     int
 	leaving int
@@ -36,14 +36,14 @@
 	p := plan{seed: rapid.Uint64Range(1, 1<<20).Draw(t, "seed"), cold: rapid.Bool().Draw(t, "cold")}
 	at := rapid.IntRange(6000, 19000)
 	for range rapid.IntRange(0, 5).Draw(t, "faults") {
-		p.strokes = append(p.strokes, stroke{
+		p.faults = append(p.faults, plannedFault{
 			at:    time.Duration(at.Draw(t, "at")) * time.Millisecond,
 			fault: rapid.IntRange(0, len(faults)-1).Draw(t, "fault"),
 			node:  rapid.IntRange(0, len(zones)*perZone-1).Draw(t, "node"),
 		})
 	}
 	for range rapid.IntRange(0, 4).Draw(t, "changes") {
-		p.rules = append(p.rules, planned{
+		p.rules = append(p.rules, plannedRules{
 			at:      time.Duration(at.Draw(t, "publish at")) * time.Millisecond,
 			out:     rapid.IntRange(-1, len(zones)-1).Draw(t, "out"),
 			leaving: rapid.IntRange(-1, 11).Draw(t, "leaving"),
@@ -53,29 +53,29 @@
 }
 
 func (p plan) run() *world {
-	w := fleetWorld(p.seed)
+	w := newFleetWorld(p.seed)
 	s := script{
-		load: 40 * time.Millisecond, warnings: 150 * time.Millisecond,
+		requestInterval: 40 * time.Millisecond, ticketInterval: 150 * time.Millisecond,
 		from: 6 * time.Second, to: 20 * time.Second, end: 45 * time.Second,
 	}
 	if p.cold {
-		s.acts = coldStory().acts
+		s.actions = coldScript().actions
 	}
-	for _, x := range p.strokes {
-		s.acts = append(s.acts, act{x.at, func(w *world) {
+	for _, x := range p.faults {
+		s.actions = append(s.actions, scheduledAction{x.at, func(w *world) {
 			if n := w.nodes[x.node]; n.up {
-				faults[x.fault].do(w, n)
+				faults[x.fault].inject(w, n)
 			}
 		}})
 	}
 	for _, x := range p.rules {
-		s.acts = append(s.acts, act{x.at, func(w *world) { w.publish(x.ruleset(w)) }})
+		s.actions = append(s.actions, scheduledAction{x.at, func(w *world) { w.publish(x.ruleset(w)) }})
 	}
-	w.play(s)
+	w.runScript(s)
 	return w
 }
 
-func (x planned) ruleset(w *world) ruleset {
+func (x plannedRules) ruleset(w *world) ruleset {
 	r := ruleset{out: map[shed.ZoneID]bool{}, leaving: map[shed.ServerID]bool{}}
 	if x.out >= 0 {
 		r.out[zones[x.out]] = true
@@ -89,19 +89,19 @@
 // bounds leave out what can't be bounded: a zone that is cut off from all other
 // zones and from the platform can't learn that it was taken out, and goes on.
 func (p plan) bounds() bounds {
-	b := faulty
+	b := oneFaultBounds
 	// Faults may follow one another, so that one takes over where another ends.
-	b.noWork = 5 * time.Second
+	b.newWork = 5 * time.Second
 	names := map[string]bool{}
-	for _, x := range p.strokes {
+	for _, x := range p.faults {
 		names[faults[x.fault].name] = true
-		if faults[x.fault].late {
-			b.answer = 0
+		if faults[x.fault].allowsLateAnswers {
+			b.answerDelay = 0
 		}
 	}
 	platform := names["zone cut off from platform"] || names["platform down"] || names["platform stale"]
 	if names["zone cut off from zones"] && platform {
-		b.noWork = 0
+		b.newWork = 0
 	}
 	return b
 }
@@ -115,7 +115,7 @@
 		w := p.run()
 		steps += w.steps
 		worlds++
-		require.Empty(t, w.judge(p.bounds()))
+		require.Empty(t, w.checkInvariants(p.bounds()))
 	})
 	t.Logf("%d steps in %d worlds", steps, worlds)
 }
--- a/internal/proof/home_test.go
+++ b/internal/proof/home_test.go
@@ -5,12 +5,12 @@
 )
 
 // homeTries is how often a request is handed to its home.
-const homeTries = 3
+const homeAttempts = 3
 
-// handRequest hands a request over to its ticket's home.
-func (n *node) handRequest(a shed.ForwardRequest, try int) {
+// forwardRequest hands a request over to its ticket's home.
+func (n *node) forwardRequest(a shed.ForwardRequest, attempt int) {
 	w := n.w
-	r := n.runs[a.Request]
+	r := n.requests[a.Request]
 	if r == nil || r.final != nil {
 		return
 	}
@@ -19,99 +19,99 @@
 			return
 		}
 		r.end(ans)
-		delete(n.runs, a.Request)
+		delete(n.requests, a.Request)
 		n.handle(shed.ForwardEnded{Request: a.Request})
 	}
-	give := func(reason shed.Reason) {
+	finishUnknown := func(reason shed.Reason) {
 		finish(answer{at: w.now, outcome: shed.OutcomeUnknown, reason: reason, request: a.Request})
 	}
-	if try == 1 {
+	if attempt == 1 {
 		// The driver's context ends with the deadline.
-		n.at(a.Deadline.Sub(w.now), func() { give(shed.ReasonDeadline) })
+		n.after(a.Deadline.Sub(w.now), func() { finishUnknown(shed.ReasonDeadline) })
 	}
-	again := func() {
-		if try >= homeTries || !w.now.Before(a.Deadline) {
-			give(shed.ReasonBroken)
+	retry := func() {
+		if attempt >= homeAttempts || !w.now.Before(a.Deadline) {
+			finishUnknown(shed.ReasonBroken)
 			return
 		}
-		n.handRequest(a, try+1)
+		n.forwardRequest(a, attempt+1)
 	}
 	to := w.node(a.To.VM)
-	if to == nil || !to.up || !w.reach(n.labels(), to.labels()) || !w.reach(to.labels(), n.labels()) {
-		n.at(dialTimeout, again)
+	if to == nil || !to.up || !w.canReach(n.labels(), to.labels()) || !w.canReach(to.labels(), n.labels()) {
+		n.after(dialTimeout, retry)
 		return
 	}
-	x := &calling{}
-	n.watchLink(to, x, again)
-	life, mine := to.life, n.life
+	x := &outgoingCall{}
+	n.watchLink(to, x, retry)
+	generation, ownGeneration := to.generation, n.generation
 	reply := func(ans answer) {
-		to.resend(n, mine, x, func() {
-			x.over = true
+		to.sendReply(n, ownGeneration, x, func() {
+			x.ended = true
 			if ans.outcome == 0 {
-				again()
+				retry()
 				return
 			}
 			finish(ans)
 		})
 	}
-	w.after(w.travel(), func() {
-		to.now(life, func() {
+	w.after(w.networkDelay(), func() {
+		to.runIfAlive(generation, func() {
 			if to.self != a.To {
 				reply(answer{at: w.now, outcome: shed.OutcomeUnknown, reason: shed.ReasonHomeGone, request: a.Request})
 				return
 			}
-			ev := r.ask
+			ev := r.arrival
 			ev.From = n.self
-			to.arrive(ev, r.payload, reply)
+			to.handleRequest(ev, r.payload, reply)
 		})
 	})
 }
 
-// takeIn does what a request's arrival asks for, or tells its caller that the
+// receive does what a request's arrival asks for, or tells its caller that the
 // connection broke if the process dies before.
-func (n *node) takeIn(life int, reply func(answer), do func()) {
-	taken := false
-	n.lost = append(n.lost, func() {
-		if !taken {
+func (n *node) receive(generation int, reply func(answer), do func()) {
+	received := false
+	n.onDeath = append(n.onDeath, func() {
+		if !received {
 			reply(answer{})
 		}
 	})
-	n.now(life, func() {
-		taken = true
+	n.runIfAlive(generation, func() {
+		received = true
 		do()
 	})
 }
 
-// arrive takes a request in, from a caller or a peer.
-func (n *node) arrive(ev shed.RequestArrived, input string, reply func(answer)) {
-	life := n.life
+// handleRequest takes a request in, from a caller or a peer.
+func (n *node) handleRequest(ev shed.RequestArrived, input string, reply func(answer)) {
+	generation := n.generation
 	n.w.step(n)
-	if !n.up || n.life != life {
+	if !n.up || n.generation != generation {
 		reply(answer{})
 		return
 	}
-	n.takeIn(life, reply, func() {
-		first := n.runs[ev.Request]
-		if first == nil {
-			r := &run{ask: ev, payload: input, results: map[shed.Call]string{}, waiters: []func(answer){reply}}
-			n.runs[ev.Request] = r
+	n.receive(generation, reply, func() {
+		existing := n.requests[ev.Request]
+		if existing == nil {
+			r := &activeRequest{arrival: ev, payload: input, results: map[shed.Call]string{}, waiters: []func(answer){reply}}
+			n.requests[ev.Request] = r
 			for _, act := range n.core.Handle(n.w.now, ev) {
 				if _, join := act.(shed.JoinRequest); join {
 					r.end(answer{at: n.w.now, outcome: shed.OutcomeUnknown, reason: shed.ReasonTicketExpired, request: ev.Request})
 				}
-				n.perform(act, life)
+				n.perform(act, generation)
 			}
-			if r.final != nil && n.runs[ev.Request] == r {
-				delete(n.runs, ev.Request)
+			if r.final != nil && n.requests[ev.Request] == r {
+				delete(n.requests, ev.Request)
 			}
 			return
 		}
-		n.arriveAgain(first, ev, reply, life)
+		n.handleRetry(existing, ev, reply, generation)
 	})
 }
 
-// arriveAgain is a repeat; a refusal of it concerns only the repeat.
-func (n *node) arriveAgain(first *run, ev shed.RequestArrived, reply func(answer), life int) {
+// handleRetry is a repeat; a refusal of it concerns only the repeat.
+func (n *node) handleRetry(first *activeRequest, ev shed.RequestArrived, reply func(answer), generation int) {
 	joined := false
 	for _, act := range n.core.Handle(n.w.now, ev) {
 		switch a := act.(type) {
@@ -119,12 +119,12 @@
 			joined = true
 		case shed.Finish:
 			if a.Request != ev.Request || joined {
-				n.perform(act, life)
+				n.perform(act, generation)
 				continue
 			}
 			reply(answer{at: n.w.now, outcome: a.Outcome, reason: a.Reason, retry: a.RetryAfter, request: a.Request})
 		default:
-			n.perform(act, life)
+			n.perform(act, generation)
 		}
 	}
 	switch {
--- a/internal/proof/journal_test.go
+++ b/internal/proof/journal_test.go
@@ -9,12 +9,12 @@
 // journal is what callers, backend servers and operators saw. The oracle reads
 // nothing else.
 type journal struct {
-	runs     []*serverRun
-	asked    []*ask
-	changes  []change
-	inForce  []inForce
-	overload []overload
-	stops    []plannedStop
+	runs           []*serverRun
+	callerRequests []*callerRequest
+	changes        []change
+	activations    []activation
+	coldOverloads  []coldOverload
+	stops          []plannedStop
 }
 
 // serverRun is one call as a backend server ran it.
@@ -24,11 +24,11 @@
 	request shed.RequestID
 	stage   shed.StageID
 	attempt uint16
-	began   time.Time
+	started time.Time
 }
 
-// ask is one call of a caller, and the answer it got.
-type ask struct {
+// callerRequest is one call of a caller, and the answer it got.
+type callerRequest struct {
 	request  shed.RequestID
 	pipeline shed.PipelineID
 	input    string
@@ -57,8 +57,8 @@
 	leaving map[shed.ServerID]bool
 }
 
-// inForce is one revision coming into force in one process.
-type inForce struct {
+// activation is one revision coming into force in one process.
+type activation struct {
 	vm   shed.VM
 	inc  shed.Incarnation
 	rev  shed.Revision
@@ -66,22 +66,22 @@
 	zone shed.ZoneID
 }
 
-// overload is a cold server that got more than it bears.
-type overload struct {
-	server  shed.ServerID
-	at      time.Time
-	running int
-	bears   int
+// coldOverload is a cold server that got more than it bears.
+type coldOverload struct {
+	server       shed.ServerID
+	at           time.Time
+	running      int
+	coldCapacity int
 }
 
 // plannedStop is one graceful stop.
 type plannedStop struct {
-	vm    shed.VM
-	inc   shed.Incarnation
-	asked time.Time
-	ended time.Time
-	// cut are callers whose connection the end of the process cut off.
-	cut int
+	vm        shed.VM
+	inc       shed.Incarnation
+	requested time.Time
+	ended     time.Time
+	// abortedCallers are callers whose connection the end of the process cut off.
+	abortedCallers int
 	// killed: something else ended the process first.
 	killed bool
 }
--- a/internal/proof/matrix_test.go
+++ b/internal/proof/matrix_test.go
@@ -18,19 +18,19 @@
 )
 
 var (
-	cellSeed  = flag.Uint64("seed", 1, "seed of the matrix")
-	coldCells = flag.Int("cold", 40, "cells for each fault while servers turn cold")
-	perFault  = flag.Int("cells", 120, "cells for each fault")
-	tracing   = flag.String("about", "", "print what concerns a request, server or VM; with -replay")
-	replay    = flag.String("replay", "", "one cell, as a red line names it: seed/fault@step/fault@step")
-	pairCells = flag.Int("pairs", 600, "cells with two faults")
+	cellSeed    = flag.Uint64("seed", 1, "seed of the matrix")
+	coldCells   = flag.Int("cold", 40, "cells for each fault while servers turn cold")
+	perFault    = flag.Int("cells", 120, "cells for each fault")
+	traceFilter = flag.String("about", "", "print what concerns a request, server or VM; with -replay")
+	replayCell  = flag.String("replay", "", "one cell, as a red line names it: seed/fault@step/fault@step")
+	pairCells   = flag.Int("pairs", 600, "cells with two faults")
 )
 
 // faulty are the bounds with one fault.
-var faulty = bounds{noWork: 3 * time.Second, answer: 500 * time.Millisecond, spread: 5 * time.Second}
+var oneFaultBounds = bounds{newWork: 3 * time.Second, answerDelay: 500 * time.Millisecond, propagation: 5 * time.Second}
 
 // twice are the bounds with two faults, which may follow one another.
-var twice = bounds{noWork: 3 * time.Second, answer: 500 * time.Millisecond, spread: 5 * time.Second}
+var twoFaultBounds = bounds{newWork: 3 * time.Second, answerDelay: 500 * time.Millisecond, propagation: 5 * time.Second}
 
 // cell is one world with faults at given steps.
 type cell struct {
@@ -55,51 +55,51 @@
 
 // run plays the story with the cell's faults.
 func (c cell) run() *world {
-	w := fleetWorld(c.seed)
+	w := newFleetWorld(c.seed)
 	w.onStep = func(step int, n *node) {
 		for i, at := range c.at {
 			if at == step && n.up {
-				c.faults[i].do(w, n)
+				c.faults[i].inject(w, n)
 			}
 		}
 	}
-	w.play(c.script())
+	w.runScript(c.script())
 	return w
 }
 
 func (c cell) script() script {
 	if c.cold {
-		return coldStory()
+		return coldScript()
 	}
-	return story()
+	return defaultScript()
 }
 
 func (c cell) bounds() bounds {
-	b := faulty
+	b := oneFaultBounds
 	if len(c.faults) > 1 {
-		b = twice
+		b = twoFaultBounds
 	}
 	for _, f := range c.faults {
-		if f.late {
-			b.answer = 0
+		if f.allowsLateAnswers {
+			b.answerDelay = 0
 		}
 	}
 	return b
 }
 
-// verdict is what the oracle says of one cell.
-type verdict struct {
-	cell       cell
-	violations []violation
-	lastWork   time.Duration
-	complete   int
-	asked      int
+// cellResult is what the oracle says of one cell.
+type cellResult struct {
+	cell        cell
+	violations  []violation
+	maxLateWork time.Duration
+	complete    int
+	requests    int
 }
 
-func judgeCell(c cell) verdict {
+func runCell(c cell) cellResult {
 	w := c.run()
-	v := verdict{cell: c, violations: w.judge(c.bounds()), lastWork: w.lastWork(), asked: len(w.asked)}
-	for _, a := range w.asked {
+	v := cellResult{cell: c, violations: w.checkInvariants(c.bounds()), maxLateWork: w.maxLateWork(), requests: len(w.callerRequests)}
+	for _, a := range w.callerRequests {
 		if len(a.answers) == 1 && a.answers[0].outcome == shed.OutcomeComplete {
 			v.complete++
 		}
@@ -107,14 +107,14 @@
 	return v
 }
 
-// judgeCells runs the cells on all cores and returns the verdicts in order.
-func judgeCells(cells []cell) []verdict {
-	out := make([]verdict, len(cells))
+// runCells runs the cells on all cores and returns the verdicts in order.
+func runCells(cells []cell) []cellResult {
+	out := make([]cellResult, len(cells))
 	var g errgroup.Group
 	g.SetLimit(runtime.GOMAXPROCS(0))
 	for i, c := range cells {
 		g.Go(func() error {
-			out[i] = judgeCell(c)
+			out[i] = runCell(c)
 			return nil
 		})
 	}
@@ -122,20 +122,20 @@
 	return out
 }
 
-// stepsOf is how many steps a story has without a fault, and at which the load
+// stepRange is how many steps a story has without a fault, and at which the load
 // begins.
-func stepsOf(cold bool) (first, last int) {
+func stepRange(cold bool) (first, last int) {
 	c := cell{seed: *cellSeed, cold: cold}
-	w := fleetWorld(c.seed)
+	w := newFleetWorld(c.seed)
 	w.after(c.script().from-500*time.Millisecond, func() { first = w.steps + 1 })
-	w.play(c.script())
+	w.runScript(c.script())
 	return first, w.steps
 }
 
 // singleCells is the product of steps and faults, thinned evenly to n for each
 // fault: each takes other steps, so that together they cover all kinds.
 func singleCells(cold bool, n int) []cell {
-	first, last := stepsOf(cold)
+	first, last := stepRange(cold)
 	var cells []cell
 	for k, f := range faults {
 		for i := range n {
@@ -147,8 +147,8 @@
 }
 
 // pairs of faults at two steps; the second falls into the first one's time.
-func pairsOf(n int) []cell {
-	first, last := stepsOf(false)
+func faultPairs(n int) []cell {
+	first, last := stepRange(false)
 	var cells []cell
 	for i := range n {
 		a, b := faults[i%len(faults)], faults[(i*7+i/len(faults))%len(faults)]
@@ -162,36 +162,36 @@
 
 // report prints the count of cells and failures by promise and by fault, and
 // fails the test if there are any.
-func report(t *testing.T, verdicts []verdict) {
+func report(t *testing.T, verdicts []cellResult) {
 	t.Helper()
-	failed := map[promise]int{}
+	failed := map[invariant]int{}
 	byFault := map[string]int{}
 	worst := map[string]time.Duration{}
-	var red []string
-	asked, complete, cellsRed := 0, 0, 0
+	var failures []string
+	requests, complete, failedCells := 0, 0, 0
 	for _, v := range verdicts {
-		asked += v.asked
+		requests += v.requests
 		complete += v.complete
 		name := v.cell.faults[0].name
 		if len(v.cell.faults) > 1 {
 			name += " + " + v.cell.faults[1].name
 		}
-		worst[v.cell.faults[0].name] = max(worst[v.cell.faults[0].name], v.lastWork)
-		seen := map[promise]bool{}
+		worst[v.cell.faults[0].name] = max(worst[v.cell.faults[0].name], v.maxLateWork)
+		seen := map[invariant]bool{}
 		for _, x := range v.violations {
-			if !seen[x.promise] {
-				failed[x.promise]++
+			if !seen[x.invariant] {
+				failed[x.invariant]++
 			}
-			seen[x.promise] = true
+			seen[x.invariant] = true
 		}
 		if len(v.violations) > 0 {
-			cellsRed++
+			failedCells++
 			byFault[name]++
-			red = append(red, fmt.Sprintf("%s: %s (and %d more)", v.cell, v.violations[0], len(v.violations)-1))
+			failures = append(failures, fmt.Sprintf("%s: %s (and %d more)", v.cell, v.violations[0], len(v.violations)-1))
 		}
 	}
-	t.Logf("%d cells, %d failed; %d requests, %d complete", len(verdicts), cellsRed, asked, complete)
-	for _, p := range promises {
+	t.Logf("%d cells, %d failed; %d requests, %d complete", len(verdicts), failedCells, requests, complete)
+	for _, p := range invariants {
 		t.Logf("%6d failed: %s", failed[p], p)
 	}
 	for _, k := range sortedKeys(byFault) {
@@ -205,40 +205,40 @@
 	for _, k := range names {
 		t.Logf("last new work after a closing: %8s with %s", worst[k].Round(time.Millisecond), k)
 	}
-	for i, line := range red {
+	for i, line := range failures {
 		if i == 40 {
 			break
 		}
 		t.Log(line)
 	}
-	require.Zero(t, cellsRed, "cells that broke a promise")
+	require.Zero(t, failedCells, "cells that broke a promise")
 }
 
 // Whatever one thing goes wrong at whatever step of the story, every promise
 // holds. Each cell is one world: a fault strikes the process that was about to
 // act, at that very moment.
 func TestEveryFaultAtEveryStep(t *testing.T) {
-	report(t, judgeCells(singleCells(false, *perFault)))
+	report(t, runCells(singleCells(false, *perFault)))
 }
 
 // Servers turn cold one after the other and daemons are replaced, so that the
 // shares of what a cold server bears change hands all the time; on top of that
 // comes each fault. No cold server may get more than it bears.
 func TestEveryFaultWhileServersTurnCold(t *testing.T) {
-	report(t, judgeCells(singleCells(true, *coldCells)))
+	report(t, runCells(singleCells(true, *coldCells)))
 }
 
 // A second fault strikes while the first one lasts or soon after.
 func TestPairsOfFaults(t *testing.T) {
-	report(t, judgeCells(pairsOf(*pairCells)))
+	report(t, runCells(faultPairs(*pairCells)))
 }
 
 // TestReplay plays one cell again, as a red cell's line names it.
 func TestReplay(t *testing.T) {
-	if *replay == "" {
+	if *replayCell == "" {
 		t.Skip("no -replay")
 	}
-	parts := strings.Split(*replay, "/")
+	parts := strings.Split(*replayCell, "/")
 	var c cell
 	seed, cold := strings.CutPrefix(parts[0], "cold ")
 	c.cold = cold
@@ -252,5 +252,5 @@
 		require.GreaterOrEqual(t, i, 0, name)
 		c.faults, c.at = append(c.faults, faults[i]), append(c.at, step)
 	}
-	report(t, []verdict{judgeCell(c)})
+	report(t, []cellResult{runCell(c)})
 }
--- a/internal/proof/node_test.go
+++ b/internal/proof/node_test.go
@@ -14,69 +14,69 @@
 	w    *world
 	vm   shed.VM
 	zone shed.ZoneID
-	// life counts the processes; what an ended one had scheduled is dropped.
-	life    int
-	up      bool
-	self    shed.Peer
-	started time.Time
-	core    *core.Core
-	ready   bool
-	rev     shed.Revision
-	stop    *plannedStop
+	// generation counts the processes; what an ended one had scheduled is dropped.
+	generation int
+	up         bool
+	self       shed.Peer
+	started    time.Time
+	core       *core.Core
+	ready      bool
+	rev        shed.Revision
+	stop       *plannedStop
 
 	// frozen keeps what comes in for when the process wakes up.
-	frozen bool
-	held   []func()
-	// lost tells callers whose requests the process never took in, if it dies.
-	lost []func()
-	// slept is what the monotonic clock did not count.
-	slept time.Duration
+	frozen   bool
+	deferred []func()
+	// onDeath tells callers whose requests the process never took in, if it dies.
+	onDeath []func()
+	// suspended is what the monotonic clock did not count.
+	suspended time.Duration
 
-	runs   map[shed.RequestID]*run
-	calls  map[shed.Call]*calling
-	guests map[shed.Call]*guest
+	requests  map[shed.RequestID]*activeRequest
+	calls     map[shed.Call]*outgoingCall
+	forwarded map[shed.Call]*forwardedCall
 }
 
-// run is one request accepted by the process.
-type run struct {
-	ask     shed.RequestArrived
+// activeRequest is one request accepted by the process.
+type activeRequest struct {
+	arrival shed.RequestArrived
 	payload string
 	results map[shed.Call]string
 	waiters []func(answer)
 	final   *answer
 }
 
-// calling is one call under way from this process.
-type calling struct {
-	over bool
+// outgoingCall is one call under way from this process.
+type outgoingCall struct {
+	ended bool
 	// cancel tells the far side.
 	cancel func()
 }
 
-// guest is one call that this process runs for a peer.
-type guest struct {
+// forwardedCall is one call that this process runs for a peer.
+type forwardedCall struct {
 	payload string
-	// end answers the peer; at most once.
-	end func(shed.CallEnded, string)
-	// told passes progress on.
-	told func(shed.CallProgress)
-	over bool
+	// sendResult answers the peer; at most once.
+	sendResult func(shed.CallEnded, string)
+	// sendProgress passes progress on.
+	sendProgress func(shed.CallProgress)
+	ended        bool
 }
 
 func (n *node) labels() []string { return []string{string(n.zone), string(n.vm)} }
 
-// at runs do on this process after d; held while it is frozen, dropped if the
+// after runs do on this process after d; held while it is frozen, dropped if the
 // process has ended by then.
-func (n *node) at(d time.Duration, do func()) {
-	life := n.life
-	n.w.after(d, func() { n.now(life, do) })
+func (n *node) after(d time.Duration, do func()) {
+	generation := n.generation
+	n.w.after(d, func() { n.runIfAlive(generation, do) })
 }
 
-func (n *node) now(life int, do func()) {
+func (n *node) runIfAlive(generation int, do func()) {
 	switch {
-	case !n.up || n.life != life:
+	case !n.up || n.generation != generation:
 	case n.frozen:
-		n.held = append(n.held, func() { n.now(life, do) })
+		n.deferred = append(n.deferred, func() { n.runIfAlive(generation, do) })
 	default:
 		do()
 	}
@@ -84,33 +84,33 @@
 
 // start runs a new process on the VM.
 func (n *node) start(seeds []shed.VM) {
-	n.life++
-	n.up, n.frozen, n.ready, n.stop, n.slept = true, false, false, nil, 0
+	n.generation++
+	n.up, n.frozen, n.ready, n.stop, n.suspended = true, false, false, nil, 0
 	n.started = n.w.now
 	n.self = shed.Peer{VM: n.vm, Incarnation: shed.Incarnation(n.w.now.UnixNano())}
-	n.runs = map[shed.RequestID]*run{}
-	n.calls = map[shed.Call]*calling{}
-	n.guests = map[shed.Call]*guest{}
+	n.requests = map[shed.RequestID]*activeRequest{}
+	n.calls = map[shed.Call]*outgoingCall{}
+	n.forwarded = map[shed.Call]*forwardedCall{}
 	cfg := core.Config{
 		Self: n.self, Zone: n.zone, Seeds: seeds, Compile: rules.Compile,
-		Seed:   uint64(n.life)*7919 + uint64(len(n.vm))*31 + uint64(n.vm[len(n.vm)-1]),
+		Seed:   uint64(n.generation)*7919 + uint64(len(n.vm))*31 + uint64(n.vm[len(n.vm)-1]),
 		Notice: time.Second, MaxDrain: 20 * time.Second,
 	}
-	if n.w.tune != nil {
-		n.w.tune(&cfg)
+	if n.w.configure != nil {
+		n.w.configure(&cfg)
 	}
 	c, err := core.New(cfg)
 	if err != nil {
 		panic(err)
 	}
 	n.core = c
-	n.w.plat.relist()
+	n.w.plat.updateVMList()
 	n.tick()
 }
 
 func (n *node) tick() {
-	n.handle(shed.Tick{Wall: n.w.now, Mono: n.w.now.Sub(n.started) - n.slept})
-	n.at(shed.TickEvery, n.tick)
+	n.handle(shed.Tick{Wall: n.w.now, Mono: n.w.now.Sub(n.started) - n.suspended})
+	n.after(shed.TickEvery, n.tick)
 }
 
 // kill ends the process at once; its connections break.
@@ -122,24 +122,24 @@
 	if n.stop != nil && n.stop.ended.IsZero() {
 		n.stop.killed = true
 	}
-	n.life++
+	n.generation++
 	for _, c := range sortedCalls(n.calls) {
 		n.calls[c].end()
 	}
-	for _, c := range sortedCalls(n.guests) {
-		n.guests[c].answer(shed.CallEnded{Call: c, End: shed.EndBroken, Reason: shed.ReasonBroken}, "")
+	for _, c := range sortedCalls(n.forwarded) {
+		n.forwarded[c].finish(shed.CallEnded{Call: c, End: shed.EndBroken, Reason: shed.ReasonBroken}, "")
 	}
-	for _, id := range sortedRuns(n.runs) {
-		r := n.runs[id]
+	for _, id := range sortedRequests(n.requests) {
+		r := n.requests[id]
 		if r.final == nil {
-			r.tell(answer{})
+			r.notify(answer{})
 		}
 	}
-	for _, tell := range n.lost {
-		tell()
+	for _, notify := range n.onDeath {
+		notify()
 	}
-	n.lost, n.held = nil, nil
-	n.w.plat.relist()
+	n.onDeath, n.deferred = nil, nil
+	n.w.plat.updateVMList()
 }
 
 // freeze pauses the process; with suspend its monotonic clock stands still.
@@ -148,18 +148,18 @@
 		return
 	}
 	n.frozen = true
-	life := n.life
+	generation := n.generation
 	n.w.after(d, func() {
-		if n.life != life || !n.up {
+		if n.generation != generation || !n.up {
 			return
 		}
 		n.frozen = false
 		if suspend {
-			n.slept += d
+			n.suspended += d
 		}
-		held := n.held
-		n.held = nil
-		for _, do := range held {
+		deferred := n.deferred
+		n.deferred = nil
+		for _, do := range deferred {
 			do()
 		}
 	})
@@ -167,32 +167,32 @@
 
 // handle takes an event to the core and performs what comes back.
 func (n *node) handle(ev shed.Event) {
-	if interesting(ev) {
+	if isEventStep(ev) {
 		n.w.step(n)
 	}
-	life := n.life
-	n.now(life, func() {
-		n.w.show(n, "event", ev)
+	generation := n.generation
+	n.runIfAlive(generation, func() {
+		n.w.printTrace(n, "event", ev)
 		for _, act := range n.core.Handle(n.w.now, ev) {
-			n.perform(act, life)
+			n.perform(act, generation)
 		}
 	})
 }
 
 // perform does one action, or none if the process was stopped before it.
-func (n *node) perform(act shed.Action, life int) {
-	if notable(act) {
+func (n *node) perform(act shed.Action, generation int) {
+	if isActionStep(act) {
 		n.w.step(n)
 	}
-	n.now(life, func() {
-		n.w.show(n, "action", act)
+	n.runIfAlive(generation, func() {
+		n.w.printTrace(n, "action", act)
 		switch a := act.(type) {
 		case shed.StartCall:
 			n.startCall(a)
 		case shed.ForwardStage:
-			n.handStage(a)
+			n.forwardStage(a)
 		case shed.ForwardRequest:
-			n.handRequest(a, 1)
+			n.forwardRequest(a, 1)
 		case shed.CancelCall:
 			n.cancelCall(a.Call)
 		case shed.RefuseStage:
@@ -202,12 +202,12 @@
 		case shed.Finish:
 			n.finish(a)
 		default:
-			n.performOwn(act)
+			n.performLocal(act)
 		}
 	})
 }
 
-func (n *node) performOwn(act shed.Action) {
+func (n *node) performLocal(act shed.Action) {
 	w := n.w
 	switch a := act.(type) {
 	case shed.SendPeer:
@@ -215,58 +215,58 @@
 	case shed.ReadConfig:
 		w.plat.readConfig(n, a)
 	case shed.ReadVMs:
-		if w.plat.down || !w.reach(n.labels(), []string{"platform"}) {
-			n.at(2*time.Second, func() { n.handle(shed.VMsRead{Failed: true}) })
+		if w.plat.down || !w.canReach(n.labels(), []string{"platform"}) {
+			n.after(2*time.Second, func() { n.handle(shed.VMsRead{Failed: true}) })
 			return
 		}
-		n.at(2*w.travel(), func() { n.handle(shed.VMsRead{VMs: w.plat.listed()}) })
+		n.after(2*w.networkDelay(), func() { n.handle(shed.VMsRead{VMs: w.plat.listVMs()}) })
 	case shed.PollServer:
 		n.poll(w.server(a.Server))
 	case shed.RulesInForce:
 		n.rev = a.Rules.Revision
-		n.noteRevision()
+		n.recordRevision()
 	case shed.SetReady:
 		n.ready = a.SetReady
-		n.noteRevision()
+		n.recordRevision()
 	case shed.Exit:
 		n.exit()
 	}
 }
 
-// noteRevision records what is in force. A process that is not ready serves
+// recordRevision records what is in force. A process that is not ready serves
 // nobody, so what it holds is not in force yet.
-func (n *node) noteRevision() {
+func (n *node) recordRevision() {
 	if n.ready {
-		n.w.inForce = append(n.w.inForce, inForce{
+		n.w.activations = append(n.w.activations, activation{
 			vm: n.vm, inc: n.self.Incarnation, rev: n.rev, at: n.w.now, zone: n.zone,
 		})
 	}
 }
 
 func (n *node) poll(s *server) {
-	if s.down || !n.w.reach(n.labels(), s.labels()) {
-		n.at(time.Second, func() { n.handle(shed.ServerSilent{Server: s.id}) })
+	if s.down || !n.w.canReach(n.labels(), s.labels()) {
+		n.after(time.Second, func() { n.handle(shed.ServerSilent{Server: s.id}) })
 		return
 	}
 	report := s.report()
-	n.at(2*n.w.travel(), func() { n.handle(shed.LoadReported{Server: s.id, Report: report}) })
+	n.after(2*n.w.networkDelay(), func() { n.handle(shed.LoadReported{Server: s.id, Report: report}) })
 }
 
 // send carries a control message; it may be lost, late or doubled.
 func (n *node) send(a shed.SendPeer) {
 	to := n.w.node(a.To)
-	if to == nil || !n.w.reach(n.labels(), to.labels()) {
+	if to == nil || !n.w.canReach(n.labels(), to.labels()) {
 		return
 	}
 	from := n.self
 	deliver := func() { to.handle(shed.PeerMessage{From: from, Message: a.Message}) }
-	times := 1
+	copies := 1
 	if n.w.noise && n.w.rng.IntN(8) == 0 {
-		times = 2
+		copies = 2
 	}
-	for range times {
+	for range copies {
 		if to.up {
-			to.at(n.w.travel()+n.w.lag(), deliver)
+			to.after(n.w.networkDelay()+n.w.noiseDelay(), deliver)
 		}
 	}
 }
@@ -275,17 +275,17 @@
 func (n *node) exit() {
 	if n.stop != nil {
 		n.stop.ended = n.w.now
-		for _, r := range n.runs {
+		for _, r := range n.requests {
 			if r.final == nil {
-				n.stop.cut += len(r.waiters)
+				n.stop.abortedCallers += len(r.waiters)
 			}
 		}
 	}
 	n.kill()
 }
 
-// stopPlanned is what an operator does before replacing a VM.
-func (n *node) stopPlanned() {
+// stopGracefully is what an operator does before replacing a VM.
+func (n *node) stopGracefully() {
 	if !n.up {
 		return
 	}
@@ -293,7 +293,7 @@
 		n.handle(shed.StopRequested{})
 		return
 	}
-	n.stop = &plannedStop{vm: n.vm, inc: n.self.Incarnation, asked: n.w.now}
+	n.stop = &plannedStop{vm: n.vm, inc: n.self.Incarnation, requested: n.w.now}
 	n.w.stops = append(n.w.stops, *n.stop)
 	i := len(n.w.stops) - 1
 	n.handle(shed.StopRequested{})
@@ -309,9 +309,9 @@
 	watch()
 }
 
-// interesting events are the steps of requests, configurations, tickets and
+// isEventStep events are the steps of requests, configurations, tickets and
 // stops; the steady beat of ticks and probes is not.
-func interesting(ev shed.Event) bool {
+func isEventStep(ev shed.Event) bool {
 	switch e := ev.(type) {
 	case shed.Tick, shed.LoadReported, shed.VMsRead:
 		return false
@@ -324,7 +324,7 @@
 	return true
 }
 
-func notable(act shed.Action) bool {
+func isActionStep(act shed.Action) bool {
 	switch a := act.(type) {
 	case shed.PollServer, shed.ReadVMs, shed.Note:
 		return false
--- a/internal/proof/oracle_test.go
+++ b/internal/proof/oracle_test.go
@@ -7,68 +7,68 @@
 	shed "jasmineshed"
 )
 
-// promise names one point of what must always hold.
-type promise string
+// invariant names one point of what must always hold.
+type invariant string
 
 // The promises, in the brief's order, and that every caller gets one answer.
 const (
-	ownResult   promise = "no stage result is lost, doubled or handed to another request"
-	coldBears   promise = "a cold server gets no more work than it bears"
-	zoneOut     promise = "a zone that was taken out gets no new work after a few seconds"
-	wholeAnswer promise = "each caller receives the whole answer to their own request"
-	trueNotRun  promise = "a refusal that says not run is true"
-	atMostOnce  promise = "a non-idempotent request runs at most once"
-	leaving     promise = "a server that is leaving gets no new work after a few seconds"
-	plannedEnd  promise = "a planned stop cuts off no request"
-	inForceAll  promise = "an accepted configuration is in force everywhere and never reverts"
+	resultIntegrity  invariant = "no stage result is lost, doubled or handed to another request"
+	coldLimit        invariant = "a cold server gets no more work than it bears"
+	zoneOutOfService invariant = "a zone that was taken out gets no new work after a few seconds"
+	completeAnswer   invariant = "each caller receives the whole answer to their own request"
+	truthfulNotRun   invariant = "a refusal that says not run is true"
+	atMostOnce       invariant = "a non-idempotent request runs at most once"
+	serverLeaving    invariant = "a server that is leaving gets no new work after a few seconds"
+	gracefulStop     invariant = "a planned stop cuts off no request"
+	configConverges  invariant = "an accepted configuration is in force everywhere and never reverts"
 )
 
-var promises = []promise{
-	ownResult, coldBears, zoneOut, wholeAnswer, trueNotRun, atMostOnce, leaving, plannedEnd, inForceAll,
+var invariants = []invariant{
+	resultIntegrity, coldLimit, zoneOutOfService, completeAnswer, truthfulNotRun, atMostOnce, serverLeaving, gracefulStop, configConverges,
 }
 
 // violation is one promise that was not kept.
 type violation struct {
-	promise promise
-	what    string
+	invariant invariant
+	detail    string
 }
 
-func (v violation) String() string { return string(v.promise) + ": " + v.what }
+func (v violation) String() string { return string(v.invariant) + ": " + v.detail }
 
 // stopWithin is how long a planned stop may take: the notice, the longest
 // request, and some slack.
-const stopWithin = deadline + 3*time.Second
+const maxStopDuration = deadline + 3*time.Second
 
 // bounds are the times that the oracle allows.
 type bounds struct {
-	// noWork is how long after a change new work may still begin; 0 is not
+	// newWork is how long after a change new work may still begin; 0 is not
 	// judged.
-	noWork time.Duration
-	// answer is how long after its deadline a caller may still wait.
-	answer time.Duration
-	// spread is how long a revision may take to be in force everywhere.
-	spread time.Duration
+	newWork time.Duration
+	// answerDelay is how long after its deadline a caller may still wait.
+	answerDelay time.Duration
+	// propagation is how long a revision may take to be in force everywhere.
+	propagation time.Duration
 }
 
-// judge holds a journal against the promises.
-func (w *world) judge(b bounds) []violation {
+// checkInvariants holds a journal against the promises.
+func (w *world) checkInvariants(b bounds) []violation {
 	var out []violation
-	fail := func(p promise, format string, args ...any) {
+	fail := func(p invariant, format string, args ...any) {
 		out = append(out, violation{p, fmt.Sprintf(format, args...)})
 	}
-	w.judgeRuns(fail)
-	w.judgeAnswers(b, fail)
-	w.judgeClosed(b, fail)
-	w.judgeConfig(b, fail)
-	for _, o := range w.overload {
-		fail(coldBears, "%s had %d calls at %s, bears %d", o.server, o.running, w.since(o.at), o.bears)
+	w.checkRuns(fail)
+	w.checkAnswers(b, fail)
+	w.checkClosed(b, fail)
+	w.checkConfig(b, fail)
+	for _, o := range w.coldOverloads {
+		fail(coldLimit, "%s had %d calls at %s, bears %d", o.server, o.running, w.since(o.at), o.coldCapacity)
 	}
 	for _, s := range w.stops {
-		if s.cut > 0 {
-			fail(plannedEnd, "the stop of %s cut off %d callers", s.vm, s.cut)
+		if s.abortedCallers > 0 {
+			fail(gracefulStop, "the stop of %s cut off %d callers", s.vm, s.abortedCallers)
 		}
-		if s.ended.IsZero() && !s.killed && w.now.Sub(s.asked) > stopWithin {
-			fail(plannedEnd, "the stop of %s asked at %s did not end", s.vm, w.since(s.asked))
+		if s.ended.IsZero() && !s.killed && w.now.Sub(s.requested) > maxStopDuration {
+			fail(gracefulStop, "the stop of %s asked at %s did not end", s.vm, w.since(s.requested))
 		}
 	}
 	return out
@@ -76,10 +76,10 @@
 
 func (w *world) since(t time.Time) time.Duration { return t.Sub(epoch) }
 
-type failing func(p promise, format string, args ...any)
+type failFunc func(p invariant, format string, args ...any)
 
-// judgeRuns looks at what ran on the servers.
-func (w *world) judgeRuns(fail failing) {
+// checkRuns looks at what ran on the servers.
+func (w *world) checkRuns(fail failFunc) {
 	type attempt struct {
 		request shed.RequestID
 		stage   shed.StageID
@@ -90,7 +90,7 @@
 	for _, r := range w.runs {
 		k := attempt{r.request, r.stage, r.attempt}
 		if seen[k] {
-			fail(ownResult, "attempt %d of %s/%s ran twice", r.attempt, r.request, r.stage)
+			fail(resultIntegrity, "attempt %d of %s/%s ran twice", r.attempt, r.request, r.stage)
 		}
 		seen[k] = true
 		if r.stage == "publish" {
@@ -101,46 +101,46 @@
 	}
 }
 
-// judgeAnswers looks at what callers got.
-func (w *world) judgeAnswers(b bounds, fail failing) {
+// checkAnswers looks at what callers got.
+func (w *world) checkAnswers(b bounds, fail failFunc) {
 	ran := map[shed.RequestID]bool{}
 	for _, r := range w.runs {
 		ran[r.request] = true
 	}
-	for _, a := range w.asked {
+	for _, a := range w.callerRequests {
 		if a.broken && len(a.answers) == 0 {
 			continue
 		}
 		if len(a.answers) != 1 {
-			fail(wholeAnswer, "%s at %s asked %s has %d answers", a.request, a.vm, w.since(a.at), len(a.answers))
+			fail(completeAnswer, "%s at %s asked %s has %d answers", a.request, a.vm, w.since(a.at), len(a.answers))
 			continue
 		}
 		got := a.answers[0]
-		if b.answer > 0 && got.at.After(a.at.Add(deadline+b.answer)) {
-			fail(wholeAnswer, "%s was answered %s after its arrival", a.request, got.at.Sub(a.at))
+		if b.answerDelay > 0 && got.at.After(a.at.Add(deadline+b.answerDelay)) {
+			fail(completeAnswer, "%s was answered %s after its arrival", a.request, got.at.Sub(a.at))
 		}
-		if got.outcome == shed.OutcomeComplete && got.payload != expected(a.request, a.pipeline, a.input) {
-			fail(ownResult, "%s got %q", a.request, got.payload)
+		if got.outcome == shed.OutcomeComplete && got.payload != expectedResult(a.request, a.pipeline, a.input) {
+			fail(resultIntegrity, "%s got %q", a.request, got.payload)
 		}
 		if got.outcome == shed.OutcomeNotRun && ran[a.request] {
-			fail(trueNotRun, "%s was told not_run (%s)", a.request, got.reason)
+			fail(truthfulNotRun, "%s was told not_run (%s)", a.request, got.reason)
 		}
 	}
 }
 
-// judgeClosed looks for new work at zones and servers that were closed.
-func (w *world) judgeClosed(b bounds, fail failing) {
-	if b.noWork == 0 {
+// checkClosed looks for new work at zones and servers that were closed.
+func (w *world) checkClosed(b bounds, fail failFunc) {
+	if b.newWork == 0 {
 		return
 	}
 	for _, r := range w.runs {
-		since, out := w.closedSince(r.began, func(c change) bool { return c.out[r.zone] })
-		if out && r.began.After(since.Add(b.noWork)) {
-			fail(zoneOut, "%s began %s/%s %s after zone %s was taken out", r.server, r.request, r.stage, r.began.Sub(since), r.zone)
+		since, out := w.closedSince(r.started, func(c change) bool { return c.out[r.zone] })
+		if out && r.started.After(since.Add(b.newWork)) {
+			fail(zoneOutOfService, "%s began %s/%s %s after zone %s was taken out", r.server, r.request, r.stage, r.started.Sub(since), r.zone)
 		}
-		since, out = w.closedSince(r.began, func(c change) bool { return c.leaving[r.server] })
-		if out && r.began.After(since.Add(b.noWork)) {
-			fail(leaving, "%s began %s/%s %s after it was leaving", r.server, r.request, r.stage, r.began.Sub(since))
+		since, out = w.closedSince(r.started, func(c change) bool { return c.leaving[r.server] })
+		if out && r.started.After(since.Add(b.newWork)) {
+			fail(serverLeaving, "%s began %s/%s %s after it was leaving", r.server, r.request, r.stage, r.started.Sub(since))
 		}
 	}
 }
@@ -162,36 +162,36 @@
 	return since, out
 }
 
-// judgeConfig looks at the revisions in force.
-func (w *world) judgeConfig(b bounds, fail failing) {
+// checkConfig looks at the revisions in force.
+func (w *world) checkConfig(b bounds, fail failFunc) {
 	highest := map[shed.VM]shed.Revision{}
-	for _, f := range w.inForce {
+	for _, f := range w.activations {
 		if f.rev < highest[f.vm] {
-			fail(inForceAll, "%s went from revision %d to %d at %s", f.vm, highest[f.vm], f.rev, w.since(f.at))
+			fail(configConverges, "%s went from revision %d to %d at %s", f.vm, highest[f.vm], f.rev, w.since(f.at))
 		}
 		highest[f.vm] = max(highest[f.vm], f.rev)
 	}
 	last := w.changes[len(w.changes)-1]
-	if b.spread == 0 || w.now.Sub(last.at) < b.spread {
+	if b.propagation == 0 || w.now.Sub(last.at) < b.propagation {
 		return
 	}
 	for _, n := range w.nodes {
 		if n.up && highest[n.vm] != last.rev {
-			fail(inForceAll, "%s has revision %d, not %d", n.vm, highest[n.vm], last.rev)
+			fail(configConverges, "%s has revision %d, not %d", n.vm, highest[n.vm], last.rev)
 		}
 	}
 }
 
-// lastWork is the longest time after a closing at which new work began.
-func (w *world) lastWork() time.Duration {
+// maxLateWork is the longest time after a closing at which new work began.
+func (w *world) maxLateWork() time.Duration {
 	var worst time.Duration
 	for _, r := range w.runs {
 		for _, closed := range []func(change) bool{
 			func(c change) bool { return c.out[r.zone] },
 			func(c change) bool { return c.leaving[r.server] },
 		} {
-			if since, out := w.closedSince(r.began, closed); out {
-				worst = max(worst, r.began.Sub(since))
+			if since, out := w.closedSince(r.started, closed); out {
+				worst = max(worst, r.started.Sub(since))
 			}
 		}
 	}
--- a/internal/proof/scenario_test.go
+++ b/internal/proof/scenario_test.go
@@ -14,9 +14,9 @@
 
 // The small fleet of the proofs: three zones with two VMs each.
 var (
-	zones  = []shed.ZoneID{"a", "b", "c"}
-	asked  = "; proof"
-	stages = map[shed.PipelineID][]shed.StageID{
+	zones       = []shed.ZoneID{"a", "b", "c"}
+	requestedBy = "; proof"
+	stages      = map[shed.PipelineID][]shed.StageID{
 		"caption": {"embed", "write"},
 		"warning": {"embed", "write", "publish"},
 	}
@@ -36,10 +36,10 @@
 // text of the rules file.
 func (r ruleset) text(servers []*server) []byte {
 	var b strings.Builder
-	line := func(format string, args ...any) { fmt.Fprintf(&b, format+" "+asked+"\n", args...) }
+	line := func(format string, args ...any) { fmt.Fprintf(&b, format+" "+requestedBy+"\n", args...) }
 	b.WriteString("[zones]\n")
 	for _, z := range zones {
-		line("%s = region north, out %s", z, yes(r.out[z]))
+		line("%s = region north, out %s", z, yesNo(r.out[z]))
 	}
 	b.WriteString("[suppliers]\n")
 	line("noord = leaving no")
@@ -50,7 +50,7 @@
 	b.WriteString("[servers]\n")
 	for i, s := range servers {
 		line("%s = pool %s, zone %s, supplier noord, url http://127.0.0.1:%d, capacity %d, cold_bears %d, leaving %s",
-			s.id, strings.SplitN(string(s.id), "-", 2)[0], s.zone, 21000+i, s.capacity, s.bears, yes(r.leaving[s.id]))
+			s.id, strings.SplitN(string(s.id), "-", 2)[0], s.zone, 21000+i, s.capacity, s.coldCapacity, yesNo(r.leaving[s.id]))
 	}
 	b.WriteString("[pipelines]\n")
 	line("caption = deadline 6s, stages embed write")
@@ -69,15 +69,15 @@
 	return []byte(b.String())
 }
 
-func yes(b bool) string {
+func yesNo(b bool) string {
 	if b {
 		return "yes"
 	}
 	return "no"
 }
 
-// fleetWorld is a world with the small fleet in it, started and warm.
-func fleetWorld(seed uint64) *world {
+// newFleetWorld is a world with the small fleet in it, started and warm.
+func newFleetWorld(seed uint64) *world {
 	w := newWorld(seed)
 	for _, z := range zones {
 		w.addServer(z, "enc", 1, 12, 2, 20*time.Millisecond)
@@ -99,12 +99,12 @@
 	return w
 }
 
-func (w *world) addServer(z shed.ZoneID, pool string, n, capacity, bears int, takes time.Duration) {
+func (w *world) addServer(z shed.ZoneID, pool string, n, capacity, coldCapacity int, duration time.Duration) {
 	for i := range n {
 		s := &server{
 			world: w, id: shed.ServerID(fmt.Sprintf("%s-%s-%d", pool, z, i+1)), zone: z,
-			capacity: capacity, bears: bears, takes: takes,
-			running: map[shed.Call]*serving{}, done: 1000, doneCold: 1000,
+			capacity: capacity, coldCapacity: coldCapacity, duration: duration,
+			running: map[shed.Call]*runningCall{}, completed: 1000, completedCold: 1000,
 		}
 		w.servers = append(w.servers, s)
 	}
@@ -126,11 +126,11 @@
 	w.plat.publish(value{index: parsed, parts: parts}, change{rev: rev, out: r.out, leaving: r.leaving})
 }
 
-// balancer picks a VM that says it is ready, as the platform's would.
-func (w *world) balancer(not shed.VM) *node {
+// pickReadyNode picks a VM that says it is ready, as the platform's would.
+func (w *world) pickReadyNode(exclude shed.VM) *node {
 	var ready []*node
 	for _, n := range w.nodes {
-		if n.up && n.ready && n.vm != not {
+		if n.up && n.ready && n.vm != exclude {
 			ready = append(ready, n)
 		}
 	}
@@ -140,19 +140,19 @@
 	return ready[w.rng.IntN(len(ready))]
 }
 
-// request sends an idempotent request by the balancer.
-func (w *world) request(i int) {
-	n := w.balancer("")
+// sendIdempotent sends an idempotent request by the balancer.
+func (w *world) sendIdempotent(i int) {
+	n := w.pickReadyNode("")
 	if n == nil {
 		return
 	}
 	w.send(n, shed.RequestID(fmt.Sprintf("r%d", i)), "caption", false, 0)
 }
 
-// warn sends a request that must run at most once, and repeats it by another
+// sendNonIdempotent sends a request that must run at most once, and repeats it by another
 // VM before the first one can have ended.
-func (w *world) warn(i int) {
-	n := w.balancer("")
+func (w *world) sendNonIdempotent(i int) {
+	n := w.pickReadyNode("")
 	if n == nil || n.frozen {
 		return
 	}
@@ -162,30 +162,30 @@
 	if refused != nil {
 		return
 	}
-	w.after(3*time.Millisecond, func() { w.repeat(t.ID, 3) })
-	w.after(time.Duration(20+w.rng.IntN(200))*time.Millisecond, func() { w.repeat(t.ID, 0) })
+	w.after(3*time.Millisecond, func() { w.sendTicketed(t.ID, 3) })
+	w.after(time.Duration(20+w.rng.IntN(200))*time.Millisecond, func() { w.sendTicketed(t.ID, 0) })
 }
 
-// repeat sends a ticketed request by the balancer.
-func (w *world) repeat(id shed.RequestID, more int) {
-	if n := w.balancer(""); n != nil {
-		w.send(n, id, "warning", true, more)
+// sendTicketed sends a ticketed request by the balancer.
+func (w *world) sendTicketed(id shed.RequestID, retries int) {
+	if n := w.pickReadyNode(""); n != nil {
+		w.send(n, id, "warning", true, retries)
 	}
 }
 
-func (w *world) send(n *node, id shed.RequestID, p shed.PipelineID, ticketed bool, more int) {
-	a := &ask{request: id, pipeline: p, input: "in", vm: n.vm, at: w.now}
-	w.asked = append(w.asked, a)
+func (w *world) send(n *node, id shed.RequestID, p shed.PipelineID, ticketed bool, retries int) {
+	a := &callerRequest{request: id, pipeline: p, input: "in", vm: n.vm, at: w.now}
+	w.callerRequests = append(w.callerRequests, a)
 	ev := shed.RequestArrived{
 		Request: id, Ticketed: ticketed, Workspace: "w", Pipeline: p,
-		Deadline: w.now.Add(deadline), Prefix: uint64(len(w.asked)), InputTokens: 4,
+		Deadline: w.now.Add(deadline), Prefix: uint64(len(w.callerRequests)), InputTokens: 4,
 	}
 	reply := func(ans answer) {
-		w.after(w.travel(), func() {
+		w.after(w.networkDelay(), func() {
 			if ans.outcome == 0 {
 				a.broken = true
-				if more > 0 {
-					w.after(100*time.Millisecond, func() { w.repeat(id, more-1) })
+				if retries > 0 {
+					w.after(100*time.Millisecond, func() { w.sendTicketed(id, retries-1) })
 				}
 				return
 			}
@@ -193,67 +193,67 @@
 			a.answers = append(a.answers, ans)
 		})
 	}
-	life := n.life
-	w.after(w.travel(), func() {
-		if !n.up || n.life != life {
+	generation := n.generation
+	w.after(w.networkDelay(), func() {
+		if !n.up || n.generation != generation {
 			reply(answer{})
 			return
 		}
-		n.takeIn(life, reply, func() { n.arrive(ev, a.input, reply) })
+		n.receive(generation, reply, func() { n.handleRequest(ev, a.input, reply) })
 	})
 }
 
 // script is one story: what operators and callers do, from start on.
 type script struct {
-	// load is the time between two requests, and warnings between two tickets.
-	load, warnings time.Duration
-	from, to       time.Duration
-	acts           []act
-	end            time.Duration
+	// requestInterval is the time between two requests, and warnings between two tickets.
+	requestInterval, ticketInterval time.Duration
+	from, to                        time.Duration
+	actions                         []scheduledAction
+	end                             time.Duration
 }
 
-// act is one thing that operators, or fate, do.
-type act struct {
+// scheduledAction is one thing that operators, or fate, do.
+type scheduledAction struct {
 	at time.Duration
 	do func(w *world)
 }
 
-// story has a zone taken out and brought back, a server leaving, a server that
+// defaultScript has a zone taken out and brought back, a server leaving, a server that
 // turns cold, a planned stop and the VM's return, under load all the time.
-func story() script {
+func defaultScript() script {
 	return script{
-		load: 50 * time.Millisecond, warnings: 170 * time.Millisecond,
+		requestInterval: 50 * time.Millisecond, ticketInterval: 170 * time.Millisecond,
 		from: 6 * time.Second, to: 20 * time.Second, end: 30 * time.Second,
-		acts: []act{
+		actions: []scheduledAction{
 			{7 * time.Second, func(w *world) { w.publish(ruleset{out: map[shed.ZoneID]bool{"b": true}}) }},
 			{11500 * time.Millisecond, func(w *world) { w.publish(ruleset{}) }},
 			{12 * time.Second, func(w *world) { w.server("gen-c-1").restart() }},
 			{13 * time.Second, func(w *world) {
 				w.publish(ruleset{leaving: map[shed.ServerID]bool{"gen-a-1": true}})
 			}},
-			{14 * time.Second, func(w *world) { w.nodes[1].stopPlanned() }},
+			{14 * time.Second, func(w *world) { w.nodes[1].stopGracefully() }},
 			{17 * time.Second, func(w *world) { w.restart(w.nodes[1]) }},
 			{18 * time.Second, func(w *world) { w.server("enc-b-1").restart() }},
 		},
 	}
 }
 
-// coldStory has servers that turn cold one after the other, while a VM is
+// coldScript has servers that turn cold one after the other, while a VM is
 // replaced in each zone in turn: slots change hands all the time.
-func coldStory() script {
+func coldScript() script {
 	s := script{
-		load: 25 * time.Millisecond, warnings: 400 * time.Millisecond,
+		requestInterval: 25 * time.Millisecond, ticketInterval: 400 * time.Millisecond,
 		from: 6 * time.Second, to: 24 * time.Second, end: 40 * time.Second,
 	}
 	for i := range 36 {
 		at := 6*time.Second + time.Duration(i)*500*time.Millisecond
-		s.acts = append(s.acts, act{at, func(w *world) { w.servers[i*5%len(w.servers)].restart() }})
+		s.actions = append(s.actions, scheduledAction{at, func(w *world) { w.servers[i*5%len(w.servers)].restart() }})
 	}
 	for i := range 4 {
 		at := 8*time.Second + time.Duration(i)*4*time.Second
-		s.acts = append(s.acts,
-			act{at, func(w *world) { w.nodes[i*2%len(w.nodes)].kill() }},
-			act{at + 1500*time.Millisecond, func(w *world) { w.restart(w.nodes[i*2%len(w.nodes)]) }})
+		s.actions = append(s.actions,
+			scheduledAction{at, func(w *world) { w.nodes[i*2%len(w.nodes)].kill() }},
+			scheduledAction{at + 1500*time.Millisecond, func(w *world) { w.restart(w.nodes[i*2%len(w.nodes)]) }})
 	}
 	return s
 }
@@ -272,37 +272,37 @@
 	n.start(seeds)
 }
 
-// play runs the script to its end.
-func (w *world) play(s script) {
-	for _, a := range s.acts {
+// runScript runs the script to its end.
+func (w *world) runScript(s script) {
+	for _, a := range s.actions {
 		w.after(a.at, func() { a.do(w) })
 	}
 	i := 0
-	for at := s.from; at < s.to; at += s.load {
+	for at := s.from; at < s.to; at += s.requestInterval {
 		k := i
-		w.after(at, func() { w.request(k) })
+		w.after(at, func() { w.sendIdempotent(k) })
 		i++
 	}
-	for at := s.from; at < s.to; at += s.warnings {
+	for at := s.from; at < s.to; at += s.ticketInterval {
 		k := i
-		w.after(at, func() { w.warn(k) })
+		w.after(at, func() { w.sendNonIdempotent(k) })
 		i++
 	}
 	w.runUntil(epoch.Add(s.end))
 }
 
-// expected is the one whole answer to a request.
-func expected(id shed.RequestID, p shed.PipelineID, in string) string {
+// expectedResult is the one whole answer to a request.
+func expectedResult(id shed.RequestID, p shed.PipelineID, in string) string {
 	for _, st := range stages[p] {
-		in = resultOf(id, st, in)
+		in = stageResult(id, st, in)
 	}
 	return in
 }
 
-// tally counts the answers by outcome.
-func (j *journal) tally() map[string]int {
+// countOutcomes counts the answers by outcome.
+func (j *journal) countOutcomes() map[string]int {
 	out := map[string]int{}
-	for _, a := range j.asked {
+	for _, a := range j.callerRequests {
 		switch {
 		case a.broken:
 			out["broken"]++
--- a/internal/proof/server_test.go
+++ b/internal/proof/server_test.go
@@ -10,32 +10,32 @@
 // server is a fake backend server. Cold, it bears few calls at once and says
 // so to nobody but the journal.
 type server struct {
-	world    *world
-	id       shed.ServerID
-	zone     shed.ZoneID
-	capacity int
-	bears    int
-	takes    time.Duration
+	world        *world
+	id           shed.ServerID
+	zone         shed.ZoneID
+	capacity     int
+	coldCapacity int
+	duration     time.Duration
 
-	boot     int
-	cold     bool
-	doneCold int
-	done     uint64
-	sequence uint64
-	running  map[shed.Call]*serving
+	boot          int
+	cold          bool
+	completedCold int
+	completed     uint64
+	sequence      uint64
+	running       map[shed.Call]*runningCall
 	// down: it gives no load reports and refuses connections.
 	down bool
 }
 
-// serving is one call that runs on a server.
-type serving struct {
-	over bool
-	// ended tells the caller; without a result its connection broke.
-	ended func(result string)
+// runningCall is one call that runs on a server.
+type runningCall struct {
+	stopped bool
+	// onEnd tells the caller; without a result its connection broke.
+	onEnd func(result string)
 }
 
 // warmAfter is how many calls a cold server must complete to be warm.
-const warmAfter = 4
+const warmCallCount = 4
 
 func (s *server) labels() []string { return []string{string(s.zone), string(s.id)} }
 
@@ -43,13 +43,13 @@
 // break.
 func (s *server) restart() {
 	s.boot++
-	s.cold, s.doneCold, s.done, s.sequence = true, 0, 0, 0
+	s.cold, s.completedCold, s.completed, s.sequence = true, 0, 0, 0
 	for _, c := range sortedCalls(s.running) {
 		r := s.running[c]
-		r.over = true
-		r.ended("")
+		r.stopped = true
+		r.onEnd("")
 	}
-	s.running = map[shed.Call]*serving{}
+	s.running = map[shed.Call]*runningCall{}
 }
 
 func (s *server) bootID() string { return fmt.Sprintf("%s/%d", s.id, s.boot) }
@@ -58,38 +58,38 @@
 	s.sequence++
 	return shed.LoadReport{
 		Boot: s.bootID(), Sequence: s.sequence,
-		Running: len(s.running), Warm: !s.cold, Done: s.done,
+		Running: len(s.running), Warm: !s.cold, Done: s.completed,
 	}
 }
 
-// take runs a call; false means refused before it was run. ended is called
+// accept runs a call; false means refused before it was run. ended is called
 // once, with what the call produced, or with nothing if the server restarted.
-func (s *server) take(call shed.Call, stage shed.StageID, in string, ended func(result string)) bool {
-	if s.cold && len(s.running) >= s.bears {
-		s.world.overload = append(s.world.overload, overload{
-			server: s.id, at: s.world.now, running: len(s.running) + 1, bears: s.bears,
+func (s *server) accept(call shed.Call, stage shed.StageID, in string, onEnd func(result string)) bool {
+	if s.cold && len(s.running) >= s.coldCapacity {
+		s.world.coldOverloads = append(s.world.coldOverloads, coldOverload{
+			server: s.id, at: s.world.now, running: len(s.running) + 1, coldCapacity: s.coldCapacity,
 		})
 		return false
 	}
 	if len(s.running) >= s.capacity || s.running[call] != nil {
 		return false
 	}
-	r := &serving{ended: ended}
+	r := &runningCall{onEnd: onEnd}
 	s.running[call] = r
 	s.world.runs = append(s.world.runs, &serverRun{
-		server: s.id, zone: s.zone, request: call.Request, stage: stage, attempt: call.Attempt, began: s.world.now,
+		server: s.id, zone: s.zone, request: call.Request, stage: stage, attempt: call.Attempt, started: s.world.now,
 	})
-	s.world.after(s.takes, func() {
-		if r.over {
+	s.world.after(s.duration, func() {
+		if r.stopped {
 			return
 		}
-		r.over = true
+		r.stopped = true
 		delete(s.running, call)
-		s.done++
-		if s.doneCold++; s.cold && s.doneCold >= warmAfter {
+		s.completed++
+		if s.completedCold++; s.cold && s.completedCold >= warmCallCount {
 			s.cold = false
 		}
-		ended(resultOf(call.Request, stage, in))
+		onEnd(stageResult(call.Request, stage, in))
 	})
 	return true
 }
@@ -97,13 +97,13 @@
 // cancel stops a call that nobody wants any more.
 func (s *server) cancel(call shed.Call) {
 	if r := s.running[call]; r != nil {
-		r.over = true
+		r.stopped = true
 		delete(s.running, call)
 	}
 }
 
-// resultOf is what a stage makes of its input. It names the request, so that
+// stageResult is what a stage makes of its input. It names the request, so that
 // an answer made of another request's results shows.
-func resultOf(id shed.RequestID, stage shed.StageID, in string) string {
+func stageResult(id shed.RequestID, stage shed.StageID, in string) string {
 	return in + ">" + string(stage) + "(" + string(id) + ")"
 }
--- a/internal/proof/world_test.go
+++ b/internal/proof/world_test.go
@@ -19,42 +19,42 @@
 	nodes   []*node
 	servers []*server
 	plat    *platform
-	// cuts are pairs of labels between which nothing passes, one way.
-	cuts map[[2]string]bool
+	// blocked are pairs of labels between which nothing passes, one way.
+	blocked map[[2]string]bool
 	// noise delays and doubles control messages at random.
 	noise bool
 	// steps counts what may be interrupted; onStep is told of each, before it.
-	steps  int
-	onStep func(step int, n *node)
-	tune   func(*core.Config)
-	reads  int
-	trace  string
+	steps       int
+	onStep      func(step int, n *node)
+	configure   func(*core.Config)
+	configReads int
+	trace       string
 }
 
 const (
 	// latency of one message, to which up to as much is added at random.
 	latency = time.Millisecond
 	// dialTimeout, linkSilence and beat are those of the drivers.
-	dialTimeout = 500 * time.Millisecond
-	linkSilence = time.Second
-	beat        = 200 * time.Millisecond
+	dialTimeout       = 500 * time.Millisecond
+	heartbeatTimeout  = time.Second
+	heartbeatInterval = 200 * time.Millisecond
 )
 
 func newWorld(seed uint64) *world {
-	w := &world{trace: *tracing, rng: rand.New(rand.NewPCG(seed, 1)), cuts: map[[2]string]bool{}}
+	w := &world{trace: *traceFilter, rng: rand.New(rand.NewPCG(seed, 1)), blocked: map[[2]string]bool{}}
 	w.now = epoch
 	w.plat = &platform{world: w}
 	return w
 }
 
-// cut stops messages from a to b, which are zones, VMs, servers or "platform".
-func (w *world) cut(a, b string)  { w.cuts[[2]string{a, b}] = true }
-func (w *world) heal(a, b string) { delete(w.cuts, [2]string{a, b}) }
+// block stops messages from a to b, which are zones, VMs, servers or "platform".
+func (w *world) block(a, b string)   { w.blocked[[2]string{a, b}] = true }
+func (w *world) unblock(a, b string) { delete(w.blocked, [2]string{a, b}) }
 
-func (w *world) reach(from, to []string) bool {
+func (w *world) canReach(from, to []string) bool {
 	for _, a := range from {
 		for _, b := range to {
-			if w.cuts[[2]string{a, b}] {
+			if w.blocked[[2]string{a, b}] {
 				return false
 			}
 		}
@@ -62,13 +62,13 @@
 	return true
 }
 
-// travel is how long one message takes.
-func (w *world) travel() time.Duration {
+// networkDelay is how long one message takes.
+func (w *world) networkDelay() time.Duration {
 	return latency + time.Duration(w.rng.Int64N(int64(latency)))
 }
 
-// lag is what noise adds to a control message.
-func (w *world) lag() time.Duration {
+// noiseDelay is what noise adds to a control message.
+func (w *world) noiseDelay() time.Duration {
 	if !w.noise || w.rng.IntN(4) > 0 {
 		return 0
 	}
@@ -93,8 +93,8 @@
 	return nil
 }
 
-// show prints an event or action that concerns what -about names.
-func (w *world) show(n *node, what string, x any) {
+// printTrace prints an event or action that concerns what -about names.
+func (w *world) printTrace(n *node, what string, x any) {
 	if w.trace == "" {
 		return
 	}
@@ -117,10 +117,10 @@
 	// values by revision; the last is the newest.
 	values []value
 	down   bool
-	// frozen is how many values are shown while stale; 0 means all.
-	frozen int
-	// read is the highest revision that anybody has read.
-	read shed.Revision
+	// visibleCount is how many values are shown while stale; 0 means all.
+	visibleCount int
+	// highestRead is the highest revision that anybody has read.
+	highestRead shed.Revision
 	// hidden are the changes that it has not shown yet.
 	hidden  []change
 	watches []watch
@@ -143,38 +143,38 @@
 }
 
 // vmLag is how late the VM list is.
-const vmLag = 2 * time.Second
+const vmListLag = 2 * time.Second
 
-// beStale makes the platform go on showing what it held before its newest
+// startStale makes the platform go on showing what it held before its newest
 // value, for a time.
-func (p *platform) beStale(d time.Duration) {
-	p.frozen = max(1, len(p.values)-1)
+func (p *platform) startStale(d time.Duration) {
+	p.visibleCount = max(1, len(p.values)-1)
 	p.world.after(d, func() {
-		p.frozen = 0
+		p.visibleCount = 0
 		for _, c := range p.hidden {
-			p.show(c)
+			p.reveal(c)
 		}
 		p.hidden = nil
 	})
 }
 
-// beDown stops the platform for a time. A change that it took in just before
+// startOutage stops the platform for a time. A change that it took in just before
 // and that nobody has read counts from when it can be read.
-func (p *platform) beDown(d time.Duration) {
+func (p *platform) startOutage(d time.Duration) {
 	p.down = true
 	p.world.after(d, func() {
 		p.down = false
 		for i := range p.world.changes {
-			if c := &p.world.changes[i]; c.rev > p.read {
+			if c := &p.world.changes[i]; c.rev > p.highestRead {
 				c.at = p.world.now
 			}
 		}
 	})
 }
 
-func (p *platform) shown() []value {
-	if p.frozen > 0 {
-		return p.values[:p.frozen]
+func (p *platform) visible() []value {
+	if p.visibleCount > 0 {
+		return p.values[:p.visibleCount]
 	}
 	return p.values
 }
@@ -183,19 +183,19 @@
 // to nobody, so nobody can follow it: it counts from when it is shown.
 func (p *platform) publish(v value, c change) {
 	p.values = append(p.values, v)
-	if p.frozen > 0 {
+	if p.visibleCount > 0 {
 		p.hidden = append(p.hidden, c)
 		return
 	}
-	p.show(c)
+	p.reveal(c)
 }
 
-func (p *platform) show(c change) {
+func (p *platform) reveal(c change) {
 	c.at = p.world.now
 	p.world.changes = append(p.world.changes, c)
-	due := p.watches
+	pending := p.watches
 	p.watches = nil
-	for _, x := range due {
+	for _, x := range pending {
 		x.done()
 	}
 }
@@ -203,9 +203,9 @@
 // readConfig answers a ReadConfig of node n.
 func (p *platform) readConfig(n *node, a shed.ReadConfig) {
 	w := p.world
-	w.reads++
-	if p.down || !w.reach(n.labels(), []string{"platform"}) {
-		n.at(a.Wait+2*time.Second, func() { n.handle(shed.ConfigRead{Failed: true}) })
+	w.configReads++
+	if p.down || !w.canReach(n.labels(), []string{"platform"}) {
+		n.after(a.Wait+2*time.Second, func() { n.handle(shed.ConfigRead{Failed: true}) })
 		return
 	}
 	answered := false
@@ -214,15 +214,15 @@
 			return
 		}
 		answered = true
-		if p.down || !w.reach([]string{"platform"}, n.labels()) {
-			n.at(2*time.Second, func() { n.handle(shed.ConfigRead{Failed: true}) })
+		if p.down || !w.canReach([]string{"platform"}, n.labels()) {
+			n.after(2*time.Second, func() { n.handle(shed.ConfigRead{Failed: true}) })
 			return
 		}
 		got := p.answer(a)
-		n.at(w.travel(), func() { n.handle(got) })
+		n.after(w.networkDelay(), func() { n.handle(got) })
 	}
-	w.after(w.travel(), func() {
-		if shown := p.shown(); len(shown) > 0 && shown[len(shown)-1].index.Revision > a.After {
+	w.after(w.networkDelay(), func() {
+		if shown := p.visible(); len(shown) > 0 && shown[len(shown)-1].index.Revision > a.After {
 			done()
 			return
 		}
@@ -232,7 +232,7 @@
 }
 
 func (p *platform) answer(a shed.ReadConfig) shed.ConfigRead {
-	shown := p.shown()
+	shown := p.visible()
 	if len(shown) == 0 {
 		return shed.ConfigRead{}
 	}
@@ -240,12 +240,12 @@
 	if v.index.Revision <= a.After {
 		return shed.ConfigRead{Index: shed.ConfigIndex{Revision: v.index.Revision}}
 	}
-	p.read = max(p.read, v.index.Revision)
+	p.highestRead = max(p.highestRead, v.index.Revision)
 	return shed.ConfigRead{Index: v.index, Parts: v.parts}
 }
 
-// listed shows the VM list as it was vmLag ago.
-func (p *platform) listed() []shed.VMEntry {
+// listVMs shows the VM list as it was vmLag ago.
+func (p *platform) listVMs() []shed.VMEntry {
 	var out []shed.VMEntry
 	for _, l := range p.lists {
 		if !l.from.After(p.world.now) {
@@ -255,7 +255,7 @@
 	return out
 }
 
-func (p *platform) relist() {
+func (p *platform) updateVMList() {
 	var vms []shed.VMEntry
 	for _, n := range p.world.nodes {
 		if n.up {
@@ -263,7 +263,7 @@
 		}
 	}
 	sort.Slice(vms, func(i, j int) bool { return vms[i].VM < vms[j].VM })
-	lag := vmLag
+	lag := vmListLag
 	if len(p.lists) == 0 {
 		lag = 0
 	}
