--- a/internal/proof/calls_test.go
+++ b/internal/proof/calls_test.go
@@ -51,7 +51,7 @@
 	return out
 }
 
-// input of a call: a guest's or a run's.
+// input returns a call's input, from the forwarded call or else from the active request.
 func (n *node) input(c shed.Call) string {
 	if g := n.forwarded[c]; g != nil {
 		return g.payload
@@ -62,7 +62,7 @@
 	return ""
 }
 
-// endCall tells the core how a call ended, once.
+// endCall reports the end of a call to the core, at most once, and to the peer that forwarded it.
 func (n *node) endCall(x *outgoingCall, e shed.CallEnded, result string) {
 	if x.ended {
 		return
@@ -92,7 +92,7 @@
 		n.endCall(x, e, result)
 	}
 	in := n.input(a.Call)
-	// Between the decision and the send the process may be paused.
+	// The process may be paused between the decision and the send.
 	n.after(latency/5, func() {
 		if x.ended {
 			return
@@ -111,7 +111,7 @@
 	})
 }
 
-// deliverCall is the call's arrival at the server.
+// deliverCall runs when the call arrives at the server.
 func (n *node) deliverCall(s *server, a shed.StartCall, x *outgoingCall, in string, finish func(shed.CallEnd, shed.Reason, string)) {
 	w := n.w
 	reply := func(do func()) {
@@ -150,7 +150,7 @@
 	})
 }
 
-// forwardStage hands a call over to a peer.
+// forwardStage forwards a call to a peer.
 func (n *node) forwardStage(a shed.ForwardStage) {
 	w := n.w
 	call := a.Request.Call
@@ -187,7 +187,7 @@
 	})
 }
 
-// progress tells the core, and the peer that handed the call over.
+// progress reports a call's progress to the core and to the peer that forwarded the call.
 func (n *node) progress(p shed.CallProgress) {
 	n.handle(p)
 	if g := n.forwarded[p.Call]; g != nil && !g.ended {
@@ -195,7 +195,7 @@
 	}
 }
 
-// watchLink breaks a call whose peer gives no heartbeat for linkSilence.
+// watchLink breaks a call whose peer sends no heartbeat for heartbeatTimeout.
 func (n *node) watchLink(to *node, x *outgoingCall, broken func()) {
 	lastHeartbeat := n.w.now
 	generation := to.generation
@@ -217,8 +217,8 @@
 	n.after(heartbeatInterval, check)
 }
 
-// sendReply brings an answer to a process, as TCP does: a cut only delays it, for
-// as long as somebody waits for it.
+// sendReply delivers an answer to a process as TCP does: a partition only delays it, and it
+// is retransmitted for as long as the call is still waiting.
 func (n *node) sendReply(to *node, generation int, x *outgoingCall, do func()) {
 	if x.ended || to.generation != generation {
 		return
@@ -234,7 +234,7 @@
 	})
 }
 
-// receiveStage takes in a call that peer n handed over.
+// receiveStage accepts a call that a peer forwarded. A duplicate is ignored.
 func (n *node) receiveStage(from *node, peer shed.Peer, ask shed.StageRequest, x *outgoingCall, in string, finish func(shed.CallEnded, string)) {
 	if n.forwarded[ask.Call] != nil || n.calls[ask.Call] != nil {
 		return
@@ -259,7 +259,7 @@
 	g.finish(shed.CallEnded{Call: a.Call, End: shed.EndNotStarted, Reason: a.Reason, RetryAfter: a.RetryAfter}, "")
 }
 
-// cancelCall tells the far side; the call's end comes back as cancelled.
+// cancelCall sends the cancellation to the remote side and reports the call as cancelled.
 func (n *node) cancelCall(call shed.Call) {
 	x := n.calls[call]
 	if x == nil || x.ended {
@@ -292,7 +292,7 @@
 	r.notify(a)
 }
 
-// notify answers everyone who waits.
+// notify answers all waiting callers.
 func (r *activeRequest) notify(a answer) {
 	waiters := r.waiters
 	r.waiters = nil
--- a/internal/proof/clock_test.go
+++ b/internal/proof/clock_test.go
@@ -6,7 +6,7 @@
 	"jasmineshed/internal/vclock"
 )
 
-// epoch is when every world begins.
+// epoch is the start time of every world.
 var epoch = time.Date(2026, 11, 1, 12, 0, 0, 0, time.UTC)
 
 // clock runs events in virtual time.
--- a/internal/proof/faults_test.go
+++ b/internal/proof/faults_test.go
@@ -6,16 +6,17 @@
 	shed "jasmineshed"
 )
 
-// fault is one thing that goes wrong, at one step, around one process.
+// fault is one kind of failure, injected at one step at or near one process.
 type fault struct {
 	name   string
 	inject func(w *world, n *node)
-	// allowsLateAnswers: callers of a paused process may wait past their deadline, since
-	// nothing answers in its place.
+	// allowsLateAnswers is set for faults that pause a process: its callers may wait past
+	// their deadline, since no other process answers for it.
 	allowsLateAnswers bool
 }
 
-// faults are all that the brief names.
+// faults holds all kinds of faults that the daemons must survive. Random plans draw by index,
+// so the order must not change.
 var faults = []fault{
 	{name: "kill", inject: func(w *world, n *node) {
 		n.kill()
@@ -74,12 +75,12 @@
 	}},
 }
 
-// genServer is a busy server of the node's zone.
+// genServer returns a server under load in the node's zone.
 func (w *world) genServer(n *node) *server {
 	return w.server(shed.ServerID("gen-" + string(n.zone) + "-1"))
 }
 
-// isolate cuts one VM off from all others and the platform.
+// isolate partitions one VM off from all others and from the platform, in the given directions.
 func (w *world) isolate(n *node, d time.Duration, out, in bool) {
 	others := []string{"platform"}
 	for _, x := range w.nodes {
--- a/internal/proof/fuzz_test.go
+++ b/internal/proof/fuzz_test.go
@@ -10,19 +10,19 @@
 	shed "jasmineshed"
 )
 
-// plannedFault is one fault at a time, around one process.
+// plannedFault is one fault at a given time, injected at one process.
 type plannedFault struct {
 	at    time.Duration
 	fault int
 	node  int
 }
 
-// plan is one random story.
+// plan is one random schedule of faults and changes of the rules.
 type plan struct {
 	seed   uint64
 	cold   bool
 	faults []plannedFault
-	// rules are published one after the other.
+	// rules are published separately, each at its own time.
 	rules []plannedRules
 }
 
@@ -86,11 +86,11 @@
 	return r
 }
 
-// bounds leave out what can't be bounded: a zone that is cut off from all other
-// zones and from the platform can't learn that it was taken out, and goes on.
+// bounds omits what cannot be bounded: a zone that is partitioned off from all other zones and
+// from the platform cannot learn that it was taken out of service, and goes on working.
 func (p plan) bounds() bounds {
 	b := oneFaultBounds
-	// Faults may follow one another, so that one takes over where another ends.
+	// Faults may follow one another, so that one begins as another ends.
 	b.newWork = 5 * time.Second
 	names := map[string]bool{}
 	for _, x := range p.faults {
@@ -106,8 +106,9 @@
 	return b
 }
 
-// Any number of faults strike at any time while operators change the rules at
-// any time; the promises hold. Steps are counted and printed.
+// Guards against invariants that break only under some combination or order of faults and rule
+// changes: up to five random faults and four random changes, at any time under load. Prints
+// the number of steps.
 func TestAnyFaultsAnyTime(t *testing.T) {
 	steps, worlds := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/proof/home_test.go
+++ b/internal/proof/home_test.go
@@ -4,10 +4,10 @@
 	shed "jasmineshed"
 )
 
-// homeTries is how often a request is handed to its home.
+// homeAttempts is how often forwarding a request to its home is attempted.
 const homeAttempts = 3
 
-// forwardRequest hands a request over to its ticket's home.
+// forwardRequest forwards a request to its ticket's home.
 func (n *node) forwardRequest(a shed.ForwardRequest, attempt int) {
 	w := n.w
 	r := n.requests[a.Request]
@@ -67,8 +67,8 @@
 	})
 }
 
-// receive does what a request's arrival asks for, or tells its caller that the
-// connection broke if the process dies before.
+// receive runs do for an arriving request, or reports a broken connection to its caller if the
+// process dies first.
 func (n *node) receive(generation int, reply func(answer), do func()) {
 	received := false
 	n.onDeath = append(n.onDeath, func() {
@@ -82,7 +82,7 @@
 	})
 }
 
-// handleRequest takes a request in, from a caller or a peer.
+// handleRequest accepts a request from a caller or a peer.
 func (n *node) handleRequest(ev shed.RequestArrived, input string, reply func(answer)) {
 	generation := n.generation
 	n.w.step(n)
@@ -110,7 +110,7 @@
 	})
 }
 
-// handleRetry is a repeat; a refusal of it concerns only the repeat.
+// handleRetry accepts a repeat of an active request. A refusal ends only the repeat.
 func (n *node) handleRetry(first *activeRequest, ev shed.RequestArrived, reply func(answer), generation int) {
 	joined := false
 	for _, act := range n.core.Handle(n.w.now, ev) {
--- a/internal/proof/journal_test.go
+++ b/internal/proof/journal_test.go
@@ -6,7 +6,7 @@
 	shed "jasmineshed"
 )
 
-// journal is what callers, backend servers and operators saw. The oracle reads
+// journal records what callers, backend servers and operators observed. The oracle reads
 // nothing else.
 type journal struct {
 	runs           []*serverRun
@@ -17,7 +17,7 @@
 	stops          []plannedStop
 }
 
-// serverRun is one call as a backend server ran it.
+// serverRun is one call that a backend server ran.
 type serverRun struct {
 	server  shed.ServerID
 	zone    shed.ZoneID
@@ -27,16 +27,16 @@
 	started time.Time
 }
 
-// callerRequest is one call of a caller, and the answer it got.
+// callerRequest is one request of a caller, and the answer it got.
 type callerRequest struct {
 	request  shed.RequestID
 	pipeline shed.PipelineID
 	input    string
 	vm       shed.VM
 	at       time.Time
-	// answers that came back; more than one would be a fault of its own.
+	// answers holds all answers received; more than one is a violation.
 	answers []answer
-	// broken: the connection broke, since the process at its end died.
+	// broken is set when the connection broke because the process serving it died.
 	broken bool
 }
 
@@ -57,7 +57,7 @@
 	leaving map[shed.ServerID]bool
 }
 
-// activation is one revision coming into force in one process.
+// activation records that one process put a revision in force.
 type activation struct {
 	vm   shed.VM
 	inc  shed.Incarnation
@@ -66,7 +66,7 @@
 	zone shed.ZoneID
 }
 
-// coldOverload is a cold server that got more than it bears.
+// coldOverload records that a cold server got more calls than its cold capacity.
 type coldOverload struct {
 	server       shed.ServerID
 	at           time.Time
@@ -80,8 +80,8 @@
 	inc       shed.Incarnation
 	requested time.Time
 	ended     time.Time
-	// abortedCallers are callers whose connection the end of the process cut off.
+	// abortedCallers counts callers whose connection was closed when the process ended.
 	abortedCallers int
-	// killed: something else ended the process first.
+	// killed is set if a fault ended the process before the stop was complete.
 	killed bool
 }
--- a/internal/proof/main_test.go
+++ b/internal/proof/main_test.go
@@ -7,10 +7,11 @@
 	"testing"
 )
 
-// TestMain trades memory for time: a world is short-lived garbage.
+// TestMain trades memory for time: a world is short-lived, so that collecting it later is
+// cheaper.
 func TestMain(m *testing.M) {
 	debug.SetGCPercent(400)
-	// The same worlds in every run; a flag asks for others, or for more.
+	// The same worlds in every run, unless flags set another seed or number.
 	_ = flag.Set("rapid.seed", "1")
 	_ = flag.Set("rapid.checks", "150")
 	flag.Parse()
--- a/internal/proof/matrix_test.go
+++ b/internal/proof/matrix_test.go
@@ -21,27 +21,27 @@
 	cellSeed    = flag.Uint64("seed", 1, "seed of the matrix")
 	coldCells   = flag.Int("cold", 40, "cells for each fault while servers turn cold")
 	perFault    = flag.Int("cells", 120, "cells for each fault")
-	traceFilter = flag.String("about", "", "print what concerns a request, server or VM; with -replay")
-	replayCell  = flag.String("replay", "", "one cell, as a red line names it: seed/fault@step/fault@step")
+	traceFilter = flag.String("about", "", "print events and actions that mention a request, server or VM; with -replay")
+	replayCell  = flag.String("replay", "", "one cell, as the line of a failed cell names it: seed/fault@step/fault@step")
 	pairCells   = flag.Int("pairs", 600, "cells with two faults")
 )
 
-// faulty are the bounds with one fault.
+// oneFaultBounds are the bounds with one fault.
 var oneFaultBounds = bounds{newWork: 3 * time.Second, answerDelay: 500 * time.Millisecond, propagation: 5 * time.Second}
 
-// twice are the bounds with two faults, which may follow one another.
+// twoFaultBounds are the bounds with two faults, which may follow one another.
 var twoFaultBounds = bounds{newWork: 3 * time.Second, answerDelay: 500 * time.Millisecond, propagation: 5 * time.Second}
 
 // cell is one world with faults at given steps.
 type cell struct {
 	seed uint64
-	// cold plays coldStory in place of story.
+	// cold runs coldScript instead of defaultScript.
 	cold   bool
 	at     []int
 	faults []fault
 }
 
-// String names the cell as -replay takes it.
+// String returns the cell in the form that -replay accepts.
 func (c cell) String() string {
 	s := strconv.FormatUint(c.seed, 10)
 	if c.cold {
@@ -53,7 +53,7 @@
 	return s
 }
 
-// run plays the story with the cell's faults.
+// run runs the script with the cell's faults.
 func (c cell) run() *world {
 	w := newFleetWorld(c.seed)
 	w.onStep = func(step int, n *node) {
@@ -87,7 +87,7 @@
 	return b
 }
 
-// cellResult is what the oracle says of one cell.
+// cellResult is the oracle's result for one cell.
 type cellResult struct {
 	cell        cell
 	violations  []violation
@@ -107,7 +107,7 @@
 	return v
 }
 
-// runCells runs the cells on all cores and returns the verdicts in order.
+// runCells runs the cells on all cores and returns the results in order.
 func runCells(cells []cell) []cellResult {
 	out := make([]cellResult, len(cells))
 	var g errgroup.Group
@@ -122,8 +122,8 @@
 	return out
 }
 
-// stepRange is how many steps a story has without a fault, and at which the load
-// begins.
+// stepRange returns the step at which the load begins and the last step of a script without
+// faults.
 func stepRange(cold bool) (first, last int) {
 	c := cell{seed: *cellSeed, cold: cold}
 	w := newFleetWorld(c.seed)
@@ -132,8 +132,8 @@
 	return first, w.steps
 }
 
-// singleCells is the product of steps and faults, thinned evenly to n for each
-// fault: each takes other steps, so that together they cover all kinds.
+// singleCells is the product of steps and faults, thinned evenly to n cells for each fault.
+// Each fault uses different steps, so that together they cover all kinds of steps.
 func singleCells(cold bool, n int) []cell {
 	first, last := stepRange(cold)
 	var cells []cell
@@ -146,7 +146,7 @@
 	return cells
 }
 
-// pairs of faults at two steps; the second falls into the first one's time.
+// faultPairs returns cells with two faults at two steps; the second strikes while the first lasts.
 func faultPairs(n int) []cell {
 	first, last := stepRange(false)
 	var cells []cell
@@ -160,8 +160,8 @@
 	return cells
 }
 
-// report prints the count of cells and failures by promise and by fault, and
-// fails the test if there are any.
+// report logs the number of cells and the failures by invariant and by fault, and fails the
+// test if there are failures.
 func report(t *testing.T, verdicts []cellResult) {
 	t.Helper()
 	failed := map[invariant]int{}
@@ -211,29 +211,29 @@
 		}
 		t.Log(line)
 	}
-	require.Zero(t, failedCells, "cells that broke a promise")
+	require.Zero(t, failedCells, "cells that violate an invariant")
 }
 
-// Whatever one thing goes wrong at whatever step of the story, every promise
-// holds. Each cell is one world: a fault strikes the process that was about to
-// act, at that very moment.
+// Guards against invariants that break when one fault strikes at a particular step. Each cell is
+// one world, in which the fault strikes the process that is about to act, just before it acts.
 func TestEveryFaultAtEveryStep(t *testing.T) {
 	report(t, runCells(singleCells(false, *perFault)))
 }
 
-// Servers turn cold one after the other and daemons are replaced, so that the
-// shares of what a cold server bears change hands all the time; on top of that
-// comes each fault. No cold server may get more than it bears.
+// Guards against cold servers that get more calls than their cold capacity. Servers turn cold one
+// after the other and daemons are replaced, so that the slots of cold servers move between
+// daemons all the time; each fault strikes on top of that.
 func TestEveryFaultWhileServersTurnCold(t *testing.T) {
 	report(t, runCells(singleCells(true, *coldCells)))
 }
 
-// A second fault strikes while the first one lasts or soon after.
+// Guards against invariants that break when a second fault strikes while the first one lasts or
+// soon after.
 func TestPairsOfFaults(t *testing.T) {
 	report(t, runCells(faultPairs(*pairCells)))
 }
 
-// TestReplay plays one cell again, as a red cell's line names it.
+// TestReplay runs one cell again, named as in the line of a failed cell.
 func TestReplay(t *testing.T) {
 	if *replayCell == "" {
 		t.Skip("no -replay")
--- a/internal/proof/node_test.go
+++ b/internal/proof/node_test.go
@@ -8,13 +8,14 @@
 	"jasmineshed/internal/rules"
 )
 
-// node is one VM with the process that runs on it, if any. It stands for the
-// drivers: it performs the core's actions in the world.
+// node is one VM with the process that runs on it, if any. It takes the place of the drivers and
+// performs the core's actions in the world.
 type node struct {
 	w    *world
 	vm   shed.VM
 	zone shed.ZoneID
-	// generation counts the processes; what an ended one had scheduled is dropped.
+	// generation changes with each start and kill; events scheduled by an earlier process are
+	// dropped.
 	generation int
 	up         bool
 	self       shed.Peer
@@ -24,12 +25,13 @@
 	rev        shed.Revision
 	stop       *plannedStop
 
-	// frozen keeps what comes in for when the process wakes up.
+	// frozen is set while the process is paused; its events wait in deferred until it resumes.
 	frozen   bool
 	deferred []func()
-	// onDeath tells callers whose requests the process never took in, if it dies.
+	// onDeath breaks the connections of callers whose requests the process has not accepted yet
+	// when it dies.
 	onDeath []func()
-	// suspended is what the monotonic clock did not count.
+	// suspended is the time that the monotonic clock did not count.
 	suspended time.Duration
 
 	requests  map[shed.RequestID]*activeRequest
@@ -46,27 +48,27 @@
 	final   *answer
 }
 
-// outgoingCall is one call under way from this process.
+// outgoingCall is one call in flight from this process.
 type outgoingCall struct {
 	ended bool
-	// cancel tells the far side.
+	// cancel notifies the remote side.
 	cancel func()
 }
 
 // forwardedCall is one call that this process runs for a peer.
 type forwardedCall struct {
 	payload string
-	// sendResult answers the peer; at most once.
+	// sendResult answers the peer, at most once.
 	sendResult func(shed.CallEnded, string)
-	// sendProgress passes progress on.
+	// sendProgress reports progress to the peer.
 	sendProgress func(shed.CallProgress)
 	ended        bool
 }
 
 func (n *node) labels() []string { return []string{string(n.zone), string(n.vm)} }
 
-// after runs do on this process after d; held while it is frozen, dropped if the
-// process has ended by then.
+// after runs do on this process after d. It is deferred while the process is frozen and dropped
+// if the process has ended by then.
 func (n *node) after(d time.Duration, do func()) {
 	generation := n.generation
 	n.w.after(d, func() { n.runIfAlive(generation, do) })
@@ -113,7 +115,7 @@
 	n.after(shed.TickEvery, n.tick)
 }
 
-// kill ends the process at once; its connections break.
+// kill ends the process at once and breaks its connections.
 func (n *node) kill() {
 	if !n.up {
 		return
@@ -142,7 +144,7 @@
 	n.w.plat.updateVMList()
 }
 
-// freeze pauses the process; with suspend its monotonic clock stands still.
+// freeze pauses the process. With suspend its monotonic clock stops too.
 func (n *node) freeze(d time.Duration, suspend bool) {
 	if !n.up || n.frozen {
 		return
@@ -165,7 +167,7 @@
 	})
 }
 
-// handle takes an event to the core and performs what comes back.
+// handle passes an event to the core and performs the actions that it returns.
 func (n *node) handle(ev shed.Event) {
 	if isEventStep(ev) {
 		n.w.step(n)
@@ -179,7 +181,7 @@
 	})
 }
 
-// perform does one action, or none if the process was stopped before it.
+// perform performs one action, unless the process has ended by then.
 func (n *node) perform(act shed.Action, generation int) {
 	if isActionStep(act) {
 		n.w.step(n)
@@ -233,8 +235,8 @@
 	}
 }
 
-// recordRevision records what is in force. A process that is not ready serves
-// nobody, so what it holds is not in force yet.
+// recordRevision records the revision in force. A process that is not ready serves no callers,
+// so its revision is not in force yet.
 func (n *node) recordRevision() {
 	if n.ready {
 		n.w.activations = append(n.w.activations, activation{
@@ -252,7 +254,7 @@
 	n.after(2*n.w.networkDelay(), func() { n.handle(shed.LoadReported{Server: s.id, Report: report}) })
 }
 
-// send carries a control message; it may be lost, late or doubled.
+// send delivers a control message, which may be lost, late or duplicated.
 func (n *node) send(a shed.SendPeer) {
 	to := n.w.node(a.To)
 	if to == nil || !n.w.canReach(n.labels(), to.labels()) {
@@ -271,7 +273,7 @@
 	}
 }
 
-// exit is the end of a planned stop. What still waits is cut off.
+// exit ends a planned stop. Callers that still wait lose their connection and are counted.
 func (n *node) exit() {
 	if n.stop != nil {
 		n.stop.ended = n.w.now
@@ -284,7 +286,7 @@
 	n.kill()
 }
 
-// stopGracefully is what an operator does before replacing a VM.
+// stopGracefully requests a planned stop, as an operator does before replacing a VM.
 func (n *node) stopGracefully() {
 	if !n.up {
 		return
@@ -297,7 +299,7 @@
 	n.w.stops = append(n.w.stops, *n.stop)
 	i := len(n.w.stops) - 1
 	n.handle(shed.StopRequested{})
-	// The journal's copy is brought up to date when the process ends.
+	// Updates the journal's copy until the process has ended.
 	stop := n.stop
 	var watch func()
 	watch = func() {
@@ -309,8 +311,8 @@
 	watch()
 }
 
-// isEventStep events are the steps of requests, configurations, tickets and
-// stops; the steady beat of ticks and probes is not.
+// isEventStep tells whether an event counts as a step: events of requests, configurations,
+// tickets and stops do, periodic ticks, probes and load reports do not.
 func isEventStep(ev shed.Event) bool {
 	switch e := ev.(type) {
 	case shed.Tick, shed.LoadReported, shed.VMsRead:
--- a/internal/proof/nofault_test.go
+++ b/internal/proof/nofault_test.go
@@ -9,11 +9,11 @@
 	"github.com/stretchr/testify/require"
 )
 
-// strict are the bounds without a fault.
+// noFaultBounds are the bounds without a fault.
 var noFaultBounds = bounds{newWork: 2 * time.Second, answerDelay: 200 * time.Millisecond, propagation: 2 * time.Second}
 
-// Nothing fails but what operators and servers do by plan: every promise holds,
-// and nearly every request is complete.
+// Guards against invariants that break, or requests that fail, without any fault, through planned
+// stops, rule changes and cold servers alone. More than 98% of the requests must be complete.
 func TestStoryWithoutFault(t *testing.T) {
 	w := newFleetWorld(1)
 	w.runScript(defaultScript())
@@ -31,8 +31,8 @@
 	require.Greater(t, complete*100, len(w.callerRequests)*98)
 }
 
-// The same seed gives the same world, to the last byte of the journal; else no
-// seed could show a fault again, and some decision would depend on map order.
+// Guards against nondeterminism, such as decisions that depend on map order: a seed must
+// reproduce the same journal, or else no fault could be reproduced by its seed.
 func TestSameSeedSameWorld(t *testing.T) {
 	one, two := newFleetWorld(7), newFleetWorld(7)
 	one.runScript(defaultScript())
--- a/internal/proof/oracle_test.go
+++ b/internal/proof/oracle_test.go
@@ -7,10 +7,10 @@
 	shed "jasmineshed"
 )
 
-// invariant names one point of what must always hold.
+// invariant describes one property that must always hold.
 type invariant string
 
-// The promises, in the brief's order, and that every caller gets one answer.
+// The invariants in the order in which they are reported.
 const (
 	resultIntegrity  invariant = "no stage result is lost, doubled or handed to another request"
 	coldLimit        invariant = "a cold server gets no more work than it bears"
@@ -27,7 +27,7 @@
 	resultIntegrity, coldLimit, zoneOutOfService, completeAnswer, truthfulNotRun, atMostOnce, serverLeaving, gracefulStop, configConverges,
 }
 
-// violation is one promise that was not kept.
+// violation is one case in which an invariant did not hold.
 type violation struct {
 	invariant invariant
 	detail    string
@@ -35,22 +35,21 @@
 
 func (v violation) String() string { return string(v.invariant) + ": " + v.detail }
 
-// stopWithin is how long a planned stop may take: the notice, the longest
-// request, and some slack.
+// maxStopDuration is how long a planned stop may take: the notice, the longest request and some
+// slack.
 const maxStopDuration = deadline + 3*time.Second
 
-// bounds are the times that the oracle allows.
+// bounds are the delays that the oracle allows.
 type bounds struct {
-	// newWork is how long after a change new work may still begin; 0 is not
-	// judged.
+	// newWork is how long after a change new work may still begin; 0 means not checked.
 	newWork time.Duration
-	// answerDelay is how long after its deadline a caller may still wait.
+	// answerDelay is how long after its deadline a caller may still wait; 0 means not checked.
 	answerDelay time.Duration
-	// propagation is how long a revision may take to be in force everywhere.
+	// propagation is how long a revision may take to be in force everywhere; 0 means not checked.
 	propagation time.Duration
 }
 
-// checkInvariants holds a journal against the promises.
+// checkInvariants checks the journal against all invariants.
 func (w *world) checkInvariants(b bounds) []violation {
 	var out []violation
 	fail := func(p invariant, format string, args ...any) {
@@ -61,14 +60,14 @@
 	w.checkClosed(b, fail)
 	w.checkConfig(b, fail)
 	for _, o := range w.coldOverloads {
-		fail(coldLimit, "%s had %d calls at %s, bears %d", o.server, o.running, w.since(o.at), o.coldCapacity)
+		fail(coldLimit, "%s had %d calls at %s, its cold capacity is %d", o.server, o.running, w.since(o.at), o.coldCapacity)
 	}
 	for _, s := range w.stops {
 		if s.abortedCallers > 0 {
-			fail(gracefulStop, "the stop of %s cut off %d callers", s.vm, s.abortedCallers)
+			fail(gracefulStop, "the stop of %s broke the connections of %d callers", s.vm, s.abortedCallers)
 		}
 		if s.ended.IsZero() && !s.killed && w.now.Sub(s.requested) > maxStopDuration {
-			fail(gracefulStop, "the stop of %s asked at %s did not end", s.vm, w.since(s.requested))
+			fail(gracefulStop, "the stop of %s requested at %s did not end in time", s.vm, w.since(s.requested))
 		}
 	}
 	return out
@@ -78,7 +77,7 @@
 
 type failFunc func(p invariant, format string, args ...any)
 
-// checkRuns looks at what ran on the servers.
+// checkRuns checks what ran on the servers.
 func (w *world) checkRuns(fail failFunc) {
 	type attempt struct {
 		request shed.RequestID
@@ -101,7 +100,7 @@
 	}
 }
 
-// checkAnswers looks at what callers got.
+// checkAnswers checks what callers received.
 func (w *world) checkAnswers(b bounds, fail failFunc) {
 	ran := map[shed.RequestID]bool{}
 	for _, r := range w.runs {
@@ -112,7 +111,7 @@
 			continue
 		}
 		if len(a.answers) != 1 {
-			fail(completeAnswer, "%s at %s asked %s has %d answers", a.request, a.vm, w.since(a.at), len(a.answers))
+			fail(completeAnswer, "request %s to %s, sent at %s, has %d answers", a.request, a.vm, w.since(a.at), len(a.answers))
 			continue
 		}
 		got := a.answers[0]
@@ -123,12 +122,12 @@
 			fail(resultIntegrity, "%s got %q", a.request, got.payload)
 		}
 		if got.outcome == shed.OutcomeNotRun && ran[a.request] {
-			fail(truthfulNotRun, "%s was told not_run (%s)", a.request, got.reason)
+			fail(truthfulNotRun, "%s was answered not_run (%s), but ran", a.request, got.reason)
 		}
 	}
 }
 
-// checkClosed looks for new work at zones and servers that were closed.
+// checkClosed looks for new work in zones that are out of service and at servers that are leaving.
 func (w *world) checkClosed(b bounds, fail failFunc) {
 	if b.newWork == 0 {
 		return
@@ -145,8 +144,8 @@
 	}
 }
 
-// closedSince tells since when the published rules have closed something, at
-// time t.
+// closedSince returns since when the rules published by time t exclude something, as reported by
+// closed, and whether they do.
 func (w *world) closedSince(t time.Time, closed func(change) bool) (since time.Time, out bool) {
 	for _, c := range w.changes {
 		if c.at.After(t) {
@@ -162,7 +161,7 @@
 	return since, out
 }
 
-// checkConfig looks at the revisions in force.
+// checkConfig checks the revisions in force.
 func (w *world) checkConfig(b bounds, fail failFunc) {
 	highest := map[shed.VM]shed.Revision{}
 	for _, f := range w.activations {
@@ -182,7 +181,8 @@
 	}
 }
 
-// maxLateWork is the longest time after a closing at which new work began.
+// maxLateWork returns the longest time after a zone was taken out of service, or a server set
+// leaving, at which new work still began there.
 func (w *world) maxLateWork() time.Duration {
 	var worst time.Duration
 	for _, r := range w.runs {
--- a/internal/proof/scenario_test.go
+++ b/internal/proof/scenario_test.go
@@ -12,7 +12,7 @@
 	"jasmineshed/internal/rules"
 )
 
-// The small fleet of the proofs: three zones with two VMs each.
+// The small fleet of the tests: three zones with two VMs each.
 var (
 	zones       = []shed.ZoneID{"a", "b", "c"}
 	requestedBy = "; proof"
@@ -27,13 +27,13 @@
 	deadline = 6 * time.Second
 )
 
-// ruleset is what the operators' rules say at one time.
+// ruleset is the part of the operators' rules that changes during a script.
 type ruleset struct {
 	out     map[shed.ZoneID]bool
 	leaving map[shed.ServerID]bool
 }
 
-// text of the rules file.
+// text returns the rules file.
 func (r ruleset) text(servers []*server) []byte {
 	var b strings.Builder
 	line := func(format string, args ...any) { fmt.Fprintf(&b, format+" "+requestedBy+"\n", args...) }
@@ -76,7 +76,7 @@
 	return "no"
 }
 
-// newFleetWorld is a world with the small fleet in it, started and warm.
+// newFleetWorld returns a world with the small fleet, started and warm.
 func newFleetWorld(seed uint64) *world {
 	w := newWorld(seed)
 	for _, z := range zones {
@@ -110,10 +110,10 @@
 	}
 }
 
-// publish is an operator's change of the rules.
+// publish publishes an operator's change of the rules.
 func (w *world) publish(r ruleset) {
 	if w.plat.down {
-		// The operator's tool tries again until the platform takes it.
+		// The operator's tool retries until the platform accepts it.
 		w.after(100*time.Millisecond, func() { w.publish(r) })
 		return
 	}
@@ -126,7 +126,7 @@
 	w.plat.publish(value{index: parsed, parts: parts}, change{rev: rev, out: r.out, leaving: r.leaving})
 }
 
-// pickReadyNode picks a VM that says it is ready, as the platform's would.
+// pickReadyNode picks a random VM that reports ready, as the platform's balancer does.
 func (w *world) pickReadyNode(exclude shed.VM) *node {
 	var ready []*node
 	for _, n := range w.nodes {
@@ -140,7 +140,7 @@
 	return ready[w.rng.IntN(len(ready))]
 }
 
-// sendIdempotent sends an idempotent request by the balancer.
+// sendIdempotent sends an idempotent request through the balancer.
 func (w *world) sendIdempotent(i int) {
 	n := w.pickReadyNode("")
 	if n == nil {
@@ -149,7 +149,7 @@
 	w.send(n, shed.RequestID(fmt.Sprintf("r%d", i)), "caption", false, 0)
 }
 
-// sendNonIdempotent sends a request that must run at most once, and repeats it by another
+// sendNonIdempotent sends a request that must run at most once, and repeats it through another
 // VM before the first one can have ended.
 func (w *world) sendNonIdempotent(i int) {
 	n := w.pickReadyNode("")
@@ -166,7 +166,7 @@
 	w.after(time.Duration(20+w.rng.IntN(200))*time.Millisecond, func() { w.sendTicketed(t.ID, 0) })
 }
 
-// sendTicketed sends a ticketed request by the balancer.
+// sendTicketed sends a ticketed request through the balancer.
 func (w *world) sendTicketed(id shed.RequestID, retries int) {
 	if n := w.pickReadyNode(""); n != nil {
 		w.send(n, id, "warning", true, retries)
@@ -203,23 +203,23 @@
 	})
 }
 
-// script is one story: what operators and callers do, from start on.
+// script is the schedule of one world: what operators and callers do after its start.
 type script struct {
-	// requestInterval is the time between two requests, and warnings between two tickets.
+	// requestInterval is the time between two requests, ticketInterval between two tickets.
 	requestInterval, ticketInterval time.Duration
 	from, to                        time.Duration
 	actions                         []scheduledAction
 	end                             time.Duration
 }
 
-// scheduledAction is one thing that operators, or fate, do.
+// scheduledAction is one action of operators, or one event such as a server restart.
 type scheduledAction struct {
 	at time.Duration
 	do func(w *world)
 }
 
-// defaultScript has a zone taken out and brought back, a server leaving, a server that
-// turns cold, a planned stop and the VM's return, under load all the time.
+// defaultScript takes a zone out of service and back, sets a server leaving, restarts two servers
+// cold, and stops and restarts a VM, all under load.
 func defaultScript() script {
 	return script{
 		requestInterval: 50 * time.Millisecond, ticketInterval: 170 * time.Millisecond,
@@ -238,8 +238,8 @@
 	}
 }
 
-// coldScript has servers that turn cold one after the other, while a VM is
-// replaced in each zone in turn: slots change hands all the time.
+// coldScript turns servers cold one after the other, while a VM is replaced in each zone in turn,
+// so that slots move between daemons all the time.
 func coldScript() script {
 	s := script{
 		requestInterval: 25 * time.Millisecond, ticketInterval: 400 * time.Millisecond,
@@ -291,7 +291,7 @@
 	w.runUntil(epoch.Add(s.end))
 }
 
-// expectedResult is the one whole answer to a request.
+// expectedResult returns the only complete answer to a request.
 func expectedResult(id shed.RequestID, p shed.PipelineID, in string) string {
 	for _, st := range stages[p] {
 		in = stageResult(id, st, in)
--- a/internal/proof/server_test.go
+++ b/internal/proof/server_test.go
@@ -7,8 +7,8 @@
 	shed "jasmineshed"
 )
 
-// server is a fake backend server. Cold, it bears few calls at once and says
-// so to nobody but the journal.
+// server is a fake backend server. While cold it runs only a few calls at once; an overload is
+// recorded in the journal.
 type server struct {
 	world        *world
 	id           shed.ServerID
@@ -23,24 +23,23 @@
 	completed     uint64
 	sequence      uint64
 	running       map[shed.Call]*runningCall
-	// down: it gives no load reports and refuses connections.
+	// down is set while the server sends no load reports and refuses connections.
 	down bool
 }
 
 // runningCall is one call that runs on a server.
 type runningCall struct {
 	stopped bool
-	// onEnd tells the caller; without a result its connection broke.
+	// onEnd notifies the caller; an empty result means that its connection broke.
 	onEnd func(result string)
 }
 
-// warmAfter is how many calls a cold server must complete to be warm.
+// warmCallCount is how many calls a cold server must complete to be warm.
 const warmCallCount = 4
 
 func (s *server) labels() []string { return []string{string(s.zone), string(s.id)} }
 
-// restart makes the server cold; what ran on it is lost, and the connections
-// break.
+// restart makes the server cold. Its running calls are lost and their connections break.
 func (s *server) restart() {
 	s.boot++
 	s.cold, s.completedCold, s.completed, s.sequence = true, 0, 0, 0
@@ -62,8 +61,8 @@
 	}
 }
 
-// accept runs a call; false means refused before it was run. ended is called
-// once, with what the call produced, or with nothing if the server restarted.
+// accept runs a call; false means refused before it was run. onEnd is called once, with the
+// call's result, or with an empty result if the server restarted.
 func (s *server) accept(call shed.Call, stage shed.StageID, in string, onEnd func(result string)) bool {
 	if s.cold && len(s.running) >= s.coldCapacity {
 		s.world.coldOverloads = append(s.world.coldOverloads, coldOverload{
@@ -94,7 +93,7 @@
 	return true
 }
 
-// cancel stops a call that nobody wants any more.
+// cancel stops a call without a result.
 func (s *server) cancel(call shed.Call) {
 	if r := s.running[call]; r != nil {
 		r.stopped = true
@@ -102,8 +101,8 @@
 	}
 }
 
-// stageResult is what a stage makes of its input. It names the request, so that
-// an answer made of another request's results shows.
+// stageResult returns a stage's result for its input. It names the request, so that an answer
+// made from another request's results is detected.
 func stageResult(id shed.RequestID, stage shed.StageID, in string) string {
 	return in + ">" + string(stage) + "(" + string(id) + ")"
 }
--- a/internal/proof/world_test.go
+++ b/internal/proof/world_test.go
@@ -11,7 +11,7 @@
 	"jasmineshed/internal/core"
 )
 
-// world is a fleet of decision cores with fakes around them.
+// world is a simulated fleet of decision cores with fakes for their environment.
 type world struct {
 	clock
 	journal
@@ -19,11 +19,11 @@
 	nodes   []*node
 	servers []*server
 	plat    *platform
-	// blocked are pairs of labels between which nothing passes, one way.
+	// blocked holds the pairs of labels whose messages are dropped, in one direction.
 	blocked map[[2]string]bool
-	// noise delays and doubles control messages at random.
+	// noise delays and duplicates control messages at random.
 	noise bool
-	// steps counts what may be interrupted; onStep is told of each, before it.
+	// steps counts the points at which faults can strike; onStep runs before each.
 	steps       int
 	onStep      func(step int, n *node)
 	configure   func(*core.Config)
@@ -32,9 +32,9 @@
 }
 
 const (
-	// latency of one message, to which up to as much is added at random.
+	// latency is the least network delay of one message; up to as much is added at random.
 	latency = time.Millisecond
-	// dialTimeout, linkSilence and beat are those of the drivers.
+	// dialTimeout, heartbeatTimeout and heartbeatInterval are those of the drivers.
 	dialTimeout       = 500 * time.Millisecond
 	heartbeatTimeout  = time.Second
 	heartbeatInterval = 200 * time.Millisecond
@@ -47,7 +47,7 @@
 	return w
 }
 
-// block stops messages from a to b, which are zones, VMs, servers or "platform".
+// block drops messages from a to b, which are zones, VMs, servers or "platform".
 func (w *world) block(a, b string)   { w.blocked[[2]string{a, b}] = true }
 func (w *world) unblock(a, b string) { delete(w.blocked, [2]string{a, b}) }
 
@@ -62,12 +62,12 @@
 	return true
 }
 
-// networkDelay is how long one message takes.
+// networkDelay draws the network delay of one message.
 func (w *world) networkDelay() time.Duration {
 	return latency + time.Duration(w.rng.Int64N(int64(latency)))
 }
 
-// noiseDelay is what noise adds to a control message.
+// noiseDelay draws the delay that noise adds to a control message.
 func (w *world) noiseDelay() time.Duration {
 	if !w.noise || w.rng.IntN(4) > 0 {
 		return 0
@@ -93,7 +93,7 @@
 	return nil
 }
 
-// printTrace prints an event or action that concerns what -about names.
+// printTrace prints an event or action that contains the text of -about.
 func (w *world) printTrace(n *node, what string, x any) {
 	if w.trace == "" {
 		return
@@ -103,7 +103,7 @@
 	}
 }
 
-// step counts a moment at which the world may be interrupted.
+// step counts a point at which a fault can strike.
 func (w *world) step(n *node) {
 	w.steps++
 	if w.onStep != nil {
@@ -111,17 +111,17 @@
 	}
 }
 
-// platform is the configuration service and the VM list.
+// platform is a fake of the configuration service and the VM list.
 type platform struct {
 	world *world
-	// values by revision; the last is the newest.
+	// values are in the order of their revisions; the last is the newest.
 	values []value
 	down   bool
-	// visibleCount is how many values are shown while stale; 0 means all.
+	// visibleCount is how many values can be read while stale; 0 means all.
 	visibleCount int
-	// highestRead is the highest revision that anybody has read.
+	// highestRead is the highest revision that any node has read.
 	highestRead shed.Revision
-	// hidden are the changes that it has not shown yet.
+	// hidden holds the changes that cannot be read yet.
 	hidden  []change
 	watches []watch
 	lists   []vmList
@@ -142,11 +142,10 @@
 	vms  []shed.VMEntry
 }
 
-// vmLag is how late the VM list is.
+// vmListLag is the delay of the VM list.
 const vmListLag = 2 * time.Second
 
-// startStale makes the platform go on showing what it held before its newest
-// value, for a time.
+// startStale makes the platform serve the value before its newest one for a time.
 func (p *platform) startStale(d time.Duration) {
 	p.visibleCount = max(1, len(p.values)-1)
 	p.world.after(d, func() {
@@ -158,8 +157,8 @@
 	})
 }
 
-// startOutage stops the platform for a time. A change that it took in just before
-// and that nobody has read counts from when it can be read.
+// startOutage stops the platform for a time. A change that was published just before and that
+// no node has read counts from when it can be read.
 func (p *platform) startOutage(d time.Duration) {
 	p.down = true
 	p.world.after(d, func() {
@@ -179,8 +178,8 @@
 	return p.values
 }
 
-// publish takes a change in. While the platform is stale it shows the change
-// to nobody, so nobody can follow it: it counts from when it is shown.
+// publish stores a change. While the platform is stale no node can read the change, so it
+// counts from when it can be read.
 func (p *platform) publish(v value, c change) {
 	p.values = append(p.values, v)
 	if p.visibleCount > 0 {
@@ -244,7 +243,7 @@
 	return shed.ConfigRead{Index: v.index, Parts: v.parts}
 }
 
-// listVMs shows the VM list as it was vmLag ago.
+// listVMs returns the VM list as it was vmListLag ago.
 func (p *platform) listVMs() []shed.VMEntry {
 	var out []shed.VMEntry
 	for _, l := range p.lists {
