--- a/internal/procs/examples_test.go
+++ b/internal/procs/examples_test.go
@@ -26,44 +26,44 @@
 			require.NotEmpty(t, once)
 			for i := range f.vms {
 				for _, p := range repeatable {
-					f.answersWhole(f.vms[i], p)
+					f.requireAnswer(f.vms[i], p)
 				}
 				for _, p := range once {
-					f.publishesOnce(i, p)
+					f.requirePublishedOnce(i, p)
 				}
 			}
 		})
 	}
 }
 
-func (f *fleet) answersWhole(v *vm, pipeline string) {
+func (f *fleet) requireAnswer(v *vm, pipeline string) {
 	f.t.Helper()
 	input := fmt.Sprintf("%s through VM %d: wind from the west", pipeline, v.index)
-	answer, err := f.caller(-1, v).Run(f.t.Context(), client.Work{Pipeline: pipeline, Input: input, MaxTokens: tokens})
+	answer, err := f.newClient(-1, v).Run(f.t.Context(), client.Work{Pipeline: pipeline, Input: input, MaxTokens: tokens})
 	require.NoError(f.t, err, "%s through %s", pipeline, v.name)
 	require.Equal(f.t, stand.WholeText(input, tokens), answer.Payload.Text)
 }
 
-func (f *fleet) publishesOnce(i int, pipeline string) {
+func (f *fleet) requirePublishedOnce(i int, pipeline string) {
 	f.t.Helper()
 	issuer, runner, third := f.vms[i], f.vms[(i+1)%len(f.vms)], f.vms[(i+3)%len(f.vms)]
 	ctx := f.t.Context()
-	ticket, err := f.caller(-1, issuer).Ticket(ctx, pipeline)
+	ticket, err := f.newClient(-1, issuer).Ticket(ctx, pipeline)
 	require.NoError(f.t, err)
 	work := client.Work{
 		Pipeline: pipeline, MaxTokens: tokens,
 		Input: fmt.Sprintf("%s by a ticket of VM %d", pipeline, i),
 	}
-	first, err := f.caller(-1, runner).RunTicket(ctx, ticket.RequestID, work)
+	first, err := f.newClient(-1, runner).RunTicket(ctx, ticket.RequestID, work)
 	require.NoError(f.t, err, "ticket of %s through %s", issuer.name, runner.name)
 	require.Equal(f.t, stand.WholeText(work.Input, tokens), first.Payload.Text)
 	require.NotEmpty(f.t, first.Payload.Receipt)
 
-	again, err := f.caller(-1, third).RunTicket(ctx, ticket.RequestID, work)
+	again, err := f.newClient(-1, third).RunTicket(ctx, ticket.RequestID, work)
 	require.NoError(f.t, err)
 	require.Equal(f.t, first.Payload, again.Payload)
-	result, err := f.caller(-1, third).Result(ctx, ticket.RequestID)
+	result, err := f.newClient(-1, third).Result(ctx, ticket.RequestID)
 	require.NoError(f.t, err)
 	require.Equal(f.t, first.Payload, result.Payload)
-	require.Equal(f.t, 1, f.published()[ticket.RequestID])
+	require.Equal(f.t, 1, f.publishCounts()[ticket.RequestID])
 }
--- a/internal/procs/fleet_test.go
+++ b/internal/procs/fleet_test.go
@@ -28,62 +28,62 @@
 const (
 	perZone = 2
 	anyPort = "127.0.0.1:0"
-	// longRun is what a server has completed that was up long before the fleet.
-	longRun = "100000"
+	// completedCalls is what a server has completed that was up long before the fleet.
+	completedCalls = "100000"
 )
 
 // fleetConfig says how a fleet differs from the usual one.
 type fleetConfig struct {
 	// example names the rules file.
 	example string
-	// serverAt may put something between the daemons and a server.
-	serverAt func(id shed.ServerID, addr string) string
-	// peerAt may put something between the i-th daemon and its peers.
-	peerAt func(i int, addr string) string
-	// engine adds to the arguments of the engines' stand-ins.
-	engine []string
+	// serverProxy may put something between the daemons and a server.
+	serverProxy func(id shed.ServerID, addr string) string
+	// peerProxy may put something between the i-th daemon and its peers.
+	peerProxy func(i int, addr string) string
+	// engineArgs adds to the arguments of the engines' stand-ins.
+	engineArgs []string
 }
 
 // fleet is a whole fleet of processes.
 type fleet struct {
-	t     *testing.T
-	cfg   fleetConfig
-	dir   string
-	text  string
-	rules *shed.Rules
+	t         *testing.T
+	cfg       fleetConfig
+	dir       string
+	rulesText string
+	rules     *shed.Rules
 
 	platform     *process
 	platformAddr string
 	admin        string
 	// servers holds the address of each backend server's own process.
-	servers map[shed.ServerID]string
-	vms     []*vm
-	starts  int
+	servers    map[shed.ServerID]string
+	vms        []*vm
+	startCount int
 }
 
 // vm is one daemon; it keeps its addresses over a restart.
 type vm struct {
 	*process
-	index                           int
-	zone                            string
-	peer, reach, callers, operators string
+	index                                int
+	zone                                 string
+	peer, advertised, callers, operators string
 }
 
 // atOnce bounds how many fleets run at once, each of a good dozen processes.
-const atOnce = 3
+const maxFleets = 3
 
-var running = make(chan struct{}, atOnce)
+var fleetSlots = make(chan struct{}, maxFleets)
 
 // startFleet starts a fleet that ends with the test, which runs beside others.
 func startFleet(t *testing.T, cfg fleetConfig) *fleet {
 	t.Helper()
 	t.Parallel()
-	running <- struct{}{}
-	t.Cleanup(func() { <-running })
+	fleetSlots <- struct{}{}
+	t.Cleanup(func() { <-fleetSlots })
 	f := &fleet{t: t, cfg: cfg, dir: t.TempDir(), servers: map[shed.ServerID]string{}}
 	f.startPlatform(anyPort)
 	f.startServers()
-	f.publish(f.text)
+	f.publish(f.rulesText)
 	for _, z := range f.zones() {
 		for range perZone {
 			f.addVM(z)
@@ -93,27 +93,27 @@
 	for _, v := range f.vms {
 		f.startVM(v)
 	}
-	f.settle(f.vms...)
+	f.awaitSettled(f.vms...)
 	return f
 }
 
-func (f *fleet) run(kind, name string, args ...string) *process {
+func (f *fleet) startProcess(kind, name string, args ...string) *process {
 	f.t.Helper()
-	f.starts++
-	log := filepath.Join(f.dir, fmt.Sprintf("%02d-%s.log", f.starts, name))
+	f.startCount++
+	log := filepath.Join(f.dir, fmt.Sprintf("%02d-%s.log", f.startCount, name))
 	return start(f.t, log, kind, args...)
 }
 
-// started waits for the line in which a stand-in says where it serves.
-func started(p *process) single.Started {
+// awaitStarted waits for the line in which a stand-in says where it serves.
+func awaitStarted(p *process) single.Started {
 	p.t.Helper()
 	return awaitLine(p, func(s single.Started) bool { return s.Addr != "" })
 }
 
 func (f *fleet) startPlatform(addr string) {
 	f.t.Helper()
-	f.platform = f.run("standin", "platform", "platform", "--addr", addr)
-	s := started(f.platform)
+	f.platform = f.startProcess("standin", "platform", "platform", "--addr", addr)
+	s := awaitStarted(f.platform)
 	f.platformAddr, f.admin = s.Addr, "http://"+s.Admin
 }
 
@@ -127,25 +127,25 @@
 	require.NoError(f.t, err)
 	processes := map[shed.ServerID]*process{}
 	for id, s := range first.Servers {
-		processes[id] = f.run("standin", string(id), f.serverArgs(first, s)...)
+		processes[id] = f.startProcess("standin", string(id), f.serverArgs(first, s)...)
 	}
 	var urls []string
 	for id, s := range first.Servers {
-		addr := started(processes[id]).Addr
+		addr := awaitStarted(processes[id]).Addr
 		f.servers[id] = addr
-		if f.cfg.serverAt != nil {
-			addr = f.cfg.serverAt(id, addr)
+		if f.cfg.serverProxy != nil {
+			addr = f.cfg.serverProxy(id, addr)
 		}
 		urls = append(urls, s.URL+",", "http://"+addr+",")
 	}
-	f.text = strings.NewReplacer(urls...).Replace(string(text))
-	f.rules, err = rules.Compile([]byte(f.text), 1)
+	f.rulesText = strings.NewReplacer(urls...).Replace(string(text))
+	f.rules, err = rules.Compile([]byte(f.rulesText), 1)
 	require.NoError(f.t, err)
 }
 
 func (f *fleet) serverArgs(r *shed.Rules, s *shed.Server) []string {
 	pool := r.Pools[s.Pool]
-	args := []string{"--id", string(s.ID), "--capacity", strconv.Itoa(s.Capacity), "--done", longRun}
+	args := []string{"--id", string(s.ID), "--capacity", strconv.Itoa(s.Capacity), "--done", completedCalls}
 	if pool.Kind == shed.KindService {
 		return append([]string{"service"}, args...)
 	}
@@ -155,7 +155,7 @@
 	if m := r.Models[pool.Model]; m != nil {
 		args = append(args, "--model", string(m.ID)+"@"+m.Version, "--role", s.Role)
 	}
-	return append(append([]string{"engine"}, args...), f.cfg.engine...)
+	return append(append([]string{"engine"}, args...), f.cfg.engineArgs...)
 }
 
 func (f *fleet) zones() []string {
@@ -171,10 +171,10 @@
 // where it is before it can tell.
 func (f *fleet) addVM(zone string) {
 	f.t.Helper()
-	v := &vm{index: len(f.vms), zone: zone, peer: keptPort(f.t), callers: keptPort(f.t), operators: keptPort(f.t)}
-	v.reach = v.peer
-	if f.cfg.peerAt != nil {
-		v.reach = f.cfg.peerAt(v.index, v.peer)
+	v := &vm{index: len(f.vms), zone: zone, peer: reservePort(f.t), callers: reservePort(f.t), operators: reservePort(f.t)}
+	v.advertised = v.peer
+	if f.cfg.peerProxy != nil {
+		v.advertised = f.cfg.peerProxy(v.index, v.peer)
 	}
 	f.vms = append(f.vms, v)
 }
@@ -184,7 +184,7 @@
 	f.t.Helper()
 	settings := filepath.Join(f.dir, fmt.Sprintf("vm-%d.ini", v.index))
 	require.NoError(f.t, os.WriteFile(settings, []byte(f.settings(v)), 0o600))
-	v.process = f.run("jasmineshed", fmt.Sprintf("vm-%d", v.index), "serve", "--settings", settings)
+	v.process = f.startProcess("jasmineshed", fmt.Sprintf("vm-%d", v.index), "serve", "--settings", settings)
 	type startLine struct{ Msg string }
 	awaitLine(v.process, func(l startLine) bool { return l.Msg == "daemon starts" })
 }
@@ -193,7 +193,7 @@
 	var seeds []string
 	for _, other := range f.vms {
 		if other != v {
-			seeds = append(seeds, other.reach)
+			seeds = append(seeds, other.advertised)
 		}
 	}
 	return fmt.Sprintf(`[node]
@@ -210,7 +210,7 @@
 [stop]
 notice = 1s
 drain = 15s
-`, v.peer, v.reach, v.zone, strings.Join(seeds, ", "), v.callers, v.operators, f.platformAddr)
+`, v.peer, v.advertised, v.zone, strings.Join(seeds, ", "), v.callers, v.operators, f.platformAddr)
 }
 
 // send makes an HTTP call; false unless it went well.
@@ -247,7 +247,7 @@
 	f.t.Helper()
 	var list []wire.VM
 	for _, v := range f.vms {
-		list = append(list, wire.VM{VM: shed.VM(v.reach), Zone: shed.ZoneID(v.zone)})
+		list = append(list, wire.VM{VM: shed.VM(v.advertised), Zone: shed.ZoneID(v.zone)})
 	}
 	body, err := json.Marshal(list)
 	require.NoError(f.t, err)
@@ -287,21 +287,21 @@
 
 func (v *vm) url() string { return "http://" + v.callers }
 
-// settle waits until each daemon takes requests, sees all others and knows its
+// awaitSettled waits until each daemon takes requests, sees all others and knows its
 // zone's servers as warm.
-func (f *fleet) settle(vms ...*vm) {
+func (f *fleet) awaitSettled(vms ...*vm) {
 	f.t.Helper()
 	for _, v := range vms {
 		var last status
 		await(f.t, func() bool {
 			s, ok := v.status()
 			last = s
-			return ok && v.ready() && s.settled(len(f.vms))
+			return ok && v.ready() && s.isSettled(len(f.vms))
 		}, "daemon settles", "%s: %+v\n%s", v.name, &last, logOf{v.process})
 	}
 }
 
-func (s status) settled(vms int) bool {
+func (s status) isSettled(vms int) bool {
 	seen := 0
 	for _, z := range s.View {
 		seen += len(z.Peers)
@@ -317,32 +317,32 @@
 	return true
 }
 
-// runs are those that a server has recorded.
-func (f *fleet) runs(id shed.ServerID) []stand.Run {
+// recordedRuns are those that a server has recorded.
+func (f *fleet) recordedRuns(id shed.ServerID) []stand.Run {
 	f.t.Helper()
 	var runs []stand.Run
 	require.True(f.t, send(http.MethodGet, "http://"+f.servers[id]+single.PathRuns, nil, &runs), "%s", id)
 	return runs
 }
 
-// published counts the runs of each request at all plain services.
-func (f *fleet) published() map[string]int {
+// publishCounts counts the runs of each request at all plain services.
+func (f *fleet) publishCounts() map[string]int {
 	f.t.Helper()
 	count := map[string]int{}
 	for id, s := range f.rules.Servers {
 		if f.rules.Pools[s.Pool].Kind != shed.KindService {
 			continue
 		}
-		for _, run := range f.runs(id) {
+		for _, run := range f.recordedRuns(id) {
 			count[run.Request]++
 		}
 	}
 	return count
 }
 
-// caller is a client of a workspace that may use every pipeline. The first VM
+// newClient is a client of a workspace that may use every pipeline. The first VM
 // is asked first.
-func (f *fleet) caller(repeats int, vms ...*vm) *client.Client {
+func (f *fleet) newClient(retries int, vms ...*vm) *client.Client {
 	f.t.Helper()
 	var urls []string
 	for _, v := range vms {
@@ -350,7 +350,7 @@
 	}
 	workspace := f.workspace()
 	c, err := client.New(client.Config{
-		URLs: urls, Workspace: workspace, Token: sample.Token(workspace), Repeats: repeats,
+		URLs: urls, Workspace: workspace, Token: sample.Token(workspace), Repeats: retries,
 	})
 	require.NoError(f.t, err)
 	return c
--- a/internal/procs/home_test.go
+++ b/internal/procs/home_test.go
@@ -22,7 +22,7 @@
 	issuer := f.vms[perZone]
 	require.Equal(t, "b", issuer.zone)
 	f.platform.Kill()
-	await(t, func() bool { return !f.anyFresh() }, "the last confirmation is too old")
+	await(t, func() bool { return !f.anyConfirmed() }, "the last confirmation is too old")
 
 	var refused, unknown atomic.Int64
 	var callers errgroup.Group
@@ -32,9 +32,9 @@
 		}
 		for i := range 4 {
 			input := fmt.Sprintf("warning %d through VM %d", i, v.index)
-			e := ordered{from: f.caller(-1, issuer), to: f.caller(-1, v)}
+			ticketed := ticketCaller{from: f.newClient(-1, issuer), to: f.newClient(-1, v)}
 			callers.Go(func() error {
-				switch end := e.warning(t.Context(), input); end.outcome() {
+				switch end := ticketed.warning(t.Context(), input); end.outcome() {
 				case client.Refused:
 					refused.Add(1)
 				case client.Unknown:
@@ -47,22 +47,22 @@
 		}
 	}
 	require.NoError(t, callers.Wait())
-	require.Empty(t, f.published())
+	require.Empty(t, f.publishCounts())
 	t.Logf("refused %d, unknown %d", refused.Load(), unknown.Load())
 	require.Greater(t, refused.Load(), unknown.Load())
 }
 
-// ordered gets a ticket from one VM and uses it at another.
-type ordered struct {
+// ticketCaller gets a ticket from one VM and uses it at another.
+type ticketCaller struct {
 	from, to *client.Client
 }
 
-func (o ordered) warning(ctx context.Context, input string) end {
+func (o ticketCaller) warning(ctx context.Context, input string) requestEnd {
 	ticket, err := o.from.Ticket(ctx, "warning")
 	if err != nil {
-		return end{err: err}
+		return requestEnd{err: err}
 	}
 	work := client.Work{Pipeline: "warning", Input: input, MaxTokens: tokens}
 	answer, err := o.to.RunTicket(ctx, ticket.RequestID, work)
-	return end{ticket: ticket.RequestID, answer: answer, err: err}
+	return requestEnd{ticket: ticket.RequestID, answer: answer, err: err}
 }
--- a/internal/procs/kill_test.go
+++ b/internal/procs/kill_test.go
@@ -16,25 +16,25 @@
 func TestKilledUnderLoad(t *testing.T) {
 	f := startFleet(t, fleetConfig{example: "small"})
 	victim, others := f.vms[0], f.vms[1:]
-	l := f.load()
+	l := f.newLoad()
 	for _, v := range others {
-		l.add("others", 2, captions(f.caller(-1, v)))
+		l.add("others", 2, captionRequest(f.newClient(-1, v)))
 	}
 	around := append([]*vm{victim}, others...)
-	l.add("victim", 4, captions(f.caller(0, around...)))
-	l.add("tickets", 4, warnings(f.caller(0, around...)))
-	l.goOn("tickets", 20)
-	l.goOn("victim", 20)
+	l.add("victim", 4, captionRequest(f.newClient(0, around...)))
+	l.add("tickets", 4, warningRequest(f.newClient(0, around...)))
+	l.awaitMore("tickets", 20)
+	l.awaitMore("victim", 20)
 
 	victim.Kill()
-	l.goOn("others", 100)
-	l.goOn("victim", 40)
-	l.goOn("tickets", 40)
+	l.awaitMore("others", 100)
+	l.awaitMore("victim", 40)
+	l.awaitMore("tickets", 40)
 	ends := l.finish()
 
-	f.wholeAll("others", ends["others"])
-	f.wholeAll("victim", ends["victim"])
-	f.trueAll(ends["tickets"])
+	f.requireAllComplete("others", ends["others"])
+	f.requireAllComplete("victim", ends["victim"])
+	f.requireTruthfulOutcomes(ends["tickets"])
 	for _, e := range ends["tickets"] {
 		require.Contains(t, []client.Outcome{client.Complete, client.Unknown}, e.outcome(), "%s: %v", e.input, e.err)
 	}
--- a/internal/procs/load_test.go
+++ b/internal/procs/load_test.go
@@ -20,10 +20,10 @@
 
 // callTime bounds one request with all its repeats, far above any deadline of
 // the examples.
-const callTime = 30 * time.Second
+const requestTimeout = 30 * time.Second
 
-// end is how one request ended for its caller.
-type end struct {
+// requestEnd is how one request ended for its caller.
+type requestEnd struct {
 	input string
 	// ticket is empty for a request that may be repeated.
 	ticket string
@@ -32,7 +32,7 @@
 }
 
 // outcome is empty if no answer came.
-func (e end) outcome() client.Outcome {
+func (e requestEnd) outcome() client.Outcome {
 	if e.err == nil {
 		return e.answer.Outcome
 	}
@@ -44,7 +44,7 @@
 }
 
 // reason is empty if there is none.
-func (e end) reason() string {
+func (e requestEnd) reason() string {
 	var other *client.AnswerError
 	if errors.As(e.err, &other) {
 		return other.Answer.Reason
@@ -61,27 +61,27 @@
 	count   atomic.Int64
 
 	mu   sync.Mutex
-	ends map[string][]end
+	ends map[string][]requestEnd
 }
 
-func (f *fleet) load() *load {
+func (f *fleet) newLoad() *load {
 	ctx, stop := context.WithCancel(context.Background())
-	l := &load{f: f, ctx: ctx, stop: stop, ends: map[string][]end{}}
+	l := &load{f: f, ctx: ctx, stop: stop, ends: map[string][]requestEnd{}}
 	f.t.Cleanup(func() {
 		l.finish()
-		l.tell()
+		l.logOutcomes()
 	})
 	return l
 }
 
 // add starts callers, whose requests are told apart by group.
-func (l *load) add(group string, callers int, ask func(ctx context.Context, input string) end) {
+func (l *load) add(group string, callers int, send func(ctx context.Context, input string) requestEnd) {
 	for range callers {
 		l.workers.Go(func() error {
 			for l.ctx.Err() == nil {
 				input := fmt.Sprintf("%s, request %d", group, l.count.Add(1))
-				ctx, cancel := context.WithTimeout(context.Background(), callTime)
-				e := ask(ctx, input)
+				ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
+				e := send(ctx, input)
 				cancel()
 				e.input = input
 				l.mu.Lock()
@@ -100,22 +100,22 @@
 	return len(l.ends[group])
 }
 
-// goOn waits until so many more requests of the group have ended.
-func (l *load) goOn(group string, more int) {
+// awaitMore waits until so many more requests of the group have ended.
+func (l *load) awaitMore(group string, more int) {
 	l.f.t.Helper()
 	want := l.done(group) + more
 	await(l.f.t, func() bool { return l.done(group) >= want }, "more requests of "+group)
 }
 
 // finish stops the callers after the requests that they wait for.
-func (l *load) finish() map[string][]end {
+func (l *load) finish() map[string][]requestEnd {
 	l.stop()
 	_ = l.workers.Wait()
 	return l.ends
 }
 
-// tell logs how the requests ended.
-func (l *load) tell() {
+// logOutcomes logs how the requests ended.
+func (l *load) logOutcomes() {
 	for group, ends := range l.ends {
 		count := map[string]int{}
 		for _, e := range ends {
@@ -125,63 +125,63 @@
 	}
 }
 
-// captions asks for captions, which may be repeated.
-func captions(c *client.Client) func(context.Context, string) end {
-	return func(ctx context.Context, input string) end {
+// captionRequest asks for captions, which may be repeated.
+func captionRequest(c *client.Client) func(context.Context, string) requestEnd {
+	return func(ctx context.Context, input string) requestEnd {
 		answer, err := c.Run(ctx, client.Work{Pipeline: "caption", Input: input, MaxTokens: tokens})
-		return end{answer: answer, err: err}
+		return requestEnd{answer: answer, err: err}
 	}
 }
 
-// warnings pushes warnings, each by a ticket.
-func warnings(c *client.Client) func(context.Context, string) end {
-	return func(ctx context.Context, input string) end {
+// warningRequest pushes warnings, each by a ticket.
+func warningRequest(c *client.Client) func(context.Context, string) requestEnd {
+	return func(ctx context.Context, input string) requestEnd {
 		ticket, err := c.Ticket(ctx, "warning")
 		if err != nil {
-			return end{err: err}
+			return requestEnd{err: err}
 		}
 		work := client.Work{Pipeline: "warning", Input: input, MaxTokens: tokens}
 		answer, err := c.RunTicket(ctx, ticket.RequestID, work)
-		return end{ticket: ticket.RequestID, answer: answer, err: err}
+		return requestEnd{ticket: ticket.RequestID, answer: answer, err: err}
 	}
 }
 
-// wholeAll fails unless every one of the requests got its own whole answer.
-func (f *fleet) wholeAll(group string, ends []end) {
+// requireAllComplete fails unless every one of the requests got its own whole answer.
+func (f *fleet) requireAllComplete(group string, ends []requestEnd) {
 	f.t.Helper()
 	require.NotEmpty(f.t, ends, group)
 	for _, e := range ends {
 		if e.err != nil {
-			require.NoError(f.t, e.err, "%s of %d\n%s", e.input, len(ends), f.story(e))
+			require.NoError(f.t, e.err, "%s of %d\n%s", e.input, len(ends), f.explain(e))
 		}
 		require.Equal(f.t, stand.WholeText(e.input, tokens), e.answer.Payload.Text, e.input)
 	}
 }
 
-// story is what the daemons noted of the request.
-func (f *fleet) story(e end) string {
+// explain is what the daemons noted of the request.
+func (f *fleet) explain(e requestEnd) string {
 	var other *client.AnswerError
 	if !errors.As(e.err, &other) {
 		return ""
 	}
-	story := fmt.Sprintf("%+v\n", other.Answer)
+	text := fmt.Sprintf("%+v\n", other.Answer)
 	for _, v := range f.vms {
 		var notes []json.RawMessage
 		send(http.MethodGet, "http://"+v.operators+"/explain/"+other.Answer.RequestID, nil, &notes)
 		for _, n := range notes {
 			var line bytes.Buffer
 			_ = json.Compact(&line, n)
-			story += fmt.Sprintf("%s %s\n", v.name, &line)
+			text += fmt.Sprintf("%s %s\n", v.name, &line)
 		}
 	}
-	return story
+	return text
 }
 
-// trueAll fails unless the outcome of each ticketed request agrees with what the
+// requireTruthfulOutcomes fails unless the outcome of each ticketed request agrees with what the
 // plain services ran: complete once, unknown once at most, else never.
-func (f *fleet) trueAll(ends []end) {
+func (f *fleet) requireTruthfulOutcomes(ends []requestEnd) {
 	f.t.Helper()
-	published := f.published()
+	published := f.publishCounts()
 	for _, e := range ends {
 		runs := published[e.ticket]
 		switch e.outcome() {
--- a/internal/procs/main_test.go
+++ b/internal/procs/main_test.go
@@ -14,7 +14,7 @@
 // mains refers to the programs. Go keeps the result of a test until the linked
 // test changes, and links no code that nothing refers to: without these a change
 // of the programs would leave an old pass standing.
-var mains = map[string]any{"jasmineshed": cmds.Main, "standin": single.Main}
+var linkedPrograms = map[string]any{"jasmineshed": cmds.Main, "standin": single.Main}
 
 // programs is the directory that holds the built programs.
 var programs string
@@ -31,7 +31,7 @@
 	}
 	defer func() { _ = os.RemoveAll(dir) }()
 	args := []string{"build", "-o", dir}
-	for name := range mains {
+	for name := range linkedPrograms {
 		args = append(args, "jasmineshed/cmd/"+name)
 	}
 	build := exec.Command("go", args...)
--- a/internal/procs/pause_test.go
+++ b/internal/procs/pause_test.go
@@ -14,11 +14,11 @@
 )
 
 // asleep is longer than every lease of the fleet.
-const asleep = 8 * time.Second
+const pauseDuration = 8 * time.Second
 
 // obeyed is after what time the rest of the fleet must have stopped using a
 // server that is leaving.
-const obeyed = 5 * time.Second
+const leaveTime = 5 * time.Second
 
 // A VM is paused while it takes requests. Operators set a server of its zone
 // leaving; the others obey. The paused VM wakes with rules that are out of date
@@ -28,35 +28,35 @@
 func TestPausedWhileServerLeaves(t *testing.T) {
 	f := startFleet(t, fleetConfig{example: "small"})
 	const leaving = shed.ServerID("gen-a-1")
-	sleeper, others := f.vms[0], f.vms[1:]
-	l := f.load()
+	pausedVM, others := f.vms[0], f.vms[1:]
+	l := f.newLoad()
 	for _, v := range others {
-		l.add("others", 1, captions(f.caller(-1, v)))
+		l.add("others", 1, captionRequest(f.newClient(-1, v)))
 	}
-	l.add("sleeper", 4, captions(f.caller(-1, sleeper)))
-	l.add("tickets", 2, warnings(f.caller(-1, sleeper)))
-	l.goOn("sleeper", 20)
-	l.goOn("tickets", 5)
-	require.NotEmpty(t, f.runs(leaving), "the server carried load before")
+	l.add("sleeper", 4, captionRequest(f.newClient(-1, pausedVM)))
+	l.add("tickets", 2, warningRequest(f.newClient(-1, pausedVM)))
+	l.awaitMore("sleeper", 20)
+	l.awaitMore("tickets", 5)
+	require.NotEmpty(t, f.recordedRuns(leaving), "the server carried load before")
 
-	sleeper.signal(syscall.SIGSTOP)
-	f.publish(leave(t, f.text, leaving))
-	told := time.Now()
-	f.until(told.Add(asleep))
-	before := f.runs(leaving)
-	sleeper.signal(syscall.SIGCONT)
-	f.settle(sleeper)
-	l.goOn("sleeper", 40)
-	l.goOn("tickets", 10)
-	l.goOn("others", 20)
+	pausedVM.signal(syscall.SIGSTOP)
+	f.publish(withServerLeaving(t, f.rulesText, leaving))
+	published := time.Now()
+	f.waitUntil(published.Add(pauseDuration))
+	before := f.recordedRuns(leaving)
+	pausedVM.signal(syscall.SIGCONT)
+	f.awaitSettled(pausedVM)
+	l.awaitMore("sleeper", 40)
+	l.awaitMore("tickets", 10)
+	l.awaitMore("others", 20)
 	ends := l.finish()
 
 	for _, run := range before {
-		require.Less(t, run.Start.Sub(told), obeyed, run.Call)
+		require.Less(t, run.Start.Sub(published), leaveTime, run.Call)
 	}
-	require.Empty(t, f.runs(leaving)[len(before):], "runs after the wake")
-	f.wholeAll("others", ends["others"])
-	f.trueAll(ends["tickets"])
+	require.Empty(t, f.recordedRuns(leaving)[len(before):], "runs after the wake")
+	f.requireAllComplete("others", ends["others"])
+	f.requireTruthfulOutcomes(ends["tickets"])
 	// A deadline passes within the pause; no caller is left without an answer.
 	answers := []client.Outcome{client.Complete, client.NotRun, client.Deadline}
 	for _, e := range ends["sleeper"] {
@@ -66,15 +66,15 @@
 	require.NoError(t, last.err, "the woken VM serves again")
 }
 
-// until waits for a point in time: here the passing of time is the fault.
-func (f *fleet) until(end time.Time) {
+// waitUntil waits for a point in time: here the passing of time is the fault.
+func (f *fleet) waitUntil(end time.Time) {
 	ctx, cancel := context.WithDeadline(f.t.Context(), end)
 	defer cancel()
 	<-ctx.Done()
 }
 
-// leave is the rules file with a server set leaving.
-func leave(t *testing.T, text string, id shed.ServerID) string {
+// withServerLeaving is the rules file with a server set leaving.
+func withServerLeaving(t *testing.T, text string, id shed.ServerID) string {
 	t.Helper()
 	lines := strings.Split(text, "\n")
 	for i, line := range lines {
--- a/internal/procs/port_test.go
+++ b/internal/procs/port_test.go
@@ -11,10 +11,10 @@
 // lastPort is the port that keptPort gave out last.
 var lastPort atomic.Int32
 
-// keptPort is an address that a process can be started at, and started again
+// reservePort is an address that a process can be started at, and started again
 // later. Ports from the system's own range won't do: while the process is down,
 // any outgoing connection may take one, and the process can't come back.
-func keptPort(t *testing.T) string {
+func reservePort(t *testing.T) string {
 	t.Helper()
 	const first, last = 20000, 32000
 	lastPort.CompareAndSwap(0, int32(first+os.Getpid()*17%(last-first)))
--- a/internal/procs/process_test.go
+++ b/internal/procs/process_test.go
@@ -14,11 +14,11 @@
 )
 
 const (
-	// patience bounds each wait for something that takes well under a second on
+	// awaitTimeout bounds each wait for something that takes well under a second on
 	// an idle machine.
-	patience = 60 * time.Second
-	// glance is the pause between two looks.
-	glance = 20 * time.Millisecond
+	awaitTimeout = 60 * time.Second
+	// pollInterval is the pause between two looks.
+	pollInterval = 20 * time.Millisecond
 )
 
 // process is one program that a test started. It ends with the test.
@@ -42,10 +42,10 @@
 	require.NoError(p.t, p.Signal(s), p.name)
 }
 
-// ends waits for the process to end by itself, without an error.
-func (p *process) ends() {
+// awaitExit waits for the process to end by itself, without an error.
+func (p *process) awaitExit() {
 	p.t.Helper()
-	ended, err := p.Wait(patience)
+	ended, err := p.Wait(awaitTimeout)
 	require.True(p.t, ended, "process doesn't end: %s:\n%s", p.name, p.Tail())
 	require.NoError(p.t, err, p.name)
 }
@@ -72,14 +72,14 @@
 }
 
 // await looks until what is asked for holds.
-func await(t *testing.T, holds func() bool, what string, args ...any) {
+func await(t *testing.T, condition func() bool, what string, args ...any) {
 	t.Helper()
-	end := time.Now().Add(patience)
-	for !holds() {
+	end := time.Now().Add(awaitTimeout)
+	for !condition() {
 		if time.Now().After(end) {
 			require.FailNow(t, "not in time: "+what, args...)
 		}
-		time.Sleep(glance)
+		time.Sleep(pollInterval)
 	}
 }
 
--- a/internal/procs/roll_test.go
+++ b/internal/procs/roll_test.go
@@ -20,22 +20,22 @@
 // same.
 func TestRollingRestartUnderLoad(t *testing.T) {
 	f := startFleet(t, fleetConfig{example: "small"})
-	l := f.load()
+	l := f.newLoad()
 	b := newBalancer(f)
 	l.add("captions", 6, b.caption)
 	l.add("warnings", 3, b.warning)
-	l.goOn("warnings", 5)
+	l.awaitMore("warnings", 5)
 	for _, v := range f.vms {
 		v.signal(syscall.SIGTERM)
-		v.ends()
+		v.awaitExit()
 		f.startVM(v)
-		f.settle(f.vms...)
-		l.goOn("captions", 10)
+		f.awaitSettled(f.vms...)
+		l.awaitMore("captions", 10)
 	}
 	ends := l.finish()
 
-	f.wholeAll("captions", ends["captions"])
-	f.trueAll(ends["warnings"])
+	f.requireAllComplete("captions", ends["captions"])
+	f.requireTruthfulOutcomes(ends["warnings"])
 	for _, e := range ends["warnings"] {
 		require.NoError(t, e.err, e.input)
 		require.Equal(t, stand.WholeText(e.input, tokens), e.answer.Payload.Text)
@@ -45,15 +45,15 @@
 // balancer sends each call to a VM that has just said that it is ready, one
 // after the other, and repeats none by itself.
 type balancer struct {
-	vms  []*vm
-	to   []*client.Client
-	next atomic.Int64
+	vms     []*vm
+	clients []*client.Client
+	next    atomic.Int64
 }
 
 func newBalancer(f *fleet) *balancer {
 	b := &balancer{vms: f.vms}
 	for _, v := range f.vms {
-		b.to = append(b.to, f.caller(-1, v))
+		b.clients = append(b.clients, f.newClient(-1, v))
 	}
 	return b
 }
@@ -61,17 +61,17 @@
 // errNoVM: the caller gave up before any VM was ready.
 var errNoVM = errors.New("no VM is ready")
 
-// try makes the call at one ready VM. It goes on to the next one only after
+// callReady makes the call at one ready VM. It goes on to the next one only after
 // the answer that the call was not run since the VM stops, and that VM must say
 // by now that it isn't ready.
-func (b *balancer) try(ctx context.Context, call func(c *client.Client) error) error {
+func (b *balancer) callReady(ctx context.Context, call func(c *client.Client) error) error {
 	for ctx.Err() == nil {
 		i := int(b.next.Add(1)) % len(b.vms)
 		v := b.vms[i]
 		if !v.ready() {
 			continue
 		}
-		err := call(b.to[i])
+		err := call(b.clients[i])
 		if !refusedByStop(err) || v.ready() {
 			return err
 		}
@@ -84,19 +84,19 @@
 	return errors.As(err, &refused) && refused.Answer.Outcome == client.NotRun && refused.Answer.Reason == "stopping"
 }
 
-func (b *balancer) caption(ctx context.Context, input string) end {
-	var e end
-	e.err = b.try(ctx, func(c *client.Client) error {
-		e = captions(c)(ctx, input)
+func (b *balancer) caption(ctx context.Context, input string) requestEnd {
+	var e requestEnd
+	e.err = b.callReady(ctx, func(c *client.Client) error {
+		e = captionRequest(c)(ctx, input)
 		return e.err
 	})
 	return e
 }
 
 // warning gets its ticket from one VM and uses it at another.
-func (b *balancer) warning(ctx context.Context, input string) end {
-	var e end
-	e.err = b.try(ctx, func(c *client.Client) error {
+func (b *balancer) warning(ctx context.Context, input string) requestEnd {
+	var e requestEnd
+	e.err = b.callReady(ctx, func(c *client.Client) error {
 		ticket, err := c.Ticket(ctx, "warning")
 		if err == nil {
 			e.ticket = ticket.RequestID
@@ -107,7 +107,7 @@
 		return e
 	}
 	work := client.Work{Pipeline: "warning", Input: input, MaxTokens: tokens}
-	e.err = b.try(ctx, func(c *client.Client) error {
+	e.err = b.callReady(ctx, func(c *client.Client) error {
 		var err error
 		e.answer, err = c.RunTicket(ctx, e.ticket, work)
 		return err
--- a/internal/procs/silent_test.go
+++ b/internal/procs/silent_test.go
@@ -26,9 +26,9 @@
 func TestSilentPeerConnections(t *testing.T) {
 	proxies := map[int]*fault.Proxy{}
 	f := startFleet(t, fleetConfig{
-		example: "small",
-		engine:  []string{"--call-time", "50ms"},
-		peerAt: func(i int, addr string) string {
+		example:    "small",
+		engineArgs: []string{"--call-time", "50ms"},
+		peerProxy: func(i int, addr string) string {
 			if i >= perZone {
 				return addr
 			}
@@ -36,7 +36,7 @@
 			return proxies[i].Addr()
 		},
 	})
-	f.goesSilent(f.vms[2*perZone:], func() int {
+	f.loseConnectionsUnderLoad(f.vms[2*perZone:], func() int {
 		lost := 0
 		for _, p := range proxies {
 			lost += p.Lose()
@@ -53,9 +53,9 @@
 	const silent = shed.ServerID("gen-c-1")
 	var engine *fault.Proxy
 	f := startFleet(t, fleetConfig{
-		example: "small",
-		engine:  []string{"--token-time", "8ms"},
-		serverAt: func(id shed.ServerID, addr string) string {
+		example:    "small",
+		engineArgs: []string{"--token-time", "8ms"},
+		serverProxy: func(id shed.ServerID, addr string) string {
 			if id != silent {
 				return addr
 			}
@@ -63,25 +63,25 @@
 			return engine.Addr()
 		},
 	})
-	f.goesSilent(f.vms[2*perZone:], func() int { return engine.Lose() })
-	require.NotEmpty(t, f.runs(silent))
+	f.loseConnectionsUnderLoad(f.vms[2*perZone:], func() int { return engine.Lose() })
+	require.NotEmpty(t, f.recordedRuns(silent))
 }
 
-// goesSilent loses connections twice under load, which comes in by the VMs.
-func (f *fleet) goesSilent(vms []*vm, lose func() int) {
+// loseConnectionsUnderLoad loses connections twice under load, which comes in by the VMs.
+func (f *fleet) loseConnectionsUnderLoad(vms []*vm, lose func() int) {
 	f.t.Helper()
-	l := f.load()
+	l := f.newLoad()
 	for _, v := range vms {
-		l.add("captions", 4, captions(f.caller(-1, v)))
-		l.add("warnings", 2, warnings(f.caller(-1, v)))
+		l.add("captions", 4, captionRequest(f.newClient(-1, v)))
+		l.add("warnings", 2, warningRequest(f.newClient(-1, v)))
 	}
 	for range 2 {
-		l.goOn("captions", 40)
+		l.awaitMore("captions", 40)
 		await(f.t, func() bool { return lose() > 0 }, "connections to lose")
 	}
-	l.goOn("captions", 100)
-	l.goOn("warnings", 30)
+	l.awaitMore("captions", 100)
+	l.awaitMore("warnings", 30)
 	ends := l.finish()
-	f.wholeAll("captions", ends["captions"])
-	f.trueAll(ends["warnings"])
+	f.requireAllComplete("captions", ends["captions"])
+	f.requireTruthfulOutcomes(ends["warnings"])
 }
--- a/internal/procs/stale_test.go
+++ b/internal/procs/stale_test.go
@@ -18,47 +18,47 @@
 // alone.
 func TestPlatformStopsAndComesBackStale(t *testing.T) {
 	f := startFleet(t, fleetConfig{example: "weerbeeld"})
-	first := f.revision()
-	newer := strings.Replace(f.text, "share 6", "share 7", 1)
-	require.NotEqual(t, f.text, newer)
+	first := f.lowestRevision()
+	newer := strings.Replace(f.rulesText, "share 6", "share 7", 1)
+	require.NotEqual(t, f.rulesText, newer)
 	f.publish(newer)
-	await(t, func() bool { return f.agreed() && f.revision() > first }, "the newer revision is in force everywhere")
-	accepted := f.revision()
+	await(t, func() bool { return f.sameRevision() && f.lowestRevision() > first }, "the newer revision is in force everywhere")
+	accepted := f.lowestRevision()
 
-	l := f.load()
+	l := f.newLoad()
 	b := newBalancer(f)
 	l.add("captions", 4, b.caption)
 	l.add("warnings", 2, b.warning)
-	l.goOn("captions", 20)
+	l.awaitMore("captions", 20)
 	f.platform.Kill()
-	await(t, func() bool { return !f.anyFresh() }, "the last confirmation is too old")
-	l.goOn("captions", 40)
-	l.goOn("warnings", 10)
-	require.Equal(t, accepted, f.revision())
+	await(t, func() bool { return !f.anyConfirmed() }, "the last confirmation is too old")
+	l.awaitMore("captions", 40)
+	l.awaitMore("warnings", 10)
+	require.Equal(t, accepted, f.lowestRevision())
 
 	f.startPlatform(f.platformAddr)
-	f.publish(f.text)
+	f.publish(f.rulesText)
 	f.listVMs()
-	l.goOn("captions", 40)
-	l.goOn("warnings", 10)
+	l.awaitMore("captions", 40)
+	l.awaitMore("warnings", 10)
 	ends := l.finish()
-	f.wholeAll("captions", ends["captions"])
-	f.wholeAll("warnings", ends["warnings"])
-	f.trueAll(ends["warnings"])
+	f.requireAllComplete("captions", ends["captions"])
+	f.requireAllComplete("warnings", ends["warnings"])
+	f.requireTruthfulOutcomes(ends["warnings"])
 
 	restarted := f.vms[0]
 	restarted.Kill()
 	f.startVM(restarted)
-	f.settle(f.vms...)
+	f.awaitSettled(f.vms...)
 	for _, v := range f.vms {
-		f.answersWhole(v, "caption")
+		f.requireAnswer(v, "caption")
 	}
-	require.True(t, f.agreed())
-	require.Equal(t, accepted, f.revision())
+	require.True(t, f.sameRevision())
+	require.Equal(t, accepted, f.lowestRevision())
 }
 
-// anyFresh tells whether any daemon's configuration is confirmed by now.
-func (f *fleet) anyFresh() bool {
+// anyConfirmed tells whether any daemon's configuration is confirmed by now.
+func (f *fleet) anyConfirmed() bool {
 	for _, v := range f.vms {
 		if s, ok := v.status(); !ok || s.Configuration.Fresh {
 			return true
@@ -67,8 +67,8 @@
 	return false
 }
 
-// revision is the lowest that is in force at any daemon.
-func (f *fleet) revision() shed.Revision {
+// lowestRevision is the lowest that is in force at any daemon.
+func (f *fleet) lowestRevision() shed.Revision {
 	f.t.Helper()
 	lowest := shed.Revision(0)
 	for i, v := range f.vms {
@@ -81,10 +81,10 @@
 	return lowest
 }
 
-// agreed tells whether one revision is in force everywhere.
-func (f *fleet) agreed() bool {
+// sameRevision tells whether one revision is in force everywhere.
+func (f *fleet) sameRevision() bool {
 	f.t.Helper()
-	lowest := f.revision()
+	lowest := f.lowestRevision()
 	for _, v := range f.vms {
 		if s, ok := v.status(); !ok || s.Configuration.Revision != lowest {
 			return false
