--- a/internal/procs/doc.go
+++ b/internal/procs/doc.go
@@ -1,5 +1,5 @@
-// Package procs tests the built programs as processes of their own, on
-// loopback: daemons on three zones, the platform, engines and plain services.
-// What only a real process can show is tested here: SIGKILL, SIGSTOP, SIGTERM
-// and connections that go silent. It has tests only.
+// Package procs tests the built programs as separate processes on loopback:
+// daemons in three zones, the platform, engines and plain services. It covers
+// what only real processes can show: SIGKILL, SIGSTOP, SIGTERM and connections
+// that go silent. It has test files only.
 package procs
--- a/internal/procs/examples_test.go
+++ b/internal/procs/examples_test.go
@@ -12,11 +12,10 @@
 
 const tokens = 40
 
-// Every caller of both examples gets the whole text of its own request, by
-// whatever VM it comes in. A publication that is ordered by a ticket through
-// another VM than the one that issued it, and then ordered again through a
-// third one, is answered alike each time: the ticket's home runs it once and
-// keeps the answer.
+// Guards against incomplete or foreign answers through any VM of both examples, and against
+// ticketed publications that run twice: a ticket is used through another VM than the one that
+// issued it, and again through a third one. The ticket's home must run it once, keep the answer
+// and return the same one each time.
 func TestExamplesEndToEnd(t *testing.T) {
 	for _, example := range []string{"weerbeeld", "cantabrico"} {
 		t.Run(example, func(t *testing.T) {
--- a/internal/procs/fleet_test.go
+++ b/internal/procs/fleet_test.go
@@ -28,23 +28,24 @@
 const (
 	perZone = 2
 	anyPort = "127.0.0.1:0"
-	// completedCalls is what a server has completed that was up long before the fleet.
+	// completedCalls is the number of calls that a server has completed before the fleet starts,
+	// as one that has been up for long.
 	completedCalls = "100000"
 )
 
-// fleetConfig says how a fleet differs from the usual one.
+// fleetConfig configures a fleet.
 type fleetConfig struct {
 	// example names the rules file.
 	example string
-	// serverProxy may put something between the daemons and a server.
+	// serverProxy may return the address of a proxy between the daemons and a server.
 	serverProxy func(id shed.ServerID, addr string) string
-	// peerProxy may put something between the i-th daemon and its peers.
+	// peerProxy may return the address of a proxy between the i-th daemon and its peers.
 	peerProxy func(i int, addr string) string
-	// engineArgs adds to the arguments of the engines' stand-ins.
+	// engineArgs holds extra arguments for the engines' stand-ins.
 	engineArgs []string
 }
 
-// fleet is a whole fleet of processes.
+// fleet is a complete fleet of processes.
 type fleet struct {
 	t         *testing.T
 	cfg       fleetConfig
@@ -61,7 +62,7 @@
 	startCount int
 }
 
-// vm is one daemon; it keeps its addresses over a restart.
+// vm is one daemon, which keeps its addresses over restarts.
 type vm struct {
 	*process
 	index                                int
@@ -69,12 +70,12 @@
 	peer, advertised, callers, operators string
 }
 
-// atOnce bounds how many fleets run at once, each of a good dozen processes.
+// maxFleets bounds how many fleets run at once, each of more than a dozen processes.
 const maxFleets = 3
 
 var fleetSlots = make(chan struct{}, maxFleets)
 
-// startFleet starts a fleet that ends with the test, which runs beside others.
+// startFleet starts a fleet that ends with the test. It makes the test parallel.
 func startFleet(t *testing.T, cfg fleetConfig) *fleet {
 	t.Helper()
 	t.Parallel()
@@ -104,7 +105,7 @@
 	return start(f.t, log, kind, args...)
 }
 
-// awaitStarted waits for the line in which a stand-in says where it serves.
+// awaitStarted waits for the line in which a stand-in prints its address.
 func awaitStarted(p *process) single.Started {
 	p.t.Helper()
 	return awaitLine(p, func(s single.Started) bool { return s.Addr != "" })
@@ -117,8 +118,8 @@
 	f.platformAddr, f.admin = s.Addr, "http://"+s.Admin
 }
 
-// startServers runs a stand-in for each server of the example and puts the
-// addresses into the rules.
+// startServers starts a stand-in for each server of the example and puts its address into the
+// rules.
 func (f *fleet) startServers() {
 	f.t.Helper()
 	text, err := sample.Rules(f.cfg.example)
@@ -167,8 +168,7 @@
 	return zones
 }
 
-// addVM gives a daemon that is yet to start its addresses. Peers must know
-// where it is before it can tell.
+// addVM assigns addresses to a daemon before its start, since the settings of its peers need them.
 func (f *fleet) addVM(zone string) {
 	f.t.Helper()
 	v := &vm{index: len(f.vms), zone: zone, peer: reservePort(f.t), callers: reservePort(f.t), operators: reservePort(f.t)}
@@ -179,7 +179,7 @@
 	f.vms = append(f.vms, v)
 }
 
-// startVM starts a daemon, or starts it again at its addresses.
+// startVM starts a daemon, or restarts it at its addresses.
 func (f *fleet) startVM(v *vm) {
 	f.t.Helper()
 	settings := filepath.Join(f.dir, fmt.Sprintf("vm-%d.ini", v.index))
@@ -213,7 +213,7 @@
 `, v.peer, v.advertised, v.zone, strings.Join(seeds, ", "), v.callers, v.operators, f.platformAddr)
 }
 
-// send makes an HTTP call; false unless it went well.
+// send makes an HTTP call. It returns false unless the status is 200 and the body can be decoded.
 func send(method, url string, body []byte, out any) bool {
 	req, err := http.NewRequest(method, url, bytes.NewReader(body))
 	if err != nil {
@@ -232,8 +232,8 @@
 	return out == nil || json.Unmarshal(text, out) == nil
 }
 
-// publish puts a rules file on the platform as an operator does: the parts
-// first, the index last.
+// publish stores a rules file on the platform as an operator does: first the parts, then the
+// index.
 func (f *fleet) publish(text string) {
 	f.t.Helper()
 	index, parts := rules.Pack([]byte(text))
@@ -254,7 +254,7 @@
 	require.True(f.t, send(http.MethodPut, f.admin+"/admin/vms", body, nil))
 }
 
-// status is the part of a daemon's status that the tests judge.
+// status is the part of a daemon's status that the tests check.
 type status struct {
 	Ready         bool          `json:"ready"`
 	Stopping      bool          `json:"stopping"`
@@ -280,15 +280,15 @@
 	return s, ok
 }
 
-// ready is what the platform's balancer asks.
+// ready makes the readiness check of the platform's balancer.
 func (v *vm) ready() bool {
 	return send(http.MethodGet, v.url()+"/readyz", nil, nil)
 }
 
 func (v *vm) url() string { return "http://" + v.callers }
 
-// awaitSettled waits until each daemon takes requests, sees all others and knows its
-// zone's servers as warm.
+// awaitSettled waits until each daemon is ready, sees all others and considers its zone's servers
+// warm.
 func (f *fleet) awaitSettled(vms ...*vm) {
 	f.t.Helper()
 	for _, v := range vms {
@@ -317,7 +317,7 @@
 	return true
 }
 
-// recordedRuns are those that a server has recorded.
+// recordedRuns returns the runs that a server has recorded.
 func (f *fleet) recordedRuns(id shed.ServerID) []stand.Run {
 	f.t.Helper()
 	var runs []stand.Run
@@ -340,8 +340,8 @@
 	return count
 }
 
-// newClient is a client of a workspace that may use every pipeline. The first VM
-// is asked first.
+// newClient returns a client of a workspace that may use every pipeline. It calls the first VM
+// first.
 func (f *fleet) newClient(retries int, vms ...*vm) *client.Client {
 	f.t.Helper()
 	var urls []string
@@ -368,7 +368,7 @@
 	return open[0]
 }
 
-// pipelines are those that may be repeated, and those that may not.
+// pipelines returns the pipelines whose requests may be repeated, and those that run once.
 func (f *fleet) pipelines() (repeatable, once []string) {
 	for id, p := range f.rules.Pipelines {
 		if p.Idempotent() {
--- a/internal/procs/home_test.go
+++ b/internal/procs/home_test.go
@@ -12,11 +12,11 @@
 	"jasmineshed/pkg/client"
 )
 
-// The platform is down, so zone b, which has no service that publishes, may hand
-// no publication to another zone. Warnings with tickets of zone b wait there
-// until too little time is left. Their callers, who came by other VMs, are told
-// that they were refused and so were not published. "Unknown" would make an
-// editor look at every playout; it is left to those whose word comes too late.
+// Guards against refusals by a ticket's home that reach the caller as "unknown", which would make
+// an editor check every playout. The platform is down, so zone b, which has no publishing service,
+// must not forward a publication to another zone: warnings with tickets of zone b wait there until
+// too little time is left. Most of their callers, who use other VMs, must be answered "refused";
+// "unknown" is only for those whose refusal arrives too late.
 func TestRefusalOfTheTicketsHomeIsTold(t *testing.T) {
 	f := startFleet(t, fleetConfig{example: "small"})
 	issuer := f.vms[perZone]
--- a/internal/procs/kill_test.go
+++ b/internal/procs/kill_test.go
@@ -8,11 +8,11 @@
 	"jasmineshed/pkg/client"
 )
 
-// A VM dies under load. Callers of other VMs see nothing of it: stages that
-// were handed to the dead one are tried again elsewhere. Callers of the dead VM
-// lose their connection, ask again at another one, and get their whole answer.
-// A ticket whose home has died ends complete or as outcome_unknown, since what
-// the home had started died with it; nothing is published twice.
+// Guards against requests that are lost or published twice when a VM is killed under load. Callers
+// of other VMs must not notice it, since stages forwarded to the dead VM are retried elsewhere.
+// Its own callers lose their connection, retry through another VM and get complete answers. A
+// ticket whose home died ends complete or as outcome_unknown, since what the home had started died
+// with it.
 func TestKilledUnderLoad(t *testing.T) {
 	f := startFleet(t, fleetConfig{example: "small"})
 	victim, others := f.vms[0], f.vms[1:]
--- a/internal/procs/load_test.go
+++ b/internal/procs/load_test.go
@@ -18,11 +18,10 @@
 	"jasmineshed/pkg/client"
 )
 
-// callTime bounds one request with all its repeats, far above any deadline of
-// the examples.
+// requestTimeout bounds one request with all its retries, far above any deadline of the examples.
 const requestTimeout = 30 * time.Second
 
-// requestEnd is how one request ended for its caller.
+// requestEnd is the outcome of one request for its caller.
 type requestEnd struct {
 	input string
 	// ticket is empty for a request that may be repeated.
@@ -31,7 +30,7 @@
 	err    error
 }
 
-// outcome is empty if no answer came.
+// outcome returns the answer's outcome, or "" if no answer arrived.
 func (e requestEnd) outcome() client.Outcome {
 	if e.err == nil {
 		return e.answer.Outcome
@@ -43,7 +42,7 @@
 	return ""
 }
 
-// reason is empty if there is none.
+// reason returns the answer's reason, or "" if there is none.
 func (e requestEnd) reason() string {
 	var other *client.AnswerError
 	if errors.As(e.err, &other) {
@@ -52,7 +51,7 @@
 	return ""
 }
 
-// load is what callers ask for, one request after the other, until it is ended.
+// load runs callers that send one request after the other until it is finished.
 type load struct {
 	f       *fleet
 	ctx     context.Context
@@ -74,7 +73,7 @@
 	return l
 }
 
-// add starts callers, whose requests are told apart by group.
+// add starts callers, whose requests are counted by group.
 func (l *load) add(group string, callers int, send func(ctx context.Context, input string) requestEnd) {
 	for range callers {
 		l.workers.Go(func() error {
@@ -93,28 +92,28 @@
 	}
 }
 
-// done counts the requests of a group that have ended.
+// done returns the number of requests of a group that have ended.
 func (l *load) done(group string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.ends[group])
 }
 
-// awaitMore waits until so many more requests of the group have ended.
+// awaitMore waits until more further requests of the group have ended.
 func (l *load) awaitMore(group string, more int) {
 	l.f.t.Helper()
 	want := l.done(group) + more
 	await(l.f.t, func() bool { return l.done(group) >= want }, "more requests of "+group)
 }
 
-// finish stops the callers after the requests that they wait for.
+// finish stops the callers once their requests in flight have ended, and returns all outcomes.
 func (l *load) finish() map[string][]requestEnd {
 	l.stop()
 	_ = l.workers.Wait()
 	return l.ends
 }
 
-// logOutcomes logs how the requests ended.
+// logOutcomes logs the number of requests by outcome and reason.
 func (l *load) logOutcomes() {
 	for group, ends := range l.ends {
 		count := map[string]int{}
@@ -125,7 +124,7 @@
 	}
 }
 
-// captionRequest asks for captions, which may be repeated.
+// captionRequest returns a function that requests a caption, which may be repeated.
 func captionRequest(c *client.Client) func(context.Context, string) requestEnd {
 	return func(ctx context.Context, input string) requestEnd {
 		answer, err := c.Run(ctx, client.Work{Pipeline: "caption", Input: input, MaxTokens: tokens})
@@ -133,7 +132,7 @@
 	}
 }
 
-// warningRequest pushes warnings, each by a ticket.
+// warningRequest returns a function that publishes a warning with a ticket of its own.
 func warningRequest(c *client.Client) func(context.Context, string) requestEnd {
 	return func(ctx context.Context, input string) requestEnd {
 		ticket, err := c.Ticket(ctx, "warning")
@@ -146,7 +145,7 @@
 	}
 }
 
-// requireAllComplete fails unless every one of the requests got its own whole answer.
+// requireAllComplete fails unless each request got its own complete answer.
 func (f *fleet) requireAllComplete(group string, ends []requestEnd) {
 	f.t.Helper()
 	require.NotEmpty(f.t, ends, group)
@@ -158,7 +157,7 @@
 	}
 }
 
-// explain is what the daemons noted of the request.
+// explain returns the daemons' notes about a failed request.
 func (f *fleet) explain(e requestEnd) string {
 	var other *client.AnswerError
 	if !errors.As(e.err, &other) {
@@ -177,8 +176,8 @@
 	return text
 }
 
-// requireTruthfulOutcomes fails unless the outcome of each ticketed request agrees with what the
-// plain services ran: complete once, unknown once at most, else never.
+// requireTruthfulOutcomes fails unless the outcome of each ticketed request agrees with the runs
+// at the plain services: one if complete, at most one if unknown, else none.
 func (f *fleet) requireTruthfulOutcomes(ends []requestEnd) {
 	f.t.Helper()
 	published := f.publishCounts()
--- a/internal/procs/main_test.go
+++ b/internal/procs/main_test.go
@@ -11,9 +11,9 @@
 	"jasmineshed/internal/single"
 )
 
-// mains refers to the programs. Go keeps the result of a test until the linked
-// test changes, and links no code that nothing refers to: without these a change
-// of the programs would leave an old pass standing.
+// linkedPrograms refers to the programs so that their code is linked. Go caches a test's result
+// until the linked test changes, and links no code that nothing refers to: without these
+// references a change of the programs would not invalidate a cached pass.
 var linkedPrograms = map[string]any{"jasmineshed": cmds.Main, "standin": single.Main}
 
 // programs is the directory that holds the built programs.
--- a/internal/procs/pause_test.go
+++ b/internal/procs/pause_test.go
@@ -13,18 +13,17 @@
 	"jasmineshed/pkg/client"
 )
 
-// asleep is longer than every lease of the fleet.
+// pauseDuration is longer than every lease of the fleet.
 const pauseDuration = 8 * time.Second
 
-// obeyed is after what time the rest of the fleet must have stopped using a
-// server that is leaving.
+// leaveTime is the time within which the rest of the fleet must have stopped using a server that
+// is leaving.
 const leaveTime = 5 * time.Second
 
-// A VM is paused while it takes requests. Operators set a server of its zone
-// leaving; the others obey. The paused VM wakes with rules that are out of date
-// and with requests that came in meanwhile. It must start nothing at that
-// server, since its knowledge is older than any lease; its callers are answered
-// all the same, or told that theirs was not run.
+// Guards against a resumed VM that acts on stale rules. A VM is paused under load, and a server of
+// its zone is set leaving meanwhile. When the VM resumes, with stale rules and pending requests,
+// it must start nothing at that server, since its knowledge is older than any lease. Its callers
+// must still be answered, if only that their request was not run.
 func TestPausedWhileServerLeaves(t *testing.T) {
 	f := startFleet(t, fleetConfig{example: "small"})
 	const leaving = shed.ServerID("gen-a-1")
@@ -37,7 +36,7 @@
 	l.add("tickets", 2, warningRequest(f.newClient(-1, pausedVM)))
 	l.awaitMore("sleeper", 20)
 	l.awaitMore("tickets", 5)
-	require.NotEmpty(t, f.recordedRuns(leaving), "the server carried load before")
+	require.NotEmpty(t, f.recordedRuns(leaving), "the server must have had load before the pause")
 
 	pausedVM.signal(syscall.SIGSTOP)
 	f.publish(withServerLeaving(t, f.rulesText, leaving))
@@ -54,26 +53,27 @@
 	for _, run := range before {
 		require.Less(t, run.Start.Sub(published), leaveTime, run.Call)
 	}
-	require.Empty(t, f.recordedRuns(leaving)[len(before):], "runs after the wake")
+	require.Empty(t, f.recordedRuns(leaving)[len(before):], "runs after the resume")
 	f.requireAllComplete("others", ends["others"])
 	f.requireTruthfulOutcomes(ends["tickets"])
-	// A deadline passes within the pause; no caller is left without an answer.
+	// Deadlines pass during the pause, but each caller must get an answer.
 	answers := []client.Outcome{client.Complete, client.NotRun, client.Deadline}
 	for _, e := range ends["sleeper"] {
 		require.Contains(t, answers, e.outcome(), "%s: %v", e.input, e.err)
 	}
 	last := ends["sleeper"][len(ends["sleeper"])-1]
-	require.NoError(t, last.err, "the woken VM serves again")
+	require.NoError(t, last.err, "the resumed VM must serve again")
 }
 
-// waitUntil waits for a point in time: here the passing of time is the fault.
+// waitUntil waits for a point in time. The pause itself is the fault here, so there is no
+// condition to wait for.
 func (f *fleet) waitUntil(end time.Time) {
 	ctx, cancel := context.WithDeadline(f.t.Context(), end)
 	defer cancel()
 	<-ctx.Done()
 }
 
-// withServerLeaving is the rules file with a server set leaving.
+// withServerLeaving returns the rules file with a server set leaving.
 func withServerLeaving(t *testing.T, text string, id shed.ServerID) string {
 	t.Helper()
 	lines := strings.Split(text, "\n")
--- a/internal/procs/port_test.go
+++ b/internal/procs/port_test.go
@@ -8,12 +8,12 @@
 	"testing"
 )
 
-// lastPort is the port that keptPort gave out last.
+// lastPort is the offset of the port that reservePort tried last.
 var lastPort atomic.Int32
 
-// reservePort is an address that a process can be started at, and started again
-// later. Ports from the system's own range won't do: while the process is down,
-// any outgoing connection may take one, and the process can't come back.
+// reservePort returns an address at which a process can be started and restarted. Its port is not
+// from the system's ephemeral range: while the process is down, any outgoing connection could
+// take such a port, and the process could not restart.
 func reservePort(t *testing.T) string {
 	t.Helper()
 	const first, last = 20000, 32000
--- a/internal/procs/process_test.go
+++ b/internal/procs/process_test.go
@@ -14,21 +14,21 @@
 )
 
 const (
-	// awaitTimeout bounds each wait for something that takes well under a second on
-	// an idle machine.
+	// awaitTimeout bounds each wait for something that takes well under a second on an idle
+	// machine.
 	awaitTimeout = 60 * time.Second
-	// pollInterval is the pause between two looks.
+	// pollInterval is the pause between two checks of a condition.
 	pollInterval = 20 * time.Millisecond
 )
 
-// process is one program that a test started. It ends with the test.
+// process is a program that a test started. It is killed at the end of the test.
 type process struct {
 	*fault.Process
 	t    *testing.T
 	name string
 }
 
-// start runs a program; what it prints goes to the file log.
+// start starts a program, whose output goes to the file log.
 func start(t *testing.T, log, name string, args ...string) *process {
 	t.Helper()
 	p, err := fault.Start(log, program(name), args...)
@@ -42,15 +42,15 @@
 	require.NoError(p.t, p.Signal(s), p.name)
 }
 
-// awaitExit waits for the process to end by itself, without an error.
+// awaitExit waits for the process to exit by itself, without an error.
 func (p *process) awaitExit() {
 	p.t.Helper()
 	ended, err := p.Wait(awaitTimeout)
-	require.True(p.t, ended, "process doesn't end: %s:\n%s", p.name, p.Tail())
+	require.True(p.t, ended, "process did not exit in time: %s:\n%s", p.name, p.Tail())
 	require.NoError(p.t, err, p.name)
 }
 
-// awaitLine reads the first JSON line that is whole and taken by found.
+// awaitLine waits for the first complete JSON line that found accepts, and returns it.
 func awaitLine[T any](p *process, found func(T) bool) T {
 	p.t.Helper()
 	var line T
@@ -67,11 +67,11 @@
 			}
 		}
 		return false
-	}, p.name+" prints where it serves", "%s", logOf{p})
+	}, p.name+" prints the expected line", "%s", logOf{p})
 	return line
 }
 
-// await looks until what is asked for holds.
+// await polls until the condition holds, and fails the test after awaitTimeout.
 func await(t *testing.T, condition func() bool, what string, args ...any) {
 	t.Helper()
 	end := time.Now().Add(awaitTimeout)
@@ -83,7 +83,7 @@
 	}
 }
 
-// logOf prints what a process printed, at the time of printing.
+// logOf formats as the end of a process's log at the time of formatting.
 type logOf struct{ p *process }
 
 // String reads the log.
--- a/internal/procs/roll_test.go
+++ b/internal/procs/roll_test.go
@@ -13,11 +13,10 @@
 	"jasmineshed/pkg/client"
 )
 
-// Each VM in turn gets SIGTERM under load and is started again at its old
-// address. It says not ready at once, goes on serving while the balancer
-// notices, ends what it has taken in, and exits by itself. No caller that came
-// by a ready VM is cut off, and a ticket that another VM gave out is run all the
-// same.
+// Guards against requests that fail during a rolling restart. Each VM in turn gets SIGTERM under
+// load and is restarted at its old address. It must report not ready at once, serve on while the
+// balancer notices, finish the requests that it has accepted, and exit by itself. No caller that
+// used a ready VM may lose its request, and tickets that another VM issued must still run.
 func TestRollingRestartUnderLoad(t *testing.T) {
 	f := startFleet(t, fleetConfig{example: "small"})
 	l := f.newLoad()
@@ -42,8 +41,8 @@
 	}
 }
 
-// balancer sends each call to a VM that has just said that it is ready, one
-// after the other, and repeats none by itself.
+// balancer sends each call to the next VM in turn that has just reported ready. It does not retry
+// failed calls.
 type balancer struct {
 	vms     []*vm
 	clients []*client.Client
@@ -58,12 +57,11 @@
 	return b
 }
 
-// errNoVM: the caller gave up before any VM was ready.
+// errNoVM is returned if the caller's context ended before any VM was ready.
 var errNoVM = errors.New("no VM is ready")
 
-// callReady makes the call at one ready VM. It goes on to the next one only after
-// the answer that the call was not run since the VM stops, and that VM must say
-// by now that it isn't ready.
+// callReady makes the call at one ready VM. It continues with the next one only after the answer
+// that the call was not run because the VM is stopping, and if that VM now reports not ready.
 func (b *balancer) callReady(ctx context.Context, call func(c *client.Client) error) error {
 	for ctx.Err() == nil {
 		i := int(b.next.Add(1)) % len(b.vms)
--- a/internal/procs/silent_test.go
+++ b/internal/procs/silent_test.go
@@ -9,7 +9,7 @@
 	"jasmineshed/internal/fault"
 )
 
-// startProxy stands on the way to an address until the test ends.
+// startProxy starts a proxy for an address, which is closed at the end of the test.
 func startProxy(t *testing.T, to string) *fault.Proxy {
 	t.Helper()
 	p, err := fault.NewProxy(to)
@@ -18,11 +18,11 @@
 	return p
 }
 
-// Every open connection to the peers' listeners of zone a goes silent at one
-// moment: nothing arrives any more, and neither side is told. New connections
-// work. Zone c has no server of one kind, so its stages are under way on just
-// these connections. Its callers get whole answers within the deadline, since a
-// silent call is given up and made again by a new connection or at another zone.
+// Guards against calls that hang on silent peer connections. All open connections to the peer
+// listeners of zone a go silent at once: nothing arrives, and neither side gets an error. New
+// connections work. Zone c has no server of one kind, so its stages use these connections. Its
+// callers must get complete answers within the deadline: a silent call is abandoned and retried
+// over a new connection or in another zone.
 func TestSilentPeerConnections(t *testing.T) {
 	proxies := map[int]*fault.Proxy{}
 	f := startFleet(t, fleetConfig{
@@ -45,10 +45,9 @@
 	})
 }
 
-// Every open connection to the one engine of a zone that drafts goes silent.
-// The streams under way on them stop in the midst of a text. The callers get
-// their whole text all the same, with nothing twice in it: the stream goes on
-// from what is there, or the stage runs again elsewhere.
+// Guards against lost or duplicated text when all open connections to a zone's only drafting engine
+// go silent in the middle of streams. The callers must get their complete text once: the stream
+// resumes after the received part, or the stage runs again elsewhere.
 func TestSilentEngineConnections(t *testing.T) {
 	const silent = shed.ServerID("gen-c-1")
 	var engine *fault.Proxy
@@ -67,7 +66,7 @@
 	require.NotEmpty(t, f.recordedRuns(silent))
 }
 
-// loseConnectionsUnderLoad loses connections twice under load, which comes in by the VMs.
+// loseConnectionsUnderLoad makes connections go silent twice while the given VMs serve load.
 func (f *fleet) loseConnectionsUnderLoad(vms []*vm, lose func() int) {
 	f.t.Helper()
 	l := f.newLoad()
--- a/internal/procs/stale_test.go
+++ b/internal/procs/stale_test.go
@@ -9,13 +9,11 @@
 	shed "jasmineshed"
 )
 
-// The platform dies, and comes back at its old address holding an older
-// configuration under a lower revision. Callers see nothing of either, since
-// each zone has servers of every kind: without a confirmation of the
-// configuration no work is handed to another zone, but a zone goes on. Every
-// daemon keeps the revision that it had accepted, also one that is started
-// anew while the platform is stale: it asks its peers and not the platform
-// alone.
+// Guards against daemons that fail or revert their configuration when the platform dies and comes
+// back with an older configuration under a lower revision. Callers must not notice: without a
+// confirmed configuration no work is forwarded to another zone, but each zone has servers of every
+// kind and continues. Every daemon must keep the revision that it had accepted, also one that
+// restarts while the platform is stale, since it asks its peers and not the platform alone.
 func TestPlatformStopsAndComesBackStale(t *testing.T) {
 	f := startFleet(t, fleetConfig{example: "weerbeeld"})
 	first := f.lowestRevision()
@@ -57,7 +55,7 @@
 	require.Equal(t, accepted, f.lowestRevision())
 }
 
-// anyConfirmed tells whether any daemon's configuration is confirmed by now.
+// anyConfirmed tells whether any daemon's configuration is confirmed, or any status is unknown.
 func (f *fleet) anyConfirmed() bool {
 	for _, v := range f.vms {
 		if s, ok := v.status(); !ok || s.Configuration.Fresh {
@@ -67,7 +65,7 @@
 	return false
 }
 
-// lowestRevision is the lowest that is in force at any daemon.
+// lowestRevision returns the lowest revision in force at any daemon.
 func (f *fleet) lowestRevision() shed.Revision {
 	f.t.Helper()
 	lowest := shed.Revision(0)
@@ -81,7 +79,7 @@
 	return lowest
 }
 
-// sameRevision tells whether one revision is in force everywhere.
+// sameRevision tells whether the same revision is in force at all daemons.
 func (f *fleet) sameRevision() bool {
 	f.t.Helper()
 	lowest := f.lowestRevision()
