--- a/internal/procs/fleet_test.go
+++ b/internal/procs/fleet_test.go
@@ -124,14 +124,14 @@
 	f.t.Helper()
 	text, err := sample.Rules(f.cfg.example)
 	require.NoError(f.t, err)
-	first, err := rules.Compile(text, 1)
+	exampleRules, err := rules.Compile(text, 1)
 	require.NoError(f.t, err)
 	processes := map[shed.ServerID]*process{}
-	for id, s := range first.Servers {
-		processes[id] = f.startProcess("standin", string(id), f.serverArgs(first, s)...)
+	for id, s := range exampleRules.Servers {
+		processes[id] = f.startProcess("standin", string(id), f.serverArgs(exampleRules, s)...)
 	}
 	var urls []string
-	for id, s := range first.Servers {
+	for id, s := range exampleRules.Servers {
 		addr := awaitStarted(processes[id]).Addr
 		f.servers[id] = addr
 		if f.cfg.serverProxy != nil {
--- a/internal/proof/calls_test.go
+++ b/internal/proof/calls_test.go
@@ -235,8 +235,8 @@
 }
 
 // receiveStage accepts a call that a peer forwarded. A duplicate is ignored.
-func (n *node) receiveStage(from *node, peer shed.Peer, ask shed.StageRequest, x *outgoingCall, in string, finish func(shed.CallEnded, string)) {
-	if n.forwarded[ask.Call] != nil || n.calls[ask.Call] != nil {
+func (n *node) receiveStage(from *node, peer shed.Peer, request shed.StageRequest, x *outgoingCall, in string, finish func(shed.CallEnded, string)) {
+	if n.forwarded[request.Call] != nil || n.calls[request.Call] != nil {
 		return
 	}
 	generation := from.generation
@@ -245,9 +245,9 @@
 	}, sendProgress: func(p shed.CallProgress) {
 		n.sendReply(from, generation, x, func() { from.progress(p) })
 	}}
-	n.forwarded[ask.Call] = g
-	x.cancel = func() { n.after(n.w.networkDelay(), func() { n.cancelCall(ask.Call) }) }
-	n.handle(shed.StageRequested{Request: ask, From: peer})
+	n.forwarded[request.Call] = g
+	x.cancel = func() { n.after(n.w.networkDelay(), func() { n.cancelCall(request.Call) }) }
+	n.handle(shed.StageRequested{Request: request, From: peer})
 }
 
 func (n *node) refuseStage(a shed.RefuseStage) {
--- a/internal/proof/world_test.go
+++ b/internal/proof/world_test.go
@@ -94,12 +94,12 @@
 }
 
 // printTrace prints an event or action that contains the text of -about.
-func (w *world) printTrace(n *node, what string, x any) {
+func (w *world) printTrace(n *node, label string, x any) {
 	if w.trace == "" {
 		return
 	}
 	if line := fmt.Sprintf("%T %+v", x, x); strings.Contains(line, w.trace) {
-		fmt.Printf("%12s %s %s %s\n", w.now.Sub(epoch), n.vm, what, line)
+		fmt.Printf("%12s %s %s %s\n", w.now.Sub(epoch), n.vm, label, line)
 	}
 }
 
