--- a/internal/admit/admit.go
+++ b/internal/admit/admit.go
@@ -12,28 +12,28 @@
 
 // Defaults for a zero Config.
 const (
-	DefaultHigh       = 0.7
-	DefaultLow        = 0.1
-	DefaultMostQueued = 4096
-	DefaultTrialEvery = 500 * time.Millisecond
-	DefaultMemory     = 30 * time.Second
-	DefaultMinRetry   = 100 * time.Millisecond
-	DefaultMaxRetry   = 20 * time.Second
+	DefaultHighQuantile      = 0.7
+	DefaultLowQuantile       = 0.1
+	DefaultMaxQueued         = 4096
+	DefaultProbeInterval     = 500 * time.Millisecond
+	DefaultEstimateRetention = 30 * time.Second
+	DefaultMinRetry          = 100 * time.Millisecond
+	DefaultMaxRetry          = 20 * time.Second
 )
 
 // Config sets up a Gate. Zero values take the defaults.
 type Config struct {
-	// High is the quantile of recent stage times that admission counts on.
-	High float64
-	// Low is the quantile below which no hope is left.
-	Low float64
-	// MostQueued bounds the requests that wait in one queue.
-	MostQueued int
-	// TrialEvery lets one request per pipeline pass against the estimate, so
+	// HighQuantile is the quantile of recent stage times that admission counts on.
+	HighQuantile float64
+	// LowQuantile is the quantile below which no hope is left.
+	LowQuantile float64
+	// MaxQueued bounds the requests that wait in one queue.
+	MaxQueued int
+	// ProbeInterval lets one request per pipeline pass against the estimate, so
 	// that an estimate which went wrong can mend.
-	TrialEvery time.Duration
-	// Memory is how long estimates count without a new sample.
-	Memory time.Duration
+	ProbeInterval time.Duration
+	// EstimateRetention is how long estimates count without a new sample.
+	EstimateRetention time.Duration
 	// MinRetry and MaxRetry bound Verdict.RetryAfter.
 	MinRetry, MaxRetry time.Duration
 }
@@ -45,8 +45,8 @@
 	Stage    shed.StageID
 }
 
-// Ask is the question whether a request may come in.
-type Ask struct {
+// Request is the question whether a request may come in.
+type Request struct {
 	// Waiting is the request as it would wait; its Latest is void.
 	Waiting
 	Pipeline *shed.Pipeline
@@ -57,7 +57,7 @@
 
 // Verdict answers an Ask.
 type Verdict struct {
-	OK         bool
+	Admitted   bool
 	Reason     shed.Reason
 	RetryAfter time.Duration
 }
@@ -77,20 +77,20 @@
 
 // New returns an open gate.
 func New(cfg Config) *Gate {
-	if cfg.High == 0 {
-		cfg.High = DefaultHigh
+	if cfg.HighQuantile == 0 {
+		cfg.HighQuantile = DefaultHighQuantile
 	}
-	if cfg.Low == 0 {
-		cfg.Low = DefaultLow
+	if cfg.LowQuantile == 0 {
+		cfg.LowQuantile = DefaultLowQuantile
 	}
-	if cfg.MostQueued == 0 {
-		cfg.MostQueued = DefaultMostQueued
+	if cfg.MaxQueued == 0 {
+		cfg.MaxQueued = DefaultMaxQueued
 	}
-	if cfg.TrialEvery == 0 {
-		cfg.TrialEvery = DefaultTrialEvery
+	if cfg.ProbeInterval == 0 {
+		cfg.ProbeInterval = DefaultProbeInterval
 	}
-	if cfg.Memory == 0 {
-		cfg.Memory = DefaultMemory
+	if cfg.EstimateRetention == 0 {
+		cfg.EstimateRetention = DefaultEstimateRetention
 	}
 	if cfg.MinRetry == 0 {
 		cfg.MinRetry = DefaultMinRetry
@@ -134,27 +134,27 @@
 		s = &sketch{}
 		g.sketches[key] = s
 	}
-	s.add(now, took, g.cfg.Low, g.cfg.High)
+	s.add(now, took, g.cfg.LowQuantile, g.cfg.HighQuantile)
 }
 
 // Admit decides whether the request can be done in time. A request that can't
 // is refused at once: held, it would take the place of one that can.
-func (g *Gate) Admit(now time.Time, ask Ask) Verdict {
+func (g *Gate) Admit(now time.Time, ask Request) Verdict {
 	left := ask.Deadline.Sub(now)
-	if Minimum(ask.Pipeline, 0) > left {
+	if MinDuration(ask.Pipeline, 0) > left {
 		return g.refuse(now, ask)
 	}
 	wait := g.waits(now, ask)
-	if wait+g.Expected(now, ask.Pipeline, 0) <= left {
-		return Verdict{OK: true}
+	if wait+g.PredictDuration(now, ask.Pipeline, 0) <= left {
+		return Verdict{Admitted: true}
 	}
 	if g.trial(now, ask.Pipeline.ID) {
-		return Verdict{OK: true}
+		return Verdict{Admitted: true}
 	}
 	return g.refuse(now, ask)
 }
 
-func (g *Gate) refuse(now time.Time, ask Ask) Verdict {
+func (g *Gate) refuse(now time.Time, ask Request) Verdict {
 	return Verdict{
 		Reason:     shed.ReasonWontMeetDeadline,
 		RetryAfter: g.RetryAfter(now, g.longestQueue(now, ask), ask.Waiting),
@@ -164,22 +164,22 @@
 // waits predicts the waiting at all stages. Most often a late one is the
 // narrow place: looking at the first stage's queue alone, requests are let in,
 // go through the cheap stages, and are given up on before the dear one.
-func (g *Gate) waits(now time.Time, ask Ask) time.Duration {
-	sum := g.Wait(now, ask.Queue, ask.Waiting)
+func (g *Gate) waits(now time.Time, ask Request) time.Duration {
+	sum := g.PredictWait(now, ask.Queue, ask.Waiting)
 	for i := range ask.Pipeline.Stages {
-		if key := KeyOf(&ask.Pipeline.Stages[i]); key != ask.Queue {
-			sum += g.Wait(now, key, ask.Waiting)
+		if key := StageQueue(&ask.Pipeline.Stages[i]); key != ask.Queue {
+			sum += g.PredictWait(now, key, ask.Waiting)
 		}
 	}
 	return sum
 }
 
 // longestQueue is the one that the request would wait in longest.
-func (g *Gate) longestQueue(now time.Time, ask Ask) QueueKey {
-	longest, most := ask.Queue, g.Wait(now, ask.Queue, ask.Waiting)
+func (g *Gate) longestQueue(now time.Time, ask Request) QueueKey {
+	longest, most := ask.Queue, g.PredictWait(now, ask.Queue, ask.Waiting)
 	for i := range ask.Pipeline.Stages {
-		key := KeyOf(&ask.Pipeline.Stages[i])
-		if wait := g.Wait(now, key, ask.Waiting); wait > most {
+		key := StageQueue(&ask.Pipeline.Stages[i])
+		if wait := g.PredictWait(now, key, ask.Waiting); wait > most {
 			longest, most = key, wait
 		}
 	}
@@ -190,15 +190,15 @@
 // could close the gate for good: nothing admitted, hence no new sample, hence
 // still nothing admitted after the stages have mended.
 func (g *Gate) trial(now time.Time, p shed.PipelineID) bool {
-	if last, ok := g.trials[p]; ok && now.Sub(last) < g.cfg.TrialEvery {
+	if last, ok := g.trials[p]; ok && now.Sub(last) < g.cfg.ProbeInterval {
 		return false
 	}
 	g.trials[p] = now
 	return true
 }
 
-// Minimum sums the least times that the rules give for the stages from one on.
-func Minimum(p *shed.Pipeline, from int) time.Duration {
+// MinDuration sums the least times that the rules give for the stages from one on.
+func MinDuration(p *shed.Pipeline, from int) time.Duration {
 	var sum time.Duration
 	for i := from; i < len(p.Stages); i++ {
 		sum += p.Stages[i].MinDuration
@@ -206,23 +206,23 @@
 	return sum
 }
 
-// Expected is the time that the stages from one on will likely take.
-func (g *Gate) Expected(now time.Time, p *shed.Pipeline, from int) time.Duration {
+// PredictDuration is the time that the stages from one on will likely take.
+func (g *Gate) PredictDuration(now time.Time, p *shed.Pipeline, from int) time.Duration {
 	var sum time.Duration
 	for i := from; i < len(p.Stages); i++ {
-		sum += g.Likely(now, p, i)
+		sum += g.PredictStageDuration(now, p, i)
 	}
 	return sum
 }
 
-// Likely is the time that one stage will likely take.
-func (g *Gate) Likely(now time.Time, p *shed.Pipeline, stage int) time.Duration {
+// PredictStageDuration is the time that one stage will likely take.
+func (g *Gate) PredictStageDuration(now time.Time, p *shed.Pipeline, stage int) time.Duration {
 	_, high := g.quantiles(now, p, stage)
 	return max(p.Stages[stage].MinDuration, high)
 }
 
-// Least is the time below which the stages from one on hardly ever end.
-func (g *Gate) Least(now time.Time, p *shed.Pipeline, from int) time.Duration {
+// LowDuration is the time below which the stages from one on hardly ever end.
+func (g *Gate) LowDuration(now time.Time, p *shed.Pipeline, from int) time.Duration {
 	var sum time.Duration
 	for i := from; i < len(p.Stages); i++ {
 		low, _ := g.quantiles(now, p, i)
@@ -233,7 +233,7 @@
 
 func (g *Gate) quantiles(now time.Time, p *shed.Pipeline, i int) (low, high time.Duration) {
 	s := g.sketches[StageKey{Pipeline: p.ID, Stage: p.Stages[i].ID}]
-	if s == nil || now.Sub(s.last) > g.cfg.Memory {
+	if s == nil || now.Sub(s.last) > g.cfg.EstimateRetention {
 		return 0, 0
 	}
 	return s.low, s.high
@@ -243,7 +243,7 @@
 // have come. The spread by the request's id keeps those refused together
 // from coming back together.
 func (g *Gate) RetryAfter(now time.Time, key QueueKey, w Waiting) time.Duration {
-	base := max(min(g.Wait(now, key, w), g.cfg.MaxRetry/2), g.cfg.MinRetry)
+	base := max(min(g.PredictWait(now, key, w), g.cfg.MaxRetry/2), g.cfg.MinRetry)
 	const steps = 1024
 	share := time.Duration(xxhash.Sum64String(string(w.Request)) % steps)
 	return base + base*share/steps
--- a/internal/admit/admit_test.go
+++ b/internal/admit/admit_test.go
@@ -20,8 +20,8 @@
 	}}
 }
 
-func ask(id shed.RequestID, p *shed.Pipeline, left time.Duration) Ask {
-	return Ask{Waiting: Waiting{Request: id, Workspace: "w"}, Pipeline: p, Deadline: zero.Add(left), Queue: "enc"}
+func ask(id shed.RequestID, p *shed.Pipeline, left time.Duration) Request {
+	return Request{Waiting: Waiting{Request: id, Workspace: "w"}, Pipeline: p, Deadline: zero.Add(left), Queue: "enc"}
 }
 
 func wait(g *Gate, ws shed.WorkspaceID, n int, share int) {
@@ -52,15 +52,15 @@
 func TestRefusesWhatCannotBeDone(t *testing.T) {
 	p := pipeline(100 * time.Millisecond)
 	g := New(Config{})
-	require.False(t, g.Admit(zero, ask("r", p, 199*time.Millisecond)).OK, "below the sum of minimums")
-	require.True(t, g.Admit(zero, ask("r", p, 200*time.Millisecond)).OK)
+	require.False(t, g.Admit(zero, ask("r", p, 199*time.Millisecond)).Admitted, "below the sum of minimums")
+	require.True(t, g.Admit(zero, ask("r", p, 200*time.Millisecond)).Admitted)
 	for range 100 {
 		g.Observe(zero, StageKey{"draft", "write"}, 2*time.Second)
 	}
-	require.True(t, g.Admit(zero, ask("r1", p, time.Second)).OK, "the trial")
+	require.True(t, g.Admit(zero, ask("r1", p, time.Second)).Admitted, "the trial")
 	v := g.Admit(zero, ask("r2", p, time.Second))
 	require.Equal(t, shed.ReasonWontMeetDeadline, v.Reason)
-	require.True(t, g.Admit(zero, ask("r3", p, 3*time.Second)).OK)
+	require.True(t, g.Admit(zero, ask("r3", p, 3*time.Second)).Admitted)
 }
 
 // Every stage was slow for a while, so each caller is refused, and no stage
@@ -77,13 +77,13 @@
 	for i := range 600 {
 		now = now.Add(100 * time.Millisecond)
 		a := ask(shed.RequestID(fmt.Sprint(i)), p, now.Sub(zero)+time.Second)
-		if g.Admit(now, a).OK {
+		if g.Admit(now, a).Admitted {
 			admitted++
 			g.Observe(now, StageKey{"draft", "write"}, 50*time.Millisecond)
 		}
 	}
 	require.Greater(t, admitted, 450, "nearly all of the last 45 s")
-	require.True(t, g.Admit(now, ask("r", p, now.Sub(zero)+time.Second)).OK)
+	require.True(t, g.Admit(now, ask("r", p, now.Sub(zero)+time.Second)).Admitted)
 }
 
 func TestRetryAfterFollowsTheDrain(t *testing.T) {
@@ -96,11 +96,11 @@
 	}
 	// 80 wait, 10 a second go.
 	wa, wb := Waiting{Request: "a", Workspace: "w"}, Waiting{Request: "b", Workspace: "w"}
-	require.InDelta(t, 8, g.Wait(now, "enc", wa).Seconds(), 1.5)
+	require.InDelta(t, 8, g.PredictWait(now, "enc", wa).Seconds(), 1.5)
 	a, b := g.RetryAfter(now, "enc", wa), g.RetryAfter(now, "enc", wb)
 	require.NotEqual(t, a, b)
 	require.Equal(t, a, g.RetryAfter(now, "enc", wa))
-	require.GreaterOrEqual(t, a, g.Wait(now, "enc", wa))
+	require.GreaterOrEqual(t, a, g.PredictWait(now, "enc", wa))
 }
 
 // One workspace has filled the queue with more than a minute's work. The caller
@@ -113,19 +113,19 @@
 		now = now.Add(100 * time.Millisecond)
 		require.True(t, g.PopReady(now, "enc", func(shed.RequestID) bool { return true }))
 	}
-	require.Greater(t, g.Wait(now, "enc", Waiting{Workspace: "greedy"}), time.Minute)
-	require.Less(t, g.Wait(now, "enc", Waiting{Workspace: "w"}), time.Second)
+	require.Greater(t, g.PredictWait(now, "enc", Waiting{Workspace: "greedy"}), time.Minute)
+	require.Less(t, g.PredictWait(now, "enc", Waiting{Workspace: "w"}), time.Second)
 	a := ask("r", pipeline(time.Millisecond), now.Sub(zero)+time.Second)
-	require.True(t, g.Admit(now, a).OK)
+	require.True(t, g.Admit(now, a).Admitted)
 	a.Workspace = "greedy"
 	g.Admit(now, a) // the trial
-	require.False(t, g.Admit(now, a).OK)
+	require.False(t, g.Admit(now, a).Admitted)
 }
 
 func TestQuantilesWithinATenth(t *testing.T) {
 	var s sketch
 	for i := range 1000 {
-		s.add(zero, time.Duration(i*37%100+1)*10*time.Millisecond, DefaultLow, DefaultHigh)
+		s.add(zero, time.Duration(i*37%100+1)*10*time.Millisecond, DefaultLowQuantile, DefaultHighQuantile)
 	}
 	require.InEpsilon(t, 0.1, s.low.Seconds(), 0.15)
 	require.InEpsilon(t, 0.7, s.high.Seconds(), 0.15)
@@ -134,7 +134,7 @@
 // One workspace floods the queue. The caller of a small one waits for at most
 // one turn of the flood, and keeps its place when the queue overflows.
 func TestGreedyWorkspaceStarvesNobody(t *testing.T) {
-	g := New(Config{MostQueued: 1000})
+	g := New(Config{MaxQueued: 1000})
 	wait(g, "greedy", 1000, 1)
 	wait(g, "small", 1, 1)
 	require.Equal(t, 1000, g.Queued())
@@ -162,7 +162,7 @@
 		for ws, n := range pop(t, g, 1) {
 			got[ws] += n
 		}
-		g.Drop(id)
+		g.Remove(id)
 	}
 	require.LessOrEqual(t, got["hopper"], 101)
 }
@@ -171,7 +171,7 @@
 // the queue exactly once, the most urgent of a workspace first.
 func TestQueueLosesAndDoublesNothing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		g := New(Config{MostQueued: 8})
+		g := New(Config{MaxQueued: 8})
 		waiting := map[shed.RequestID]Waiting{}
 		next := 0
 		t.Repeat(map[string]func(*rapid.T){
@@ -207,7 +207,7 @@
 			"drop": func(t *rapid.T) {
 				id := shed.RequestID(fmt.Sprint(rapid.IntRange(0, next).Draw(t, "id")))
 				_, waits := waiting[id]
-				require.Equal(t, waits, g.Drop(id))
+				require.Equal(t, waits, g.Remove(id))
 				delete(waiting, id)
 			},
 			"": func(t *rapid.T) {
@@ -242,7 +242,7 @@
 // and pushes one.
 func BenchmarkQueue27000Workspaces(b *testing.B) {
 	const workspaces = 27_000
-	g := New(Config{MostQueued: 2 * workspaces})
+	g := New(Config{MaxQueued: 2 * workspaces})
 	names := make([]shed.WorkspaceID, workspaces)
 	ids := make([]shed.RequestID, workspaces)
 	for i := range names {
@@ -268,7 +268,7 @@
 // bytes are what a waiting request and its workspace take, with the maps'
 // growth, hence an upper bound.
 func BenchmarkPushKept(b *testing.B) {
-	g := New(Config{MostQueued: 1 << 30})
+	g := New(Config{MaxQueued: 1 << 30})
 	b.ReportAllocs()
 	for i := range b.N {
 		id := fmt.Sprint(i)
--- a/internal/admit/queue.go
+++ b/internal/admit/queue.go
@@ -11,8 +11,8 @@
 // QueueKey names one queue: requests that wait for the same servers.
 type QueueKey string
 
-// KeyOf is the queue of a stage: its pool, and its zones if it is bound to some.
-func KeyOf(s *shed.Stage) QueueKey {
+// StageQueue is the queue of a stage: its pool, and its zones if it is bound to some.
+func StageQueue(s *shed.Stage) QueueKey {
 	if len(s.Zones) == 0 {
 		return QueueKey(s.Pool)
 	}
@@ -89,11 +89,11 @@
 	it := &item{Waiting: w, key: key}
 	q.push(it)
 	g.where[w.Request] = it
-	if q.length <= g.cfg.MostQueued {
+	if q.length <= g.cfg.MaxQueued {
 		return "", true
 	}
 	victim := q.backlogs[0].items.last()
-	g.Drop(victim.Request)
+	g.Remove(victim.Request)
 	return victim.Request, false
 }
 
@@ -125,8 +125,8 @@
 	return true
 }
 
-// Drop takes a request out of its queue; false if it doesn't wait.
-func (g *Gate) Drop(id shed.RequestID) bool {
+// Remove takes a request out of its queue; false if it doesn't wait.
+func (g *Gate) Remove(id shed.RequestID) bool {
 	it := g.where[id]
 	if it == nil {
 		return false
@@ -135,8 +135,8 @@
 	return true
 }
 
-// Queues appends the keys of the queues that aren't empty, sorted.
-func (g *Gate) Queues(to []QueueKey) []QueueKey {
+// AppendQueues appends the keys of the queues that aren't empty, sorted.
+func (g *Gate) AppendQueues(to []QueueKey) []QueueKey {
 	for _, key := range g.names {
 		if g.queues[key].length > 0 {
 			to = append(to, key)
@@ -156,11 +156,11 @@
 // Queued is how many requests wait in all.
 func (g *Gate) Queued() int { return len(g.where) }
 
-// Wait predicts how long a request that comes now would wait in the queue. By
+// PredictWait predicts how long a request that comes now would wait in the queue. By
 // fair turns a workspace waits for its own backlog, and for the others only as
 // far as their shares go: counting the whole queue, one greedy workspace would
 // have everybody else refused at the door.
-func (g *Gate) Wait(now time.Time, key QueueKey, w Waiting) time.Duration {
+func (g *Gate) PredictWait(now time.Time, key QueueKey, w Waiting) time.Duration {
 	q := g.queues[key]
 	if q == nil || q.length == 0 {
 		return 0
--- a/internal/answer/answer.go
+++ b/internal/answer/answer.go
@@ -25,7 +25,7 @@
 // Defaults for a zero Config.
 const (
 	DefaultMaxBytes = 1 << 20
-	DefaultAhead    = 16
+	DefaultMaxHeld  = 16
 )
 
 // Config sets up an Assembly. Zero values take the defaults.
@@ -33,8 +33,8 @@
 	Call shed.Call
 	// MaxBytes bounds the text.
 	MaxBytes int
-	// Ahead bounds how many frames are held back while an earlier one is missing.
-	Ahead int
+	// MaxHeld bounds how many frames are held back while an earlier one is missing.
+	MaxHeld int
 }
 
 // Assembly is the result of one call as far as it has come. It is not safe for
@@ -61,8 +61,8 @@
 	if cfg.MaxBytes == 0 {
 		cfg.MaxBytes = DefaultMaxBytes
 	}
-	if cfg.Ahead == 0 {
-		cfg.Ahead = DefaultAhead
+	if cfg.MaxHeld == 0 {
+		cfg.MaxHeld = DefaultMaxHeld
 	}
 	return &Assembly{cfg: cfg}
 }
@@ -111,7 +111,7 @@
 			return false, nil
 		}
 	}
-	if len(a.held) >= a.cfg.Ahead {
+	if len(a.held) >= a.cfg.MaxHeld {
 		return false, fmt.Errorf("%w: %d never came, %d did", ErrGap, a.next, f.Sequence)
 	}
 	a.held = append(a.held, f)
@@ -171,8 +171,8 @@
 	return nil
 }
 
-// Whole tells whether every frame up to the last is here.
-func (a *Assembly) Whole() bool { return a.whole }
+// Complete tells whether every frame up to the last is here.
+func (a *Assembly) Complete() bool { return a.whole }
 
 // Result is the payload after the stage, or nil unless Whole.
 func (a *Assembly) Result() *shed.Payload { return a.result }
--- a/internal/answer/answer_test.go
+++ b/internal/answer/answer_test.go
@@ -58,8 +58,8 @@
 			require.NoError(t, err)
 			got.WriteString(a.Take())
 		}
-		require.Equal(t, missing < 0, a.Whole())
-		if a.Whole() {
+		require.Equal(t, missing < 0, a.Complete())
+		if a.Complete() {
 			require.Equal(t, want.String(), a.Result().Text)
 			require.Equal(t, want.String(), got.String())
 			require.Equal(t, "in", a.Result().Input)
@@ -85,7 +85,7 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			a := New(Config{Call: call, MaxBytes: 8, Ahead: 2})
+			a := New(Config{Call: call, MaxBytes: 8, MaxHeld: 2})
 			var err error
 			for _, f := range c.frames {
 				_, err = a.Add(f)
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -40,7 +40,7 @@
 	Seed uint64
 	// Compile parses the text of a configuration into rules.
 	Compile func(text []byte, rev shed.Revision) (*shed.Rules, error)
-	// Policy names the policy that picks servers; see route.Named.
+	// Policy names the policy that picks servers; see route.NewPolicy.
 	Policy string
 	// Notice is how long a stopping daemon still serves, so that the load balancer can
 	// notice that it is not ready.
@@ -66,7 +66,7 @@
 	member  *member.Group
 	slots   *slots.Table
 	load    *load.Tracker
-	orders  *order.Giver
+	orders  *order.Reconciler
 	flow    *flow.Flow
 	gate    *admit.Gate
 	ledger  *cost.Ledger
@@ -135,7 +135,7 @@
 	if cfg.Member.LeaseDuration == 0 {
 		cfg.Member.LeaseDuration = defaultFreshFor
 	}
-	policy, err := route.Named(cfg.Policy, cfg.Seed)
+	policy, err := route.NewPolicy(cfg.Policy, cfg.Seed)
 	if err != nil {
 		return nil, err
 	}
@@ -287,7 +287,7 @@
 			c.recordForward(a.Request.Call, a.To)
 			started = true
 		case shed.Finish:
-			c.tickets.Finished(now, a.Request, a)
+			c.tickets.RecordFinish(now, a.Request, a)
 		}
 		c.out = append(c.out, act)
 	}
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -123,7 +123,7 @@
 			c.finishRequest(a, shed.OutcomeUnknown, shed.ReasonHomeGone, shed.Origin{}, 0)
 			return
 		}
-		c.forwardRequest(a, v.Heir)
+		c.forwardRequest(a, v.Successor)
 	default:
 		outcome, reason := v.Outcome()
 		c.finishRequest(a, outcome, reason, shed.Origin{}, 0)
@@ -186,7 +186,7 @@
 		reason, rule = c.denialReason(a)
 	}
 	if reason == shed.ReasonNone {
-		id := ticket.ID(c.cfg.Self, random)
+		id := ticket.NewID(c.cfg.Self, random)
 		expires, err := c.tickets.Issue(now, id, ws, pipeline)
 		if err == nil {
 			return shed.Ticket{ID: id, Expires: expires}, nil
--- a/internal/cost/cost.go
+++ b/internal/cost/cost.go
@@ -50,16 +50,16 @@
 	return sum
 }
 
-// DefaultMost bounds the lines of a ledger.
-const DefaultMost = 1024
+// DefaultMaxLines bounds the lines of a ledger.
+const DefaultMaxLines = 1024
 
 // Other gathers the work of stages past the bound.
 var Other = Key{Pipeline: "_other", Stage: "_other"}
 
 // Config sets up a Ledger.
 type Config struct {
-	// Most is the greatest number of lines; 0 takes DefaultMost.
-	Most int
+	// MaxLines is the greatest number of lines; 0 takes DefaultMaxLines.
+	MaxLines int
 }
 
 // Ledger sums cost by stage. It is not safe for concurrent use.
@@ -70,10 +70,10 @@
 
 // New returns an empty ledger.
 func New(cfg Config) *Ledger {
-	if cfg.Most == 0 {
-		cfg.Most = DefaultMost
+	if cfg.MaxLines == 0 {
+		cfg.MaxLines = DefaultMaxLines
 	}
-	return &Ledger{most: cfg.Most, lines: map[Key]*Line{}}
+	return &Ledger{most: cfg.MaxLines, lines: map[Key]*Line{}}
 }
 
 // Add books one call.
--- a/internal/cost/cost_test.go
+++ b/internal/cost/cost_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestLedgerIsSortedAndBounded(t *testing.T) {
-	l := New(Config{Most: 3})
+	l := New(Config{MaxLines: 3})
 	for _, id := range []shed.PipelineID{"c", "a", "b", "d", "e", "a"} {
 		l.Add(Key{Pipeline: id, Stage: "s"}, Useful, 5)
 		l.Add(Key{Pipeline: id, Stage: "s"}, Late, 1)
--- a/internal/daemon/call.go
+++ b/internal/daemon/call.go
@@ -223,7 +223,7 @@
 		end.Tokens = c.total()
 	}
 	// Only a result without a gap is whole, whatever the far side says.
-	if c.parts != nil && end.End == shed.EndComplete && !c.parts.Whole() {
+	if c.parts != nil && end.End == shed.EndComplete && !c.parts.Complete() {
 		end.End, end.Reason = shed.EndBadReply, shed.ReasonBadReply
 	}
 	span.SetAttributes(attribute.String("end", end.End.String()), attribute.String("server", string(end.Server)))
--- a/internal/flow/flow.go
+++ b/internal/flow/flow.go
@@ -172,14 +172,14 @@
 		f.emit(trail.Refuse(a.Request, refusal))
 		return
 	}
-	key := admit.KeyOf(&p.Stages[0])
-	verdict := f.cfg.Admit.Admit(now, admit.Ask{
+	key := admit.StageQueue(&p.Stages[0])
+	verdict := f.cfg.Admit.Admit(now, admit.Request{
 		Waiting:  f.queueEntry(a, time.Time{}),
 		Pipeline: p,
 		Deadline: a.Deadline,
 		Queue:    key,
 	})
-	if !verdict.OK {
+	if !verdict.Admitted {
 		end := trail.End{Reason: verdict.Reason, Rule: p.Origin, RetryAfter: verdict.RetryAfter}
 		f.emit(trail.Refuse(a.Request, end))
 		return
@@ -236,7 +236,7 @@
 	}
 	f.emit(r.trail.Finish(now, end))
 	r.trail.AddCosts(f.cfg.Ledger, r.pipeline.ID)
-	f.cfg.Admit.Drop(r.arrived.Request)
+	f.cfg.Admit.Remove(r.arrived.Request)
 	f.setState(r, stateFinished, time.Time{})
 	if !f.disabled.oneFinish {
 		delete(f.requests, r.arrived.Request)
--- a/internal/flow/oracle_test.go
+++ b/internal/flow/oracle_test.go
@@ -138,7 +138,7 @@
 	r := o.requests[c.Request]
 	var later time.Duration
 	if at := r.pipeline.Stages[c.Stage]; at.Idempotent {
-		later = admit.Minimum(r.pipeline, int(c.Stage)+1)
+		later = admit.MinDuration(r.pipeline, int(c.Stage)+1)
 	}
 	if r.callerGone && o.now.Add(later).Before(r.deadline) && r.outlivesCaller() {
 		o.fault("%v cancelled for a caller, though its outcome must become known", c)
--- a/internal/flow/place.go
+++ b/internal/flow/place.go
@@ -11,7 +11,7 @@
 
 // advance places the current stage, behind the requests that already wait for the same servers.
 func (f *Flow) advance(now time.Time, r *request) {
-	key := admit.KeyOf(r.currentStage())
+	key := admit.StageQueue(r.currentStage())
 	if f.started && !f.disabled.oneStart || f.cfg.Admit.Len(key) > 0 {
 		f.enqueue(now, r, key)
 		f.startFromQueue(now, key)
@@ -79,11 +79,11 @@
 // would be told that the outcome is unknown instead of "not run". Half of the pipeline's
 // deadline always suffices, so that one slow phase can't prevent all further tries of the stage.
 func (f *Flow) minRemaining(now time.Time, r *request) time.Duration {
-	least := admit.Minimum(r.pipeline, r.stage)
+	least := admit.MinDuration(r.pipeline, r.stage)
 	if r.currentStage().Idempotent || f.disabled.likelyTime {
 		return least
 	}
-	likely := min(f.cfg.Admit.Likely(now, r.pipeline, r.stage), r.pipeline.Deadline/2)
+	likely := min(f.cfg.Admit.PredictStageDuration(now, r.pipeline, r.stage), r.pipeline.Deadline/2)
 	return max(least, likely)
 }
 
@@ -188,7 +188,7 @@
 // time.
 func (f *Flow) backOff(now time.Time, r *request) {
 	pause := f.cfg.Backoff << min(max(r.trail.Attempts(r.stage)-1, 0), maxBackoffShift)
-	remaining := r.arrived.Deadline.Sub(now) - admit.Minimum(r.pipeline, r.stage)
+	remaining := r.arrived.Deadline.Sub(now) - admit.MinDuration(r.pipeline, r.stage)
 	if pause >= remaining && !f.disabled.boundBackoff {
 		f.giveUp(now, r, shed.ReasonWontMeetDeadline)
 		return
@@ -201,7 +201,7 @@
 
 // enqueue lets the request wait for as long as it can still meet its deadline.
 func (f *Flow) enqueue(now time.Time, r *request, key admit.QueueKey) {
-	latest := r.arrived.Deadline.Add(-f.cfg.Admit.Least(now, r.pipeline, r.stage))
+	latest := r.arrived.Deadline.Add(-f.cfg.Admit.LowDuration(now, r.pipeline, r.stage))
 	if !latest.After(now) {
 		f.giveUp(now, r, r.waitReason)
 		return
@@ -246,12 +246,12 @@
 }
 
 func (f *Flow) retryAfter(now time.Time, r *request) time.Duration {
-	return f.cfg.Admit.RetryAfter(now, admit.KeyOf(r.currentStage()), f.queueEntry(r.arrived, time.Time{}))
+	return f.cfg.Admit.RetryAfter(now, admit.StageQueue(r.currentStage()), f.queueEntry(r.arrived, time.Time{}))
 }
 
 // startWaiting starts one waiting request, if there is capacity for it.
 func (f *Flow) startWaiting(now time.Time) {
-	f.queues = f.cfg.Admit.Queues(f.queues[:0])
+	f.queues = f.cfg.Admit.AppendQueues(f.queues[:0])
 	for _, key := range f.queues {
 		if f.started {
 			return
--- a/internal/flow/request.go
+++ b/internal/flow/request.go
@@ -60,7 +60,7 @@
 	if !r.currentStage().Idempotent {
 		return r.arrived.Deadline
 	}
-	return r.arrived.Deadline.Add(-admit.Minimum(r.pipeline, r.stage+1))
+	return r.arrived.Deadline.Add(-admit.MinDuration(r.pipeline, r.stage+1))
 }
 
 // setState moves the request to a state and sets its wake time; zero is none.
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -232,7 +232,7 @@
 // of ids, or a VM with a long address could give out tickets but run none.
 func TestLongestTicketIsTaken(t *testing.T) {
 	home := shed.Peer{VM: "[ffff:ffff:ffff:ffff:ffff:ffff:ffff:ffff]:65535", Incarnation: 1<<64 - 1}
-	id := string(ticket.ID(home, [16]byte{255}))
+	id := string(ticket.NewID(home, [16]byte{255}))
 	f := newTestFront(finished(complete), nil)
 	w := record(f, newCall("PUT", "/v1/requests/"+id, `{"input":"x","pipeline":"warn"}`))
 	require.Equal(t, 200, w.Code, w.Body.String())
--- a/internal/gauge/scenario.go
+++ b/internal/gauge/scenario.go
@@ -25,7 +25,7 @@
 	Duration time.Duration
 	// Rate of arrivals a second, outside bursts.
 	Rate float64
-	// Policy that picks servers; see route.Named.
+	// Policy that picks servers; see route.NewPolicy.
 	Policy string
 	// Tokens that each generate stage is asked for.
 	Tokens int
@@ -162,7 +162,7 @@
 	if s.Duration <= 0 || s.Rate <= 0 {
 		r.fault("duration and rate must be above 0")
 	}
-	if _, err := route.Named(s.Policy, 0); err != nil {
+	if _, err := route.NewPolicy(s.Policy, 0); err != nil {
 		r.faults = append(r.faults, err)
 	}
 	return s
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -196,8 +196,8 @@
 		MaxDrain: p.Stop.Notice + p.Stop.Drain,
 		Config:   config.Config{WatchFor: p.Platform.Watch},
 		Member:   member.Config{VMListInterval: p.Platform.VMPoll},
-		Admit:    admit.Config{MostQueued: p.Limits.Queue},
-		Ticket:   ticket.Config{Most: p.Limits.Tickets, Life: p.Limits.TicketLifetime, Keep: p.Limits.TicketLifetime},
+		Admit:    admit.Config{MaxQueued: p.Limits.Queue},
+		Ticket:   ticket.Config{MaxEntries: p.Limits.Tickets, Lifetime: p.Limits.TicketLifetime, Retention: p.Limits.TicketLifetime},
 	}
 	if n.cfg.Tune != nil {
 		n.cfg.Tune(&cfg)
--- a/internal/order/decide.go
+++ b/internal/order/decide.go
@@ -46,7 +46,7 @@
 func (e *entry) loads() bool { return e.report.Model != e.want.name() }
 
 // loading tells whether a load of the group is under way.
-func (g *Giver) loading(group int) bool {
+func (g *Reconciler) loading(group int) bool {
 	for _, id := range g.order {
 		e := g.servers[id]
 		if e.sent.Fence != 0 && e.loads() && g.group(id) == group {
@@ -64,7 +64,7 @@
 // Draining tells whether the server must get no new work, so that its model or
 // role can be changed. Every daemon works it out alike from the reports. Only a
 // part of a pool drains at once; the others go on serving what they have.
-func (g *Giver) Draining(server shed.ServerID) bool {
+func (g *Reconciler) Draining(server shed.ServerID) bool {
 	e := g.servers[server]
 	if e == nil || e.report.Boot == "" || e.met() {
 		return false
@@ -74,7 +74,7 @@
 
 // turn tells whether it is the server's turn to change: the first of those of
 // its pool that are not as wanted, by id.
-func (g *Giver) turn(e *entry) bool {
+func (g *Reconciler) turn(e *entry) bool {
 	size, ahead := 0, 0
 	for _, id := range g.order {
 		o := g.servers[id]
@@ -90,12 +90,12 @@
 	return ahead < max(1, size/drainShare)
 }
 
-func (g *Giver) tick(now time.Time) []shed.Action {
+func (g *Reconciler) tick(now time.Time) []shed.Action {
 	var out []shed.Action
 	for _, id := range g.order {
 		e := g.servers[id]
 		g.hold(now, e)
-		if e.sent.Fence != 0 && now.Sub(e.sentAt) > g.cfg.LongestLoad {
+		if e.sent.Fence != 0 && now.Sub(e.sentAt) > g.cfg.MaxLoadTime {
 			// The driver never told the end; it can't still load.
 			e.sent = shed.SendOrder{}
 		}
@@ -106,7 +106,7 @@
 	return out
 }
 
-func (g *Giver) hold(now time.Time, e *entry) {
+func (g *Reconciler) hold(now time.Time, e *entry) {
 	switch {
 	case !g.table.MayUseSlot(now, g.key, g.group(e.server.ID)):
 		e.heldAt = time.Time{}
@@ -122,16 +122,16 @@
 // So the first order waits out a quiet time in which a late one would have
 // arrived, and is given only on a report made after that, which shows what the
 // engine has then.
-func (g *Giver) due(now time.Time, e *entry) bool {
+func (g *Reconciler) due(now time.Time, e *entry) bool {
 	if e.heldAt.IsZero() || e.sent.Fence != 0 || now.Before(e.retryAt) {
 		return false
 	}
-	quiet := g.cfg.Quiet
+	quiet := g.cfg.QuietTime
 	if !e.server.Fenced || !e.server.ChecksCaller {
-		quiet = g.cfg.QuietUnfenced
+		quiet = g.cfg.QuietTimeUnfenced
 	}
 	ready := e.heldAt.Add(quiet)
-	if now.Before(ready) || e.at.Before(ready) || now.Sub(e.at) > g.cfg.FreshWithin {
+	if now.Before(ready) || e.at.Before(ready) || now.Sub(e.at) > g.cfg.MaxReportAge {
 		return false
 	}
 	if e.met() || !e.idle() {
@@ -140,7 +140,7 @@
 	return g.Draining(e.server.ID)
 }
 
-func (g *Giver) send(now time.Time, out []shed.Action, e *entry) []shed.Action {
+func (g *Reconciler) send(now time.Time, out []shed.Action, e *entry) []shed.Action {
 	attempt := min(e.attempt+1, attemptMax)
 	f := fence(g.rules.Revision, e.want.hash, attempt)
 	if e.loads() && (!g.loads || g.loading(g.group(e.server.ID))) {
--- a/internal/order/giver.go
+++ b/internal/order/giver.go
@@ -25,36 +25,36 @@
 type Config struct {
 	Self shed.VM
 	Zone shed.ZoneID
-	// Quiet is how long the slot must have been held before an order to a
+	// QuietTime is how long the slot must have been held before an order to a
 	// server that refuses old fencing numbers and foreign callers.
-	Quiet time.Duration
-	// QuietUnfenced is the same for a server that accepts any order from
+	QuietTime time.Duration
+	// QuietTimeUnfenced is the same for a server that accepts any order from
 	// anybody.
-	QuietUnfenced time.Duration
-	// FreshWithin is the greatest age of a report to act on.
-	FreshWithin time.Duration
+	QuietTimeUnfenced time.Duration
+	// MaxReportAge is the greatest age of a report to act on.
+	MaxReportAge time.Duration
 	// RetryAfter is the wait after an order that failed.
 	RetryAfter time.Duration
-	// LongestLoad is the longest time that a load of weights can take.
-	LongestLoad time.Duration
+	// MaxLoadTime is the longest time that a load of weights can take.
+	MaxLoadTime time.Duration
 	// Settle as in slots.Config.
 	Settle time.Duration
 }
 
 // Defaults for what a Config leaves at 0.
 const (
-	DefaultQuiet         = 2 * time.Second
-	DefaultQuietUnfenced = 20 * time.Second
-	DefaultFreshWithin   = 5 * time.Second
-	DefaultRetryAfter    = 10 * time.Second
-	DefaultLongestLoad   = 2 * time.Minute
+	DefaultQuietTime         = 2 * time.Second
+	DefaultQuietTimeUnfenced = 20 * time.Second
+	DefaultMaxReportAge      = 5 * time.Second
+	DefaultRetryAfter        = 10 * time.Second
+	DefaultMaxLoadTime       = 2 * time.Minute
 )
 
 // The reasons of the notes that this package takes.
 const (
-	ReasonOrdered    shed.Reason = "order_sent"
-	ReasonStaleFence shed.Reason = "order_fence_stale"
-	ReasonNoWeights  shed.Reason = "weight_loads_below_zones"
+	ReasonOrdered       shed.Reason = "order_sent"
+	ReasonStaleFence    shed.Reason = "order_fence_stale"
+	ReasonNoWeightLoads shed.Reason = "weight_loads_below_zones"
 )
 
 // weights opens the name under which the slots are held. No server can have it:
@@ -66,8 +66,8 @@
 // out of use at once to change its model or role.
 const drainShare = 4
 
-// Giver gives the orders of one daemon.
-type Giver struct {
+// Reconciler gives the orders of one daemon.
+type Reconciler struct {
 	cfg     Config
 	rules   *shed.Rules
 	servers map[shed.ServerID]*entry
@@ -115,19 +115,19 @@
 func (d desired) name() string { return string(d.model) + "@" + d.version }
 
 // New returns a giver without rules.
-func New(cfg Config) *Giver {
-	orDefault(&cfg.Quiet, DefaultQuiet)
-	orDefault(&cfg.QuietUnfenced, DefaultQuietUnfenced)
-	orDefault(&cfg.FreshWithin, DefaultFreshWithin)
+func New(cfg Config) *Reconciler {
+	orDefault(&cfg.QuietTime, DefaultQuietTime)
+	orDefault(&cfg.QuietTimeUnfenced, DefaultQuietTimeUnfenced)
+	orDefault(&cfg.MaxReportAge, DefaultMaxReportAge)
 	orDefault(&cfg.RetryAfter, DefaultRetryAfter)
-	orDefault(&cfg.LongestLoad, DefaultLongestLoad)
-	return &Giver{
+	orDefault(&cfg.MaxLoadTime, DefaultMaxLoadTime)
+	return &Reconciler{
 		cfg:     cfg,
 		servers: map[shed.ServerID]*entry{},
 		table: slots.New(slots.Config{
 			Self:            cfg.Self,
 			Settle:          cfg.Settle,
-			MaxCallDuration: cfg.LongestLoad,
+			MaxCallDuration: cfg.MaxLoadTime,
 			MaxReleaseZone:  -1,
 		}),
 	}
@@ -140,15 +140,15 @@
 }
 
 // SetView passes the view on, as to slots.Table.SetView.
-func (g *Giver) SetView(now time.Time, vms []shed.VM, hash uint64, unsure bool) {
+func (g *Reconciler) SetView(now time.Time, vms []shed.VM, hash uint64, unsure bool) {
 	g.table.SetView(now, vms, hash, unsure)
 }
 
 // SetKnown passes the known VMs on, as to slots.Table.SetKnown.
-func (g *Giver) SetKnown(now time.Time, vms []shed.VM) { g.table.SetKnown(now, vms) }
+func (g *Reconciler) SetKnown(now time.Time, vms []shed.VM) { g.table.SetKnown(now, vms) }
 
 // SetRules takes the rules in force.
-func (g *Giver) SetRules(now time.Time, rules *shed.Rules) []shed.Action {
+func (g *Reconciler) SetRules(now time.Time, rules *shed.Rules) []shed.Action {
 	newer := g.rules == nil || g.rules.Revision != rules.Revision
 	g.rules = rules
 	g.order = g.order[:0]
@@ -182,7 +182,7 @@
 
 // setLoads works out the zone's share of weight loads. Zones times share never
 // passes the limit, so no zone needs to ask another.
-func (g *Giver) setLoads(now time.Time) []shed.Action {
+func (g *Reconciler) setLoads(now time.Time) []shed.Action {
 	share := 0
 	if n := len(g.rules.Zones); n > 0 {
 		share = g.rules.MaxWeightLoads / n
@@ -193,13 +193,13 @@
 	g.key = shed.ServerID(weights + strconv.Itoa(n))
 	g.table.SetServers(now, []*shed.Server{{ID: g.key, Capacity: n, ColdCapacity: n}})
 	if !g.loads {
-		return []shed.Action{shed.Note{Reason: ReasonNoWeights, Zone: g.cfg.Zone}}
+		return []shed.Action{shed.Note{Reason: ReasonNoWeightLoads, Zone: g.cfg.Zone}}
 	}
 	return nil
 }
 
 // group is the server's slot.
-func (g *Giver) group(id shed.ServerID) int {
+func (g *Reconciler) group(id shed.ServerID) int {
 	return int(xxhash.Sum64String(string(id)) % g.groups)
 }
 
@@ -230,7 +230,7 @@
 }
 
 // Handle takes Tick, LoadReported, OrderEnded and LoadDigest.
-func (g *Giver) Handle(now time.Time, ev shed.Event) []shed.Action {
+func (g *Reconciler) Handle(now time.Time, ev shed.Event) []shed.Action {
 	switch ev := ev.(type) {
 	case shed.Tick:
 		g.table.Handle(now, ev)
@@ -249,7 +249,7 @@
 	return nil
 }
 
-func (g *Giver) report(now time.Time, id shed.ServerID, r shed.LoadReport) {
+func (g *Reconciler) report(now time.Time, id shed.ServerID, r shed.LoadReport) {
 	e := g.servers[id]
 	if e == nil {
 		return
@@ -259,7 +259,7 @@
 	}
 }
 
-func (g *Giver) ended(now time.Time, ev shed.OrderEnded) []shed.Action {
+func (g *Reconciler) ended(now time.Time, ev shed.OrderEnded) []shed.Action {
 	e := g.servers[ev.Server]
 	if e == nil || e.sent.Fence == 0 || e.sent.Fence != ev.Fence {
 		return nil
--- a/internal/order/giver_test.go
+++ b/internal/order/giver_test.go
@@ -20,7 +20,7 @@
 type fleet struct {
 	t       *testing.T
 	now     time.Time
-	givers  map[shed.VM]*order.Giver
+	givers  map[shed.VM]*order.Reconciler
 	vms     []shed.VM
 	rules   *shed.Rules
 	engines map[shed.ServerID]*engine
@@ -41,7 +41,7 @@
 func newFleet(t *testing.T, daemons, servers, weightLoads int, change func(*shed.Server)) *fleet {
 	f := &fleet{
 		t: t, now: time.Unix(1_800_000_000, 0),
-		givers:  map[shed.VM]*order.Giver{},
+		givers:  map[shed.VM]*order.Reconciler{},
 		engines: map[shed.ServerID]*engine{},
 		notes:   map[shed.Reason]int{},
 	}
@@ -179,7 +179,7 @@
 	f.perform(f.vms[0], f.givers[f.vms[0]].SetRules(f.now, f.rules))
 	f.run(30 * time.Minute)
 	require.Empty(t, f.orders)
-	require.Equal(t, 1, f.notes[order.ReasonNoWeights])
+	require.Equal(t, 1, f.notes[order.ReasonNoWeightLoads])
 }
 
 // Two daemons believe at the same time that they order the same server: the
@@ -228,7 +228,7 @@
 		first[checks] = f.now.Sub(from)
 	}
 	more := first[false] - first[true]
-	require.Equal(t, order.DefaultQuietUnfenced-order.DefaultQuiet, more)
+	require.Equal(t, order.DefaultQuietTimeUnfenced-order.DefaultQuietTime, more)
 }
 
 // A role change on a busy engine would break its calls: it has to drain first.
--- a/internal/route/affinity.go
+++ b/internal/route/affinity.go
@@ -11,25 +11,25 @@
 
 // Defaults for a zero AffinityConfig.
 const (
-	DefaultBound      = 1.25
-	DefaultRanks      = 2
-	DefaultSlowFactor = 2.0
-	DefaultDraws      = 2
+	DefaultLoadBound        = 1.25
+	DefaultServersPerPrefix = 2
+	DefaultSlowFactor       = 2.0
+	DefaultSampleSize       = 2
 )
 
 // AffinityConfig sets up an Affinity policy. Zero values take the defaults.
 type AffinityConfig struct {
 	Seed uint64
-	// Bound is how far above the mean relative load a server that has the
+	// LoadBound is how far above the mean relative load a server that has the
 	// prefix may be and still be preferred; above 1.
-	Bound float64
-	// Ranks is how many servers hold one prefix, 1 to 4.
-	Ranks int
+	LoadBound float64
+	// ServersPerPrefix is how many servers hold one prefix, 1 to 4.
+	ServersPerPrefix int
 	// SlowFactor times the mean time per call makes a server slow.
 	SlowFactor float64
-	// Draws is how many candidates are drawn where no server that has the prefix
+	// SampleSize is how many candidates are drawn where no server that has the prefix
 	// will do; the least loaded of them is taken.
-	Draws int
+	SampleSize int
 }
 
 // Affinity sends calls with one prefix to the few servers that rank highest
@@ -44,18 +44,18 @@
 
 // NewAffinity returns the policy.
 func NewAffinity(cfg AffinityConfig) *Affinity {
-	if cfg.Bound == 0 {
-		cfg.Bound = DefaultBound
+	if cfg.LoadBound == 0 {
+		cfg.LoadBound = DefaultLoadBound
 	}
-	if cfg.Ranks == 0 {
-		cfg.Ranks = DefaultRanks
+	if cfg.ServersPerPrefix == 0 {
+		cfg.ServersPerPrefix = DefaultServersPerPrefix
 	}
-	cfg.Ranks = min(cfg.Ranks, maxRanks)
+	cfg.ServersPerPrefix = min(cfg.ServersPerPrefix, maxRanks)
 	if cfg.SlowFactor == 0 {
 		cfg.SlowFactor = DefaultSlowFactor
 	}
-	if cfg.Draws == 0 {
-		cfg.Draws = DefaultDraws
+	if cfg.SampleSize == 0 {
+		cfg.SampleSize = DefaultSampleSize
 	}
 	return &Affinity{cfg: cfg, rng: newRand(cfg.Seed)}
 }
@@ -65,7 +65,7 @@
 	m := measure(from)
 	slow := time.Duration(float64(m.slow) * p.cfg.SlowFactor)
 	if prefix != 0 {
-		if i := p.preferred(prefix, from, m.load*p.cfg.Bound, slow); i >= 0 {
+		if i := p.preferred(prefix, from, m.load*p.cfg.LoadBound, slow); i >= 0 {
 			return i
 		}
 	}
@@ -110,10 +110,10 @@
 		for at > 0 && scores[at-1] < score {
 			at--
 		}
-		if at >= p.cfg.Ranks {
+		if at >= p.cfg.ServersPerPrefix {
 			continue
 		}
-		n = min(n+1, p.cfg.Ranks)
+		n = min(n+1, p.cfg.ServersPerPrefix)
 		copy(scores[at+1:n], scores[at:n-1])
 		copy(ranks[at+1:n], ranks[at:n-1])
 		scores[at], ranks[at] = score, i
@@ -136,7 +136,7 @@
 // they would run that one over together before the next report.
 func (p *Affinity) sampled(from []shed.Candidate, slow time.Duration) int {
 	best, bestLoad := 0, 0.0
-	for k := range p.cfg.Draws {
+	for k := range p.cfg.SampleSize {
 		i := p.rng.IntN(len(from))
 		load := relative(&from[i])
 		if slow > 0 && from[i].MedianCallTime > slow {
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -21,9 +21,9 @@
 // ErrUnknownPolicy is returned for a name that is none of the above.
 var ErrUnknownPolicy = errors.New("unknown policy")
 
-// Named returns the policy of that name with its default configuration. The
+// NewPolicy returns the policy of that name with its default configuration. The
 // seed should differ between daemons, so that they don't all choose alike.
-func Named(name string, seed uint64) (shed.Policy, error) {
+func NewPolicy(name string, seed uint64) (shed.Policy, error) {
 	switch name {
 	case NameAffinity:
 		return NewAffinity(AffinityConfig{Seed: seed}), nil
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -22,14 +22,14 @@
 
 func TestNamed(t *testing.T) {
 	for _, name := range []string{NameAffinity, NameRoundRobin, NameLeastOutstanding, NameTwoChoices} {
-		p, err := Named(name, 1)
+		p, err := NewPolicy(name, 1)
 		require.NoError(t, err)
 		for n := 1; n < 5; n++ {
 			i := p.Pick(zero, 7, candidates(n, 4))
 			require.True(t, i >= 0 && i < n)
 		}
 	}
-	_, err := Named("best", 1)
+	_, err := NewPolicy("best", 1)
 	require.ErrorIs(t, err, ErrUnknownPolicy)
 }
 
@@ -106,7 +106,7 @@
 func BenchmarkPick192(b *testing.B) {
 	for _, name := range []string{NameAffinity, NameRoundRobin, NameLeastOutstanding, NameTwoChoices} {
 		b.Run(name, func(b *testing.B) {
-			p, _ := Named(name, 1)
+			p, _ := NewPolicy(name, 1)
 			from := candidates(192, 8)
 			b.ReportAllocs()
 			for i := range b.N {
--- a/internal/route/trial_test.go
+++ b/internal/route/trial_test.go
@@ -46,7 +46,7 @@
 	policies := make([]shed.Policy, trialDaemons)
 	servers := candidates(trialServers, trialCapacity)
 	for d := range policies {
-		p, err := Named(name, uint64(d))
+		p, err := NewPolicy(name, uint64(d))
 		if err != nil {
 			b.Fatal(err)
 		}
--- a/internal/ticket/id.go
+++ b/internal/ticket/id.go
@@ -29,9 +29,9 @@
 
 var idCoding = base64.RawURLEncoding.Strict()
 
-// ID returns the id of a ticket whose home is the process. The random part
+// NewID returns the id of a ticket whose home is the process. The random part
 // keeps callers from guessing the tickets of others.
-func ID(home shed.Peer, random [randomSize]byte) shed.RequestID {
+func NewID(home shed.Peer, random [randomSize]byte) shed.RequestID {
 	raw := make([]byte, 0, fixedSize+len(home.VM))
 	raw = binary.BigEndian.AppendUint64(raw, uint64(home.Incarnation))
 	raw = append(raw, random[:]...)
--- a/internal/ticket/machine_test.go
+++ b/internal/ticket/machine_test.go
@@ -75,7 +75,7 @@
 func (f *fleet) boot(i int) {
 	f.starts++
 	peer := shed.Peer{VM: shed.VM(fmt.Sprintf("10.0.0.%d:7000", i+1)), Incarnation: f.starts}
-	table := New(Config{Self: peer, Most: 6, Life: 10 * time.Second, Keep: 5 * time.Second})
+	table := New(Config{Self: peer, MaxEntries: 6, Lifetime: 10 * time.Second, Retention: 5 * time.Second})
 	table.off = f.off
 	f.vms[i] = &process{peer: peer, table: table}
 }
@@ -85,7 +85,7 @@
 func (f *fleet) issue(*rapid.T) {
 	p := f.vms[f.vm("home")]
 	f.serials++
-	id := ID(p.peer, [16]byte{f.serials})
+	id := NewID(p.peer, [16]byte{f.serials})
 	before := p.table.Len()
 	expires, err := p.table.Issue(f.now, id, "w", "publish")
 	if err != nil {
@@ -111,7 +111,7 @@
 
 func (f *fleet) judge(p *process, id shed.RequestID, ws shed.WorkspaceID, v Verdict) {
 	tr := f.truths[id]
-	if ws != "w" && v.Kind != VerdictOther && v.Kind != VerdictUnknown && v.Kind != VerdictMoved {
+	if ws != "w" && v.Kind != VerdictMismatch && v.Kind != VerdictUnknown && v.Kind != VerdictMoved {
 		f.fault("told a stranger: %d", v.Kind)
 	}
 	home, err := Home(id)
@@ -156,11 +156,11 @@
 	id := p.running[0]
 	p.running = p.running[1:]
 	answer := shed.Finish{Request: id, Outcome: shed.OutcomeComplete, RetryAfter: time.Duration(len(f.ids))}
-	if p.table.Finished(f.now, id, answer) {
+	if p.table.RecordFinish(f.now, id, answer) {
 		f.truths[id].finish = &answer
 	}
 	second := shed.Finish{Request: id, Outcome: shed.OutcomeFailed, RetryAfter: -1}
-	if p.table.Finished(f.now, id, second) {
+	if p.table.RecordFinish(f.now, id, second) {
 		f.fault("a second answer was stored")
 	}
 }
--- a/internal/ticket/move.go
+++ b/internal/ticket/move.go
@@ -88,7 +88,7 @@
 // adopt never takes a place from another entry: a ticket that finds the table
 // full is lost, which is safe, as it then starts nowhere.
 func (t *Table) adopt(now time.Time, m *shed.MovedTicket) bool {
-	if t.entries[m.ID] != nil || len(t.entries) >= t.cfg.Most || m.ExpiresIn <= 0 {
+	if t.entries[m.ID] != nil || len(t.entries) >= t.cfg.MaxEntries || m.ExpiresIn <= 0 {
 		return false
 	}
 	t.put(&entry{
@@ -96,7 +96,7 @@
 		workspace: m.Workspace,
 		pipeline:  m.Pipeline,
 		state:     stateUnused,
-		expires:   now.Add(min(m.ExpiresIn, t.cfg.Life)),
+		expires:   now.Add(min(m.ExpiresIn, t.cfg.Lifetime)),
 	})
 	return true
 }
--- a/internal/ticket/start.go
+++ b/internal/ticket/start.go
@@ -25,16 +25,16 @@
 	VerdictMoved
 	// VerdictUnknown: not in the table. It may have run and been forgotten.
 	VerdictUnknown
-	// VerdictOther: the ticket is for another workspace or pipeline; nothing
+	// VerdictMismatch: the ticket is for another workspace or pipeline; nothing
 	// about it may be told.
-	VerdictOther
+	VerdictMismatch
 )
 
 // Verdict is the answer of Start.
 type Verdict struct {
-	Kind   VerdictKind
-	Finish shed.Finish
-	Heir   shed.Peer
+	Kind      VerdictKind
+	Finish    shed.Finish
+	Successor shed.Peer
 }
 
 // Outcome is what a caller is told when the verdict ends its call.
@@ -42,7 +42,7 @@
 	switch v.Kind {
 	case VerdictExpired:
 		return shed.OutcomeNotRun, shed.ReasonTicketExpired
-	case VerdictOther:
+	case VerdictMismatch:
 		return shed.OutcomeUnknown, shed.ReasonTicketUnknown
 	case VerdictStored:
 		return v.Finish.Outcome, v.Finish.Reason
@@ -59,7 +59,7 @@
 		return t.missing()
 	}
 	if e.workspace != ws || e.pipeline != p {
-		return Verdict{Kind: VerdictOther}
+		return Verdict{Kind: VerdictMismatch}
 	}
 	switch e.state {
 	case stateRunning:
@@ -80,7 +80,7 @@
 
 func (t *Table) missing() Verdict {
 	if t.closed {
-		return Verdict{Kind: VerdictMoved, Heir: t.heir}
+		return Verdict{Kind: VerdictMoved, Successor: t.heir}
 	}
 	return Verdict{Kind: VerdictUnknown}
 }
@@ -94,7 +94,7 @@
 		return t.missing()
 	}
 	if e.workspace != ws {
-		return Verdict{Kind: VerdictOther}
+		return Verdict{Kind: VerdictMismatch}
 	}
 	switch e.state {
 	case stateRunning:
@@ -105,18 +105,18 @@
 	return Verdict{Kind: VerdictUnknown}
 }
 
-// Finished stores the answer of a running ticket for Config.Keep; a second one
+// RecordFinish stores the answer of a running ticket for Config.Keep; a second one
 // is ignored and gives false. Whoever keeps the payload must keep it for as
 // long at least, from the same moment or later, or a repeat would be told to
 // join what is no longer there.
-func (t *Table) Finished(now time.Time, id shed.RequestID, finish shed.Finish) bool {
+func (t *Table) RecordFinish(now time.Time, id shed.RequestID, finish shed.Finish) bool {
 	e := t.entries[id]
 	if e == nil || e.state != stateRunning {
 		return false
 	}
 	e.state = stateEnded
 	e.finish = finish
-	e.forget = now.Add(t.cfg.Keep)
+	e.forget = now.Add(t.cfg.Retention)
 	heap.Push(&t.expiry, e)
 	return true
 }
--- a/internal/ticket/table.go
+++ b/internal/ticket/table.go
@@ -20,27 +20,27 @@
 	ErrFull = errors.New("ticket table full")
 	// ErrClosed: the tickets were moved to an heir.
 	ErrClosed = errors.New("ticket table closed")
-	// ErrTaken: the id is in the table already.
-	ErrTaken = errors.New("ticket id taken")
+	// ErrDuplicateID: the id is in the table already.
+	ErrDuplicateID = errors.New("ticket id taken")
 )
 
 // Defaults for a zero Config.
 const (
-	DefaultMost = 100_000
-	DefaultLife = 10 * time.Minute
-	DefaultKeep = 10 * time.Minute
+	DefaultMaxEntries = 100_000
+	DefaultLifetime   = 10 * time.Minute
+	DefaultRetention  = 10 * time.Minute
 )
 
 // Config sets up a Table. Zero values take the defaults.
 type Config struct {
 	Self shed.Peer
-	// Most bounds the entries: unused, running and ended.
-	Most int
-	// Life is how long a ticket may be used.
-	Life time.Duration
-	// Keep is how long an answer is kept after its end, and an expired ticket
+	// MaxEntries bounds the entries: unused, running and ended.
+	MaxEntries int
+	// Lifetime is how long a ticket may be used.
+	Lifetime time.Duration
+	// Retention is how long an answer is kept after its end, and an expired ticket
 	// after its expiry, so that a repeat gets a true answer.
-	Keep time.Duration
+	Retention time.Duration
 }
 
 type state uint8
@@ -93,39 +93,39 @@
 
 // New returns an empty table.
 func New(cfg Config) *Table {
-	if cfg.Most == 0 {
-		cfg.Most = DefaultMost
+	if cfg.MaxEntries == 0 {
+		cfg.MaxEntries = DefaultMaxEntries
 	}
-	if cfg.Life == 0 {
-		cfg.Life = DefaultLife
+	if cfg.Lifetime == 0 {
+		cfg.Lifetime = DefaultLifetime
 	}
-	if cfg.Keep == 0 {
-		cfg.Keep = DefaultKeep
+	if cfg.Retention == 0 {
+		cfg.Retention = DefaultRetention
 	}
 	return &Table{cfg: cfg, entries: map[shed.RequestID]*entry{}, movers: map[shed.Peer]bool{}}
 }
 
 // Issue puts a new ticket into the table and returns when it expires. It
-// returns ErrFull, ErrClosed or ErrTaken.
+// returns ErrFull, ErrClosed or ErrDuplicateID.
 func (t *Table) Issue(now time.Time, id shed.RequestID, ws shed.WorkspaceID, p shed.PipelineID) (time.Time, error) {
 	if t.closed {
 		return time.Time{}, ErrClosed
 	}
 	if t.entries[id] != nil {
-		return time.Time{}, ErrTaken
+		return time.Time{}, ErrDuplicateID
 	}
 	t.Expire(now)
-	if len(t.entries) >= t.cfg.Most {
+	if len(t.entries) >= t.cfg.MaxEntries {
 		return time.Time{}, fmt.Errorf("%w: %d entries", ErrFull, len(t.entries))
 	}
-	e := &entry{id: id, workspace: ws, pipeline: p, state: stateUnused, expires: now.Add(t.cfg.Life)}
+	e := &entry{id: id, workspace: ws, pipeline: p, state: stateUnused, expires: now.Add(t.cfg.Lifetime)}
 	t.put(e)
 	return e.expires, nil
 }
 
 // put adds an unused entry.
 func (t *Table) put(e *entry) {
-	e.forget = e.expires.Add(t.cfg.Keep)
+	e.forget = e.expires.Add(t.cfg.Retention)
 	t.entries[e.id] = e
 	heap.Push(&t.expiry, e)
 }
--- a/internal/ticket/ticket_test.go
+++ b/internal/ticket/ticket_test.go
@@ -19,7 +19,7 @@
 
 func TestIDNamesItsHome(t *testing.T) {
 	for _, p := range []shed.Peer{home, heir, {VM: "[ffff:ffff:ffff:ffff:ffff:ffff:ffff:ffff]:65535", Incarnation: 1<<64 - 1}} {
-		id := ID(p, [16]byte{1, 2, 3})
+		id := NewID(p, [16]byte{1, 2, 3})
 		require.Regexp(t, regexp.MustCompile(`^[A-Za-z0-9._-]{1,128}$`), string(id))
 		got, err := Home(id)
 		require.NoError(t, err)
@@ -28,7 +28,7 @@
 }
 
 func TestHomeRefuses(t *testing.T) {
-	good := string(ID(heir, [16]byte{9}))
+	good := string(NewID(heir, [16]byte{9}))
 	cases := map[string]string{
 		"empty":         "",
 		"no version":    good[3:],
@@ -39,8 +39,8 @@
 		"line break":    good[:20] + "\n" + good[20:],
 		"padded":        good + "=",
 		"too long":      "t1." + strings.Repeat("A", 200),
-		"not a address": string(ID(shed.Peer{VM: "vm-a"}, [16]byte{})),
-		"odd address":   string(ID(shed.Peer{VM: "10.0.0.2:07000"}, [16]byte{})),
+		"not a address": string(NewID(shed.Peer{VM: "vm-a"}, [16]byte{})),
+		"odd address":   string(NewID(shed.Peer{VM: "10.0.0.2:07000"}, [16]byte{})),
 	}
 	for name, id := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -51,7 +51,7 @@
 }
 
 func FuzzHome(f *testing.F) {
-	f.Add(string(ID(heir, [16]byte{9})))
+	f.Add(string(NewID(heir, [16]byte{9})))
 	f.Add("t1.")
 	f.Fuzz(func(t *testing.T, s string) {
 		p, err := Home(shed.RequestID(s))
@@ -61,7 +61,7 @@
 		raw, err := idCoding.DecodeString(s[len(idVersion):])
 		require.NoError(t, err)
 		random := [randomSize]byte(raw[incarnation:])
-		require.Equal(t, s, string(ID(p, random)), "two ids for one ticket")
+		require.Equal(t, s, string(NewID(p, random)), "two ids for one ticket")
 	})
 }
 
@@ -70,15 +70,15 @@
 // caller's repeat would publish again.
 func TestLateCopyOfMoveRevivesNothing(t *testing.T) {
 	old, next := New(Config{Self: home}), New(Config{Self: heir})
-	id := ID(home, [16]byte{1})
+	id := NewID(home, [16]byte{1})
 	_, err := old.Issue(zero, id, "w", "publish")
 	require.NoError(t, err)
 	move := old.MoveAll(zero, heir)
 	require.Equal(t, VerdictMoved, old.Start(zero, id, "w", "publish").Kind)
 	require.Equal(t, 1, next.Adopt(zero, move))
 	require.Equal(t, VerdictRun, next.Start(zero, id, "w", "publish").Kind)
-	require.True(t, next.Finished(zero, id, shed.Finish{Outcome: shed.OutcomeComplete}))
-	later := zero.Add(2 * DefaultLife)
+	require.True(t, next.RecordFinish(zero, id, shed.Finish{Outcome: shed.OutcomeComplete}))
+	later := zero.Add(2 * DefaultLifetime)
 	require.Zero(t, next.Adopt(later, move))
 	require.Equal(t, VerdictUnknown, next.Start(later, id, "w", "publish").Kind)
 }
@@ -87,49 +87,49 @@
 // nothing is put out for it: an answer put out early would turn a caller's
 // repeat into "unknown", and a running one's could start again.
 func TestFullTableKeepsWhatItHolds(t *testing.T) {
-	tab := New(Config{Self: home, Most: 2})
+	tab := New(Config{Self: home, MaxEntries: 2})
 	for i := range byte(2) {
-		id := ID(home, [16]byte{i})
+		id := NewID(home, [16]byte{i})
 		_, err := tab.Issue(zero, id, "w", "publish")
 		require.NoError(t, err)
 		require.Equal(t, VerdictRun, tab.Start(zero, id, "w", "publish").Kind)
 	}
-	_, err := tab.Issue(zero, ID(home, [16]byte{7}), "w", "publish")
+	_, err := tab.Issue(zero, NewID(home, [16]byte{7}), "w", "publish")
 	require.ErrorIs(t, err, ErrFull)
 	year := zero.Add(365 * 24 * time.Hour)
-	require.Equal(t, VerdictJoin, tab.Start(year, ID(home, [16]byte{0}), "w", "publish").Kind)
+	require.Equal(t, VerdictJoin, tab.Start(year, NewID(home, [16]byte{0}), "w", "publish").Kind)
 	require.Equal(t, 2, tab.Running())
 }
 
 func BenchmarkIssueStartFinish(b *testing.B) {
-	tab := New(Config{Self: home, Most: 100_000, Keep: time.Second, Life: time.Second})
+	tab := New(Config{Self: home, MaxEntries: 100_000, Retention: time.Second, Lifetime: time.Second})
 	now := zero
 	b.ReportAllocs()
 	var random [16]byte
 	for i := range b.N {
 		now = now.Add(time.Millisecond)
 		random[0], random[1], random[2], random[3] = byte(i), byte(i>>8), byte(i>>16), byte(i>>24)
-		id := ID(home, random)
+		id := NewID(home, random)
 		_, _ = tab.Issue(now, id, "w", "publish")
 		tab.Start(now, id, "w", "publish")
-		tab.Finished(now, id, shed.Finish{})
+		tab.RecordFinish(now, id, shed.Finish{})
 	}
 }
 
 // BenchmarkIssueKept keeps every ticket: its bytes are what one entry takes,
 // with the map's growth, hence an upper bound.
 func BenchmarkIssueKept(b *testing.B) {
-	tab := New(Config{Self: home, Most: 1 << 30})
+	tab := New(Config{Self: home, MaxEntries: 1 << 30})
 	b.ReportAllocs()
 	var random [16]byte
 	for i := range b.N {
 		random[0], random[1], random[2], random[3] = byte(i), byte(i>>8), byte(i>>16), byte(i>>24)
-		_, _ = tab.Issue(zero, ID(home, random), "w", "publish")
+		_, _ = tab.Issue(zero, NewID(home, random), "w", "publish")
 	}
 }
 
 func BenchmarkHome(b *testing.B) {
-	id := ID(home, [16]byte{1})
+	id := NewID(home, [16]byte{1})
 	b.ReportAllocs()
 	for range b.N {
 		_, _ = Home(id)
