--- a/internal/cmds/cmds_test.go
+++ b/internal/cmds/cmds_test.go
@@ -55,11 +55,11 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	server := front.New(front.Config{
-		Listener: l,
-		Serving:  f,
-		Limits:   prefs.Defaults().Limits,
-		Drain:    time.Second,
-		Log:      log,
+		Listener:     l,
+		Serving:      f,
+		Limits:       prefs.Defaults().Limits,
+		DrainTimeout: time.Second,
+		Log:          log,
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	var g errgroup.Group
--- a/internal/front/bench_test.go
+++ b/internal/front/bench_test.go
@@ -92,7 +92,7 @@
 	require.NoError(tb, err)
 	f := newTestFront(s, func(cfg *Config) {
 		cfg.Listener = l
-		cfg.Drain = time.Second
+		cfg.DrainTimeout = time.Second
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	var g errgroup.Group
--- a/internal/front/fake_test.go
+++ b/internal/front/fake_test.go
@@ -71,10 +71,10 @@
 
 func newTestFront(s shed.Serving, change func(*Config)) *Front {
 	cfg := Config{
-		Serving: s,
-		Limits:  prefs.Defaults().Limits,
-		Drain:   time.Minute,
-		Log:     quiet(),
+		Serving:      s,
+		Limits:       prefs.Defaults().Limits,
+		DrainTimeout: time.Minute,
+		Log:          quiet(),
 	}
 	if change != nil {
 		change(&cfg)
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -33,9 +33,9 @@
 	TLS     *tls.Config
 	Serving shed.Serving
 	Limits  prefs.Limits
-	// Drain bounds how long Serve waits for requests in flight at its end.
-	Drain time.Duration
-	Log   logrus.FieldLogger
+	// DrainTimeout bounds how long Serve waits for requests in flight at its end.
+	DrainTimeout time.Duration
+	Log          logrus.FieldLogger
 	// Scope may be nil.
 	Scope tally.Scope
 	// Tracer may be nil.
@@ -60,13 +60,13 @@
 	f := &Front{cfg: cfg}
 	f.handler = f.newHandler()
 	f.server = httpd.New(httpd.Config{
-		Name:     "callers",
-		Listener: cfg.Listener,
-		TLS:      cfg.TLS,
-		Handler:  f.handler,
-		Limits:   cfg.Limits,
-		Drain:    cfg.Drain,
-		Log:      cfg.Log,
+		Name:         "callers",
+		Listener:     cfg.Listener,
+		TLS:          cfg.TLS,
+		Handler:      f.handler,
+		Limits:       cfg.Limits,
+		DrainTimeout: cfg.DrainTimeout,
+		Log:          cfg.Log,
 	})
 	return f
 }
--- a/internal/front/wire_test.go
+++ b/internal/front/wire_test.go
@@ -194,7 +194,7 @@
 // context ends, so that a stop can't take for ever.
 func TestDrainIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := run(t, waitFor(time.Hour), func(cfg *Config) { cfg.Drain = 3 * time.Second })
+		r := run(t, waitFor(time.Hour), func(cfg *Config) { cfg.DrainTimeout = 3 * time.Second })
 		start := time.Now()
 		time.AfterFunc(time.Second, r.stop)
 		_, err := r.client.Do(newCall("POST", runPath, `{"input":"x"}`))
--- a/internal/httpd/httpd.go
+++ b/internal/httpd/httpd.go
@@ -30,12 +30,12 @@
 	TLS     *tls.Config
 	Handler http.Handler
 	Limits  prefs.Limits
-	// Call bounds one whole call, body and answer, where these are short; 0 for
+	// CallTimeout bounds one whole call, body and answer, where these are short; 0 for
 	// a handler that sets its own deadlines.
-	Call time.Duration
-	// Drain bounds how long Serve waits for requests in flight at its end.
-	Drain time.Duration
-	Log   logrus.FieldLogger
+	CallTimeout time.Duration
+	// DrainTimeout bounds how long Serve waits for requests in flight at its end.
+	DrainTimeout time.Duration
+	Log          logrus.FieldLogger
 }
 
 // Server is one HTTP listener. It serves once.
@@ -51,8 +51,8 @@
 		MaxHeaderBytes:    cfg.Limits.HeaderBytes,
 		ReadHeaderTimeout: cfg.Limits.HeaderTimeout,
 		IdleTimeout:       cfg.Limits.IdleTimeout,
-		ReadTimeout:       cfg.Call,
-		WriteTimeout:      cfg.Call,
+		ReadTimeout:       cfg.CallTimeout,
+		WriteTimeout:      cfg.CallTimeout,
 		ErrorLog:          log.New(telem.LogWriter{Log: cfg.Log}, "", 0),
 	}}
 }
@@ -101,9 +101,9 @@
 	return g.Wait()
 }
 
-// Shut takes no more connections and waits for the requests in flight, until ctx
+// Shutdown takes no more connections and waits for the requests in flight, until ctx
 // ends; then it cuts them off. Serve returns.
-func (s *Server) Shut(ctx context.Context) error {
+func (s *Server) Shutdown(ctx context.Context) error {
 	if err := s.http.Shutdown(ctx); err == nil {
 		return nil
 	}
@@ -117,7 +117,7 @@
 // drain lets requests in flight end, up to the limit. Their contexts do not
 // come from Serve's, so the end of that one cuts off none of them.
 func (s *Server) drain() error {
-	ctx, cancel := context.WithTimeout(context.Background(), s.cfg.Drain)
+	ctx, cancel := context.WithTimeout(context.Background(), s.cfg.DrainTimeout)
 	defer cancel()
-	return s.Shut(ctx)
+	return s.Shutdown(ctx)
 }
--- a/internal/httpd/httpd_test.go
+++ b/internal/httpd/httpd_test.go
@@ -21,12 +21,12 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	return New(Config{
-		Name:     "test",
-		Listener: l,
-		Handler:  http.NotFoundHandler(),
-		Limits:   prefs.Defaults().Limits,
-		Drain:    time.Second,
-		Log:      log,
+		Name:         "test",
+		Listener:     l,
+		Handler:      http.NotFoundHandler(),
+		Limits:       prefs.Defaults().Limits,
+		DrainTimeout: time.Second,
+		Log:          log,
 	})
 }
 
--- a/internal/httpd/listen.go
+++ b/internal/httpd/listen.go
@@ -67,24 +67,24 @@
 	return failed
 }
 
-// Opening is a listener to be opened, unless there is one.
-type Opening struct {
-	To   *net.Listener
-	Addr string
+// ListenSpec is a listener to be opened, unless there is one.
+type ListenSpec struct {
+	Listener *net.Listener
+	Addr     string
 }
 
 // ListenAll opens listeners as Listen does. After an error, those before it are
 // open.
-func ListenAll(ctx context.Context, silence time.Duration, all []Opening) error {
+func ListenAll(ctx context.Context, silence time.Duration, all []ListenSpec) error {
 	for _, o := range all {
-		if *o.To != nil {
+		if *o.Listener != nil {
 			continue
 		}
 		l, err := Listen(ctx, o.Addr, silence)
 		if err != nil {
 			return err
 		}
-		*o.To = l
+		*o.Listener = l
 	}
 	return nil
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -108,10 +108,10 @@
 
 // listen opens the listeners that were not given.
 func (n *Node) listen(ctx context.Context) error {
-	return httpd.ListenAll(ctx, n.cfg.Prefs.Limits.WriteTimeout, []httpd.Opening{
-		{To: &n.cfg.Callers, Addr: n.cfg.Prefs.Listen.Callers},
-		{To: &n.cfg.Peers, Addr: n.cfg.Prefs.Node.Peer},
-		{To: &n.cfg.Operators, Addr: n.cfg.Prefs.Listen.Operators},
+	return httpd.ListenAll(ctx, n.cfg.Prefs.Limits.WriteTimeout, []httpd.ListenSpec{
+		{Listener: &n.cfg.Callers, Addr: n.cfg.Prefs.Listen.Callers},
+		{Listener: &n.cfg.Peers, Addr: n.cfg.Prefs.Node.Peer},
+		{Listener: &n.cfg.Operators, Addr: n.cfg.Prefs.Listen.Operators},
 	})
 }
 
@@ -210,7 +210,7 @@
 func (n *Node) services() []suture.Service {
 	p := n.cfg.Prefs
 	caller := front.Config{
-		Listener: n.cfg.Callers, Serving: n.daemon, Limits: p.Limits, Drain: p.Stop.Drain,
+		Listener: n.cfg.Callers, Serving: n.daemon, Limits: p.Limits, DrainTimeout: p.Stop.Drain,
 		Log: n.log, Scope: n.metrics.Scope, Tracer: n.tracing,
 	}
 	if n.callerCerts != nil {
--- a/internal/oper/oper.go
+++ b/internal/oper/oper.go
@@ -59,13 +59,13 @@
 func New(cfg Config) *Oper {
 	o := &Oper{cfg: cfg}
 	o.server = httpd.New(httpd.Config{
-		Name:     "operators",
-		Listener: cfg.Listener,
-		Handler:  o.handler(),
-		Limits:   cfg.Limits,
-		Call:     callTime,
-		Drain:    drainTime,
-		Log:      cfg.Log,
+		Name:         "operators",
+		Listener:     cfg.Listener,
+		Handler:      o.handler(),
+		Limits:       cfg.Limits,
+		CallTimeout:  callTime,
+		DrainTimeout: drainTime,
+		Log:          cfg.Log,
 	})
 	return o
 }
--- a/internal/plat/plat.go
+++ b/internal/plat/plat.go
@@ -35,10 +35,10 @@
 var (
 	// ErrUnreachable: no answer came, or it was cut off.
 	ErrUnreachable = errors.New("platform unreachable")
-	// ErrBudget: the call budget of all readers is spent.
-	ErrBudget = errors.New("platform call budget spent")
-	// ErrAbsent: the platform has no such value.
-	ErrAbsent = errors.New("value absent on the platform")
+	// ErrBudgetExhausted: the call budget of all readers is spent.
+	ErrBudgetExhausted = errors.New("platform call budget spent")
+	// ErrNotFound: the platform has no such value.
+	ErrNotFound = errors.New("value absent on the platform")
 	// ErrBadReply: the answer makes no sense, or a part is not what its hash says.
 	ErrBadReply = errors.New("bad reply of the platform")
 )
@@ -208,9 +208,9 @@
 	case http.StatusOK, http.StatusNotModified:
 		return nil
 	case http.StatusNotFound:
-		return ErrAbsent
+		return ErrNotFound
 	case http.StatusTooManyRequests:
-		return ErrBudget
+		return ErrBudgetExhausted
 	default:
 		return fmt.Errorf("%w: status %d", ErrBadReply, code)
 	}
--- a/internal/plat/plat_test.go
+++ b/internal/plat/plat_test.go
@@ -57,7 +57,7 @@
 	p := reader(t, stood)
 	ctx := t.Context()
 	_, err := p.Config(ctx, shed.ReadConfig{})
-	require.ErrorIs(t, err, plat.ErrAbsent)
+	require.ErrorIs(t, err, plat.ErrNotFound)
 
 	first, hashes := values("a", "b")
 	revision := stood.Publish(first)
@@ -163,7 +163,7 @@
 			require.NoError(t, err)
 		}
 		_, err := p.VMs(t.Context())
-		require.ErrorIs(t, err, plat.ErrBudget)
+		require.ErrorIs(t, err, plat.ErrBudgetExhausted)
 		time.Sleep(time.Second)
 		_, err = p.VMs(t.Context())
 		require.NoError(t, err)
--- a/internal/relay/listen.go
+++ b/internal/relay/listen.go
@@ -16,11 +16,11 @@
 // Listen opens the listeners named in the settings.
 func Listen(ctx context.Context, p *prefs.Prefs) (Listeners, error) {
 	var l Listeners
-	err := httpd.ListenAll(ctx, p.Limits.WriteTimeout, []httpd.Opening{
-		{To: &l.Callers, Addr: p.Listen.Callers},
-		{To: &l.Ready, Addr: p.Relay.Ready},
-		{To: &l.Peers, Addr: p.Node.Peer},
-		{To: &l.Operators, Addr: p.Listen.Operators},
+	err := httpd.ListenAll(ctx, p.Limits.WriteTimeout, []httpd.ListenSpec{
+		{Listener: &l.Callers, Addr: p.Listen.Callers},
+		{Listener: &l.Ready, Addr: p.Relay.Ready},
+		{Listener: &l.Peers, Addr: p.Node.Peer},
+		{Listener: &l.Operators, Addr: p.Listen.Operators},
 	})
 	if err != nil {
 		l.Close()
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -147,7 +147,7 @@
 	r.prefs.Store(cfg.Prefs)
 	r.front = httpd.New(httpd.Config{
 		Name: "callers", Listener: cfg.Listeners.Callers, Handler: http.HandlerFunc(r.serve),
-		Limits: cfg.Prefs.Limits, Drain: stopSlack, Log: r.log,
+		Limits: cfg.Prefs.Limits, DrainTimeout: stopSlack, Log: r.log,
 	})
 	r.batcher = batch.New(r.serverEntries)
 	r.startMesh()
@@ -220,7 +220,7 @@
 		r.front,
 		httpd.New(httpd.Config{
 			Name: "ready", Listener: l.Ready, Handler: http.HandlerFunc(r.serveReady),
-			Limits: p.Limits, Call: p.Limits.WriteTimeout, Drain: stopSlack, Log: r.log,
+			Limits: p.Limits, CallTimeout: p.Limits.WriteTimeout, DrainTimeout: stopSlack, Log: r.log,
 		}),
 		peers.NewServer(peers.ServerConfig{
 			Listener: l.Peers, Relay: r,
