--- a/internal/cmds/relay.go
+++ b/internal/cmds/relay.go
@@ -43,7 +43,7 @@
 	telem.TakeStandardLog(log)
 	tracing, err := telem.NewTracing(ctx, telem.TraceConfig{
 		Exporter: p.Trace.Exporter, File: p.Trace.File, Endpoint: p.Trace.Endpoint,
-		Ratio: p.Trace.Ratio, Zone: p.Node.Zone, VM: p.Node.Reach(),
+		Ratio: p.Trace.Ratio, Zone: p.Node.Zone, VM: p.Node.PeerAddress(),
 	})
 	if err != nil {
 		return nil, err
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -31,22 +31,22 @@
 	Compile func(text []byte, rev shed.Revision) (*shed.Rules, error)
 	// Seed of the package's random choices.
 	Seed uint64
-	// Seeds is how many peers the settings name. With some, a daemon that sees
+	// SeedPeers is how many peers the settings name. With some, a daemon that sees
 	// no peer yet waits longer before it reads the whole configuration itself.
-	Seeds int
+	SeedPeers int
 	// Watchers is how many daemons of a zone watch the platform.
 	Watchers int
 	// Fanout is how many daemons ask one daemon of the level above.
 	Fanout int
-	// FreshFor is how long a confirmation counts.
-	FreshFor time.Duration
-	// WatchFor is how long one watch of the platform waits.
-	WatchFor time.Duration
+	// ConfirmationTTL is how long a confirmation counts.
+	ConfirmationTTL time.Duration
+	// WatchTimeout is how long one watch of the platform waits.
+	WatchTimeout time.Duration
 	// StartWait bounds how long a starting daemon waits for its peers' answers.
 	StartWait time.Duration
-	// ColdSpan, times the number of zones, is the time over which the zones'
+	// ColdReadSpread, times the number of zones, is the time over which the zones'
 	// first whole reads spread when nobody has a configuration.
-	ColdSpan time.Duration
+	ColdReadSpread time.Duration
 }
 
 func (c Config) withDefaults() Config {
@@ -56,17 +56,17 @@
 	if c.Fanout == 0 {
 		c.Fanout = defaultFanout
 	}
-	if c.FreshFor == 0 {
-		c.FreshFor = defaultFreshFor
+	if c.ConfirmationTTL == 0 {
+		c.ConfirmationTTL = defaultFreshFor
 	}
-	if c.WatchFor == 0 {
-		c.WatchFor = defaultWatchFor
+	if c.WatchTimeout == 0 {
+		c.WatchTimeout = defaultWatchFor
 	}
 	if c.StartWait == 0 {
 		c.StartWait = defaultStartWait
 	}
-	if c.ColdSpan == 0 {
-		c.ColdSpan = defaultColdSpan
+	if c.ColdReadSpread == 0 {
+		c.ColdReadSpread = defaultColdSpan
 	}
 	return c
 }
@@ -149,14 +149,14 @@
 // Rules is the configuration in force; nil if there is none yet.
 func (s *State) Rules() *shed.Rules { return s.held.rules }
 
-// Fresh tells whether the revision in force was the newest within FreshFor. A
+// Fresh tells whether the revision in force was the newest within ConfirmationTTL. A
 // daemon that is not fresh hands no new work to other zones.
 func (s *State) Fresh(now time.Time) bool {
 	if s.clock.leapt(now) {
 		return false
 	}
 	age, known := s.fresh.age(now)
-	return s.held.rules != nil && known && age <= s.cfg.FreshFor
+	return s.held.rules != nil && known && age <= s.cfg.ConfirmationTTL
 }
 
 // Ready tells whether there is a configuration in force that was held against
@@ -183,17 +183,17 @@
 	PartialReads int
 	// Invalid revisions that the platform gave.
 	Invalid int
-	// Taken revisions.
-	Taken int
+	// Applied revisions.
+	Applied int
 	// Pulls sent, and served to others.
 	Pulls, Served int
 	// BadPushes were refused: not asked for, a part not what its hash says, or
 	// rules with faults.
 	BadPushes int
-	// Asks sent for a digest.
-	Asks int
-	// Woke counts pauses of the process.
-	Woke int
+	// Queries sent for a digest.
+	Queries int
+	// Pauses counts pauses of the process.
+	Pauses int
 }
 
 // Status is what the daemon believes of its configuration.
@@ -201,14 +201,14 @@
 	Revision shed.Revision
 	Ready    bool
 	Fresh    bool
-	// Confirmed is how long ago the revision was known to be the newest; void
+	// ConfirmedAgo is how long ago the revision was known to be the newest; void
 	// if Never.
-	Confirmed time.Duration
-	Never     bool
+	ConfirmedAgo   time.Duration
+	NeverConfirmed bool
 	// Watching: this daemon is one of its zone's readers.
 	Watching bool
-	// Asked and Heard count peers at the last start or wake.
-	Asked, Heard int
+	// PeersAsked and PeersReplied count peers at the last start or wake.
+	PeersAsked, PeersReplied int
 	// Invalid is the platform's newest revision if it has faults, else 0.
 	Invalid shed.Revision
 	// Faults of the invalid revision.
@@ -220,16 +220,16 @@
 func (s *State) Status(now time.Time) Status {
 	digest := s.Digest(now)
 	return Status{
-		Revision:  digest.Revision,
-		Ready:     s.Ready(),
-		Fresh:     s.Fresh(now),
-		Confirmed: digest.ConfirmedAgo,
-		Never:     digest.NeverConfirmed,
-		Watching:  s.near.level == 0,
-		Asked:     len(s.start.asked),
-		Heard:     s.start.heard,
-		Invalid:   s.reads.invalid,
-		Faults:    s.reads.faults,
-		Counts:    s.counts,
+		Revision:       digest.Revision,
+		Ready:          s.Ready(),
+		Fresh:          s.Fresh(now),
+		ConfirmedAgo:   digest.ConfirmedAgo,
+		NeverConfirmed: digest.NeverConfirmed,
+		Watching:       s.near.level == 0,
+		PeersAsked:     len(s.start.asked),
+		PeersReplied:   s.start.heard,
+		Invalid:        s.reads.invalid,
+		Faults:         s.reads.faults,
+		Counts:         s.counts,
 	}
 }
--- a/internal/config/fault_test.go
+++ b/internal/config/fault_test.go
@@ -51,7 +51,7 @@
 			require.True(t, s.everywhere(2))
 			for _, n := range s.nodes {
 				require.True(t, n.state.Ready())
-				require.Positive(t, n.state.Status(s.now).Heard)
+				require.Positive(t, n.state.Status(s.now).PeersReplied)
 			}
 		})
 	}
--- a/internal/config/fetch.go
+++ b/internal/config/fetch.go
@@ -337,7 +337,7 @@
 // the peer that it came from, or "" for the platform.
 func (s *State) take(now time.Time, index shed.ConfigIndex, parts map[shed.PartHash][]byte, compiled *shed.Rules, from shed.VM) []shed.Action {
 	s.held = held{rules: compiled, index: index, parts: parts, list: sortedHashes(parts)}
-	s.counts.Taken++
+	s.counts.Applied++
 	if s.reads.invalid < index.Revision {
 		s.reads.invalid, s.reads.faults = 0, ""
 		s.reads.settled = time.Time{}
--- a/internal/config/fresh.go
+++ b/internal/config/fresh.go
@@ -110,11 +110,11 @@
 func (s *State) askAt() time.Duration {
 	switch s.near.level {
 	case 0:
-		return s.cfg.FreshFor * 2 / 5
+		return s.cfg.ConfirmationTTL * 2 / 5
 	case 1:
-		return s.cfg.FreshFor / 2
+		return s.cfg.ConfirmationTTL / 2
 	}
-	return s.cfg.FreshFor * 7 / 10
+	return s.cfg.ConfirmationTTL * 7 / 10
 }
 
 // askDue asks for digests if the confirmation grows old.
@@ -130,7 +130,7 @@
 	} else {
 		to = append(to, s.pick(s.near.above))
 	}
-	if s.near.level > 0 && (!known || age > s.cfg.FreshFor) {
+	if s.near.level > 0 && (!known || age > s.cfg.ConfirmationTTL) {
 		to = append(to, s.farContacts(1)...)
 	}
 	return s.askAll(now, to)
@@ -154,7 +154,7 @@
 	}
 	f.sequence++
 	f.asks = append(f.asks, ask{to, now, f.sequence})
-	s.counts.Asks++
+	s.counts.Queries++
 	m := s.Digest(now)
 	m.WantReply = true
 	m.Sequence = f.sequence
@@ -187,7 +187,7 @@
 		// not asked for confirms nothing: it may have waited in a socket.
 		if !m.NeverConfirmed && m.ConfirmedAgo >= 0 && m.ConfirmedAgo < maxClaimed {
 			s.confirm(m.Revision, a.at.Add(-m.ConfirmedAgo))
-			s.reads.alone = s.reads.alone && m.ConfirmedAgo > s.cfg.FreshFor
+			s.reads.alone = s.reads.alone && m.ConfirmedAgo > s.cfg.ConfirmationTTL
 		}
 	}
 	switch {
@@ -203,7 +203,7 @@
 
 // wake forgets what a pause may have made untrue and asks anew, as at a start.
 func (s *State) wake(now time.Time) []shed.Action {
-	s.counts.Woke++
+	s.counts.Pauses++
 	s.fresh.confirmed = time.Time{}
 	s.fresh.promise = promise{}
 	s.fresh.asks = nil
@@ -213,9 +213,9 @@
 	return []shed.Action{shed.Note{Reason: shed.ReasonWoke}}
 }
 
-// Doubt makes the daemon ask anew what its peers have, as after a pause. Core
+// Resync makes the daemon ask anew what its peers have, as after a pause. Core
 // calls it when a daemon that heard nobody hears somebody again.
-func (s *State) Doubt(now time.Time) []shed.Action { return s.wake(now) }
+func (s *State) Resync(now time.Time) []shed.Action { return s.wake(now) }
 
 // jitter draws a time within a quarter of d, to either side.
 func (s *State) jitter(d time.Duration) time.Duration {
--- a/internal/config/read.go
+++ b/internal/config/read.go
@@ -99,12 +99,12 @@
 		return s.readCold(now)
 	}
 	if s.near.level == 0 {
-		return s.send(now, s.cfg.WatchFor)
+		return s.send(now, s.cfg.WatchTimeout)
 	}
 	// Neither platform nor a fresh peer was heard: read for oneself, and keep
 	// at it until a peer confirms again, so as to stay fresh.
 	age, known := s.fresh.age(now)
-	bound := s.cfg.FreshFor
+	bound := s.cfg.ConfirmationTTL
 	if r.alone {
 		bound /= 2
 	}
@@ -115,10 +115,10 @@
 		// The first such read waits a random time, since a whole zone may have
 		// lost its watchers in the same moment.
 		r.alone = true
-		r.next = now.Add(time.Duration(s.rng.Int64N(int64(s.cfg.FreshFor))))
+		r.next = now.Add(time.Duration(s.rng.Int64N(int64(s.cfg.ConfirmationTTL))))
 		return nil
 	}
-	r.next = now.Add(s.jitter(s.cfg.FreshFor / 2))
+	r.next = now.Add(s.jitter(s.cfg.ConfirmationTTL / 2))
 	return s.send(now, 0)
 }
 
@@ -134,7 +134,7 @@
 	if len(s.reads.sent) == 0 {
 		return false
 	}
-	timeout := s.cfg.WatchFor + readTimeout
+	timeout := s.cfg.WatchTimeout + readTimeout
 	if s.held.rules == nil {
 		timeout = wholeTimeout
 	}
--- a/internal/config/sim_test.go
+++ b/internal/config/sim_test.go
@@ -110,11 +110,11 @@
 	n.boots++
 	n.highest, n.kept, n.paused = 0, nil, false
 	cfg := Config{
-		Self:    shed.Peer{VM: n.vm, Incarnation: shed.Incarnation(n.boots << 40)},
-		Zone:    zoneName(n.zone),
-		Seed:    uint64(n.id),
-		Seeds:   2,
-		Compile: simCompile,
+		Self:      shed.Peer{VM: n.vm, Incarnation: shed.Incarnation(n.boots << 40)},
+		Zone:      zoneName(n.zone),
+		Seed:      uint64(n.id),
+		SeedPeers: 2,
+		Compile:   simCompile,
 	}
 	n.state = New(cfg)
 	if s.blind == 0 {
--- a/internal/config/start.go
+++ b/internal/config/start.go
@@ -45,7 +45,7 @@
 		st.began = now
 		st.nextAsk = now
 		st.asked = map[shed.VM]bool{}
-		st.coldJitter = time.Duration(s.rng.Int64N(int64(s.cfg.ColdSpan)))
+		st.coldJitter = time.Duration(s.rng.Int64N(int64(s.cfg.ColdReadSpread)))
 	}
 	out := s.startAsk(now)
 	if s.started(now) {
@@ -121,11 +121,11 @@
 	st := &s.start
 	zones := time.Duration(len(s.near.zones) + 1)
 	wait := s.cfg.StartWait + st.coldJitter*zones
-	if len(s.near.zones) == 0 && len(s.near.ring) == 1 && s.cfg.Seeds > 0 {
+	if len(s.near.zones) == 0 && len(s.near.ring) == 1 && s.cfg.SeedPeers > 0 {
 		// Peers are expected but not seen yet. To read now would make each
 		// daemon of a restarted fleet believe that it is the first.
 		wait = loneWaits * wait
 	}
-	step := s.cfg.ColdSpan*zones + coldStep
+	step := s.cfg.ColdReadSpread*zones + coldStep
 	return st.began.Add(wait + time.Duration(s.near.at)*step)
 }
--- a/internal/config/state_test.go
+++ b/internal/config/state_test.go
@@ -66,7 +66,7 @@
 // TestStateMachine publishes, cuts, loses, restarts and pauses at random.
 // What the operators see: a daemon never goes back, never follows half a
 // revision or an invalid one, never calls a revision fresh that was replaced
-// more than FreshFor ago, and once all is mended all follow the newest.
+// more than ConfirmationTTL ago, and once all is mended all follow the newest.
 func TestStateMachine(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSim(rapid.Uint64().Draw(t, "seed"), 3, 3, nil)
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -129,8 +129,8 @@
 	if cfg.MaxDrain == 0 {
 		cfg.MaxDrain = defaultMaxDrain
 	}
-	if cfg.Config.FreshFor == 0 {
-		cfg.Config.FreshFor = defaultFreshFor
+	if cfg.Config.ConfirmationTTL == 0 {
+		cfg.Config.ConfirmationTTL = defaultFreshFor
 	}
 	if cfg.Member.LeaseDuration == 0 {
 		cfg.Member.LeaseDuration = defaultFreshFor
@@ -161,7 +161,7 @@
 	cfg := c.cfg
 	cfg.Config.Self, cfg.Config.Zone = cfg.Self, cfg.Zone
 	cfg.Config.Compile, cfg.Config.Seed = cfg.Compile, cfg.Seed
-	cfg.Config.Seeds = len(cfg.Seeds)
+	cfg.Config.SeedPeers = len(cfg.Seeds)
 	c.config = config.New(cfg.Config)
 	cfg.Member.Self, cfg.Member.Zone = cfg.Self, cfg.Zone
 	cfg.Member.Seeds, cfg.Member.Seed = cfg.Seeds, cfg.Seed
--- a/internal/core/place.go
+++ b/internal/core/place.go
@@ -76,7 +76,7 @@
 		c.isolated = true
 	case !noContact && c.isolated:
 		c.isolated = false
-		c.emit(c.config.Doubt(now))
+		c.emit(c.config.Resync(now))
 	}
 }
 
--- a/internal/core/status.go
+++ b/internal/core/status.go
@@ -105,11 +105,11 @@
 func (c *Core) configStatus(now time.Time) ConfigStatus {
 	from := c.config.Status(now)
 	to := ConfigStatus{
-		Revision: from.Revision, Ready: from.Ready, Fresh: from.Fresh, ConfirmedAgo: from.Confirmed,
-		Watching: from.Watching, PeersAsked: from.Asked, PeersReplied: from.Heard,
-		Invalid: from.Invalid, Faults: from.Faults, PlatformReads: from.Counts.Reads, Pauses: from.Counts.Woke,
+		Revision: from.Revision, Ready: from.Ready, Fresh: from.Fresh, ConfirmedAgo: from.ConfirmedAgo,
+		Watching: from.Watching, PeersAsked: from.PeersAsked, PeersReplied: from.PeersReplied,
+		Invalid: from.Invalid, Faults: from.Faults, PlatformReads: from.Counts.Reads, Pauses: from.Counts.Pauses,
 	}
-	if from.Never {
+	if from.NeverConfirmed {
 		to.ConfirmedAgo = -1
 	}
 	return to
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -194,7 +194,7 @@
 		Policy:   n.cfg.Policy,
 		Notice:   p.Stop.Notice,
 		MaxDrain: p.Stop.Notice + p.Stop.Drain,
-		Config:   config.Config{WatchFor: p.Platform.Watch},
+		Config:   config.Config{WatchTimeout: p.Platform.Watch},
 		Member:   member.Config{VMListInterval: p.Platform.VMPoll},
 		Admit:    admit.Config{MaxQueued: p.Limits.Queue},
 		Ticket:   ticket.Config{MaxEntries: p.Limits.Tickets, Lifetime: p.Limits.TicketLifetime, Retention: p.Limits.TicketLifetime},
--- a/internal/prefs/parse.go
+++ b/internal/prefs/parse.go
@@ -101,7 +101,7 @@
 	fault := func(section, key, reason string) {
 		faults = append(faults, Fault{Section: section, Key: key, Reason: reason})
 	}
-	if checkAddress(p.Node.Reach(), false) != nil {
+	if checkAddress(p.Node.PeerAddress(), false) != nil {
 		fault("node", "advertise", "needed, since peer names no address that others can reach")
 	}
 	if (p.TLS.CallerCert == "") != (p.TLS.CallerKey == "") {
--- a/internal/prefs/prefs.go
+++ b/internal/prefs/prefs.go
@@ -95,20 +95,20 @@
 
 // Relay sets up a daemon that passes requests on unread.
 type Relay struct {
-	Ready       string        `ini:"ready" unit:"ip:port" check:"listen" doc:"Listener for the balancer's question whether this VM takes requests: 200 or 503 on any path."`
-	Watch       time.Duration `ini:"watch" unit:"duration" min:"100ms" max:"30s" doc:"Longest time that one watch of the store waits for a change. A connection that went silent is noticed after this and read_timeout of [platform]."`
-	Connect     time.Duration `ini:"connect" unit:"duration" min:"10ms" max:"1m" doc:"Longest time for opening a connection to a backend server or to the store."`
-	Silence     time.Duration `ini:"silence" unit:"duration" min:"100ms" max:"10m" doc:"How long bytes may stay unacknowledged on a connection before it is closed."`
-	RepeatRatio float64       `ini:"repeat_ratio" unit:"0 to 1" min:"0" max:"1" doc:"Repeats that the fleet may send to a pool, as a share of the requests for it."`
-	RepeatSlack float64       `ini:"repeat_slack" unit:"count" min:"0" max:"1000000" doc:"Repeats that the fleet may send beyond that share within repeat_window."`
-	RepeatSpan  time.Duration `ini:"repeat_window" unit:"duration" min:"1s" max:"10m" doc:"The span in which repeats are counted."`
-	CrashLimit  int           `ini:"crash_limit" unit:"count" min:"1" max:"100" doc:"Backend servers that may end under one request, as its caller sends it again, until it is refused."`
-	Quarantine  time.Duration `ini:"quarantine" unit:"duration" min:"1s" max:"1h" doc:"How long such a request is refused; six times as long after each further server, an hour at the most. Then one VM tries it once."`
-	Fleet       int           `ini:"fleet" unit:"count" min:"1" max:"10000" doc:"VMs that the fleet has at least; shares of rates are cut for as many until more are seen."`
-	Heartbeat   time.Duration `ini:"heartbeat" unit:"duration" min:"100ms" max:"1m" doc:"How often a backend server renews its entry in the store, which lapses after three of them."`
-	Power       float64       `ini:"power" unit:"number" min:"0" max:"1000000000" doc:"How strong this VM is beside the others, say its link in Mbit/s. Those with at least half of the most gather pieces and watch the store for all."`
-	Reload      time.Duration `ini:"reload" unit:"duration" min:"100ms" max:"1h" doc:"How often the settings file is looked at for a change; SIGHUP does so at once."`
-	Without     []string      `ini:"without" unit:"names" check:"one_of=late_start kv_fetch urgent_reserve,empty" doc:"Decisions to leave out, for experiments: late_start makes results that nothing but the request needs when its longest path is nearly done; kv_fetch lets engines fetch shared parts of prompts from each other; urgent_reserve keeps room in queues for more urgent routes."`
+	Ready        string        `ini:"ready" unit:"ip:port" check:"listen" doc:"Listener for the balancer's question whether this VM takes requests: 200 or 503 on any path."`
+	Watch        time.Duration `ini:"watch" unit:"duration" min:"100ms" max:"30s" doc:"Longest time that one watch of the store waits for a change. A connection that went silent is noticed after this and read_timeout of [platform]."`
+	Connect      time.Duration `ini:"connect" unit:"duration" min:"10ms" max:"1m" doc:"Longest time for opening a connection to a backend server or to the store."`
+	Silence      time.Duration `ini:"silence" unit:"duration" min:"100ms" max:"10m" doc:"How long bytes may stay unacknowledged on a connection before it is closed."`
+	RepeatRatio  float64       `ini:"repeat_ratio" unit:"0 to 1" min:"0" max:"1" doc:"Repeats that the fleet may send to a pool, as a share of the requests for it."`
+	RepeatSlack  float64       `ini:"repeat_slack" unit:"count" min:"0" max:"1000000" doc:"Repeats that the fleet may send beyond that share within repeat_window."`
+	RepeatWindow time.Duration `ini:"repeat_window" unit:"duration" min:"1s" max:"10m" doc:"The span in which repeats are counted."`
+	CrashLimit   int           `ini:"crash_limit" unit:"count" min:"1" max:"100" doc:"Backend servers that may end under one request, as its caller sends it again, until it is refused."`
+	Quarantine   time.Duration `ini:"quarantine" unit:"duration" min:"1s" max:"1h" doc:"How long such a request is refused; six times as long after each further server, an hour at the most. Then one VM tries it once."`
+	Fleet        int           `ini:"fleet" unit:"count" min:"1" max:"10000" doc:"VMs that the fleet has at least; shares of rates are cut for as many until more are seen."`
+	Heartbeat    time.Duration `ini:"heartbeat" unit:"duration" min:"100ms" max:"1m" doc:"How often a backend server renews its entry in the store, which lapses after three of them."`
+	Power        float64       `ini:"power" unit:"number" min:"0" max:"1000000000" doc:"How strong this VM is beside the others, say its link in Mbit/s. Those with at least half of the most gather pieces and watch the store for all."`
+	Reload       time.Duration `ini:"reload" unit:"duration" min:"100ms" max:"1h" doc:"How often the settings file is looked at for a change; SIGHUP does so at once."`
+	Without      []string      `ini:"without" unit:"names" check:"one_of=late_start kv_fetch urgent_reserve,empty" doc:"Decisions to leave out, for experiments: late_start makes results that nothing but the request needs when its longest path is nearly done; kv_fetch lets engines fetch shared parts of prompts from each other; urgent_reserve keeps room in queues for more urgent routes."`
 }
 
 // What Relay.Without may name.
@@ -118,8 +118,8 @@
 	UrgentReserve = "urgent_reserve"
 )
 
-// Has tells whether a decision is taken: whether Without doesn't name it.
-func (r *Relay) Has(decision string) bool { return !slices.Contains(r.Without, decision) }
+// Enabled tells whether a decision is taken: whether Without doesn't name it.
+func (r *Relay) Enabled(decision string) bool { return !slices.Contains(r.Without, decision) }
 
 // Faults are for tests. There are none to set: the section is known, so that a
 // key in it is refused by name rather than as a wrong section.
@@ -156,15 +156,15 @@
 		Relay: Relay{
 			Ready: "127.0.0.1:7403", Watch: 1200 * time.Millisecond,
 			Connect: 200 * time.Millisecond, Silence: 1500 * time.Millisecond,
-			RepeatRatio: 0.2, RepeatSlack: 50, RepeatSpan: 10 * time.Second,
+			RepeatRatio: 0.2, RepeatSlack: 50, RepeatWindow: 10 * time.Second,
 			CrashLimit: 3, Quarantine: 15 * time.Second, Fleet: 9, Power: 1, Heartbeat: 1200 * time.Millisecond, Reload: time.Second,
 		},
 		Stop: Stop{Notice: 5 * time.Second, Drain: 30 * time.Second},
 	}
 }
 
-// Reach is the address at which peers reach this daemon.
-func (n *Node) Reach() string {
+// PeerAddress is the address at which peers reach this daemon.
+func (n *Node) PeerAddress() string {
 	if n.Advertise != "" {
 		return n.Advertise
 	}
--- a/internal/prefs/prefs_test.go
+++ b/internal/prefs/prefs_test.go
@@ -17,7 +17,7 @@
 	p, err := Parse("")
 	require.NoError(t, err)
 	require.Equal(t, Defaults(), p)
-	require.Equal(t, p.Node.Peer, p.Node.Reach())
+	require.Equal(t, p.Node.Peer, p.Node.PeerAddress())
 }
 
 func TestShownSettingsReadBack(t *testing.T) {
--- a/internal/relay/mesh.go
+++ b/internal/relay/mesh.go
@@ -89,7 +89,7 @@
 
 func (r *Relay) startMesh() {
 	r.mesh = mesh{
-		self:         shed.Peer{VM: shed.VM(r.prefs.Load().Node.Reach()), Incarnation: shed.Incarnation(time.Now().UnixNano())},
+		self:         shed.Peer{VM: shed.VM(r.prefs.Load().Node.PeerAddress()), Incarnation: shed.Incarnation(time.Now().UnixNano())},
 		startedAt:    time.Now(),
 		lastSequence: map[shed.Peer]uint64{},
 		lastLoad:     map[shed.VM]time.Time{},
--- a/internal/relay/plan.go
+++ b/internal/relay/plan.go
@@ -121,7 +121,7 @@
 	c := r.chain(now, p)
 	wait := c.Forecast()
 	ask = accept.Request{Route: j.route.ID, MinTime: c.MinTime(), Timely: wait.Timely, Last: wait.Last, Answer: j.answerTime}
-	if r.prefs.Load().Relay.Has(prefs.UrgentReserve) {
+	if r.prefs.Load().Relay.Enabled(prefs.UrgentReserve) {
 		ask.MoreUrgent, ask.UrgentRanks = r.moreUrgentRoutes(j.route, p.steps[c.Bottleneck()].Pool)
 	}
 	return ask, choice.UnreachableFor
--- a/internal/relay/receive.go
+++ b/internal/relay/receive.go
@@ -140,7 +140,7 @@
 	cfg := retry.Config{
 		Share: retryShare * p.RepeatRatio,
 		Burst: max(slack/2, 1),
-		Floor: slack / 2 / p.RepeatSpan.Seconds(),
+		Floor: slack / 2 / p.RepeatWindow.Seconds(),
 	}
 	b := r.retryBudgets[pool]
 	if b == nil {
--- a/internal/relay/serve.go
+++ b/internal/relay/serve.go
@@ -248,7 +248,7 @@
 	w := picker.Request{
 		Prompt: j.ask.Prompt, Input: j.ask.InputTokens, Engine: j.pool.Engine != nil, Avoid: j.avoid,
 	}
-	if j.pool.Engine != nil && r.prefs.Load().Relay.Has(prefs.KVFetch) {
+	if j.pool.Engine != nil && r.prefs.Load().Relay.Enabled(prefs.KVFetch) {
 		w.FetchRate = j.pool.Engine.FetchRate
 	}
 	if j.largeInputs {
--- a/internal/relay/steps.go
+++ b/internal/relay/steps.go
@@ -90,7 +90,7 @@
 	defer r.mu.Unlock()
 	c := r.chain(time.Now(), p)
 	out := make([][]int, len(c))
-	late := r.prefs.Load().Relay.Has(prefs.LateStart)
+	late := r.prefs.Load().Relay.Enabled(prefs.LateStart)
 	for i := range c {
 		out[i] = c[i].After
 		if with := c.StartWith(i); late && with >= 0 {
--- a/internal/rules/build.go
+++ b/internal/rules/build.go
@@ -92,7 +92,7 @@
 
 func (b *builder) fault(r row, reason, mend string) {
 	b.faults = append(b.faults, Fault{
-		Line: r.Line, Section: r.section, Key: r.key, Reason: reason, Mend: mend,
+		Line: r.Line, Section: r.section, Key: r.key, Reason: reason, Fix: mend,
 	})
 }
 
--- a/internal/rules/fault.go
+++ b/internal/rules/fault.go
@@ -13,8 +13,8 @@
 	Section string
 	Key     string
 	Reason  string
-	// Mend says what to write instead.
-	Mend string
+	// Fix says what to write instead.
+	Fix string
 }
 
 // String gives the fault on one line.
@@ -29,7 +29,7 @@
 	if f.Key != "" {
 		fmt.Fprintf(&b, "%s: ", f.Key)
 	}
-	fmt.Fprintf(&b, "%s; mend: %s", f.Reason, f.Mend)
+	fmt.Fprintf(&b, "%s; mend: %s", f.Reason, f.Fix)
 	return b.String()
 }
 
--- a/internal/rules/field.go
+++ b/internal/rules/field.go
@@ -83,7 +83,7 @@
 
 func (f *fields) fault(reason, mend string) {
 	*f.faults = append(*f.faults, Fault{
-		Line: f.row.Line, Section: f.row.section, Key: f.row.key, Reason: reason, Mend: mend,
+		Line: f.row.Line, Section: f.row.section, Key: f.row.key, Reason: reason, Fix: mend,
 	})
 }
 
--- a/internal/rules/link.go
+++ b/internal/rules/link.go
@@ -46,10 +46,10 @@
 		return
 	}
 	if len(b.rules.Pipelines) == 0 {
-		b.faults = append(b.faults, Fault{Section: sectionPipelines, Reason: "there is no pipeline", Mend: "add one"})
+		b.faults = append(b.faults, Fault{Section: sectionPipelines, Reason: "there is no pipeline", Fix: "add one"})
 	}
 	if len(b.rules.Workspaces) == 0 {
-		b.faults = append(b.faults, Fault{Section: sectionWorkspaces, Reason: "there is no workspace", Mend: "add one"})
+		b.faults = append(b.faults, Fault{Section: sectionWorkspaces, Reason: "there is no workspace", Fix: "add one"})
 	}
 }
 
--- a/internal/rules/pack.go
+++ b/internal/rules/pack.go
@@ -16,16 +16,16 @@
 const (
 	// IndexKey holds the index of the parts.
 	IndexKey = "rules"
-	// PartKey followed by the hex SHA-256 of a part holds the part.
-	PartKey = "part-"
+	// PartKeyPrefix followed by the hex SHA-256 of a part holds the part.
+	PartKeyPrefix = "part-"
 )
 
 // Sizes of parts. A part ends after a line whose hash says so, so that a
 // changed line moves no other part's ends; the bounds hold whatever the lines.
 const (
-	// MaxPart is the most bytes of a part: well below the platform's megabyte.
-	MaxPart = 64 << 10
-	minPart = 4 << 10
+	// MaxPartBytes is the most bytes of a part: well below the platform's megabyte.
+	MaxPartBytes = 64 << 10
+	minPart      = 4 << 10
 	// endOneIn: one line in so many ends a part.
 	endOneIn = 64
 	// maxParts bounds what an index may list.
@@ -34,8 +34,8 @@
 
 // The ways in which packed rules are refused.
 var (
-	ErrIndex = errors.New("index of the rules can't be read")
-	ErrPart  = errors.New("part of the rules is missing or not what its hash says")
+	ErrBadIndex = errors.New("index of the rules can't be read")
+	ErrBadPart  = errors.New("part of the rules is missing or not what its hash says")
 )
 
 // packed is the index as the platform holds it.
@@ -62,7 +62,7 @@
 
 // PartName is the platform's key of a part.
 func PartName(hash shed.PartHash) string {
-	return PartKey + hex.EncodeToString(hash[:])
+	return PartKeyPrefix + hex.EncodeToString(hash[:])
 }
 
 // cut splits the text at line ends chosen by their lines' content.
@@ -75,7 +75,7 @@
 			end = at + i + 1
 		}
 		line := text[at:end]
-		if at > start && end-start > MaxPart {
+		if at > start && end-start > MaxPartBytes {
 			parts = append(parts, text[start:at])
 			start = at
 		}
@@ -103,16 +103,16 @@
 	dec.DisallowUnknownFields()
 	var list packed
 	if err := dec.Decode(&list); err != nil {
-		return shed.ConfigIndex{}, fmt.Errorf("%w: %w", ErrIndex, err)
+		return shed.ConfigIndex{}, fmt.Errorf("%w: %w", ErrBadIndex, err)
 	}
 	if len(list.Parts) == 0 || len(list.Parts) > maxParts {
-		return shed.ConfigIndex{}, fmt.Errorf("%w: it lists %d parts", ErrIndex, len(list.Parts))
+		return shed.ConfigIndex{}, fmt.Errorf("%w: it lists %d parts", ErrBadIndex, len(list.Parts))
 	}
 	index := shed.ConfigIndex{Revision: rev, Parts: make([]shed.PartHash, len(list.Parts))}
 	for i, name := range list.Parts {
 		raw, err := hex.DecodeString(name)
 		if err != nil || len(raw) != sha256.Size {
-			return shed.ConfigIndex{}, fmt.Errorf("%w: part %d has no hash", ErrIndex, i)
+			return shed.ConfigIndex{}, fmt.Errorf("%w: part %d has no hash", ErrBadIndex, i)
 		}
 		copy(index.Parts[i][:], raw)
 	}
@@ -126,12 +126,12 @@
 	for i, hash := range index.Parts {
 		part, ok := parts[hash]
 		if !ok || sha256.Sum256(part) != hash {
-			return nil, fmt.Errorf("%w: part %d, %s", ErrPart, i, hex.EncodeToString(hash[:]))
+			return nil, fmt.Errorf("%w: part %d, %s", ErrBadPart, i, hex.EncodeToString(hash[:]))
 		}
 		size += len(part)
 	}
 	if size > maxText {
-		return nil, fmt.Errorf("%w: the parts have %d bytes", ErrPart, size)
+		return nil, fmt.Errorf("%w: the parts have %d bytes", ErrBadPart, size)
 	}
 	text := make([]byte, 0, size)
 	for _, hash := range index.Parts {
--- a/internal/rules/rewrite.go
+++ b/internal/rules/rewrite.go
@@ -6,10 +6,10 @@
 	shed "jasmineshed"
 )
 
-// Rewrite gives servers other URLs and leaves the rest of the text as it is.
+// ReplaceURLs gives servers other URLs and leaves the rest of the text as it is.
 // Url returns a server's new URL, or "" to keep it. A text with faults comes
 // back unchanged.
-func Rewrite(text []byte, url func(shed.ServerID) string) []byte {
+func ReplaceURLs(text []byte, url func(shed.ServerID) string) []byte {
 	r, faults := Parse(text, 0)
 	if len(faults) > 0 {
 		return text
--- a/internal/rules/row.go
+++ b/internal/rules/row.go
@@ -38,14 +38,14 @@
 	if len(text) > maxText {
 		return nil, Faults{{
 			Reason: fmt.Sprintf("the file has %d bytes", len(text)),
-			Mend:   fmt.Sprintf("keep it within %d bytes", maxText),
+			Fix:    fmt.Sprintf("keep it within %d bytes", maxText),
 		}}
 	}
 	lines := bytes.Split(text, []byte("\n"))
 	if len(lines) > maxLines {
 		return nil, Faults{{
 			Reason: fmt.Sprintf("the file has %d lines", len(lines)),
-			Mend:   fmt.Sprintf("keep it within %d lines", maxLines),
+			Fix:    fmt.Sprintf("keep it within %d lines", maxLines),
 		}}
 	}
 	rd := reader{rows: make([]row, 0, len(lines)), known: known}
@@ -70,7 +70,7 @@
 
 func (rd *reader) fault(line int, key, reason, mend string) {
 	rd.faults = append(rd.faults, Fault{
-		Line: line, Section: rd.section, Key: key, Reason: reason, Mend: mend,
+		Line: line, Section: rd.section, Key: key, Reason: reason, Fix: mend,
 	})
 }
 
--- a/internal/rules/rules_test.go
+++ b/internal/rules/rules_test.go
@@ -118,7 +118,7 @@
 			require.NotEmpty(t, faults)
 			require.Contains(t, faults.Error(), c.reason)
 			for _, f := range faults {
-				require.NotEmpty(t, f.Mend)
+				require.NotEmpty(t, f.Fix)
 				require.Positive(t, f.Line, f.Reason)
 			}
 			_, again := Parse(text, 1)
@@ -164,7 +164,7 @@
 }
 
 func TestRewrite(t *testing.T) {
-	text := Rewrite([]byte(small), func(id shed.ServerID) string {
+	text := ReplaceURLs([]byte(small), func(id shed.ServerID) string {
 		if id == "gen-a-1" {
 			return "http://127.0.0.1:7"
 		}
