--- a/internal/cmds/demo.go
+++ b/internal/cmds/demo.go
@@ -30,7 +30,7 @@
 	}
 	f := c.Flags()
 	f.StringVar(&cfg.Example, "example", "weerbeeld", "rules to run: "+strings.Join(sample.Names(), ", "))
-	f.BoolVar(&cfg.Keep, "keep", false, "stay up afterwards and print how to reach the fleet")
+	f.BoolVar(&cfg.KeepRunning, "keep", false, "stay up afterwards and print how to reach the fleet")
 	f.BoolVar(&logs, "logs", false, "write the daemons' logs to standard error")
 	return c
 }
--- a/internal/cmds/measure.go
+++ b/internal/cmds/measure.go
@@ -65,7 +65,7 @@
 		return err
 	}
 	defer rig.Close()
-	result, err := gauge.Play(c.Context(), s, rig, m.deps.Err)
+	result, err := gauge.RunScenario(c.Context(), s, rig, m.deps.Err)
 	if err != nil {
 		return err
 	}
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -26,8 +26,8 @@
 	Example string
 	// LogTo takes the daemons' logs; nil for none.
 	LogTo io.Writer
-	// Keep stays up after the requests, until ctx ends.
-	Keep bool
+	// KeepRunning stays up after the requests, until ctx ends.
+	KeepRunning bool
 }
 
 // maxTokens is the length of the generated answers.
@@ -36,8 +36,8 @@
 // startFor bounds how long the fleet may take to be ready.
 const startFor = 30 * time.Second
 
-// ErrNotWhole is returned if an answer was not whole.
-var ErrNotWhole = errors.New("an answer was not whole")
+// ErrBadAnswer is returned if an answer was not whole.
+var ErrBadAnswer = errors.New("an answer was not whole")
 
 // Run runs the demo.
 func Run(ctx context.Context, cfg Config) error {
@@ -60,7 +60,7 @@
 	if err := s.requests(ctx); err != nil {
 		return err
 	}
-	if cfg.Keep {
+	if cfg.KeepRunning {
 		return s.keep(ctx)
 	}
 	return nil
@@ -101,7 +101,7 @@
 	}
 	s.costTable()
 	if failed > 0 {
-		return fmt.Errorf("%w: %d of %d pipelines", ErrNotWhole, failed, len(s.fleet.Rules.Pipelines))
+		return fmt.Errorf("%w: %d of %d pipelines", ErrBadAnswer, failed, len(s.fleet.Rules.Pipelines))
 	}
 	return nil
 }
@@ -183,14 +183,14 @@
 // whole checks the answer against what the stand-ins must have said.
 func whole(p *shed.Pipeline, work client.Request, a *client.Answer) error {
 	if a.Outcome != client.Complete {
-		return fmt.Errorf("%w: outcome %s", ErrNotWhole, a.Outcome)
+		return fmt.Errorf("%w: outcome %s", ErrBadAnswer, a.Outcome)
 	}
 	for _, st := range p.Stages {
 		switch {
-		case st.Kind == shed.KindGenerate && a.Payload.Text != stand.WholeText(work.Input, maxTokens):
-			return fmt.Errorf("%w: text differs from what the engine generated", ErrNotWhole)
+		case st.Kind == shed.KindGenerate && a.Payload.Text != stand.FullText(work.Input, maxTokens):
+			return fmt.Errorf("%w: text differs from what the engine generated", ErrBadAnswer)
 		case st.Kind == shed.KindService && a.Payload.Receipt == "":
-			return fmt.Errorf("%w: no receipt", ErrNotWhole)
+			return fmt.Errorf("%w: no receipt", ErrBadAnswer)
 		}
 	}
 	return nil
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -59,8 +59,8 @@
 	}{
 		{"encode", shed.KindEncode, func(p *shed.Payload) { p.Vector = stand.Vector(in.Input) }},
 		{"retrieve", shed.KindRetrieve, func(p *shed.Payload) { p.Passages = stand.Passages(in.Input, 8) }},
-		{"rerank", shed.KindRerank, func(p *shed.Payload) { p.Passages = stand.Reranked(in.Input, in.Passages) }},
-		{"generate", shed.KindGenerate, func(p *shed.Payload) { p.Text = stand.WholeText(in.Input, 40) }},
+		{"rerank", shed.KindRerank, func(p *shed.Payload) { p.Passages = stand.Rerank(in.Input, in.Passages) }},
+		{"generate", shed.KindGenerate, func(p *shed.Payload) { p.Text = stand.FullText(in.Input, 40) }},
 		{"service", shed.KindService, func(p *shed.Payload) { p.Receipt = stand.Receipt("q1", in.Input) }},
 	}
 	e := engine.New(engine.Config{})
--- a/internal/engine/fault_test.go
+++ b/internal/engine/fault_test.go
@@ -64,7 +64,7 @@
 		began := time.Now()
 		end := b.engine.Call(t.Context(), start, shed.Payload{Input: "x", MaxTokens: 40}, func(f shed.Frame) error {
 			if f.Sequence == 9 {
-				b.net.Silence()
+				b.net.Blackhole()
 			}
 			return nil
 		})
@@ -78,8 +78,8 @@
 		var got collect
 		end = b.engine.Call(t.Context(), start, shed.Payload{Input: "x", MaxTokens: 40}, got.take)
 		require.Equal(t, shed.EndComplete, end.End, end.Reason)
-		whole := stand.WholeText("x", 40)
-		require.Equal(t, strings.TrimPrefix(whole, stand.WholeText("x", 10)), got.text())
+		whole := stand.FullText("x", 40)
+		require.Equal(t, strings.TrimPrefix(whole, stand.FullText("x", 10)), got.text())
 		require.Empty(t, got.frames[len(got.frames)-1].Result.Text)
 		b.close(t)
 	})
@@ -120,16 +120,16 @@
 		start := startOf(url, shed.KindService)
 		start.Call.Attempt = attempt + 1
 		start.Call.Request = shed.RequestID(rune('a' + attempt))
-		fault, want := stand.ServiceWell, shed.EndComplete
+		fault, want := stand.ServiceOK, shed.EndComplete
 		if attempt%2 == 1 {
-			fault, want = stand.ServiceCuts, shed.EndBroken
+			fault, want = stand.ServiceAborts, shed.EndBroken
 		}
-		svc.Fail(fault)
+		svc.InjectFaults(fault)
 		end := e.Call(t.Context(), start, shed.Payload{Input: "errata"}, ignore)
 		require.Equal(t, want, end.End)
 	}
 	require.Len(t, svc.Runs(), 20)
-	require.Empty(t, svc.Doubled())
+	require.Empty(t, svc.DuplicateRequests())
 }
 
 // The caller of an idempotent stage sees a retry that the daemon counted. The
--- a/internal/fault/link.go
+++ b/internal/fault/link.go
@@ -28,8 +28,8 @@
 // NewLink returns a link of so many megabits a second.
 func NewLink(mbps float64) *Link { return &Link{bytesPerSecond: mbps * 1e6 / 8} }
 
-// Conn puts a connection on the link.
-func (l *Link) Conn(c net.Conn) net.Conn {
+// WrapConn puts a connection on the link.
+func (l *Link) WrapConn(c net.Conn) net.Conn {
 	if tcp, ok := c.(*net.TCPConn); ok {
 		_ = tcp.SetReadBuffer(linkBuffer)
 	}
@@ -43,11 +43,13 @@
 	if err != nil {
 		return nil, err
 	}
-	return l.Conn(c), nil
+	return l.WrapConn(c), nil
 }
 
-// Listener puts all connections that come in on the link.
-func (l *Link) Listener(lis net.Listener) net.Listener { return linkedListener{Listener: lis, link: l} }
+// WrapListener puts all connections that come in on the link.
+func (l *Link) WrapListener(lis net.Listener) net.Listener {
+	return linkedListener{Listener: lis, link: l}
+}
 
 // pass waits until n bytes have passed, behind those taken before.
 func (l *Link) pass(n int) {
@@ -86,5 +88,5 @@
 	if err != nil {
 		return nil, err
 	}
-	return l.link.Conn(c), nil
+	return l.link.WrapConn(c), nil
 }
--- a/internal/fault/proxy.go
+++ b/internal/fault/proxy.go
@@ -17,15 +17,15 @@
 // The modes. In all but Pass and Slow, nothing arrives in the directions named,
 // and neither side is told.
 const (
-	// Pass passes everything on.
-	Pass Mode = iota
-	// Slow passes everything on after a delay.
-	Slow
-	// CutIn loses what goes to the process behind the proxy, CutOut what comes
-	// from it, CutBoth either.
-	CutIn
-	CutOut
-	CutBoth
+	// Forward passes everything on.
+	Forward Mode = iota
+	// Delay passes everything on after a delay.
+	Delay
+	// DropIn loses what goes to the process behind the proxy, DropOut what comes
+	// from it, DropBoth either.
+	DropIn
+	DropOut
+	DropBoth
 	// Refuse closes new connections at once.
 	Refuse
 )
@@ -73,8 +73,8 @@
 // Bytes is how many bytes were passed on, both ways.
 func (p *Proxy) Bytes() int64 { return p.bytes.Load() }
 
-// Set changes the mode, for open connections too.
-func (p *Proxy) Set(m Mode) { p.mode.Store(uint32(m)) }
+// SetMode changes the mode, for open connections too.
+func (p *Proxy) SetMode(m Mode) { p.mode.Store(uint32(m)) }
 
 func (p *Proxy) now() Mode { return Mode(p.mode.Load()) }
 
@@ -106,8 +106,8 @@
 	p.mu.Lock()
 	p.links[l] = struct{}{}
 	p.mu.Unlock()
-	p.work.Go(func() error { return l.carry(near, far, CutIn, &l.lostIn) })
-	p.work.Go(func() error { return l.carry(far, near, CutOut, &l.lostOut) })
+	p.work.Go(func() error { return l.carry(near, far, DropIn, &l.lostIn) })
+	p.work.Go(func() error { return l.carry(far, near, DropOut, &l.lostOut) })
 }
 
 // carry passes on what comes, and the end, unless this direction is cut or was
@@ -117,10 +117,10 @@
 	for {
 		n, err := from.Read(buf)
 		mode := l.proxy.now()
-		if mode == Slow {
+		if mode == Delay {
 			time.Sleep(slowBy)
 		}
-		if mode == cut || mode == CutBoth {
+		if mode == cut || mode == DropBoth {
 			lost.Store(true)
 		}
 		if lost.Load() {
@@ -164,9 +164,9 @@
 	return out
 }
 
-// Lose makes every connection of now go silent for good; new ones work. It
+// Blackhole makes every connection of now go silent for good; new ones work. It
 // returns how many went silent.
-func (p *Proxy) Lose() int {
+func (p *Proxy) Blackhole() int {
 	lost := 0
 	for _, l := range p.snapshot() {
 		in, out := l.lostIn.Swap(true), l.lostOut.Swap(true)
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -107,9 +107,9 @@
 // DefaultEngine is a quick engine that has long been warm.
 func DefaultEngine(s *shed.Server, _ shed.StageKind) stand.EngineConfig {
 	return stand.EngineConfig{
-		ID: s.ID, Capacity: s.Capacity, ColdBears: s.ColdCapacity,
+		ID: s.ID, Capacity: s.Capacity, ColdCapacity: s.ColdCapacity,
 		TokenTime: 2 * time.Millisecond, PrefillTime: 50 * time.Microsecond, CallTime: 5 * time.Millisecond,
-		ChecksFence: s.Fenced, CacheEntries: 256, Done: longRun,
+		ChecksFence: s.Fenced, CacheEntries: 256, PriorCalls: longRun,
 	}
 }
 
@@ -169,7 +169,7 @@
 func (f *Fleet) startServer(r *shed.Rules, s *shed.Server) (*stand.Server, error) {
 	pool := r.Pools[s.Pool]
 	if pool.Kind == shed.KindService {
-		svc := stand.NewService(stand.ServiceConfig{ID: s.ID, Capacity: s.Capacity, CallTime: f.cfg.ServiceTime, Done: longRun})
+		svc := stand.NewService(stand.ServiceConfig{ID: s.ID, Capacity: s.Capacity, CallTime: f.cfg.ServiceTime, PriorCalls: longRun})
 		f.Services[s.ID] = svc
 		return stand.Listen(anyPort, svc)
 	}
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -43,7 +43,7 @@
 	answer, err := c.Run(ctx, client.Request{Pipeline: "caption", Input: input, MaxTokens: 20})
 	require.NoError(t, err)
 	require.Equal(t, client.Complete, answer.Outcome)
-	require.Equal(t, stand.WholeText(input, 20), answer.Payload.Text)
+	require.Equal(t, stand.FullText(input, 20), answer.Payload.Text)
 
 	answer, err = c.RunOnce(ctx, client.Request{Pipeline: "warning", Input: input, MaxTokens: 20})
 	require.NoError(t, err)
--- a/internal/gauge/arrive.go
+++ b/internal/gauge/arrive.go
@@ -42,7 +42,7 @@
 func (s *Scenario) rateAt(at time.Duration) float64 {
 	rate := s.Rate
 	for _, b := range s.Bursts {
-		if at >= b.At && at < b.At+b.For {
+		if at >= b.At && at < b.At+b.Duration {
 			rate *= b.Factor
 		}
 	}
--- a/internal/gauge/bench_test.go
+++ b/internal/gauge/bench_test.go
@@ -17,7 +17,7 @@
 	const streams, tokens = 60, 1000
 	rig, err := NewRig(b.Context(), Scenario{
 		Name: "tokens", Policy: "affinity",
-		Fleet:      Shape{Zones: 1, Daemons: 1, Drafters: 1, Others: 1, Capacity: 64, ColdBears: 64, TokenTime: time.Millisecond},
+		Fleet:      FleetSize{Zones: 1, Daemons: 1, Drafters: 1, OtherServers: 1, Capacity: 64, ColdCapacity: 64, TokenTime: time.Millisecond},
 		Workspaces: []Share{{"noord", 1}},
 	}, io.Discard)
 	require.NoError(b, err)
--- a/internal/gauge/gauge_test.go
+++ b/internal/gauge/gauge_test.go
@@ -85,9 +85,9 @@
 	engine   *stand.Engine
 }
 
-func (f *fake) Rules() *shed.Rules              { return f.rules }
-func (f *fake) Platform() *stand.Platform       { return f.platform }
-func (f *fake) Do(context.Context, Event) error { return nil }
+func (f *fake) Rules() *shed.Rules                      { return f.rules }
+func (f *fake) Platform() *stand.Platform               { return f.platform }
+func (f *fake) ApplyEvent(context.Context, Event) error { return nil }
 func (f *fake) Servers() []Server {
 	return []Server{{ID: "gen-1", Zone: "a", Record: &f.engine.Record}}
 }
@@ -97,13 +97,13 @@
 	text()
 	time.Sleep(800 * time.Millisecond)
 	out := &client.Answer{Outcome: client.Complete}
-	out.Payload.Text = stand.WholeText(a.Input, tokens)
+	out.Payload.Text = stand.FullText(a.Input, tokens)
 	out.Stages = []client.StageReport{{Stage: "draft", Attempts: 2, Cost: client.Cost{Useful: 30, Wasted: 10}}}
 	switch a.Number % 10 {
 	case 1:
 		return nil, &client.AnswerError{Answer: &client.Answer{Outcome: client.NotRun, Reason: "queue_full"}}
 	case 2:
-		out.Payload.Text = stand.WholeText("another's", tokens)
+		out.Payload.Text = stand.FullText("another's", tokens)
 	case 3:
 		time.Sleep(time.Second)
 	case 4:
@@ -134,7 +134,7 @@
 	var result *Result
 	synctest.Test(t, func(t *testing.T) {
 		f := newFake()
-		result, err = Play(t.Context(), s, f, &progress)
+		result, err = RunScenario(t.Context(), s, f, &progress)
 		require.NoError(t, err)
 		require.Zero(t, result.Lag)
 		require.NoError(t, result.Report(f.rules).WriteTable(&out))
--- a/internal/gauge/judge.go
+++ b/internal/gauge/judge.go
@@ -75,9 +75,9 @@
 		case shed.KindRetrieve:
 			passages = stand.Passages(input, 0)
 		case shed.KindRerank:
-			passages = stand.Reranked(input, passages)
+			passages = stand.Rerank(input, passages)
 		case shed.KindGenerate:
-			want.Text = stand.WholeText(input, tokens)
+			want.Text = stand.FullText(input, tokens)
 		case shed.KindService:
 			want.Receipt = stand.Receipt(shed.RequestID(answer.RequestID), input)
 		}
--- a/internal/gauge/play.go
+++ b/internal/gauge/play.go
@@ -22,8 +22,8 @@
 	// Call runs a request at the daemon that the balancer picks, with a ticket
 	// if its pipeline may run only once, and calls text when some came.
 	Call(ctx context.Context, a Arrival, tokens int, text func()) (*client.Answer, error)
-	// Do makes an event happen.
-	Do(ctx context.Context, ev Event) error
+	// ApplyEvent makes an event happen.
+	ApplyEvent(ctx context.Context, ev Event) error
 	// Servers are the stand-ins of backend servers.
 	Servers() []Server
 	// Platform is the stand-in of the platform.
@@ -45,19 +45,19 @@
 	// Lag is the most that an arrival was sent after its planned time; the
 	// machine was too busy for the figures if it is large.
 	Lag time.Duration
-	// Done are the events with the times at which they happened.
-	Done    []Happened
+	// Events are the events with the times at which they happened.
+	Events  []PerformedEvent
 	Servers []Server
 	Calls   stand.PlatformCalls
-	// Began is the time of the start.
-	Began time.Time
+	// StartTime is the time of the start.
+	StartTime time.Time
 }
 
-// Happened is an event that was done.
-type Happened struct {
+// PerformedEvent is an event that was done.
+type PerformedEvent struct {
 	Event
-	// Began and Took say when it really happened, from the scenario's start.
-	Began, Took time.Duration
+	// StartedAfter and Took say when it really happened, from the scenario's start.
+	StartedAfter, Took time.Duration
 }
 
 // player plays one scenario.
@@ -72,13 +72,13 @@
 	samples  []Sample
 	counts   [verdicts]int
 	lag      time.Duration
-	done     []Happened
+	done     []PerformedEvent
 	running  atomic.Int64
 }
 
-// Play runs the scenario against the fleet and writes a line of progress every
+// RunScenario runs the scenario against the fleet and writes a line of progress every
 // second. It fails if ctx ends or an event can't be done.
-func Play(ctx context.Context, s Scenario, fleet Fleet, progress io.Writer) (*Result, error) {
+func RunScenario(ctx context.Context, s Scenario, fleet Fleet, progress io.Writer) (*Result, error) {
 	p := &player{scenario: s, fleet: fleet, progress: printer{w: progress}, began: time.Now()}
 	group, ctx := errgroup.WithContext(ctx)
 	over, stop := context.WithCancel(ctx)
@@ -93,13 +93,13 @@
 		return nil, err
 	}
 	return &Result{
-		Scenario: s,
-		Samples:  p.samples,
-		Lag:      p.lag,
-		Done:     p.done,
-		Servers:  fleet.Servers(),
-		Calls:    fleet.Platform().Calls(),
-		Began:    p.began,
+		Scenario:  s,
+		Samples:   p.samples,
+		Lag:       p.lag,
+		Events:    p.done,
+		Servers:   fleet.Servers(),
+		Calls:     fleet.Platform().Calls(),
+		StartTime: p.began,
 	}, nil
 }
 
@@ -158,11 +158,11 @@
 			return err
 		}
 		began := time.Since(p.began)
-		if err := p.fleet.Do(ctx, ev); err != nil {
+		if err := p.fleet.ApplyEvent(ctx, ev); err != nil {
 			return fmt.Errorf("event %s: %w", ev.Name, err)
 		}
 		p.mu.Lock()
-		p.done = append(p.done, Happened{Event: ev, Began: began, Took: time.Since(p.began) - began})
+		p.done = append(p.done, PerformedEvent{Event: ev, StartedAfter: began, Took: time.Since(p.began) - began})
 		p.progress.printf("%6.1fs  %s: %s %s\n", began.Seconds(), ev.Name, ev.Kind, ev.Target)
 		p.mu.Unlock()
 	}
--- a/internal/gauge/report.go
+++ b/internal/gauge/report.go
@@ -130,10 +130,10 @@
 
 func (r *Report) writeSafety(p *printer) {
 	p.printf("cold servers: given too much %d times, by %d calls at the most\n",
-		r.Safety.Overshoots, r.Safety.WorstOvershoot)
-	p.printf("requests run twice by a service that may run them once: %d\n", r.Safety.Doubled)
-	for _, c := range r.Safety.Closings {
-		p.printf("after %s: %d calls still began there, the last %.2f s later\n", c.Event, c.Calls, c.Last.Seconds())
+		r.Safety.Overshoots, r.Safety.MaxOvershoot)
+	p.printf("requests run twice by a service that may run them once: %d\n", r.Safety.DuplicateRequests)
+	for _, c := range r.Safety.Closures {
+		p.printf("after %s: %d calls still began there, the last %.2f s later\n", c.Event, c.Calls, c.LastCallAfter.Seconds())
 	}
 	p.printf("platform: %d calls in its busiest second, %d refused\n", r.PlatformPeak, r.PlatformRefused)
 	p.printf("most lag of the load generator: %d ms\n", r.Lag.Milliseconds())
--- a/internal/gauge/rig.go
+++ b/internal/gauge/rig.go
@@ -81,15 +81,15 @@
 	return r, nil
 }
 
-func (s Shape) engine(server *shed.Server, kind shed.StageKind) stand.EngineConfig {
+func (s FleetSize) engine(server *shed.Server, kind shed.StageKind) stand.EngineConfig {
 	cfg := stand.EngineConfig{
 		ID:           server.ID,
 		Capacity:     server.Capacity,
-		ColdBears:    server.ColdCapacity,
+		ColdCapacity: server.ColdCapacity,
 		CallTime:     s.CallTime,
 		LoadLag:      loadLag,
 		CacheEntries: 256,
-		Done:         longRun,
+		PriorCalls:   longRun,
 	}
 	if kind == shed.KindGenerate {
 		cfg.WarmAfter = s.WarmAfter
@@ -190,18 +190,18 @@
 	return c, err
 }
 
-// Do makes an event happen.
-func (r *Rig) Do(ctx context.Context, ev Event) error {
+// ApplyEvent makes an event happen.
+func (r *Rig) ApplyEvent(ctx context.Context, ev Event) error {
 	switch ev.Kind {
-	case EventZoneOut:
+	case EventZoneClosed:
 		return r.edit(zoneLine(ev.Target, false), zoneLine(ev.Target, true))
-	case EventZoneBack:
+	case EventZoneReopened:
 		return r.edit(zoneLine(ev.Target, true), zoneLine(ev.Target, false))
 	case EventSupplierLeaving:
 		return r.edit(supplierLine(ev.Target, false), supplierLine(ev.Target, true))
-	case EventZoneCut:
+	case EventZonePartitioned:
 		r.cutter.set(shed.ZoneID(ev.Target), true)
-	case EventZoneHeal:
+	case EventZoneHealed:
 		r.cutter.set(shed.ZoneID(ev.Target), false)
 	case EventPlatformDown:
 		r.fleet.Platform.SetDown(true)
@@ -226,7 +226,7 @@
 		e.TurnCold()
 	case EventServerSlow:
 		e.SetSlowness(slowness)
-	case EventServerWell:
+	case EventServerNormal:
 		e.SetSlowness(1)
 	}
 	return nil
--- a/internal/gauge/rig_test.go
+++ b/internal/gauge/rig_test.go
@@ -27,22 +27,22 @@
 func TestRigPlaysAScenario(t *testing.T) {
 	s := Scenario{
 		Name: "rig", Seed: 3, Duration: 2 * time.Second, Rate: 20, Policy: "affinity", Tokens: 8,
-		Fleet: Shape{
-			Zones: 2, Daemons: 1, Drafters: 2, Others: 1, Capacity: 8, ColdBears: 2, WarmAfter: 5,
+		Fleet: FleetSize{
+			Zones: 2, Daemons: 1, Drafters: 2, OtherServers: 1, Capacity: 8, ColdCapacity: 2, WarmAfter: 5,
 			TokenTime: time.Millisecond, CallTime: time.Millisecond,
 		},
 		Pipelines:  []Share{{"caption", 1}, {"publish", 1}, {"lookup", 1}, {"rewrite", 1}},
 		Workspaces: []Share{{"noord", 1}},
 		Events: []Event{
-			{Name: "out", At: 300 * time.Millisecond, Kind: EventZoneOut, Target: "nl-west-b"},
-			{Name: "back", At: 600 * time.Millisecond, Kind: EventZoneBack, Target: "nl-west-b"},
+			{Name: "out", At: 300 * time.Millisecond, Kind: EventZoneClosed, Target: "nl-west-b"},
+			{Name: "back", At: 600 * time.Millisecond, Kind: EventZoneReopened, Target: "nl-west-b"},
 			{Name: "leave", At: 700 * time.Millisecond, Kind: EventSupplierLeaving, Target: supplierOther},
-			{Name: "cut", At: 800 * time.Millisecond, Kind: EventZoneCut, Target: "nl-west-b"},
-			{Name: "heal", At: 900 * time.Millisecond, Kind: EventZoneHeal, Target: "nl-west-b"},
+			{Name: "cut", At: 800 * time.Millisecond, Kind: EventZonePartitioned, Target: "nl-west-b"},
+			{Name: "heal", At: 900 * time.Millisecond, Kind: EventZoneHealed, Target: "nl-west-b"},
 			{Name: "down", At: time.Second, Kind: EventPlatformDown},
 			{Name: "up", At: 1100 * time.Millisecond, Kind: EventPlatformUp},
 			{Name: "slow", At: 1200 * time.Millisecond, Kind: EventServerSlow, Target: "gen-a-1"},
-			{Name: "well", At: 1300 * time.Millisecond, Kind: EventServerWell, Target: "gen-a-1"},
+			{Name: "well", At: 1300 * time.Millisecond, Kind: EventServerNormal, Target: "gen-a-1"},
 			{Name: "cold", At: 1400 * time.Millisecond, Kind: EventServerCold, Target: "gen-a-1"},
 		},
 	}
@@ -51,15 +51,15 @@
 	rig, err := NewRig(ctx, s, io.Discard)
 	require.NoError(t, err)
 	defer rig.Close()
-	result, err := Play(ctx, s, rig, io.Discard)
+	result, err := RunScenario(ctx, s, rig, io.Discard)
 	require.NoError(t, err)
 	report := result.Report(rig.Rules())
-	require.Len(t, result.Done, len(s.Events))
+	require.Len(t, result.Events, len(s.Events))
 	require.Zero(t, report.Windows[0].Counts[Wrong])
 	require.NotZero(t, report.Windows[0].Counts[Attained])
-	require.Zero(t, report.Safety.Doubled)
-	require.ErrorIs(t, rig.Do(ctx, Event{Kind: EventZoneOut, Target: "nowhere"}), errEvent)
-	require.ErrorIs(t, rig.Do(ctx, Event{Kind: EventServerCold, Target: "nothing"}), errEvent)
+	require.Zero(t, report.Safety.DuplicateRequests)
+	require.ErrorIs(t, rig.ApplyEvent(ctx, Event{Kind: EventZoneClosed, Target: "nowhere"}), errEvent)
+	require.ErrorIs(t, rig.ApplyEvent(ctx, Event{Kind: EventServerCold, Target: "nothing"}), errEvent)
 }
 
 // A zone is cut off: what is open goes silent in both directions, new links
--- a/internal/gauge/rules.go
+++ b/internal/gauge/rules.go
@@ -29,13 +29,13 @@
 }
 
 // pools are the same for every experiment but for their sizes.
-func (s Shape) pools() []pool {
+func (s FleetSize) pools() []pool {
 	return []pool{
-		{"encoders", "enc", "encode", s.Others, otherCapacity, otherCapacity},
-		{"finders", "fin", "retrieve", s.Others, otherCapacity, otherCapacity},
-		{"rankers", "ran", "rerank", s.Others, otherCapacity, otherCapacity},
-		{"drafters", "gen", "generate, model " + modelDrafter, s.Drafters, s.Capacity, s.ColdBears},
-		{"playouts", "pub", "service", s.Others, otherCapacity, otherCapacity},
+		{"encoders", "enc", "encode", s.OtherServers, otherCapacity, otherCapacity},
+		{"finders", "fin", "retrieve", s.OtherServers, otherCapacity, otherCapacity},
+		{"rankers", "ran", "rerank", s.OtherServers, otherCapacity, otherCapacity},
+		{"drafters", "gen", "generate, model " + modelDrafter, s.Drafters, s.Capacity, s.ColdCapacity},
+		{"playouts", "pub", "service", s.OtherServers, otherCapacity, otherCapacity},
 	}
 }
 
@@ -66,7 +66,7 @@
 `
 
 // zoneNames are nl-west-a, nl-west-b and so on.
-func (s Shape) zoneNames() []string {
+func (s FleetSize) zoneNames() []string {
 	names := make([]string, s.Zones)
 	for i := range names {
 		names[i] = zonePrefix + string(rune('a'+i))
@@ -101,7 +101,7 @@
 	return []byte(b.String())
 }
 
-func (s Shape) writeServers(b *strings.Builder) {
+func (s FleetSize) writeServers(b *strings.Builder) {
 	port := firstPort
 	for _, p := range s.pools() {
 		for i, zone := range s.zoneNames() {
--- a/internal/gauge/safety.go
+++ b/internal/gauge/safety.go
@@ -12,22 +12,22 @@
 // Safety is what the stand-ins saw, against what must always hold.
 type Safety struct {
 	// Overshoots counts how often a cold server got more than it bears, and
-	// WorstOvershoot is by how many calls.
-	Overshoots, WorstOvershoot int
-	// Doubled are requests that a plain service ran more than once.
-	Doubled int
-	// Closings tell how long new work still came after a zone or a supplier
+	// MaxOvershoot is by how many calls.
+	Overshoots, MaxOvershoot int
+	// DuplicateRequests are requests that a plain service ran more than once.
+	DuplicateRequests int
+	// Closures tell how long new work still came after a zone or a supplier
 	// was told to get no more.
-	Closings []Closing
+	Closures []Closure
 }
 
-// Closing is one event after which some servers get no new work.
-type Closing struct {
+// Closure is one event after which some servers get no new work.
+type Closure struct {
 	Event string
-	// Last is the time from the event to the last call begun there, before
+	// LastCallAfter is the time from the event to the last call begun there, before
 	// they were opened again; 0 if none began.
-	Last  time.Duration
-	Calls int
+	LastCallAfter time.Duration
+	Calls         int
 }
 
 // safety reads the records of the stand-ins.
@@ -36,31 +36,31 @@
 	for _, server := range r.Servers {
 		for _, o := range server.Record.Overshoots() {
 			out.Overshoots++
-			out.WorstOvershoot = max(out.WorstOvershoot, o.Running-o.Bears)
+			out.MaxOvershoot = max(out.MaxOvershoot, o.Running-o.ColdCapacity)
 		}
 		if once(server.ID) {
-			out.Doubled += len(server.Record.Doubled())
+			out.DuplicateRequests += len(server.Record.DuplicateRequests())
 		}
 	}
-	for _, ev := range r.Done {
-		if ev.Kind == EventZoneOut || ev.Kind == EventSupplierLeaving {
-			out.Closings = append(out.Closings, r.closing(ev))
+	for _, ev := range r.Events {
+		if ev.Kind == EventZoneClosed || ev.Kind == EventSupplierLeaving {
+			out.Closures = append(out.Closures, r.closing(ev))
 		}
 	}
 	return out
 }
 
 // closing looks for calls that began after ev on the servers that it closed.
-func (r *Result) closing(ev Happened) Closing {
-	from := r.Began.Add(ev.Began)
+func (r *Result) closing(ev PerformedEvent) Closure {
+	from := r.StartTime.Add(ev.StartedAfter)
 	until := r.reopened(ev)
-	out := Closing{Event: ev.Name}
+	out := Closure{Event: ev.Name}
 	for _, run := range r.closedRuns(ev.Event) {
 		if run.Start.Before(from) || (!until.IsZero() && run.Start.After(until)) {
 			continue
 		}
 		out.Calls++
-		out.Last = max(out.Last, run.Start.Sub(from))
+		out.LastCallAfter = max(out.LastCallAfter, run.Start.Sub(from))
 	}
 	return out
 }
@@ -77,10 +77,10 @@
 }
 
 // reopened is when the zone of ev came back; zero if it did not.
-func (r *Result) reopened(ev Happened) time.Time {
-	for _, later := range r.Done {
-		if later.Kind == EventZoneBack && later.Target == ev.Target && later.Began > ev.Began {
-			return r.Began.Add(later.Began)
+func (r *Result) reopened(ev PerformedEvent) time.Time {
+	for _, later := range r.Events {
+		if later.Kind == EventZoneReopened && later.Target == ev.Target && later.StartedAfter > ev.StartedAfter {
+			return r.StartTime.Add(later.StartedAfter)
 		}
 	}
 	return time.Time{}
--- a/internal/gauge/scenario.go
+++ b/internal/gauge/scenario.go
@@ -29,7 +29,7 @@
 	Policy string
 	// Tokens that each generate stage is asked for.
 	Tokens int
-	Fleet  Shape
+	Fleet  FleetSize
 	// Pipelines and Workspaces share the arrivals by weight.
 	Pipelines  []Share
 	Workspaces []Share
@@ -38,14 +38,14 @@
 	Events []Event
 }
 
-// Shape is the size of the fleet.
-type Shape struct {
+// FleetSize is the size of the fleet.
+type FleetSize struct {
 	Zones int
-	// Daemons, Drafters (language models) and Others (of each other pool) are
+	// Daemons, Drafters (language models) and OtherServers (of each other pool) are
 	// counts in each zone.
-	Daemons, Drafters, Others int
+	Daemons, Drafters, OtherServers int
 	// Capacity and ColdCapacity of a drafter.
-	Capacity, ColdBears int
+	Capacity, ColdCapacity int
 	// WarmAfter calls a drafter is warm; 0 starts warm.
 	WarmAfter int
 	// TokenTime of a drafter with one call.
@@ -62,10 +62,10 @@
 
 // Burst multiplies the rate for some time.
 type Burst struct {
-	Name   string
-	At     time.Duration
-	For    time.Duration
-	Factor float64
+	Name     string
+	At       time.Duration
+	Duration time.Duration
+	Factor   float64
 }
 
 // EventKind is what happens to the fleet. The set is closed.
@@ -73,13 +73,13 @@
 
 // The kinds of event.
 const (
-	EventZoneOut         EventKind = "zone_out"
-	EventZoneBack        EventKind = "zone_back"
-	EventZoneCut         EventKind = "zone_cut"
-	EventZoneHeal        EventKind = "zone_heal"
+	EventZoneClosed      EventKind = "zone_out"
+	EventZoneReopened    EventKind = "zone_back"
+	EventZonePartitioned EventKind = "zone_cut"
+	EventZoneHealed      EventKind = "zone_heal"
 	EventServerCold      EventKind = "server_cold"
 	EventServerSlow      EventKind = "server_slow"
-	EventServerWell      EventKind = "server_well"
+	EventServerNormal    EventKind = "server_well"
 	EventRollingRestart  EventKind = "rolling_restart"
 	EventPlatformDown    EventKind = "platform_down"
 	EventPlatformUp      EventKind = "platform_up"
@@ -88,13 +88,13 @@
 
 // eventKinds tells which kinds need a target.
 var eventKinds = map[EventKind]bool{
-	EventZoneOut:         true,
-	EventZoneBack:        true,
-	EventZoneCut:         true,
-	EventZoneHeal:        true,
+	EventZoneClosed:      true,
+	EventZoneReopened:    true,
+	EventZonePartitioned: true,
+	EventZoneHealed:      true,
 	EventServerCold:      true,
 	EventServerSlow:      true,
-	EventServerWell:      true,
+	EventServerNormal:    true,
 	EventRollingRestart:  false,
 	EventPlatformDown:    false,
 	EventPlatformUp:      false,
@@ -140,16 +140,16 @@
 		Rate:     r.real("scenario", "rate", 50),
 		Policy:   r.text("scenario", "policy", route.NameAffinity),
 		Tokens:   r.number("scenario", "tokens", 24),
-		Fleet: Shape{
-			Zones:     r.number("fleet", "zones", 3),
-			Daemons:   r.number("fleet", "daemons", 3),
-			Drafters:  r.number("fleet", "drafters", 4),
-			Others:    r.number("fleet", "others", 1),
-			Capacity:  r.number("fleet", "capacity", 8),
-			ColdBears: r.number("fleet", "cold_bears", 2),
-			WarmAfter: r.number("fleet", "warm_after", 20),
-			TokenTime: r.time("fleet", "token_time", 10*time.Millisecond),
-			CallTime:  r.time("fleet", "call_time", 10*time.Millisecond),
+		Fleet: FleetSize{
+			Zones:        r.number("fleet", "zones", 3),
+			Daemons:      r.number("fleet", "daemons", 3),
+			Drafters:     r.number("fleet", "drafters", 4),
+			OtherServers: r.number("fleet", "others", 1),
+			Capacity:     r.number("fleet", "capacity", 8),
+			ColdCapacity: r.number("fleet", "cold_bears", 2),
+			WarmAfter:    r.number("fleet", "warm_after", 20),
+			TokenTime:    r.time("fleet", "token_time", 10*time.Millisecond),
+			CallTime:     r.time("fleet", "call_time", 10*time.Millisecond),
 		},
 		Pipelines:  r.shares("pipelines"),
 		Workspaces: r.shares("workspaces"),
@@ -243,10 +243,10 @@
 			r.fault("%s: %q is no factor", where, f[0])
 		}
 		bursts = append(bursts, Burst{
-			Name:   key.Name(),
-			At:     r.duration(where, f[2]),
-			For:    r.duration(where, f[4]),
-			Factor: factor,
+			Name:     key.Name(),
+			At:       r.duration(where, f[2]),
+			Duration: r.duration(where, f[4]),
+			Factor:   factor,
 		})
 	}
 	return bursts
--- a/internal/gauge/tally.go
+++ b/internal/gauge/tally.go
@@ -180,7 +180,7 @@
 		marks = append(marks, Mark{Name: ev.Name, At: ev.At})
 	}
 	for _, b := range s.Bursts {
-		marks = append(marks, Mark{Name: b.Name, At: b.At}, Mark{Name: b.Name + "_over", At: b.At + b.For})
+		marks = append(marks, Mark{Name: b.Name, At: b.At}, Mark{Name: b.Name + "_over", At: b.At + b.Duration})
 	}
 	slices.SortStableFunc(marks, func(a, b Mark) int { return cmp.Compare(a.At, b.At) })
 	return marks
--- a/internal/peers/link_test.go
+++ b/internal/peers/link_test.go
@@ -21,7 +21,7 @@
 func TestLargeCallsOverASmallLink(t *testing.T) {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	to := serveOn(t, echo{}, fault.NewLink(10).Listener(lis))
+	to := serveOn(t, echo{}, fault.NewLink(10).WrapListener(lis))
 	c := newClient(t, ClientConfig{})
 	body := strings.Repeat("0123456789abcdef", 1<<16)
 	var g errgroup.Group
--- a/internal/plat/plat_test.go
+++ b/internal/plat/plat_test.go
@@ -133,11 +133,11 @@
 		first, _ := values("a")
 		stood.Publish(first)
 		began := time.Now()
-		stood.SetMute(true)
+		stood.SetUnresponsive(true)
 		_, err := p.Config(t.Context(), shed.ReadConfig{})
 		require.ErrorIs(t, err, plat.ErrUnreachable)
 		require.Equal(t, 3*time.Second, time.Since(began))
-		stood.SetMute(false)
+		stood.SetUnresponsive(false)
 
 		var group errgroup.Group
 		group.Go(func() error {
--- a/internal/procs/examples_test.go
+++ b/internal/procs/examples_test.go
@@ -40,7 +40,7 @@
 	input := fmt.Sprintf("%s through VM %d: wind from the west", pipeline, v.index)
 	answer, err := f.newClient(-1, v).Run(f.t.Context(), client.Request{Pipeline: pipeline, Input: input, MaxTokens: tokens})
 	require.NoError(f.t, err, "%s through %s", pipeline, v.name)
-	require.Equal(f.t, stand.WholeText(input, tokens), answer.Payload.Text)
+	require.Equal(f.t, stand.FullText(input, tokens), answer.Payload.Text)
 }
 
 func (f *fleet) requirePublishedOnce(i int, pipeline string) {
@@ -55,7 +55,7 @@
 	}
 	first, err := f.newClient(-1, runner).RunTicket(ctx, ticket.RequestID, work)
 	require.NoError(f.t, err, "ticket of %s through %s", issuer.name, runner.name)
-	require.Equal(f.t, stand.WholeText(work.Input, tokens), first.Payload.Text)
+	require.Equal(f.t, stand.FullText(work.Input, tokens), first.Payload.Text)
 	require.NotEmpty(f.t, first.Payload.Receipt)
 
 	again, err := f.newClient(-1, third).RunTicket(ctx, ticket.RequestID, work)
--- a/internal/procs/load_test.go
+++ b/internal/procs/load_test.go
@@ -153,7 +153,7 @@
 		if e.err != nil {
 			require.NoError(f.t, e.err, "%s of %d\n%s", e.input, len(ends), f.explain(e))
 		}
-		require.Equal(f.t, stand.WholeText(e.input, tokens), e.answer.Payload.Text, e.input)
+		require.Equal(f.t, stand.FullText(e.input, tokens), e.answer.Payload.Text, e.input)
 	}
 }
 
@@ -186,7 +186,7 @@
 		switch e.outcome() {
 		case client.Complete:
 			require.Equal(f.t, 1, runs, e.input)
-			require.Equal(f.t, stand.WholeText(e.input, tokens), e.answer.Payload.Text, e.input)
+			require.Equal(f.t, stand.FullText(e.input, tokens), e.answer.Payload.Text, e.input)
 		case client.NotRun, client.Refused:
 			require.Zero(f.t, runs, "%s: %v", e.input, e.err)
 		default:
--- a/internal/procs/roll_test.go
+++ b/internal/procs/roll_test.go
@@ -37,7 +37,7 @@
 	f.requireTruthfulOutcomes(ends["warnings"])
 	for _, e := range ends["warnings"] {
 		require.NoError(t, e.err, e.input)
-		require.Equal(t, stand.WholeText(e.input, tokens), e.answer.Payload.Text)
+		require.Equal(t, stand.FullText(e.input, tokens), e.answer.Payload.Text)
 	}
 }
 
--- a/internal/procs/silent_test.go
+++ b/internal/procs/silent_test.go
@@ -39,7 +39,7 @@
 	f.loseConnectionsUnderLoad(f.vms[2*perZone:], func() int {
 		lost := 0
 		for _, p := range proxies {
-			lost += p.Lose()
+			lost += p.Blackhole()
 		}
 		return lost
 	})
@@ -62,7 +62,7 @@
 			return engine.Addr()
 		},
 	})
-	f.loseConnectionsUnderLoad(f.vms[2*perZone:], func() int { return engine.Lose() })
+	f.loseConnectionsUnderLoad(f.vms[2*perZone:], func() int { return engine.Blackhole() })
 	require.NotEmpty(t, f.recordedRuns(silent))
 }
 
--- a/internal/single/single.go
+++ b/internal/single/single.go
@@ -77,9 +77,9 @@
 	flags := cmd.Flags()
 	flags.StringVar((*string)(&cfg.ID), "id", "engine", "the server's id")
 	flags.IntVar(&cfg.Capacity, "capacity", 0, "calls at once when warm; 0 means 8")
-	flags.IntVar(&cfg.ColdBears, "cold-bears", 0, "calls at once when cold; 0 means 1")
+	flags.IntVar(&cfg.ColdCapacity, "cold-bears", 0, "calls at once when cold; 0 means 1")
 	flags.IntVar(&cfg.WarmAfter, "warm-after", 0, "calls done until warm; 0 starts warm")
-	flags.DurationVar(&cfg.FallTime, "fall-time", 0, "refusing time after too much load while cold")
+	flags.DurationVar(&cfg.OverloadTime, "fall-time", 0, "refusing time after too much load while cold")
 	flags.DurationVar(&cfg.TokenTime, "token-time", 0, "time for each token")
 	flags.DurationVar(&cfg.PrefillTime, "prefill-time", 0, "time for each input token")
 	flags.DurationVar(&cfg.CallTime, "call-time", 0, "time of a call without generation")
@@ -90,7 +90,7 @@
 	flags.StringVar(&cfg.OrderToken, "order-token", "", "token that orders must carry")
 	flags.StringVar(&cfg.Model, "model", "", "model loaded at the start, model@version")
 	flags.StringVar(&cfg.Role, "role", "", "role at the start")
-	flags.Uint64Var(&cfg.Done, "done", 0, "calls completed before the start")
+	flags.Uint64Var(&cfg.PriorCalls, "done", 0, "calls completed before the start")
 	cmd.RunE = func(cmd *cobra.Command, _ []string) error {
 		e := stand.NewEngine(cfg)
 		return serve(cmd.Context(), *addr, withRuns(e, &e.Record), Started{Kind: cmd.Use}, stdout)
@@ -107,10 +107,10 @@
 	done := flags.Uint64("done", 0, "calls completed before the start")
 	cmd.RunE = func(cmd *cobra.Command, _ []string) error {
 		s := stand.NewService(stand.ServiceConfig{
-			ID:       shed.ServerID(*id),
-			Capacity: *capacity,
-			CallTime: *callTime,
-			Done:     *done,
+			ID:         shed.ServerID(*id),
+			Capacity:   *capacity,
+			CallTime:   *callTime,
+			PriorCalls: *done,
 		})
 		return serve(cmd.Context(), *addr, withRuns(s, &s.Record), Started{Kind: cmd.Use}, stdout)
 	}
--- a/internal/stand/calls.go
+++ b/internal/stand/calls.go
@@ -62,7 +62,7 @@
 		place[text] = i
 	}
 	var out wire.RerankResponse
-	for _, p := range Reranked(ask.Query, passages) {
+	for _, p := range Rerank(ask.Query, passages) {
 		out.Results = append(out.Results, wire.RankedDocument{Index: place[p.Text], Score: p.Score})
 	}
 	return out
--- a/internal/stand/engine.go
+++ b/internal/stand/engine.go
@@ -19,16 +19,16 @@
 	// Capacity is how many calls run at once when warm; 0 means 8.
 	Capacity int
 	// ColdCapacity is how many it bears at once while cold; 0 means 1.
-	ColdBears int
+	ColdCapacity int
 	// WarmAfter is how many calls must be done before it is warm; it starts warm
 	// if Done is no less.
 	WarmAfter int
-	// Done is how many calls it had completed before the test began; a server
+	// PriorCalls is how many calls it had completed before the test began; a server
 	// that has run for long is known to be warm by it.
-	Done uint64
-	// FallTime is how long it refuses everything after too much load while
+	PriorCalls uint64
+	// OverloadTime is how long it refuses everything after too much load while
 	// cold; 0 means 2 s.
-	FallTime time.Duration
+	OverloadTime time.Duration
 	// TokenTime is the time for each generated token with nothing else running.
 	TokenTime time.Duration
 	// PrefillTime is the time for each input token before the first one.
@@ -108,17 +108,17 @@
 	if cfg.Capacity == 0 {
 		cfg.Capacity = defaultCapacity
 	}
-	if cfg.ColdBears == 0 {
-		cfg.ColdBears = defaultColdBears
+	if cfg.ColdCapacity == 0 {
+		cfg.ColdCapacity = defaultColdBears
 	}
-	if cfg.FallTime == 0 {
-		cfg.FallTime = defaultFallTime
+	if cfg.OverloadTime == 0 {
+		cfg.OverloadTime = defaultFallTime
 	}
 	e := &Engine{
 		cfg:   cfg,
 		mux:   http.NewServeMux(),
-		cold:  cfg.Done < uint64(cfg.WarmAfter),
-		done:  cfg.Done,
+		cold:  cfg.PriorCalls < uint64(cfg.WarmAfter),
+		done:  cfg.PriorCalls,
 		model: cfg.Model,
 		role:  cfg.Role,
 	}
@@ -213,15 +213,15 @@
 	if now.Before(e.fallen) {
 		return e.fallen.Sub(now)
 	}
-	if e.cold && e.running >= e.cfg.ColdBears {
-		e.fallen = now.Add(e.cfg.FallTime)
+	if e.cold && e.running >= e.cfg.ColdCapacity {
+		e.fallen = now.Add(e.cfg.OverloadTime)
 		e.overshoot(Overshoot{
-			At:      now,
-			Running: e.running + 1,
-			Bears:   e.cfg.ColdBears,
-			Call:    run.Call,
+			At:           now,
+			Running:      e.running + 1,
+			ColdCapacity: e.cfg.ColdCapacity,
+			Call:         run.Call,
 		})
-		return e.cfg.FallTime
+		return e.cfg.OverloadTime
 	}
 	if e.running >= e.cfg.Capacity {
 		return time.Second
--- a/internal/stand/engine_test.go
+++ b/internal/stand/engine_test.go
@@ -49,7 +49,7 @@
 func TestColdEngineFallsOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := stand.NewEngine(stand.EngineConfig{
-			ID: "s1", Capacity: 4, ColdBears: 2, WarmAfter: 3, TokenTime: 100 * time.Millisecond,
+			ID: "s1", Capacity: 4, ColdCapacity: 2, WarmAfter: 3, TokenTime: 100 * time.Millisecond,
 		})
 		var group errgroup.Group
 		for _, id := range []string{"a/0/1", "b/0/1"} {
@@ -64,12 +64,12 @@
 		require.Equal(t, "2", w.Header().Get("Retry-After"))
 		require.Equal(t, wire.NotRunTrue, w.Header().Get(wire.HeaderNotRun))
 		require.Len(t, e.Overshoots(), 1)
-		require.Equal(t, 3, e.ColdHigh())
+		require.Equal(t, 3, e.MaxColdRunning())
 		require.NoError(t, group.Wait())
 		time.Sleep(2 * time.Second)
 		require.Equal(t, http.StatusOK, ask(e, "POST", wire.PathChat, "d/0/1", chat).Code)
 		require.False(t, e.Cold())
-		require.Equal(t, 2, e.High())
+		require.Equal(t, 2, e.MaxRunning())
 	})
 }
 
@@ -176,13 +176,13 @@
 
 func TestServiceFaults(t *testing.T) {
 	s := stand.NewService(stand.ServiceConfig{})
-	s.Fail(stand.ServiceFailsBefore, stand.ServiceFailsAfter)
+	s.InjectFaults(stand.ServiceFailsBefore, stand.ServiceFailsAfter)
 	require.Equal(t, 503, ask(s, "POST", wire.PathCall, "a/0/1", `{"request":"a"}`).Code)
-	require.Zero(t, s.RunsOf("a"))
+	require.Zero(t, s.CountRuns("a"))
 	require.Equal(t, 500, ask(s, "POST", wire.PathCall, "a/0/2", `{"request":"a"}`).Code)
 	require.Equal(t, 200, ask(s, "POST", wire.PathCall, "a/0/3", `{"request":"a"}`).Code)
-	require.Equal(t, 2, s.RunsOf("a"))
-	require.Equal(t, []string{"a"}, s.Doubled())
+	require.Equal(t, 2, s.CountRuns("a"))
+	require.Equal(t, []string{"a"}, s.DuplicateRequests())
 }
 
 func TestOperatorsPublish(t *testing.T) {
--- a/internal/stand/pipes.go
+++ b/internal/stand/pipes.go
@@ -59,9 +59,9 @@
 	return c, nil
 }
 
-// Silence makes every connection that is open now silent for good: writing
+// Blackhole makes every connection that is open now silent for good: writing
 // succeeds, nothing arrives, and not even its end shows. New ones work.
-func (n *Net) Silence() {
+func (n *Net) Blackhole() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, c := range n.conns {
--- a/internal/stand/record.go
+++ b/internal/stand/record.go
@@ -18,8 +18,8 @@
 	End time.Time `json:"end"`
 	// Cold: the server was cold when the call began.
 	Cold bool `json:"cold"`
-	// Whole: the run came to its end and its answer was written.
-	Whole bool `json:"whole"`
+	// Complete: the run came to its end and its answer was written.
+	Complete bool `json:"whole"`
 	// Cancelled by the client's order.
 	Cancelled bool `json:"cancelled"`
 	Tokens    int  `json:"tokens"`
@@ -29,9 +29,9 @@
 type Overshoot struct {
 	At time.Time
 	// Running counts the calls at once, with the one too many.
-	Running int
-	Bears   int
-	Call    string
+	Running      int
+	ColdCapacity int
+	Call         string
 }
 
 // Record is what a stand-in ran. It is safe for use by many goroutines.
@@ -60,7 +60,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	run.End = now
-	run.Whole = whole
+	run.Complete = whole
 	run.Cancelled = cancelled
 	run.Tokens = tokens
 	r.running--
@@ -90,8 +90,8 @@
 	return runs
 }
 
-// RunsOf counts the runs of each request.
-func (r *Record) RunsOf(request string) int {
+// CountRuns counts the runs of each request.
+func (r *Record) CountRuns(request string) int {
 	n := 0
 	for _, run := range r.Runs() {
 		if run.Request == request {
@@ -101,8 +101,8 @@
 	return n
 }
 
-// Doubled are the requests that ran more than once, sorted.
-func (r *Record) Doubled() []string {
+// DuplicateRequests are the requests that ran more than once, sorted.
+func (r *Record) DuplicateRequests() []string {
 	count := map[string]int{}
 	for _, run := range r.Runs() {
 		count[run.Request]++
@@ -124,16 +124,16 @@
 	return r.running
 }
 
-// High is the most calls that ran at once.
-func (r *Record) High() int {
+// MaxRunning is the most calls that ran at once.
+func (r *Record) MaxRunning() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.high
 }
 
-// ColdHigh is the most calls at once that a cold server was given, with those
+// MaxColdRunning is the most calls at once that a cold server was given, with those
 // that made it fall over.
-func (r *Record) ColdHigh() int {
+func (r *Record) MaxColdRunning() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.coldHigh
--- a/internal/stand/service.go
+++ b/internal/stand/service.go
@@ -14,13 +14,13 @@
 
 // The faults of a plain service's call.
 const (
-	ServiceWell ServiceFault = iota
+	ServiceOK ServiceFault = iota
 	// ServiceFailsBefore: answers that it has not run the call.
 	ServiceFailsBefore
 	// ServiceFailsAfter: runs the call and answers with an error.
 	ServiceFailsAfter
-	// ServiceCuts: runs the call and cuts the connection.
-	ServiceCuts
+	// ServiceAborts: runs the call and cuts the connection.
+	ServiceAborts
 )
 
 // ServiceConfig configures a Service.
@@ -28,8 +28,8 @@
 	ID shed.ServerID
 	// Capacity is how many calls run at once; 0 means 8.
 	Capacity int
-	// Done is how many calls it had completed before the test began.
-	Done uint64
+	// PriorCalls is how many calls it had completed before the test began.
+	PriorCalls uint64
 	// CallTime is the time of one call.
 	CallTime time.Duration
 }
@@ -54,7 +54,7 @@
 	if cfg.Capacity == 0 {
 		cfg.Capacity = defaultCapacity
 	}
-	s := &Service{cfg: cfg, mux: http.NewServeMux(), done: cfg.Done}
+	s := &Service{cfg: cfg, mux: http.NewServeMux(), done: cfg.PriorCalls}
 	s.mux.HandleFunc("POST "+wire.PathCall, s.serveCall)
 	s.mux.HandleFunc("GET "+wire.PathLoad, s.serveLoad)
 	return s
@@ -66,8 +66,8 @@
 	s.mux.ServeHTTP(w, r)
 }
 
-// Fail sets what goes wrong with the next calls, one each.
-func (s *Service) Fail(faults ...ServiceFault) {
+// InjectFaults sets what goes wrong with the next calls, one each.
+func (s *Service) InjectFaults(faults ...ServiceFault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.next = append(s.next, faults...)
@@ -96,7 +96,7 @@
 	switch fault {
 	case ServiceFailsAfter:
 		reply(w, http.StatusInternalServerError, wire.ErrorReply{Message: "failed after the run"})
-	case ServiceCuts:
+	case ServiceAborts:
 		panic(http.ErrAbortHandler)
 	default:
 		reply(w, http.StatusOK, wire.ServiceResponse{Receipt: Receipt(ask.Request, ask.Input)})
@@ -106,7 +106,7 @@
 func (s *Service) begin(run *Run) (ServiceFault, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	fault := ServiceWell
+	fault := ServiceOK
 	if len(s.next) > 0 {
 		fault = s.next[0]
 		s.next = s.next[1:]
--- a/internal/stand/stand.go
+++ b/internal/stand/stand.go
@@ -30,13 +30,13 @@
 	f.set(func() { f.down = down })
 }
 
-// SetMute makes calls hang without any answer.
-func (f *Faults) SetMute(mute bool) {
+// SetUnresponsive makes calls hang without any answer.
+func (f *Faults) SetUnresponsive(mute bool) {
 	f.set(func() { f.mute = mute })
 }
 
-// SetSlow delays every call by d.
-func (f *Faults) SetSlow(d time.Duration) {
+// SetDelay delays every call by d.
+func (f *Faults) SetDelay(d time.Duration) {
 	f.set(func() { f.slow = d })
 }
 
--- a/internal/stand/text.go
+++ b/internal/stand/text.go
@@ -18,10 +18,10 @@
 // retrieved is how many passages a retriever gives when it is given no limit.
 const retrieved = 8
 
-// WholeText is the text that an engine generates for an input: every token is a
+// FullText is the text that an engine generates for an input: every token is a
 // function of the input and its own place, so a lost, doubled or foreign one
 // shows.
-func WholeText(input string, tokens int) string {
+func FullText(input string, tokens int) string {
 	return string(appendTokens(nil, xxhash.Sum64String(input), 0, tokens))
 }
 
@@ -67,15 +67,15 @@
 		id := "p" + strconv.Itoa(i)
 		found[i] = shed.Passage{
 			ID:    id,
-			Text:  WholeText(id+query, 6),
+			Text:  FullText(id+query, 6),
 			Score: 1 / float64(i+1),
 		}
 	}
 	return found
 }
 
-// Reranked orders passages as a reranker does for a query.
-func Reranked(query string, passages []shed.Passage) []shed.Passage {
+// Rerank orders passages as a reranker does for a query.
+func Rerank(query string, passages []shed.Passage) []shed.Passage {
 	out := append([]shed.Passage(nil), passages...)
 	for i := range out {
 		out[i].Score = rankScore(query, out[i].Text)
