--- a/internal/procs/load_test.go
+++ b/internal/procs/load_test.go
@@ -18,12 +18,11 @@
 	"jasmineshed/pkg/client"
 )
 
-// callTime bounds one request with all its repeats, far above any deadline of
-// the examples.
-const callTime = 30 * time.Second
+// requestTimeout bounds one request with all its retries, far above any deadline of the examples.
+const requestTimeout = 30 * time.Second
 
-// end is how one request ended for its caller.
-type end struct {
+// requestEnd is the outcome of one request for its caller.
+type requestEnd struct {
 	input string
 	// ticket is empty for a request that may be repeated.
 	ticket string
@@ -31,8 +30,8 @@
 	err    error
 }
 
-// outcome is empty if no answer came.
-func (e end) outcome() client.Outcome {
+// outcome returns the answer's outcome, or "" if no answer arrived.
+func (e requestEnd) outcome() client.Outcome {
 	if e.err == nil {
 		return e.answer.Outcome
 	}
@@ -43,8 +42,8 @@
 	return ""
 }
 
-// reason is empty if there is none.
-func (e end) reason() string {
+// reason returns the answer's reason, or "" if there is none.
+func (e requestEnd) reason() string {
 	var other *client.AnswerError
 	if errors.As(e.err, &other) {
 		return other.Answer.Reason
@@ -52,7 +51,7 @@
 	return ""
 }
 
-// load is what callers ask for, one request after the other, until it is ended.
+// load runs callers that send one request after the other until it is finished.
 type load struct {
 	f       *fleet
 	ctx     context.Context
@@ -61,27 +60,27 @@
 	count   atomic.Int64
 
 	mu   sync.Mutex
-	ends map[string][]end
+	ends map[string][]requestEnd
 }
 
-func (f *fleet) load() *load {
+func (f *fleet) newLoad() *load {
 	ctx, stop := context.WithCancel(context.Background())
-	l := &load{f: f, ctx: ctx, stop: stop, ends: map[string][]end{}}
+	l := &load{f: f, ctx: ctx, stop: stop, ends: map[string][]requestEnd{}}
 	f.t.Cleanup(func() {
 		l.finish()
-		l.tell()
+		l.logOutcomes()
 	})
 	return l
 }
 
-// add starts callers, whose requests are told apart by group.
-func (l *load) add(group string, callers int, ask func(ctx context.Context, input string) end) {
+// add starts callers, whose requests are counted by group.
+func (l *load) add(group string, callers int, send func(ctx context.Context, input string) requestEnd) {
 	for range callers {
 		l.workers.Go(func() error {
 			for l.ctx.Err() == nil {
 				input := fmt.Sprintf("%s, request %d", group, l.count.Add(1))
-				ctx, cancel := context.WithTimeout(context.Background(), callTime)
-				e := ask(ctx, input)
+				ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
+				e := send(ctx, input)
 				cancel()
 				e.input = input
 				l.mu.Lock()
@@ -93,29 +92,29 @@
 	}
 }
 
-// done counts the requests of a group that have ended.
+// done returns the number of requests of a group that have ended.
 func (l *load) done(group string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.ends[group])
 }
 
-// goOn waits until so many more requests of the group have ended.
-func (l *load) goOn(group string, more int) {
+// awaitMore waits until more further requests of the group have ended.
+func (l *load) awaitMore(group string, more int) {
 	l.f.t.Helper()
 	want := l.done(group) + more
 	await(l.f.t, func() bool { return l.done(group) >= want }, "more requests of "+group)
 }
 
-// finish stops the callers after the requests that they wait for.
-func (l *load) finish() map[string][]end {
+// finish stops the callers once their requests in flight have ended, and returns all outcomes.
+func (l *load) finish() map[string][]requestEnd {
 	l.stop()
 	_ = l.workers.Wait()
 	return l.ends
 }
 
-// tell logs how the requests ended.
-func (l *load) tell() {
+// logOutcomes logs the number of requests by outcome and reason.
+func (l *load) logOutcomes() {
 	for group, ends := range l.ends {
 		count := map[string]int{}
 		for _, e := range ends {
@@ -125,63 +124,63 @@
 	}
 }
 
-// captions asks for captions, which may be repeated.
-func captions(c *client.Client) func(context.Context, string) end {
-	return func(ctx context.Context, input string) end {
+// captionRequest returns a function that requests a caption, which may be repeated.
+func captionRequest(c *client.Client) func(context.Context, string) requestEnd {
+	return func(ctx context.Context, input string) requestEnd {
 		answer, err := c.Run(ctx, client.Request{Pipeline: "caption", Input: input, MaxTokens: tokens})
-		return end{answer: answer, err: err}
+		return requestEnd{answer: answer, err: err}
 	}
 }
 
-// warnings pushes warnings, each by a ticket.
-func warnings(c *client.Client) func(context.Context, string) end {
-	return func(ctx context.Context, input string) end {
+// warningRequest returns a function that publishes a warning with a ticket of its own.
+func warningRequest(c *client.Client) func(context.Context, string) requestEnd {
+	return func(ctx context.Context, input string) requestEnd {
 		ticket, err := c.Ticket(ctx, "warning")
 		if err != nil {
-			return end{err: err}
+			return requestEnd{err: err}
 		}
 		work := client.Request{Pipeline: "warning", Input: input, MaxTokens: tokens}
 		answer, err := c.RunTicket(ctx, ticket.RequestID, work)
-		return end{ticket: ticket.RequestID, answer: answer, err: err}
+		return requestEnd{ticket: ticket.RequestID, answer: answer, err: err}
 	}
 }
 
-// wholeAll fails unless every one of the requests got its own whole answer.
-func (f *fleet) wholeAll(group string, ends []end) {
+// requireAllComplete fails unless each request got its own complete answer.
+func (f *fleet) requireAllComplete(group string, ends []requestEnd) {
 	f.t.Helper()
 	require.NotEmpty(f.t, ends, group)
 	for _, e := range ends {
 		if e.err != nil {
-			require.NoError(f.t, e.err, "%s of %d\n%s", e.input, len(ends), f.story(e))
+			require.NoError(f.t, e.err, "%s of %d\n%s", e.input, len(ends), f.explain(e))
 		}
 		require.Equal(f.t, stand.FullText(e.input, tokens), e.answer.Payload.Text, e.input)
 	}
 }
 
-// story is what the daemons noted of the request.
-func (f *fleet) story(e end) string {
+// explain returns the daemons' notes about a failed request.
+func (f *fleet) explain(e requestEnd) string {
 	var other *client.AnswerError
 	if !errors.As(e.err, &other) {
 		return ""
 	}
-	story := fmt.Sprintf("%+v\n", other.Answer)
+	text := fmt.Sprintf("%+v\n", other.Answer)
 	for _, v := range f.vms {
 		var notes []json.RawMessage
 		send(http.MethodGet, "http://"+v.operators+"/explain/"+other.Answer.RequestID, nil, &notes)
 		for _, n := range notes {
 			var line bytes.Buffer
 			_ = json.Compact(&line, n)
-			story += fmt.Sprintf("%s %s\n", v.name, &line)
+			text += fmt.Sprintf("%s %s\n", v.name, &line)
 		}
 	}
-	return story
+	return text
 }
 
-// trueAll fails unless the outcome of each ticketed request agrees with what the
-// plain services ran: complete once, unknown once at most, else never.
-func (f *fleet) trueAll(ends []end) {
+// requireTruthfulOutcomes fails unless the outcome of each ticketed request agrees with the runs
+// at the plain services: one if complete, at most one if unknown, else none.
+func (f *fleet) requireTruthfulOutcomes(ends []requestEnd) {
 	f.t.Helper()
-	published := f.published()
+	published := f.publishCounts()
 	for _, e := range ends {
 		runs := published[e.ticket]
 		switch e.outcome() {
--- a/internal/procs/main_test.go
+++ b/internal/procs/main_test.go
@@ -11,10 +11,10 @@
 	"jasmineshed/internal/single"
 )
 
-// mains refers to the programs. Go keeps the result of a test until the linked
-// test changes, and links no code that nothing refers to: without these a change
-// of the programs would leave an old pass standing.
-var mains = map[string]any{"jasmineshed": cmds.Main, "standin": single.Main}
+// linkedPrograms refers to the programs so that their code is linked. Go caches a test's result
+// until the linked test changes, and links no code that nothing refers to: without these
+// references a change of the programs would not invalidate a cached pass.
+var linkedPrograms = map[string]any{"jasmineshed": cmds.Main, "standin": single.Main}
 
 // programs is the directory that holds the built programs.
 var programs string
@@ -31,7 +31,7 @@
 	}
 	defer func() { _ = os.RemoveAll(dir) }()
 	args := []string{"build", "-o", dir}
-	for name := range mains {
+	for name := range linkedPrograms {
 		args = append(args, "jasmineshed/cmd/"+name)
 	}
 	build := exec.Command("go", args...)
--- a/internal/procs/port_test.go
+++ b/internal/procs/port_test.go
@@ -8,13 +8,13 @@
 	"testing"
 )
 
-// lastPort is the port that keptPort gave out last.
+// lastPort is the offset of the port that reservePort tried last.
 var lastPort atomic.Int32
 
-// keptPort is an address that a process can be started at, and started again
-// later. Ports from the system's own range won't do: while the process is down,
-// any outgoing connection may take one, and the process can't come back.
-func keptPort(t *testing.T) string {
+// reservePort returns an address at which a process can be started and restarted. Its port is not
+// from the system's ephemeral range: while the process is down, any outgoing connection could
+// take such a port, and the process could not restart.
+func reservePort(t *testing.T) string {
 	t.Helper()
 	const first, last = 20000, 32000
 	lastPort.CompareAndSwap(0, int32(first+os.Getpid()*17%(last-first)))
--- a/internal/proof/journal_test.go
+++ b/internal/proof/journal_test.go
@@ -6,37 +6,37 @@
 	shed "jasmineshed"
 )
 
-// journal is what callers, backend servers and operators saw. The oracle reads
+// journal records what callers, backend servers and operators observed. The oracle reads
 // nothing else.
 type journal struct {
-	runs     []*serverRun
-	asked    []*ask
-	changes  []change
-	inForce  []inForce
-	overload []overload
-	stops    []plannedStop
+	runs           []*serverRun
+	callerRequests []*callerRequest
+	changes        []change
+	activations    []activation
+	coldOverloads  []coldOverload
+	stops          []plannedStop
 }
 
-// serverRun is one call as a backend server ran it.
+// serverRun is one call that a backend server ran.
 type serverRun struct {
 	server  shed.ServerID
 	zone    shed.ZoneID
 	request shed.RequestID
 	stage   shed.StageID
 	attempt uint16
-	began   time.Time
+	started time.Time
 }
 
-// ask is one call of a caller, and the answer it got.
-type ask struct {
+// callerRequest is one request of a caller, and the answer it got.
+type callerRequest struct {
 	request  shed.RequestID
 	pipeline shed.PipelineID
 	input    string
 	vm       shed.VM
 	at       time.Time
-	// answers that came back; more than one would be a fault of its own.
+	// answers holds all answers received; more than one is a violation.
 	answers []answer
-	// broken: the connection broke, since the process at its end died.
+	// broken is set when the connection broke because the process serving it died.
 	broken bool
 }
 
@@ -57,8 +57,8 @@
 	leaving map[shed.ServerID]bool
 }
 
-// inForce is one revision coming into force in one process.
-type inForce struct {
+// activation records that one process put a revision in force.
+type activation struct {
 	vm   shed.VM
 	inc  shed.Incarnation
 	rev  shed.Revision
@@ -66,22 +66,22 @@
 	zone shed.ZoneID
 }
 
-// overload is a cold server that got more than it bears.
-type overload struct {
-	server  shed.ServerID
-	at      time.Time
-	running int
-	bears   int
+// coldOverload records that a cold server got more calls than its cold capacity.
+type coldOverload struct {
+	server       shed.ServerID
+	at           time.Time
+	running      int
+	coldCapacity int
 }
 
 // plannedStop is one graceful stop.
 type plannedStop struct {
-	vm    shed.VM
-	inc   shed.Incarnation
-	asked time.Time
-	ended time.Time
-	// cut are callers whose connection the end of the process cut off.
-	cut int
-	// killed: something else ended the process first.
+	vm        shed.VM
+	inc       shed.Incarnation
+	requested time.Time
+	ended     time.Time
+	// abortedCallers counts callers whose connection was closed when the process ended.
+	abortedCallers int
+	// killed is set if a fault ended the process before the stop was complete.
 	killed bool
 }
--- a/internal/proof/world_test.go
+++ b/internal/proof/world_test.go
@@ -11,7 +11,7 @@
 	"jasmineshed/internal/core"
 )
 
-// world is a fleet of decision cores with fakes around them.
+// world is a simulated fleet of decision cores with fakes for their environment.
 type world struct {
 	clock
 	journal
@@ -19,42 +19,42 @@
 	nodes   []*node
 	servers []*server
 	plat    *platform
-	// cuts are pairs of labels between which nothing passes, one way.
-	cuts map[[2]string]bool
-	// noise delays and doubles control messages at random.
+	// blocked holds the pairs of labels whose messages are dropped, in one direction.
+	blocked map[[2]string]bool
+	// noise delays and duplicates control messages at random.
 	noise bool
-	// steps counts what may be interrupted; onStep is told of each, before it.
-	steps  int
-	onStep func(step int, n *node)
-	tune   func(*core.Config)
-	reads  int
-	trace  string
+	// steps counts the points at which faults can strike; onStep runs before each.
+	steps       int
+	onStep      func(step int, n *node)
+	configure   func(*core.Config)
+	configReads int
+	trace       string
 }
 
 const (
-	// latency of one message, to which up to as much is added at random.
+	// latency is the least network delay of one message; up to as much is added at random.
 	latency = time.Millisecond
-	// dialTimeout, linkSilence and beat are those of the drivers.
-	dialTimeout = 500 * time.Millisecond
-	linkSilence = time.Second
-	beat        = 200 * time.Millisecond
+	// dialTimeout, heartbeatTimeout and heartbeatInterval are those of the drivers.
+	dialTimeout       = 500 * time.Millisecond
+	heartbeatTimeout  = time.Second
+	heartbeatInterval = 200 * time.Millisecond
 )
 
 func newWorld(seed uint64) *world {
-	w := &world{trace: *tracing, rng: rand.New(rand.NewPCG(seed, 1)), cuts: map[[2]string]bool{}}
+	w := &world{trace: *traceFilter, rng: rand.New(rand.NewPCG(seed, 1)), blocked: map[[2]string]bool{}}
 	w.now = epoch
 	w.plat = &platform{world: w}
 	return w
 }
 
-// cut stops messages from a to b, which are zones, VMs, servers or "platform".
-func (w *world) cut(a, b string)  { w.cuts[[2]string{a, b}] = true }
-func (w *world) heal(a, b string) { delete(w.cuts, [2]string{a, b}) }
+// block drops messages from a to b, which are zones, VMs, servers or "platform".
+func (w *world) block(a, b string)   { w.blocked[[2]string{a, b}] = true }
+func (w *world) unblock(a, b string) { delete(w.blocked, [2]string{a, b}) }
 
-func (w *world) reach(from, to []string) bool {
+func (w *world) canReach(from, to []string) bool {
 	for _, a := range from {
 		for _, b := range to {
-			if w.cuts[[2]string{a, b}] {
+			if w.blocked[[2]string{a, b}] {
 				return false
 			}
 		}
@@ -62,13 +62,13 @@
 	return true
 }
 
-// travel is how long one message takes.
-func (w *world) travel() time.Duration {
+// networkDelay draws the network delay of one message.
+func (w *world) networkDelay() time.Duration {
 	return latency + time.Duration(w.rng.Int64N(int64(latency)))
 }
 
-// lag is what noise adds to a control message.
-func (w *world) lag() time.Duration {
+// noiseDelay draws the delay that noise adds to a control message.
+func (w *world) noiseDelay() time.Duration {
 	if !w.noise || w.rng.IntN(4) > 0 {
 		return 0
 	}
@@ -93,17 +93,17 @@
 	return nil
 }
 
-// show prints an event or action that concerns what -about names.
-func (w *world) show(n *node, what string, x any) {
+// printTrace prints an event or action that contains the text of -about.
+func (w *world) printTrace(n *node, label string, x any) {
 	if w.trace == "" {
 		return
 	}
 	if line := fmt.Sprintf("%T %+v", x, x); strings.Contains(line, w.trace) {
-		fmt.Printf("%12s %s %s %s\n", w.now.Sub(epoch), n.vm, what, line)
+		fmt.Printf("%12s %s %s %s\n", w.now.Sub(epoch), n.vm, label, line)
 	}
 }
 
-// step counts a moment at which the world may be interrupted.
+// step counts a point at which a fault can strike.
 func (w *world) step(n *node) {
 	w.steps++
 	if w.onStep != nil {
@@ -111,17 +111,17 @@
 	}
 }
 
-// platform is the configuration service and the VM list.
+// platform is a fake of the configuration service and the VM list.
 type platform struct {
 	world *world
-	// values by revision; the last is the newest.
+	// values are in the order of their revisions; the last is the newest.
 	values []value
 	down   bool
-	// frozen is how many values are shown while stale; 0 means all.
-	frozen int
-	// read is the highest revision that anybody has read.
-	read shed.Revision
-	// hidden are the changes that it has not shown yet.
+	// visibleCount is how many values can be read while stale; 0 means all.
+	visibleCount int
+	// highestRead is the highest revision that any node has read.
+	highestRead shed.Revision
+	// hidden holds the changes that cannot be read yet.
 	hidden  []change
 	watches []watch
 	lists   []vmList
@@ -142,60 +142,59 @@
 	vms  []shed.VMEntry
 }
 
-// vmLag is how late the VM list is.
-const vmLag = 2 * time.Second
+// vmListLag is the delay of the VM list.
+const vmListLag = 2 * time.Second
 
-// beStale makes the platform go on showing what it held before its newest
-// value, for a time.
-func (p *platform) beStale(d time.Duration) {
-	p.frozen = max(1, len(p.values)-1)
+// startStale makes the platform serve the value before its newest one for a time.
+func (p *platform) startStale(d time.Duration) {
+	p.visibleCount = max(1, len(p.values)-1)
 	p.world.after(d, func() {
-		p.frozen = 0
+		p.visibleCount = 0
 		for _, c := range p.hidden {
-			p.show(c)
+			p.reveal(c)
 		}
 		p.hidden = nil
 	})
 }
 
-// beDown stops the platform for a time. A change that it took in just before
-// and that nobody has read counts from when it can be read.
-func (p *platform) beDown(d time.Duration) {
+// startOutage stops the platform for a time. A change that was published just before and that
+// no node has read counts from when it can be read.
+func (p *platform) startOutage(d time.Duration) {
 	p.down = true
 	p.world.after(d, func() {
 		p.down = false
 		for i := range p.world.changes {
-			if c := &p.world.changes[i]; c.rev > p.read {
+			if c := &p.world.changes[i]; c.rev > p.highestRead {
 				c.at = p.world.now
 			}
 		}
 	})
 }
 
-func (p *platform) shown() []value {
-	if p.frozen > 0 {
-		return p.values[:p.frozen]
+func (p *platform) visible() []value {
+	if p.visibleCount > 0 {
+		return p.values[:p.visibleCount]
 	}
 	return p.values
 }
 
-// publish takes a change in. While the platform is stale it shows the change
-// to nobody, so nobody can follow it: it counts from when it is shown.
+// publish stores a change. While the platform is stale no node can read the change, so it
+// counts from when it can be read.
 func (p *platform) publish(v value, c change) {
 	p.values = append(p.values, v)
-	if p.frozen > 0 {
+	if p.visibleCount > 0 {
 		p.hidden = append(p.hidden, c)
 		return
 	}
-	p.show(c)
+	p.reveal(c)
 }
 
-func (p *platform) show(c change) {
+func (p *platform) reveal(c change) {
 	c.at = p.world.now
 	p.world.changes = append(p.world.changes, c)
-	due := p.watches
+	pending := p.watches
 	p.watches = nil
-	for _, x := range due {
+	for _, x := range pending {
 		x.done()
 	}
 }
@@ -203,9 +202,9 @@
 // readConfig answers a ReadConfig of node n.
 func (p *platform) readConfig(n *node, a shed.ReadConfig) {
 	w := p.world
-	w.reads++
-	if p.down || !w.reach(n.labels(), []string{"platform"}) {
-		n.at(a.Wait+2*time.Second, func() { n.handle(shed.ConfigRead{Failed: true}) })
+	w.configReads++
+	if p.down || !w.canReach(n.labels(), []string{"platform"}) {
+		n.after(a.Wait+2*time.Second, func() { n.handle(shed.ConfigRead{Failed: true}) })
 		return
 	}
 	answered := false
@@ -214,15 +213,15 @@
 			return
 		}
 		answered = true
-		if p.down || !w.reach([]string{"platform"}, n.labels()) {
-			n.at(2*time.Second, func() { n.handle(shed.ConfigRead{Failed: true}) })
+		if p.down || !w.canReach([]string{"platform"}, n.labels()) {
+			n.after(2*time.Second, func() { n.handle(shed.ConfigRead{Failed: true}) })
 			return
 		}
 		got := p.answer(a)
-		n.at(w.travel(), func() { n.handle(got) })
+		n.after(w.networkDelay(), func() { n.handle(got) })
 	}
-	w.after(w.travel(), func() {
-		if shown := p.shown(); len(shown) > 0 && shown[len(shown)-1].index.Revision > a.After {
+	w.after(w.networkDelay(), func() {
+		if shown := p.visible(); len(shown) > 0 && shown[len(shown)-1].index.Revision > a.After {
 			done()
 			return
 		}
@@ -232,7 +231,7 @@
 }
 
 func (p *platform) answer(a shed.ReadConfig) shed.ConfigRead {
-	shown := p.shown()
+	shown := p.visible()
 	if len(shown) == 0 {
 		return shed.ConfigRead{}
 	}
@@ -240,12 +239,12 @@
 	if v.index.Revision <= a.After {
 		return shed.ConfigRead{Index: shed.ConfigIndex{Revision: v.index.Revision}}
 	}
-	p.read = max(p.read, v.index.Revision)
+	p.highestRead = max(p.highestRead, v.index.Revision)
 	return shed.ConfigRead{Index: v.index, Parts: v.parts}
 }
 
-// listed shows the VM list as it was vmLag ago.
-func (p *platform) listed() []shed.VMEntry {
+// listVMs returns the VM list as it was vmListLag ago.
+func (p *platform) listVMs() []shed.VMEntry {
 	var out []shed.VMEntry
 	for _, l := range p.lists {
 		if !l.from.After(p.world.now) {
@@ -255,7 +254,7 @@
 	return out
 }
 
-func (p *platform) relist() {
+func (p *platform) updateVMList() {
 	var vms []shed.VMEntry
 	for _, n := range p.world.nodes {
 		if n.up {
@@ -263,7 +262,7 @@
 		}
 	}
 	sort.Slice(vms, func(i, j int) bool { return vms[i].VM < vms[j].VM })
-	lag := vmLag
+	lag := vmListLag
 	if len(p.lists) == 0 {
 		lag = 0
 	}
