--- a/internal/prefs/docs.go
+++ b/internal/prefs/docs.go
@@ -8,12 +8,12 @@
 
 const docsHeader = `# Settings of a daemon
 
-Settings are an INI file, named by ` + "`--settings`" + `. An option that the file leaves
-out has its default. Every fault is told at once, each with section, key and
-reason; with one fault the daemon doesn't start. ` + "`jasmineshed settings check FILE`" + `
-uses the same code, ` + "`jasmineshed settings show`" + ` prints what is in force.
+Settings are read from an INI file, named by ` + "`--settings`" + `. An option that is not
+in the file has its default. All faults are reported together, each with section, key
+and reason; with any fault the daemon doesn't start. ` + "`jasmineshed settings check FILE`" + `
+uses the same code, ` + "`jasmineshed settings show`" + ` prints the settings in effect.
 
-Durations are written as 250ms, 5s or 2m. This page is printed from the code.
+Durations are written as 250ms, 5s or 2m. This page is generated from the code.
 `
 
 // WriteDocs prints the page on all options, in Markdown.
@@ -33,7 +33,7 @@
 func writeSection(b *strings.Builder, p *Prefs, s *section) {
 	fmt.Fprintf(b, "\n## [%s]\n\n%s\n", s.name, s.doc)
 	if len(s.options) == 0 {
-		b.WriteString("\nThere are none to set.\n")
+		b.WriteString("\nThis section has no options.\n")
 		return
 	}
 	b.WriteString("\n| option | unit | default | bounds | meaning |\n|---|---|---|---|---|\n")
