--- a/internal/cmds/cmds.go
+++ b/internal/cmds/cmds.go
@@ -53,7 +53,7 @@
 	root.SetOut(d.Out)
 	root.SetErr(d.Err)
 	root.SetIn(d.In)
-	root.PersistentFlags().StringVar(&d.SettingsPath, "settings", "", "file with settings; defaults without one")
+	root.PersistentFlags().StringVar(&d.SettingsPath, "settings", "", "settings file; if empty, the defaults apply")
 	for _, build := range commands {
 		root.AddCommand(build(d))
 	}
--- a/internal/cmds/demo.go
+++ b/internal/cmds/demo.go
@@ -15,9 +15,9 @@
 	logs := false
 	c := &cobra.Command{
 		Use:   "demo",
-		Short: "Run a whole fleet with stand-ins in this process",
-		Long: "Run a whole fleet with stand-ins in this process, on loopback, and send one request\n" +
-			"through each pipeline. It exits 0 only if every answer was whole.",
+		Short: "Run a complete fleet with stand-ins in this process",
+		Long: "Run a complete fleet with stand-ins in this process, on loopback, and send one request\n" +
+			"through each pipeline. The exit code is 0 only if every answer was complete.",
 		Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			var to io.Writer
@@ -30,7 +30,7 @@
 	}
 	f := c.Flags()
 	f.StringVar(&cfg.Example, "example", "weerbeeld", "rules to run: "+strings.Join(sample.Names(), ", "))
-	f.BoolVar(&cfg.KeepRunning, "keep", false, "stay up afterwards and print how to reach the fleet")
+	f.BoolVar(&cfg.KeepRunning, "keep", false, "keep the fleet running afterwards and print its addresses")
 	f.BoolVar(&logs, "logs", false, "write the daemons' logs to standard error")
 	return c
 }
--- a/internal/cmds/measure.go
+++ b/internal/cmds/measure.go
@@ -23,15 +23,15 @@
 	m := &measure{deps: d}
 	c := &cobra.Command{
 		Use:   "measure SCENARIO",
-		Short: "Play a scenario against a fleet with stand-ins in this process",
-		Long: "Play a scenario against daemons and stand-ins on loopback in this process, and\n" +
-			"report what callers got. Scenarios are files such as those in examples/scenarios.",
+		Short: "Run a scenario against a fleet with stand-ins in this process",
+		Long: "Run a scenario against daemons and stand-ins on loopback in this process, and\n" +
+			"report the results that callers got. Scenarios are files such as those in examples/scenarios.",
 		Args: cobra.ExactArgs(1),
 	}
 	f := c.Flags()
-	f.StringVar(&m.policy, "policy", "", "policy instead of the scenario's: affinity, round_robin, least_outstanding, two_choices")
-	f.Uint64Var(&m.seed, "seed", 0, "seed instead of the scenario's")
-	f.StringVar(&m.lines, "lines", "", "file for one JSON line a request")
+	f.StringVar(&m.policy, "policy", "", "policy that overrides the scenario's: affinity, round_robin, least_outstanding, two_choices")
+	f.Uint64Var(&m.seed, "seed", 0, "seed that overrides the scenario's, if not 0")
+	f.StringVar(&m.lines, "lines", "", "file for JSON lines, one per request")
 	f.StringVar(&m.plot, "plot", "", "file for a plot over time, such as plot.png or plot.svg")
 	f.StringVar(&m.log, "log", os.DevNull, "file for the daemons' logs")
 	c.RunE = func(c *cobra.Command, args []string) error {
--- a/internal/cmds/relay.go
+++ b/internal/cmds/relay.go
@@ -15,10 +15,10 @@
 func newRelayCommand(d *Deps) *cobra.Command {
 	return &cobra.Command{
 		Use:   "relay",
-		Short: "Run the daemon that passes requests on unread",
-		Long: "Run the daemon of an entry VM that passes requests on unread, by the routes that\n" +
-			"lie in the platform's store. The first SIGTERM or SIGINT stops it gracefully, the\n" +
-			"second one hurries, the third one ends it at once. SIGHUP reads the settings again.",
+		Short: "Run the daemon that forwards requests without interpreting them",
+		Long: "Run the daemon of an entry VM that forwards requests without interpreting them, by the\n" +
+			"routes in the platform's store. The first SIGTERM or SIGINT stops it gracefully, the second\n" +
+			"cuts off requests in flight, the third ends it at once. SIGHUP reloads the settings.",
 		Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			p, err := d.Settings()
--- a/internal/cmds/request.go
+++ b/internal/cmds/request.go
@@ -31,16 +31,16 @@
 	r := &request{deps: d}
 	c := &cobra.Command{
 		Use:   "request PIPELINE [INPUT]",
-		Short: "Run a pipeline and show what goes on",
-		Long: "Run a pipeline and show what goes on. The input is read from standard input\n" +
-			"if it isn't given. The workspace's token is taken from " + tokenVariable + ".",
+		Short: "Run a pipeline and show its progress",
+		Long: "Run a pipeline and show its progress. The input is read from standard input\n" +
+			"if it isn't given. The workspace's token is read from the variable " + tokenVariable + ".",
 		Args: cobra.RangeArgs(1, 2),
 	}
 	f := c.Flags()
 	f.StringSliceVar(&r.urls, "url", []string{"http://127.0.0.1:7400"}, "base URLs of the fleet")
-	f.StringVar(&r.workspace, "workspace", "", "workspace to run it for")
-	f.Uint32Var(&r.params.MaxTokens, "max-tokens", 0, "bound on the tokens generated; 0 for none")
-	f.DurationVar(&r.params.Budget, "budget", 0, "time limit; 0 takes the pipeline's deadline")
+	f.StringVar(&r.workspace, "workspace", "", "workspace to run the pipeline for")
+	f.Uint32Var(&r.params.MaxTokens, "max-tokens", 0, "limit on the tokens generated; 0 for none")
+	f.DurationVar(&r.params.Budget, "budget", 0, "time limit; 0 for the pipeline's deadline")
 	f.BoolVar(&r.once, "once", false, "get a ticket and run the pipeline at most once")
 	f.BoolVar(&r.quiet, "quiet", false, "print only the answer")
 	c.RunE = func(c *cobra.Command, args []string) error {
--- a/internal/cmds/rules.go
+++ b/internal/cmds/rules.go
@@ -54,7 +54,7 @@
 func newRulesCheckCommand(d *Deps) *cobra.Command {
 	return &cobra.Command{
 		Use:   "check FILE",
-		Short: "Tell every fault of a rules file, as the daemons would judge it",
+		Short: "Print all faults of a rules file, by the same checks as in the daemons",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
 			_, r, err := d.loadRules(args[0])
@@ -71,7 +71,7 @@
 func newRulesExplainCommand(d *Deps) *cobra.Command {
 	return &cobra.Command{
 		Use:   "explain FILE SUBJECT",
-		Short: "Tell which rules decide about a pipeline, stage, workspace, server, pool, zone or supplier",
+		Short: "Print the rules that apply to a pipeline, stage, workspace, server, pool, zone or supplier",
 		Args:  cobra.ExactArgs(2),
 		RunE: func(_ *cobra.Command, args []string) error {
 			_, r, err := d.loadRules(args[0])
--- a/internal/cmds/serve.go
+++ b/internal/cmds/serve.go
@@ -18,7 +18,7 @@
 		Use:   "serve",
 		Short: "Run the daemon of an entry VM",
 		Long: "Run the daemon of an entry VM. The first SIGTERM or SIGINT stops it gracefully,\n" +
-			"the second one hurries, the third one ends it at once.",
+			"the second skips the notice period, the third ends it at once.",
 		Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			p, err := d.Settings()
--- a/internal/cmds/settings.go
+++ b/internal/cmds/settings.go
@@ -28,7 +28,7 @@
 func newSettingsShowCommand(d *Deps) *cobra.Command {
 	return &cobra.Command{
 		Use:   "show",
-		Short: "Print the settings that would be in force",
+		Short: "Print the settings that would be in effect",
 		Args:  cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			p, err := d.Settings()
@@ -43,7 +43,7 @@
 func newSettingsCheckCommand(d *Deps) *cobra.Command {
 	return &cobra.Command{
 		Use:   "check FILE",
-		Short: "Tell every fault in a file with settings",
+		Short: "Print all faults of a settings file",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
 			if _, err := prefs.Load(args[0]); err != nil {
@@ -58,7 +58,7 @@
 func newSettingsDocsCommand(d *Deps) *cobra.Command {
 	return &cobra.Command{
 		Use:   "docs",
-		Short: "Print the page on all settings",
+		Short: "Print the documentation of all settings, in Markdown",
 		Args:  cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			return prefs.WriteDocs(d.Out)
--- a/internal/cmds/status.go
+++ b/internal/cmds/status.go
@@ -22,7 +22,7 @@
 func newStatusCommand(d *Deps) *cobra.Command {
 	c := &cobra.Command{
 		Use:   "status",
-		Short: "Print what a daemon believes",
+		Short: "Print the current view of a daemon",
 		Args:  cobra.NoArgs,
 	}
 	base := addOperatorsFlag(c)
@@ -35,7 +35,7 @@
 func newExplainCommand(d *Deps) *cobra.Command {
 	c := &cobra.Command{
 		Use:   "explain REQUEST",
-		Short: "Print what a daemon decided on a request and why",
+		Short: "Print the decisions of a daemon on a request and their reasons",
 		Args:  cobra.ExactArgs(1),
 	}
 	base := addOperatorsFlag(c)
