--- a/action.go
+++ b/action.go
@@ -120,7 +120,7 @@
 }
 
 // SetReady tells the load balancer whether this VM accepts requests.
-type SetReady struct{ SetReady bool }
+type SetReady struct{ Ready bool }
 
 // Note records the reason for a decision, for explain, logs and metrics.
 type Note struct {
--- a/internal/core/view.go
+++ b/internal/core/view.go
@@ -73,6 +73,6 @@
 	ready := c.serversKnown && !c.stop.requested && c.blockedReason(now) == shed.ReasonNone
 	if ready != c.ready {
 		c.ready = ready
-		c.out = append(c.out, shed.SetReady{SetReady: ready})
+		c.out = append(c.out, shed.SetReady{Ready: ready})
 	}
 }
--- a/internal/daemon/loop.go
+++ b/internal/daemon/loop.go
@@ -55,8 +55,8 @@
 		d.rules.Store(a.Rules)
 		d.cfg.Log.WithField("revision", a.Rules.Revision).Info("rules in force")
 	case shed.SetReady:
-		d.ready.Store(a.SetReady)
-		d.cfg.Log.WithField("ready", a.SetReady).Info("readiness")
+		d.ready.Store(a.Ready)
+		d.cfg.Log.WithField("ready", a.Ready).Info("readiness")
 	case shed.Note:
 		d.recordNote(a)
 	case shed.Exit:
--- a/internal/proof/node_test.go
+++ b/internal/proof/node_test.go
@@ -228,7 +228,7 @@
 		n.rev = a.Rules.Revision
 		n.recordRevision()
 	case shed.SetReady:
-		n.ready = a.SetReady
+		n.ready = a.Ready
 		n.recordRevision()
 	case shed.Exit:
 		n.exit()
