--- a/internal/accept/accept_test.go
+++ b/internal/accept/accept_test.go
@@ -76,7 +76,7 @@
 	rng := rand.New(rand.NewPCG(1, 1))
 	g := accept.New()
 	var queue time.Duration
-	var asked, admitted [2]float64
+	var requested, admitted [2]float64
 	for now := time.Duration(0); now < last; {
 		gap := time.Duration(rng.ExpFloat64() * float64(time.Second) / (urgentPerSec + otherPerSec))
 		now, queue = now+gap, max(queue-gap, 0)
@@ -90,13 +90,13 @@
 			a.Route, a.ToTarget, a.ToDeadline = "other", 3100*ms, 20*time.Second
 			a.MoreUrgent, a.UrgentRanks = []shed.RouteID{"urgent"}, ranks
 		}
-		asked[kind]++
+		requested[kind]++
 		if g.Decide(a).Admitted {
 			admitted[kind]++
 			queue += time.Second / perSec
 		}
 	}
-	return admittedShares{urgent: admitted[0] / asked[0], other: admitted[1] / asked[1]}
+	return admittedShares{urgent: admitted[0] / requested[0], other: admitted[1] / requested[1]}
 }
 
 // A route is removed from the configuration and added again under its old name. Its earlier
--- a/internal/batch/batch_test.go
+++ b/internal/batch/batch_test.go
@@ -54,11 +54,11 @@
 	}
 }
 
-func (tb *harness) addJob(job batch.JobID, n int, aim time.Duration, change func(*shed.Piece)) {
+func (tb *harness) addJob(job batch.JobID, n int, target time.Duration, change func(*shed.Piece)) {
 	pieces := make([]shed.Piece, n)
 	for i := range pieces {
 		pieces[i] = shed.Piece{
-			Request: shed.RequestID(fmt.Sprint("q", job)), Number: i, Bytes: 100, Budget: 5 * time.Second, Target: aim,
+			Request: shed.RequestID(fmt.Sprint("q", job)), Number: i, Bytes: 100, Budget: 5 * time.Second, Target: target,
 		}
 		if change != nil {
 			change(&pieces[i])
@@ -126,12 +126,12 @@
 	var ends time.Time
 	job := batch.JobID(0)
 	late := 0
-	asked := map[batch.JobID]time.Time{}
+	addedAt := map[batch.JobID]time.Time{}
 	for step := range 600 {
 		tb.now = tb.now.Add(10 * time.Millisecond)
 		if step%10 == 0 {
 			job++
-			asked[job] = tb.now
+			addedAt[job] = tb.now
 			tb.addJob(job, 4, 500*time.Millisecond, func(p *shed.Piece) { p.Bytes = 0 })
 		}
 		if running != nil && !tb.now.Before(ends) {
@@ -144,11 +144,11 @@
 		}
 		tb.handle(batch.Tick{})
 		for id, results := range tb.done {
-			if results[0].End == shed.PieceComplete && tb.now.Sub(asked[id]) > 500*time.Millisecond {
+			if results[0].End == shed.PieceComplete && tb.now.Sub(addedAt[id]) > 500*time.Millisecond {
 				late++
 			}
 			if results[0].End == shed.PieceLate {
-				require.LessOrEqual(t, tb.now.Sub(asked[id]), 600*time.Millisecond, "rejected as soon as it can't meet its target")
+				require.LessOrEqual(t, tb.now.Sub(addedAt[id]), 600*time.Millisecond, "rejected as soon as it can't meet its target")
 			}
 			delete(tb.done, id)
 		}
@@ -160,7 +160,7 @@
 
 // A server has capacity for ten results. No call may hold more pieces than fit beside the
 // results held there, until the server has been notified that some are released.
-func TestRoomIsCounted(t *testing.T) {
+func TestResultCapacityIsCounted(t *testing.T) {
 	tb := newHarness(t, "a")
 	tb.addJob(1, 9, 20*time.Second, func(p *shed.Piece) { p.Budget = 30 * time.Second })
 	tb.answer(tb.nextSend(), shed.PieceComplete)
@@ -181,7 +181,7 @@
 
 // Servers drop results that nobody frees after the retention period; the Batcher must then
 // count their capacity as free again.
-func TestRoomComesBack(t *testing.T) {
+func TestResultCapacityIsFreed(t *testing.T) {
 	tb := newHarness(t, "a")
 	tb.addJob(1, 4, time.Second, func(p *shed.Piece) { p.Bytes = 230 })
 	tb.answer(tb.nextSend(), shed.PieceComplete)
@@ -271,7 +271,7 @@
 
 // The VM stops: pending pieces go back to the requesting VMs, which ask the next coordinator;
 // calls in flight run to their end.
-func TestStoppedHandsBack(t *testing.T) {
+func TestStoppedReturnsPieces(t *testing.T) {
 	tb := newHarness(t, "a")
 	tb.addJob(1, 1, time.Second, nil)
 	running := tb.nextSend()
@@ -312,7 +312,7 @@
 
 // Another VM coordinated the pool before this one and reported what servers hold for it. That
 // capacity must count as used, and become free as those results expire.
-func TestRoomHeldForAnotherVM(t *testing.T) {
+func TestResultCapacityHeldForAnotherVM(t *testing.T) {
 	tb := newHarness(t, "a")
 	tb.handle(batch.HeldElsewhere{From: "vm2", Held: map[shed.ServerID]int64{"s0": 920}, Retention: limits.ResultRetention})
 	tb.addJob(1, 4, 5*time.Second, func(p *shed.Piece) { p.Budget = 10 * time.Second })
--- a/internal/batch/dispatch.go
+++ b/internal/batch/dispatch.go
@@ -181,7 +181,7 @@
 // fillCall fills a call with the most urgent pieces whose results fit the server's free
 // capacity.
 func (b *Batcher) fillCall(now time.Time, out []Action, g *group, servers []shed.ServerEntry, s shed.ServerEntry) []Action {
-	room := b.producers[s.ID].freeBytes(now, g.limits)
+	freeBytes := b.producers[s.ID].freeBytes(now, g.limits)
 	schedule := b.zoneSchedule(now, g, servers)
 	var chosen, rest []*piece
 	var bytes int64
@@ -190,7 +190,7 @@
 			continue
 		}
 		otherSubgroup := len(chosen) > 0 && p.subgroup != chosen[0].subgroup
-		if otherSubgroup || len(chosen) == g.limits.MaxPieces || !schedule.mayRunOn(p, s) || p.Bytes > room-bytes && g.limits.ResultCapacity > 0 {
+		if otherSubgroup || len(chosen) == g.limits.MaxPieces || !schedule.mayRunOn(p, s) || p.Bytes > freeBytes-bytes && g.limits.ResultCapacity > 0 {
 			rest = append(rest, p)
 			continue
 		}
--- a/internal/batch/machine_test.go
+++ b/internal/batch/machine_test.go
@@ -18,7 +18,7 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		tb := newHarness(t, "a", "a", "b")
 		all := tb.servers
-		asked := map[batch.JobID]int{}
+		pieceCounts := map[batch.JobID]int{}
 		next := batch.JobID(0)
 		resultCounts := func() map[shed.ResultRef]int {
 			refs := map[shed.ResultRef]int{}
@@ -59,9 +59,9 @@
 			"ask": func(rt *rapid.T) {
 				next++
 				n := rapid.IntRange(1, 9).Draw(rt, "pieces")
-				asked[next] = n
-				aim := time.Duration(rapid.IntRange(100, 2000).Draw(rt, "aim")) * time.Millisecond
-				tb.addJob(next, n, aim, func(p *shed.Piece) {
+				pieceCounts[next] = n
+				target := time.Duration(rapid.IntRange(100, 2000).Draw(rt, "aim")) * time.Millisecond
+				tb.addJob(next, n, target, func(p *shed.Piece) {
 					p.SameZone = n%2 == 0
 					if n%3 == 0 {
 						p.PreferredZone = "b"
@@ -77,7 +77,7 @@
 				id := batch.JobID(rapid.Uint64Range(1, uint64(next)).Draw(rt, "job"))
 				tb.handle(batch.JobDropped{Job: id})
 				if _, done := tb.done[id]; !done {
-					delete(asked, id)
+					delete(pieceCounts, id)
 				}
 			},
 			"servers": func(rt *rapid.T) { tb.servers = all[:rapid.IntRange(0, len(all)).Draw(rt, "servers")] },
@@ -92,7 +92,7 @@
 			},
 			"": func(rt *rapid.T) {
 				for id, results := range tb.done {
-					if n, ok := asked[id]; ok {
+					if n, ok := pieceCounts[id]; ok {
 						require.Len(rt, results, n)
 					}
 				}
@@ -108,7 +108,7 @@
 			}
 			tb.advance(100 * time.Millisecond)
 		}
-		for id := range asked {
+		for id := range pieceCounts {
 			require.Contains(rt, tb.done, id)
 		}
 	})
--- a/internal/batch/producer.go
+++ b/internal/batch/producer.go
@@ -9,7 +9,7 @@
 
 // producer is the state of one server as seen by this VM.
 type producer struct {
-	born int64
+	startedMs int64
 	// running is the call in flight; 0 if none.
 	running CallID
 	// slowness is the ratio of actual to expected call time.
@@ -158,15 +158,15 @@
 func (b *Batcher) producer(s shed.ServerEntry) *producer {
 	m := b.producers[s.ID]
 	if m == nil {
-		m = &producer{born: s.StartedMs, slowness: 1}
+		m = &producer{startedMs: s.StartedMs, slowness: 1}
 		b.producers[s.ID] = m
 	}
-	if m.born == 0 {
-		m.born = s.StartedMs
+	if m.startedMs == 0 {
+		m.startedMs = s.StartedMs
 	}
-	if m.born != s.StartedMs {
+	if m.startedMs != s.StartedMs {
 		// A restarted server holds no earlier results.
-		*m = producer{born: s.StartedMs, slowness: 1, running: m.running, heldBytes: b.runningBytes(m.running)}
+		*m = producer{startedMs: s.StartedMs, slowness: 1, running: m.running, heldBytes: b.runningBytes(m.running)}
 		for ref, h := range b.held {
 			if h.server == s.ID {
 				delete(b.held, ref)
--- a/internal/config/bench_test.go
+++ b/internal/config/bench_test.go
@@ -39,11 +39,11 @@
 
 // second simulates one second: ticks, immediate answers to the daemon's own queries and
 // reads, and as many queries from peers as a daemon gets.
-func (st *steadyState) second(asked int) {
+func (st *steadyState) second(queries int) {
 	for i := range 10 {
 		st.now = st.now.Add(shed.TickEvery)
 		st.do(shed.Tick{Wall: st.now, Mono: st.now.Sub(time.Unix(simStart, 0))})
-		if i < asked {
+		if i < queries {
 			st.do(shed.PeerMessage{From: shed.Peer{VM: "10.0.0.9:70"}, Message: shed.ConfigDigest{Revision: 1, WantReply: true, Sequence: 9}})
 		}
 	}
--- a/internal/config/start.go
+++ b/internal/config/start.go
@@ -88,8 +88,8 @@
 }
 
 func (s *State) recordStartReply(from shed.VM, m shed.ConfigDigest) {
-	answered, asked := s.start.queried[from]
-	if !asked || answered {
+	answered, queried := s.start.queried[from]
+	if !queried || answered {
 		return
 	}
 	s.start.queried[from] = true
--- a/internal/core/view.go
+++ b/internal/core/view.go
@@ -61,7 +61,7 @@
 		if s.Zone != c.cfg.Zone || !open {
 			continue
 		}
-		if _, _, heard := c.load.Report(now, id); !heard {
+		if _, _, received := c.load.Report(now, id); !received {
 			c.serversKnown = false
 		}
 	}
--- a/internal/daemon/call.go
+++ b/internal/daemon/call.go
@@ -139,16 +139,16 @@
 
 // isIdempotent reports whether the stage may run twice. A stage that is not in
 // the rules is treated as one that may not.
-func (d *Daemon) isIdempotent(ask shed.StageRequest) bool {
+func (d *Daemon) isIdempotent(request shed.StageRequest) bool {
 	rules := d.rules.Load()
 	if rules == nil {
 		return false
 	}
-	p := rules.Pipelines[ask.Pipeline]
-	if p == nil || int(ask.Call.Stage) >= len(p.Stages) {
+	p := rules.Pipelines[request.Pipeline]
+	if p == nil || int(request.Call.Stage) >= len(p.Stages) {
 		return false
 	}
-	return p.Stages[ask.Call.Stage].Idempotent
+	return p.Stages[request.Call.Stage].Idempotent
 }
 
 // inputOf returns the call's input. The caller holds d.mu.
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -99,8 +99,8 @@
 		return nil
 	})
 	<-s.arrived
-	repeat := d.Serve(context.Background(), ticketed("one"), nil)
-	require.Equal(t, shed.OutcomeUnknown, repeat.Outcome)
+	retry := d.Serve(context.Background(), ticketed("one"), nil)
+	require.Equal(t, shed.OutcomeUnknown, retry.Outcome)
 	d.mu.Lock()
 	d.perform([]shed.Action{shed.Finish{Request: "one", Outcome: shed.OutcomeComplete}})
 	d.mu.Unlock()
--- a/internal/engine/fault_test.go
+++ b/internal/engine/fault_test.go
@@ -78,8 +78,8 @@
 		var got frameCollector
 		end = b.engine.Call(t.Context(), start, shed.Payload{Input: "x", MaxTokens: 40}, got.add)
 		require.Equal(t, shed.EndComplete, end.End, end.Reason)
-		whole := stand.FullText("x", 40)
-		require.Equal(t, strings.TrimPrefix(whole, stand.FullText("x", 10)), got.text())
+		full := stand.FullText("x", 40)
+		require.Equal(t, strings.TrimPrefix(full, stand.FullText("x", 10)), got.text())
 		require.Empty(t, got.frames[len(got.frames)-1].Result.Text)
 		b.close(t)
 	})
@@ -283,10 +283,10 @@
 	require.NoError(t, err)
 	require.Equal(t, shed.LoadReport{Boot: "s1-0", Sequence: 1, Fence: 5, Model: "m@2", Role: "decode"}, report)
 
-	stranger := engine.New(engine.Config{})
-	_, err = stranger.Order(t.Context(), order)
+	foreign := engine.New(engine.Config{})
+	_, err = foreign.Order(t.Context(), order)
 	require.ErrorIs(t, err, engine.ErrRefused)
-	require.NoError(t, stranger.Close())
+	require.NoError(t, foreign.Close())
 }
 
 // The caller's deadline passes in the middle of a generation. The call ends at that moment,
--- a/internal/fanout/fanout_test.go
+++ b/internal/fanout/fanout_test.go
@@ -198,7 +198,7 @@
 
 // All VMs of a large fleet know the same server limits. A hub that forwarded them with each load
 // would send them once per VM.
-func TestLimitsAreNotCarried(t *testing.T) {
+func TestLimitsAreNotForwarded(t *testing.T) {
 	var vms []shed.VM
 	for i := range 40 {
 		vms = append(vms, shed.VM(fmt.Sprintf("vm-%03d", i)))
@@ -213,7 +213,7 @@
 
 // Hubs die. Loads of the VMs that they forwarded must reach all peers again soon after the hubs
 // are detected dead, or peers go on with outdated shares of servers.
-func TestMembersOfADeadHubAreHeardAgain(t *testing.T) {
+func TestMembersOfADeadHubReportAgain(t *testing.T) {
 	f := newFleet(195, 15)
 	f.run(3 * time.Second)
 	diedAt := f.now
@@ -228,7 +228,7 @@
 
 // A partition cuts a zone off from the others. Each side must go on with its own hubs, even one
 // without a high-capacity VM.
-func TestEachSideOfACutHasHubs(t *testing.T) {
+func TestEachSideOfAPartitionHasHubs(t *testing.T) {
 	f := newFleet(195, 15)
 	for i, v := range f.nodes {
 		if i >= 150 {
--- a/internal/flow/ends.go
+++ b/internal/flow/ends.go
@@ -139,7 +139,7 @@
 // noRetryReason is why the stage must not be sent again, or ReasonNone if it may. It must be
 // called last, since it takes from the retry budget.
 func (f *Flow) noRetryReason(now time.Time, r *request, e shed.CallEnded) shed.Reason {
-	if !r.trail.MayRepeat(r.stage) && !f.disabled.mayRepeat {
+	if !r.trail.MayRetry(r.stage) && !f.disabled.mayRetry {
 		return orElse(e.Reason, shed.ReasonBroken)
 	}
 	if r.trail.Reached(r.stage) >= f.cfg.MaxAttempts || r.trail.Attempts(r.stage) >= f.cfg.MaxSends {
--- a/internal/flow/flow.go
+++ b/internal/flow/flow.go
@@ -82,7 +82,7 @@
 // safeguards can be disabled by tests, to prove that the tests detect their absence.
 type safeguards struct {
 	staleEnds     bool
-	mayRepeat     bool
+	mayRetry      bool
 	oneFinish     bool
 	checkLate     bool
 	oneStart      bool
--- a/internal/flow/machine_test.go
+++ b/internal/flow/machine_test.go
@@ -149,8 +149,8 @@
 	w.handle(e)
 }
 
-// repeatEnd delivers an end again, perhaps changed, or one of a call never sent.
-func (w *world) repeatEnd(*rapid.T) {
+// duplicateEnd delivers an end again, perhaps changed, or one of a call never sent.
+func (w *world) duplicateEnd(*rapid.T) {
 	if len(w.pastEnds) == 0 {
 		return
 	}
@@ -202,7 +202,7 @@
 			"arrive":   w.sendRequest,
 			"end":      w.endRandomCall,
 			"end_more": w.endRandomCall,
-			"repeat":   w.repeatEnd,
+			"repeat":   w.duplicateEnd,
 			"progress": w.progress,
 			"gone":     w.dropCaller,
 			"pass":     w.passTime,
@@ -234,7 +234,7 @@
 func mutants() map[string]safeguards {
 	return map[string]safeguards{
 		"stale ends":     {staleEnds: true},
-		"may repeat":     {mayRepeat: true},
+		"may repeat":     {mayRetry: true},
 		"one finish":     {oneFinish: true},
 		"check late":     {checkLate: true},
 		"one start":      {oneStart: true},
--- a/internal/flow/scenario_test.go
+++ b/internal/flow/scenario_test.go
@@ -160,11 +160,11 @@
 // draft goes to s2 at once and does not wait behind it.
 func TestOneThatAvoidsAServerHoldsUpNobody(t *testing.T) {
 	for _, disabled := range []bool{false, true} {
-		f := newFlow(func(ask shed.PlaceRequest) shed.Placement {
-			if len(ask.Avoid) > 0 {
+		f := newFlow(func(request shed.PlaceRequest) shed.Placement {
+			if len(request.Avoid) > 0 {
 				return shed.Placement{Kind: shed.PlaceWait, Reason: shed.ReasonServersBusy}
 			}
-			return placeOn("s2")(ask)
+			return placeOn("s2")(request)
 		})
 		f.disabled.skipQueue = disabled
 		first := actionsOf[shed.StartCall](f.Handle(start, newRequest("first", "draft")))[0]
@@ -179,11 +179,11 @@
 // The only other server stays full. The draft must not avoid the server that failed it until
 // its deadline: after a while any server is better than none.
 func TestAvoidingEndsWhereNothingElseFrees(t *testing.T) {
-	f := newFlow(func(ask shed.PlaceRequest) shed.Placement {
-		if len(ask.Avoid) > 0 {
+	f := newFlow(func(request shed.PlaceRequest) shed.Placement {
+		if len(request.Avoid) > 0 {
 			return shed.Placement{Kind: shed.PlaceWait, Reason: shed.ReasonServersBusy}
 		}
-		return placeOn("s2")(ask)
+		return placeOn("s2")(request)
 	})
 	failed := callEnd(actionsOf[shed.StartCall](f.Handle(start, newRequest("r", "draft")))[0].Call, shed.EndOverloaded, 0)
 	failed.Server = "s2"
--- a/internal/flow/trail/trail.go
+++ b/internal/flow/trail/trail.go
@@ -165,9 +165,9 @@
 	return 0
 }
 
-// MayRepeat reports whether the stage may be started again: it is idempotent, or
+// MayRetry reports whether the stage may be started again: it is idempotent, or
 // none of its sends can have run.
-func (t *Trail) MayRepeat(stage int) bool {
+func (t *Trail) MayRetry(stage int) bool {
 	s := &t.stages[stage]
 	return s.idempotent || !s.mayHaveRun()
 }
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -129,8 +129,8 @@
 	failedAt map[shed.VM]time.Time
 	active   []activePull
 	lastID   PullID
-	// behindSince is since when a peer has been ahead; zero if none is.
-	behindSince time.Time
+	// staleSince is since when a peer has been ahead; zero if none is.
+	staleSince time.Time
 	// newestCatalog is the newest configuration that a peer has reported.
 	newestCatalog shed.Revision
 	// lastRepair is when a pull last looked for a missed deletion.
@@ -219,15 +219,15 @@
 // maybePull starts a pull if one is needed; urgent skips the wait for a pushed update.
 func (f *Follower) maybePull(now time.Time, own LocalState, urgent bool) []Action {
 	if ahead := f.peersAhead(own); len(ahead) > 0 {
-		if f.behindSince.IsZero() {
-			f.behindSince = now
+		if f.staleSince.IsZero() {
+			f.staleSince = now
 		}
-		if !urgent && own.AsOf > 0 && now.Sub(f.behindSince) < updateWait {
+		if !urgent && own.AsOf > 0 && now.Sub(f.staleSince) < updateWait {
 			return nil
 		}
 		return f.startPull(now, own, own.AsOf, ahead)
 	}
-	f.behindSince = time.Time{}
+	f.staleSince = time.Time{}
 	differing := f.peersDiffering(own)
 	if len(differing) == 0 || now.Sub(f.lastRepair) < repairInterval {
 		return nil
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -47,7 +47,7 @@
 
 // A watcher pushes a change to all peers. Load reports of peers that already have it arrive
 // slightly earlier and must not start a pull, or the change is sent twice.
-func TestNewsAreAwaited(t *testing.T) {
+func TestUpdatesAreAwaited(t *testing.T) {
 	f := follow.New("a")
 	own := localState(10, at(0))
 	require.Empty(t, f.Handle(at(0), own, reportFrom("b", 12, at(0))))
@@ -119,19 +119,19 @@
 
 // Most VMs have a link of 10 Mbit/s, a few a larger one. Pulls go to the latter and are spread
 // over them.
-func TestStrongPeersAreRead(t *testing.T) {
-	asked := map[shed.VM]int{}
+func TestHighCapacityPeersAreRead(t *testing.T) {
+	pullsPerPeer := map[shed.VM]int{}
 	for _, self := range []shed.VM{"a", "b", "c", "d", "e", "f", "g", "h"} {
 		f := follow.New(self)
 		own := localState(10, at(0))
 		for vm, power := range map[shed.VM]float64{"s1": 200, "s2": 200, "w1": 10, "w2": 10, "w3": 10} {
 			f.Handle(at(0), own, follow.PeerReported{From: vm, State: follow.PeerState{AsOf: 12, Power: power}})
 		}
-		asked[pulls(f.Handle(at(200), own, follow.Tick{}))[0].From]++
+		pullsPerPeer[pulls(f.Handle(at(200), own, follow.Tick{}))[0].From]++
 	}
-	require.Len(t, asked, 2)
-	require.NotZero(t, asked["s1"])
-	require.NotZero(t, asked["s2"])
+	require.Len(t, pullsPerPeer, 2)
+	require.NotZero(t, pullsPerPeer["s1"])
+	require.NotZero(t, pullsPerPeer["s2"])
 }
 
 // After an outage of the store, VMs at the same revision hold different server entries for two
@@ -178,7 +178,7 @@
 
 // A peer's configuration is newer than this VM's state. Once the VM has the store's state up to
 // that revision it is not stale, even if it could not parse that configuration.
-func TestBehind(t *testing.T) {
+func TestStaleCatalog(t *testing.T) {
 	f := follow.New("a")
 	require.False(t, f.CatalogIsStale(10))
 	f.Handle(at(0), localState(10, at(0)), follow.PeerReported{From: "b", State: follow.PeerState{AsOf: 14, Catalog: 12}})
--- a/internal/limit/limit_test.go
+++ b/internal/limit/limit_test.go
@@ -32,7 +32,7 @@
 }
 
 // A delayed report of a peer must not restore a limit that has ended since.
-func TestOldNewsDontBringALimitBack(t *testing.T) {
+func TestOldUpdatesDontRestoreALimit(t *testing.T) {
 	tb := limit.New()
 	tb.Answered(at(0), one, 2)
 	tb.Answered(at(100), one, 0)
@@ -53,7 +53,7 @@
 
 // VMs that receive the same reports, in any order and more than once, end up with the same
 // limits.
-func TestNewsInAnyOrder(t *testing.T) {
+func TestUpdatesInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		var reports []shed.ServerLimit
 		for i := range rapid.IntRange(1, 10).Draw(rt, "news") {
--- a/internal/load/tracker_test.go
+++ b/internal/load/tracker_test.go
@@ -217,7 +217,7 @@
 	require.Equal(t, 5, c.Running, "ended since")
 }
 
-func TestRoomGrowsWithCompletions(t *testing.T) {
+func TestCapacityGrowsWithCompletions(t *testing.T) {
 	b := newFixture("a")
 	b.receiveReport(newReport("x", 1, 0, false))
 	require.Equal(t, 2, b.FreeCapacity(engine))
--- a/internal/member/clock.go
+++ b/internal/member/clock.go
@@ -24,7 +24,7 @@
 }
 
 // WasPaused reports whether the last Tick showed that the process had been paused.
-func (g *Group) WasPaused() bool { return g.woke }
+func (g *Group) WasPaused() bool { return g.paused }
 
 // Overruled reports whether a process with a later incarnation claims this VM's address. This
 // process should stop then: peers ignore all its messages.
--- a/internal/member/cold_test.go
+++ b/internal/member/cold_test.go
@@ -81,8 +81,8 @@
 			if !z.disabled.noMajority {
 				t.SetKnown(z.now, n.Known())
 			}
-			unsure := !z.disabled.noConfirm && !n.Confirmed(z.now)
-			z.perform(n, t.SetView(z.now, v.VMs(n.zone), v.Hash(n.zone), unsure))
+			unconfirmed := !z.disabled.noConfirm && !n.Confirmed(z.now)
+			z.perform(n, t.SetView(z.now, v.VMs(n.zone), v.Hash(n.zone), unconfirmed))
 			z.perform(n, t.Handle(z.now, shed.Tick{Wall: z.now}))
 		}
 		z.checkCapacity()
@@ -150,16 +150,16 @@
 	z.faults = append(z.faults, fmt.Sprintf("%s: %d at %s", z.now.Sub(start), kind, n.self.VM))
 	switch kind {
 	case 0, 1:
-		z.isCut = func(_, _ *node) bool { return false }
+		z.isPartitioned = func(_, _ *node) bool { return false }
 	case 2: // a partition into two sides
 		side := rng.Uint64()
-		z.isCut = func(from, to *node) bool { return side>>z.indexOf(from)&1 != side>>z.indexOf(to)&1 }
+		z.isPartitioned = func(from, to *node) bool { return side>>z.indexOf(from)&1 != side>>z.indexOf(to)&1 }
 	case 3: // one process can't send, or can't receive
 		mute := rng.IntN(2) == 0
-		z.isCut = func(from, to *node) bool { return mute && from == n || !mute && to == n }
+		z.isPartitioned = func(from, to *node) bool { return mute && from == n || !mute && to == n }
 	case 4: // a one-way partition
 		side := rng.Uint64()
-		z.isCut = func(from, to *node) bool { return side>>z.indexOf(from)&1 < side>>z.indexOf(to)&1 }
+		z.isPartitioned = func(from, to *node) bool { return side>>z.indexOf(from)&1 < side>>z.indexOf(to)&1 }
 	case 5:
 		z.freeze(n, time.Duration(rng.IntN(60))*time.Second, rng.IntN(2) == 0)
 	case 6:
@@ -203,7 +203,7 @@
 // heal ends all faults and returns the time until every process has all others in its confirmed
 // view: no process may stay dead for others permanently.
 func (z *coldZone) heal(t *testing.T, seed uint64) time.Duration {
-	z.isCut = func(_, _ *node) bool { return false }
+	z.isPartitioned = func(_, _ *node) bool { return false }
 	for _, n := range z.nodes {
 		m, _ := n.Lookup(n.self.VM)
 		if !n.up || m.Status == shed.StatusLeaving {
--- a/internal/member/group.go
+++ b/internal/member/group.go
@@ -140,7 +140,7 @@
 	unconfirmedSince time.Time // acks of probes sent after it confirm the view
 	// unconfirmedUntil is the earliest time at which the view can be confirmed.
 	unconfirmedUntil time.Time
-	woke             bool
+	paused           bool
 	// overruled: another process with a later incarnation runs on this VM.
 	overruled bool
 
@@ -251,11 +251,11 @@
 }
 
 func (g *Group) handleTick(now time.Time, tick shed.Tick) []shed.Action {
-	g.woke = g.clock.tick(now, tick, g.cfg.MaxTickGap)
-	if g.woke || g.unconfirmedSince.IsZero() && g.nextRound.IsZero() {
+	g.paused = g.clock.tick(now, tick, g.cfg.MaxTickGap)
+	if g.paused || g.unconfirmedSince.IsZero() && g.nextRound.IsZero() {
 		g.requireConfirmation(now)
 	}
-	if g.woke {
+	if g.paused {
 		g.resetAfterFreeze(now)
 	}
 	out := g.expireProbes(now)
--- a/internal/member/group_test.go
+++ b/internal/member/group_test.go
@@ -48,7 +48,7 @@
 	for _, n := range []int{3, 20} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			w := newConvergedNetwork(t, 11, n)
-			w.isCut = func(_, _ *node) bool { return w.rng.IntN(20) == 0 }
+			w.isPartitioned = func(_, _ *node) bool { return w.rng.IntN(20) == 0 }
 			w.run(30 * time.Minute)
 			t.Logf("suspected %d times, refuted each time", w.notes[member.ReasonPeerSuspect])
 			require.Zero(t, w.notes[member.ReasonPeerDead])
@@ -108,11 +108,11 @@
 
 // One process can't send to another, but receives from it. Other peers reach both, so neither may
 // be declared dead, however long it lasts.
-func TestOneWayCutDoesNotFlap(t *testing.T) {
+func TestOneWayPartitionDoesNotFlap(t *testing.T) {
 	for _, n := range []int{4, 8, 20} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			w := newConvergedNetwork(t, 3, n)
-			w.isCut = func(from, to *node) bool { return from == w.nodes[0] && to == w.nodes[1] }
+			w.isPartitioned = func(from, to *node) bool { return from == w.nodes[0] && to == w.nodes[1] }
 			for range 300 {
 				w.run(time.Second)
 				require.True(t, w.agree(zoneA))
@@ -129,7 +129,7 @@
 	for seed := range uint64(8) {
 		w := newConvergedNetwork(t, seed, 7)
 		unheard := w.nodes[2]
-		w.isCut = func(from, _ *node) bool { return from == unheard }
+		w.isPartitioned = func(from, _ *node) bool { return from == unheard }
 		took, ok := w.until(deadBound, func() bool { return !unheard.Confirmed(w.now) })
 		require.True(t, ok)
 		require.Len(t, w.nodes[0].View().Zone(zoneA), 7, "after %s it was out of view before it lost confirmation", took)
@@ -141,7 +141,7 @@
 			require.True(t, alone || !unheard.Confirmed(w.now))
 		}
 		require.Len(t, w.nodes[0].View().Zone(zoneA), 6)
-		w.isCut = func(_, _ *node) bool { return false }
+		w.isPartitioned = func(_, _ *node) bool { return false }
 		_, ok = w.until(15*time.Second, func() bool { return w.agree(zoneA) && unheard.Confirmed(w.now) })
 		require.True(t, ok, "seed %d", seed)
 	}
@@ -157,11 +157,11 @@
 			for i, x := range w.nodes {
 				half[x] = i < n/2
 			}
-			w.isCut = func(from, to *node) bool { return half[from] != half[to] }
+			w.isPartitioned = func(from, to *node) bool { return half[from] != half[to] }
 			w.run(5 * time.Minute)
 			require.Len(t, w.nodes[0].View().Zone(zoneA), n/2)
 			require.Len(t, w.nodes[0].Known(), n-1)
-			w.isCut = func(_, _ *node) bool { return false }
+			w.isPartitioned = func(_, _ *node) bool { return false }
 			took, ok := w.until(time.Minute, func() bool { return w.agree(zoneA) })
 			require.True(t, ok)
 			t.Logf("%d processes agree %s after the partition ended", n, took)
@@ -169,14 +169,14 @@
 	}
 }
 
-func TestZoneCutOffComesBack(t *testing.T) {
+func TestPartitionedZoneReturns(t *testing.T) {
 	w := newConvergedNetwork(t, 5, 5, 5, 3)
 	require.Len(t, w.nodes[0].View().Zone(zoneB), 3, "contacts")
-	w.isCut = func(from, to *node) bool { return (from.zone == zoneB) != (to.zone == zoneB) }
+	w.isPartitioned = func(from, to *node) bool { return (from.zone == zoneB) != (to.zone == zoneB) }
 	w.run(3 * time.Minute)
 	require.Empty(t, w.nodes[0].View().Zone(zoneB))
 	require.Len(t, w.nodes[5].View().Zone(zoneB), 5, "a partitioned zone continues by itself")
-	w.isCut = func(_, _ *node) bool { return false }
+	w.isPartitioned = func(_, _ *node) bool { return false }
 	took, ok := w.until(time.Minute, func() bool { return len(w.nodes[0].View().Zone(zoneB)) == 3 })
 	require.True(t, ok)
 	t.Logf("contacts are back %s after the partition ended", took)
@@ -199,7 +199,7 @@
 // The home of a ticket stops and hands its tickets over. A caller that presents the ticket to
 // another daemon must get the successor, also after a new process has started on the VM, and in
 // another zone.
-func TestHeirIsKnownEverywhere(t *testing.T) {
+func TestSuccessorIsKnownEverywhere(t *testing.T) {
 	w := newConvergedNetwork(t, 7, 6, 3)
 	n, successor := w.nodes[1], w.nodes[2].self
 	old := n.self
--- a/internal/member/net_test.go
+++ b/internal/member/net_test.go
@@ -19,12 +19,12 @@
 	nodes []*node
 	byVM  map[shed.VM]*node
 	queue queue
-	// isCut reports whether messages from one node to another are lost.
-	isCut      func(from, to *node) bool
-	list       []shed.VMEntry
-	bytes      int
-	countBytes bool // whether to count the bytes that the first zone sends
-	notes      map[shed.Reason]int
+	// isPartitioned reports whether messages from one node to another are lost.
+	isPartitioned func(from, to *node) bool
+	list          []shed.VMEntry
+	bytes         int
+	countBytes    bool // whether to count the bytes that the first zone sends
+	notes         map[shed.Reason]int
 	// cfg is the configuration of each group except its identity. If it is set, only the seeds are
 	// known at first, as on a platform without a list.
 	cfg *member.Config
@@ -70,11 +70,11 @@
 // newNetwork starts zones of the given sizes. The platform's list has all VMs.
 func newNetwork(seed uint64, sizes ...int) *network {
 	w := &network{
-		now:   time.Unix(1_800_000_000, 0),
-		rng:   rand.New(rand.NewPCG(seed, 3)),
-		byVM:  map[shed.VM]*node{},
-		isCut: func(_, _ *node) bool { return false },
-		notes: map[shed.Reason]int{},
+		now:           time.Unix(1_800_000_000, 0),
+		rng:           rand.New(rand.NewPCG(seed, 3)),
+		byVM:          map[shed.VM]*node{},
+		isPartitioned: func(_, _ *node) bool { return false },
+		notes:         map[shed.Reason]int{},
 	}
 	for z, size := range sizes {
 		zone := shed.ZoneID(fmt.Sprintf("nl-west-%c", 'a'+z))
@@ -109,7 +109,7 @@
 			w.now = l.at
 			to := w.byVM[l.to]
 			from := w.byVM[l.from.VM]
-			if to != nil && to.up && !w.isCut(from, to) {
+			if to != nil && to.up && !w.isPartitioned(from, to) {
 				w.handle(to, shed.PeerMessage{From: l.from, Message: l.msg})
 			}
 		}
--- a/internal/order/reconciler.go
+++ b/internal/order/reconciler.go
@@ -138,8 +138,8 @@
 }
 
 // SetView passes the view to slots.Table.SetView.
-func (g *Reconciler) SetView(now time.Time, vms []shed.VM, hash uint64, unsure bool) {
-	g.slotTable.SetView(now, vms, hash, unsure)
+func (g *Reconciler) SetView(now time.Time, vms []shed.VM, hash uint64, unconfirmed bool) {
+	g.slotTable.SetView(now, vms, hash, unconfirmed)
 }
 
 // SetKnown passes the known VMs to slots.Table.SetKnown.
--- a/internal/picker/fetch.go
+++ b/internal/picker/fetch.go
@@ -17,28 +17,28 @@
 // crossZoneFetchFactor is how much longer a fetch from another zone takes.
 const crossZoneFetchFactor = 2
 
-// donors holds the server that has cached the most of the shared parts of a prompt, per zone
+// cacheSources holds the server that has cached the most of the shared parts of a prompt, per zone
 // and overall.
 //
 // Load pattern: many requests share a long prefix, and the server that has cached it is busy
 // or in another zone than the request's inputs. Fetching the prefix from it takes a fraction
 // of the time of reading it again, during which all other requests of the reading server would
 // wait for their next token.
-type donors struct {
-	byZone map[shed.ZoneID]donor
-	best   donor
+type cacheSources struct {
+	byZone map[shed.ZoneID]cacheSource
+	best   cacheSource
 	// sharedTokens counts the tokens of the prompt's shared parts.
 	sharedTokens shed.Tokens
 }
 
-type donor struct {
+type cacheSource struct {
 	server *roster.Server
 	// cachedTokens counts the tokens of shared parts that it has cached.
 	cachedTokens shed.Tokens
 }
 
-func (p *Picker) findDonors(now time.Time, w *Request, servers []*roster.Server, chain []uint64) donors {
-	var out donors
+func (p *Picker) findCacheSources(now time.Time, w *Request, servers []*roster.Server, chain []uint64) cacheSources {
+	var out cacheSources
 	if !w.Engine || w.FetchRate <= 0 || len(chain) == 0 {
 		return out
 	}
@@ -47,11 +47,11 @@
 	}
 	for _, s := range servers {
 		st := p.state(s)
-		d := donor{server: s, cachedTokens: st.cachedTokens(now, w, chain)}
+		d := cacheSource{server: s, cachedTokens: st.cachedTokens(now, w, chain)}
 		if d.cachedTokens < minFetch || avoided(w.Avoid, s.ID) {
 			continue
 		}
-		if p.zoneFailureRate(s.Zone).now(now) > maxDonorFailureRate || st.failures.now(now) > maxDonorFailureRate {
+		if p.zoneFailureRate(s.Zone).now(now) > maxSourceFailureRate || st.failures.now(now) > maxSourceFailureRate {
 			continue
 		}
 		if d.cachedTokens > out.best.cachedTokens {
@@ -59,7 +59,7 @@
 		}
 		if d.cachedTokens > out.byZone[s.Zone].cachedTokens {
 			if out.byZone == nil {
-				out.byZone = map[shed.ZoneID]donor{}
+				out.byZone = map[shed.ZoneID]cacheSource{}
 			}
 			out.byZone[s.Zone] = d
 		}
@@ -69,7 +69,7 @@
 
 // maxDonorFailureRate is the share of failed calls above which a server is not used as a
 // donor: the prefix can be read without it.
-const maxDonorFailureRate = 0.1
+const maxSourceFailureRate = 0.1
 
 // cachedTokens is how many tokens of the prompt's shared parts the server has cached.
 func (st *state) cachedTokens(now time.Time, w *Request, chain []uint64) shed.Tokens {
@@ -86,7 +86,7 @@
 
 // planFetch chooses a donor for the shared parts that the chosen server lacks, and returns how
 // many tokens it need not read.
-func (d donors) planFetch(c *Choice, s *roster.Server, reread shed.Tokens) shed.Tokens {
+func (d cacheSources) planFetch(c *Choice, s *roster.Server, reread shed.Tokens) shed.Tokens {
 	if reread < minFetch {
 		return 0
 	}
@@ -98,18 +98,18 @@
 	if source.cachedTokens < cached+minFetch || source.server == s {
 		return 0
 	}
-	c.Donor, c.Fetched = source.server, source.cachedTokens-cached
+	c.CacheSource, c.Fetched = source.server, source.cachedTokens-cached
 	c.Missing -= min(c.Missing, c.Fetched)
 	return c.Fetched
 }
 
 // fetchTime is how long the fetch planned in c takes.
 func (c *Choice) fetchTime(rate float64) time.Duration {
-	if c.Donor == nil {
+	if c.CacheSource == nil {
 		return 0
 	}
 	took := time.Duration(float64(c.Fetched) / rate * float64(time.Millisecond))
-	if c.Donor.Zone != c.Server.Zone {
+	if c.CacheSource.Zone != c.Server.Zone {
 		took *= crossZoneFetchFactor
 	}
 	return fetchSetupTime + took
--- a/internal/picker/fetch_test.go
+++ b/internal/picker/fetch_test.go
@@ -30,12 +30,12 @@
 	from := servers(12, nil)
 	p := picker.New(picker.Config{Zone: "a"})
 	home := p.Pick(start, fetching("x", 0), from)
-	require.Nil(t, home.Donor, "no server has cached it yet")
+	require.Nil(t, home.CacheSource, "no server has cached it yet")
 	p.RecordPlacement(start, fetching("x", 0), home)
 	p.SetPeerShares("vm2", map[shed.ServerID]shed.ServerShare{home.Server.ID: {Running: 20, Reading: 20000}})
 	next := p.Pick(start, fetching("x", 1), from)
 	require.NotEqual(t, home.Server.ID, next.Server.ID)
-	require.Equal(t, home.Server.ID, next.Donor.ID)
+	require.Equal(t, home.Server.ID, next.CacheSource.ID)
 	require.Equal(t, shed.Tokens(13000), next.Fetched)
 	require.Equal(t, shed.Tokens(3000), next.Missing)
 	require.Less(t, next.Time, 200*time.Millisecond, "reading it again takes 260 ms alone")
@@ -57,7 +57,7 @@
 	p.SetPeerShares("vm2", crowded)
 	c := p.Pick(start, fetching("x", 1), from)
 	require.Equal(t, from[5].ID, c.Server.ID)
-	require.Equal(t, c.Server.Zone, c.Donor.Zone)
+	require.Equal(t, c.Server.Zone, c.CacheSource.Zone)
 }
 
 // Engines don't fetch, or the donor can't be reached or failed this request: the prefix must
@@ -74,18 +74,18 @@
 	}
 	c := seen().Pick(start, fetching("x", 1), from)
 	require.Equal(t, other.ID, c.Server.ID)
-	require.Equal(t, home.ID, c.Donor.ID)
+	require.Equal(t, home.ID, c.CacheSource.ID)
 
 	w := fetching("x", 1)
 	w.FetchRate = 0
-	require.Nil(t, seen().Pick(start, w, from).Donor)
+	require.Nil(t, seen().Pick(start, w, from).CacheSource)
 	w = fetching("x", 1)
 	w.Avoid = []shed.ServerID{home.ID}
-	require.Nil(t, seen().Pick(start, w, from).Donor)
+	require.Nil(t, seen().Pick(start, w, from).CacheSource)
 	p := seen()
 	p.RecordEnd(start, picker.Choice{Server: home}, picker.End{Failed: true, Unreached: true})
-	require.Nil(t, p.Pick(start, fetching("x", 1), from).Donor)
-	require.Nil(t, seen().Pick(start.Add(time.Minute), fetching("x", 1), from).Donor, "its retention period is over")
+	require.Nil(t, p.Pick(start, fetching("x", 1), from).CacheSource)
+	require.Nil(t, seen().Pick(start.Add(time.Minute), fetching("x", 1), from).CacheSource, "its retention period is over")
 }
 
 // Bursts bring prefixes that few servers have cached. Wherever the load went, engines read
@@ -141,7 +141,7 @@
 		}
 		work.read += missing
 		ends := shed.Later(now, free[c.Server.ID]).Add(time.Duration(missing) * time.Millisecond / readRate)
-		if c.Donor != nil {
+		if c.CacheSource != nil {
 			ends = ends.Add(time.Duration(c.Fetched) * time.Millisecond / fetchRate)
 		}
 		free[c.Server.ID] = ends
--- a/internal/picker/picker.go
+++ b/internal/picker/picker.go
@@ -115,7 +115,7 @@
 	// Missing counts the prompt tokens that the server has to read, Fetched those that it
 	// fetches from Donor instead; Donor is nil if there is none.
 	Missing, Fetched shed.Tokens
-	Donor            *roster.Server
+	CacheSource      *roster.Server
 	// ByTurn is set if sending the request to the server needs a turn.
 	ByTurn bool
 	// NoTurn is set if this daemon has no turn for any of the servers that could serve.
@@ -131,7 +131,7 @@
 	var best Choice
 	chain := prefixChains(w.Prompt)
 	usual := p.fastestCallTime(servers)
-	donors := p.findDonors(now, &w, servers, chain)
+	sources := p.findCacheSources(now, &w, servers, chain)
 	held, unreachableFor := false, time.Duration(0)
 	for _, s := range servers {
 		if avoided(w.Avoid, s.ID) {
@@ -152,7 +152,7 @@
 			held = true
 			continue
 		}
-		c := p.evaluate(now, &w, s, st, chain, usual, donors)
+		c := p.evaluate(now, &w, s, st, chain, usual, sources)
 		c.ByTurn = access == ByTurn
 		if best.Server == nil || c.Cost < best.Cost {
 			best = c
@@ -189,14 +189,14 @@
 }
 
 func (p *Picker) evaluate(
-	now time.Time, w *Request, s *roster.Server, st *state, chain []uint64, usual time.Duration, donors donors,
+	now time.Time, w *Request, s *roster.Server, st *state, chain []uint64, usual time.Duration, sources cacheSources,
 ) Choice {
 	running, reading := st.ownRunning+st.peers.Running, st.ownReading+st.peers.Reading
 	c := Choice{Server: s}
 	if w.Engine {
 		var reread shed.Tokens
 		c.Missing, reread = st.missingTokens(now, w, chain)
-		reread -= donors.planFetch(&c, s, reread)
+		reread -= sources.planFetch(&c, s, reread)
 		c.Time = p.readTime(c.Missing) + c.fetchTime(w.FetchRate) + p.readTime(reading) + time.Duration(running)*runningRequestCost
 		c.Cost = c.Time
 		c.Cost += min(time.Duration(reread)*rereadCost, maxRereadCost)
--- a/internal/picker/picker_test.go
+++ b/internal/picker/picker_test.go
@@ -226,7 +226,7 @@
 // The only open server of a pool is partitioned off. Each caller retried its connection until
 // its deadline. After two consecutive failures the server must count as unreachable and
 // callers must be rejected at once; after the backoff one tries again.
-func TestOnlyServerBeyondACut(t *testing.T) {
+func TestOnlyServerBeyondAPartition(t *testing.T) {
 	from := servers(1, nil)
 	p := picker.New(picker.Config{Zone: "a"})
 	failToConnect := func(now time.Time) {
--- a/internal/picker/state.go
+++ b/internal/picker/state.go
@@ -53,8 +53,8 @@
 			shared += part.Tokens
 		}
 	}
-	keeps := st.cachedTokens(now, w, chain)
-	return max(w.Input, all) - keeps, shared - keeps
+	cached := st.cachedTokens(now, w, chain)
+	return max(w.Input, all) - cached, shared - cached
 }
 
 // RecordPlacement records that a request goes to the server.
--- a/internal/poison/fingerprint_test.go
+++ b/internal/poison/fingerprint_test.go
@@ -10,9 +10,9 @@
 )
 
 func TestFingerprint(t *testing.T) {
-	ask := shed.RequestHead{ID: "1", Method: "POST", Host: "h", Target: "/a/b?x=1&y=2"}
+	request := shed.RequestHead{ID: "1", Method: "POST", Host: "h", Target: "/a/b?x=1&y=2"}
 	of := func(ws shed.WorkspaceID, body string, change func(*shed.RequestHead)) shed.Fingerprint {
-		changed := ask
+		changed := request
 		if change != nil {
 			change(&changed)
 		}
@@ -38,10 +38,10 @@
 
 // BenchmarkFingerprint measures the cost added to each request.
 func BenchmarkFingerprint(b *testing.B) {
-	ask := shed.RequestHead{Method: "POST", Host: "pule25.example", Target: "/puxa400/2f"}
+	request := shed.RequestHead{Method: "POST", Host: "pule25.example", Target: "/puxa400/2f"}
 	body := make([]byte, 4<<10)
 	b.SetBytes(int64(len(body)))
 	for range b.N {
-		poison.Fingerprint("workspace", &ask, body)
+		poison.Fingerprint("workspace", &request, body)
 	}
 }
--- a/internal/poison/sim_test.go
+++ b/internal/poison/sim_test.go
@@ -283,8 +283,8 @@
 	})
 }
 
-// startRepeaters starts n callers, each of which keeps repeating its own request.
-func (s *sim) startRepeaters(n int) {
+// startRetriers starts n callers, each of which keeps repeating its own request.
+func (s *sim) startRetriers(n int) {
 	for i := range n {
 		var again func()
 		again = func() {
--- a/internal/poison/table.go
+++ b/internal/poison/table.go
@@ -190,7 +190,7 @@
 func (t *Table) merge(now time.Time, in shed.Suspect, from source) []Change {
 	s := t.suspects[in.Request]
 	if s == nil {
-		if len(in.Crashes) == 0 || !t.makeRoom(in.Workspace) {
+		if len(in.Crashes) == 0 || !t.ensureCapacity(in.Workspace) {
 			return nil
 		}
 		s = &suspect{request: in.Request, workspace: in.Workspace, crashes: map[shed.ServerStart]time.Time{}}
@@ -310,9 +310,9 @@
 	}
 }
 
-// makeRoom makes room for one more suspect of a workspace. A full table evicts a suspect of the
+// ensureCapacity makes room for one more suspect of a workspace. A full table evicts a suspect of the
 // workspace that has most of them, so that no workspace displaces the suspects of others.
-func (t *Table) makeRoom(ws shed.WorkspaceID) bool {
+func (t *Table) ensureCapacity(ws shed.WorkspaceID) bool {
 	if len(t.suspects) < maxSuspects {
 		return true
 	}
--- a/internal/poison/table_test.go
+++ b/internal/poison/table_test.go
@@ -69,7 +69,7 @@
 				s := newSim(seed, 7, 9)
 				s.loss = 0.05
 				s.startLoad(40)
-				s.startRepeaters(5)
+				s.startRetriers(5)
 				storm(s)
 				s.Run(30 * time.Second)
 				require.Zero(t, s.refused, "seed %d: served %d, failed %d", seed, s.served, s.failed)
@@ -86,7 +86,7 @@
 		s := newSim(rapid.Uint64().Draw(rt, "seed"), rapid.SampledFrom([]int{3, 7, 16}).Draw(rt, "vms"), 18)
 		s.loss = rapid.SampledFrom([]float64{0, 0.05, 0.2}).Draw(rt, "loss")
 		s.startLoad(20)
-		s.startRepeaters(3)
+		s.startRetriers(3)
 		var culprits []*culprit
 		for i := range rapid.IntRange(1, 2).Draw(rt, "culprits") {
 			period := rapid.SampledFrom([]time.Duration{100 * time.Millisecond, 250 * time.Millisecond, 2 * time.Second}).Draw(rt, "period")
@@ -257,7 +257,7 @@
 
 // Updates arrive in any order and more than once; VMs that received the same ones must reach
 // the same verdicts.
-func TestNewsInAnyOrder(t *testing.T) {
+func TestUpdatesInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		var updates []shed.CrashUpdate
 		for i := range rapid.IntRange(1, 12).Draw(rt, "news") {
--- a/internal/procs/examples_test.go
+++ b/internal/procs/examples_test.go
@@ -20,11 +20,11 @@
 	for _, example := range []string{"weerbeeld", "cantabrico"} {
 		t.Run(example, func(t *testing.T) {
 			f := startFleet(t, fleetConfig{example: example})
-			repeatable, once := f.pipelines()
-			require.NotEmpty(t, repeatable)
+			idempotent, once := f.pipelines()
+			require.NotEmpty(t, idempotent)
 			require.NotEmpty(t, once)
 			for i := range f.vms {
-				for _, p := range repeatable {
+				for _, p := range idempotent {
 					f.requireAnswer(f.vms[i], p)
 				}
 				for _, p := range once {
--- a/internal/procs/fleet_test.go
+++ b/internal/procs/fleet_test.go
@@ -369,15 +369,15 @@
 }
 
 // pipelines returns the pipelines whose requests may be repeated, and those that run once.
-func (f *fleet) pipelines() (repeatable, once []string) {
+func (f *fleet) pipelines() (idempotent, once []string) {
 	for id, p := range f.rules.Pipelines {
 		if p.Idempotent() {
-			repeatable = append(repeatable, string(id))
+			idempotent = append(idempotent, string(id))
 		} else {
 			once = append(once, string(id))
 		}
 	}
-	sort.Strings(repeatable)
+	sort.Strings(idempotent)
 	sort.Strings(once)
-	return repeatable, once
+	return idempotent, once
 }
--- a/internal/relay/coordinate.go
+++ b/internal/relay/coordinate.go
@@ -123,7 +123,7 @@
 		"took_ms": took.Milliseconds(), "limit_ms": a.Limit.Milliseconds(),
 	})
 	if end.Results == nil {
-		entry.WithFields(logrus.Fields{"status": status, "not_run": end.NotRun, "crashed": end.Crashed, "error": errText(err), "first": a.Pieces[0].Request}).
+		entry.WithFields(logrus.Fields{"status": status, "not_run": end.NotRun, "crashed": end.Crashed, "error": errorText(err), "first": a.Pieces[0].Request}).
 			Warn("call for pieces failed")
 	} else {
 		logResults(entry, end.Results)
@@ -185,7 +185,7 @@
 // errNoTurn: the server limits its request rate and has no turn for this call yet.
 var errNoTurn = errors.New("no turn granted at a rate-limited server")
 
-func errText(err error) string {
+func errorText(err error) string {
 	if err == nil {
 		return ""
 	}
--- a/internal/relay/finish.go
+++ b/internal/relay/finish.go
@@ -58,7 +58,7 @@
 func (r *Relay) finish(ctx context.Context, w http.ResponseWriter, j *job, refused *refusal) {
 	took := time.Since(j.began)
 	fields := logrus.Fields{
-		"request": j.ask.ID, "took_ms": took.Milliseconds(), "sends": j.sends, "version": j.version,
+		"request": j.request.ID, "took_ms": took.Milliseconds(), "sends": j.sends, "version": j.version,
 	}
 	if j.route != nil {
 		fields["route"], fields["pool"] = j.route.ID, j.route.Split[0].Pool
@@ -66,8 +66,8 @@
 	if j.server != "" {
 		fields["server"] = j.server
 	}
-	if len(j.ask.Pieces) > 0 {
-		fields["pieces"], fields["prepared_ms"], fields["zone"] = j.ask.Pieces, j.prepareTime.Milliseconds(), j.zone
+	if len(j.request.Pieces) > 0 {
+		fields["pieces"], fields["prepared_ms"], fields["zone"] = j.request.Pieces, j.prepareTime.Milliseconds(), j.zone
 		fields["foreseen_ms"], fields["answer_ms"] = j.predicted.Milliseconds(), j.answerTime.Milliseconds()
 		fields["aim_ms"], fields["wait_ms"] = j.target.Sub(j.began).Milliseconds(), j.deadline.Sub(j.began).Milliseconds()
 	}
--- a/internal/relay/gossip.go
+++ b/internal/relay/gossip.go
@@ -204,7 +204,7 @@
 		log.WithError(err).Info("items of the store not read from a peer")
 	} else {
 		log.Info("items of the store read from a peer")
-		r.applyReading(storeReading{from: roster.FromPeer, items: items, after: p.After, asOf: asOf, whole: p.After == 0})
+		r.applyReading(storeReading{from: roster.FromPeer, items: items, after: p.After, asOf: asOf, complete: p.After == 0})
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/relay/limit.go
+++ b/internal/relay/limit.go
@@ -55,9 +55,9 @@
 }
 
 // receivePeerLimits applies the limits that a peer reported at toldAt. The caller holds mu.
-func (r *Relay) receivePeerLimits(now, toldAt time.Time, from shed.VM, limits []shed.ServerLimit) {
+func (r *Relay) receivePeerLimits(now, reportedAt time.Time, from shed.VM, limits []shed.ServerLimit) {
 	for _, l := range limits {
-		l.Age += now.Sub(toldAt)
+		l.Age += now.Sub(reportedAt)
 		r.logLimits(r.limits.Receive(now, []shed.ServerLimit{l}), string(from))
 	}
 }
--- a/internal/relay/load.go
+++ b/internal/relay/load.go
@@ -87,23 +87,23 @@
 }
 
 // applyLoad applies a load that was reported at toldAt.
-func (r *Relay) applyLoad(now, toldAt time.Time, from shed.Peer, m shed.RelayLoad) {
+func (r *Relay) applyLoad(now, reportedAt time.Time, from shed.Peer, m shed.RelayLoad) {
 	r.mesh.lastSequence[from] = m.Sequence
-	r.mesh.lastLoad[from.VM] = shed.Later(r.mesh.lastLoad[from.VM], toldAt)
+	r.mesh.lastLoad[from.VM] = shed.Later(r.mesh.lastLoad[from.VM], reportedAt)
 	r.picker.SetPeerShares(from.VM, m.Servers)
 	r.receiveHeldBytes(now, from.VM, m.HeldBytes)
 	r.setPeerExpected(from.VM, m.ExpectedPieces)
-	r.receivePeerLimits(now, toldAt, from.VM, m.Limits)
+	r.receivePeerLimits(now, reportedAt, from.VM, m.Limits)
 	for _, p := range m.Placed {
 		r.picker.RecordPeerPrefix(now, p.Server, p.Chain)
 	}
 	for pool, w := range r.mesh.forecasts {
-		if w.from == from.VM && !w.at.After(toldAt) {
+		if w.from == from.VM && !w.at.After(reportedAt) {
 			delete(r.mesh.forecasts, pool)
 		}
 	}
 	for _, w := range m.Waits {
-		r.setForecast(from.VM, toldAt, w)
+		r.setForecast(from.VM, reportedAt, w)
 	}
 }
 
--- a/internal/relay/mesh.go
+++ b/internal/relay/mesh.go
@@ -23,14 +23,14 @@
 	meshZone shed.ZoneID = "fleet"
 	// The relay holds no state that a false death verdict could duplicate, so it declares a
 	// peer dead sooner than with member's defaults: after 2.2 s instead of 5.1 s.
-	probeEvery = 500 * time.Millisecond
-	ackAfter   = 300 * time.Millisecond
-	suspectFor = time.Second
-	// joinFor and joinEvery: a new process starts with short probe rounds. With syncMost
+	probeInterval  = 500 * time.Millisecond
+	ackTimeout     = 300 * time.Millisecond
+	suspectTimeout = time.Second
+	// joinDuration and joinEvery: a new process starts with short probe rounds. With syncMost
 	// members per answer, it knows a fleet of 78 VMs after two of them.
-	joinFor   = 1500 * time.Millisecond
-	joinEvery = 200 * time.Millisecond
-	syncMost  = 100
+	joinDuration   = 1500 * time.Millisecond
+	joinInterval   = 200 * time.Millisecond
+	maxSyncMembers = 100
 	// peerBackoff is how long this VM sends no work to a peer that gave no answer.
 	peerBackoff = 1500 * time.Millisecond
 	// maxMissedLoads is how many load reports may be missing before a peer coordinates nothing
@@ -108,8 +108,8 @@
 	r.group = member.New(member.Config{
 		Self: r.mesh.self, Zone: meshZone, Seeds: seedVMs(r.prefs.Load()),
 		Seed:          xxhash.Sum64String(string(r.mesh.self.VM)) ^ uint64(r.mesh.self.Incarnation),
-		ProbeInterval: probeEvery, AckTimeout: ackAfter, SuspectTimeout: suspectFor,
-		JoinDuration: joinFor, JoinInterval: joinEvery, MaxSyncMembers: syncMost, Power: r.prefs.Load().Relay.Power,
+		ProbeInterval: probeInterval, AckTimeout: ackTimeout, SuspectTimeout: suspectTimeout,
+		JoinDuration: joinDuration, JoinInterval: joinInterval, MaxSyncMembers: maxSyncMembers, Power: r.prefs.Load().Relay.Power,
 	})
 }
 
--- a/internal/relay/plan.go
+++ b/internal/relay/plan.go
@@ -23,8 +23,8 @@
 	var p plan
 	for _, s := range j.route.Steps {
 		n := 0
-		if s.Index < len(j.ask.Pieces) {
-			n = j.ask.Pieces[s.Index]
+		if s.Index < len(j.request.Pieces) {
+			n = j.request.Pieces[s.Index]
 		}
 		if n > 0 {
 			p.steps, p.pieces = append(p.steps, s), append(p.pieces, n)
@@ -104,7 +104,7 @@
 // estimate picks the zone near which the pieces should run and predicts how long they take, and
 // the least that they can take. If no server that could answer is reachable, retryAfter is when
 // one may be tried again.
-func (r *Relay) estimate(j *job, p plan) (ask accept.Request, retryAfter time.Duration) {
+func (r *Relay) estimate(j *job, p plan) (request accept.Request, retryAfter time.Duration) {
 	now := time.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -120,11 +120,11 @@
 	}
 	c := r.chain(now, p)
 	wait := c.Forecast()
-	ask = accept.Request{Route: j.route.ID, MinTime: c.MinTime(), Timely: wait.Timely, Last: wait.Last, Answer: j.answerTime}
+	request = accept.Request{Route: j.route.ID, MinTime: c.MinTime(), Timely: wait.Timely, Last: wait.Last, Answer: j.answerTime}
 	if r.prefs.Load().Relay.Enabled(prefs.UrgentReserve) {
-		ask.MoreUrgent, ask.UrgentRanks = r.moreUrgentRoutes(j.route, p.steps[c.Bottleneck()].Pool)
+		request.MoreUrgent, request.UrgentRanks = r.moreUrgentRoutes(j.route, p.steps[c.Bottleneck()].Pool)
 	}
-	return ask, choice.UnreachableFor
+	return request, choice.UnreachableFor
 }
 
 // moreUrgentRoutes returns the routes of more urgent ranks that have steps in a pool, and the
--- a/internal/relay/poison.go
+++ b/internal/relay/poison.go
@@ -84,7 +84,7 @@
 	case v.sent && a.serverFailed && r.isCrash(a.err, a.choice.Server.ServerEntry):
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		r.recordCrash(a.job.ask.ID, shed.RequestRef{Request: a.job.fingerprint, Workspace: a.job.workspace}, a.choice.Server.ServerEntry)
+		r.recordCrash(a.job.request.ID, shed.RequestRef{Request: a.job.fingerprint, Workspace: a.job.workspace}, a.choice.Server.ServerEntry)
 	}
 }
 
--- a/internal/relay/receive.go
+++ b/internal/relay/receive.go
@@ -18,12 +18,12 @@
 // server.
 func (r *Relay) receiveRequest(req *http.Request) (*job, *refusal) {
 	j := &job{began: time.Now(), answerTime: picker.DefaultOverrun}
-	ask, err := r.cfg.Dialect.ParseRequest(req)
+	request, err := r.cfg.Dialect.ParseRequest(req)
 	if err != nil {
 		r.log.WithError(err).Info("invalid request head")
 		return j, &refusal{status: http.StatusBadRequest, reason: reasonBadHead}
 	}
-	j.ask = ask
+	j.request = request
 	if refused := r.admit(j); refused != nil {
 		return j, refused
 	}
@@ -38,7 +38,7 @@
 	if int64(len(j.body)) > limit {
 		return j, &refusal{status: http.StatusRequestEntityTooLarge, reason: reasonBodyTooBig}
 	}
-	j.fingerprint = poison.Fingerprint(j.workspace, &j.ask, j.body)
+	j.fingerprint = poison.Fingerprint(j.workspace, &j.request, j.body)
 	return j, nil
 }
 
@@ -60,13 +60,13 @@
 		return &refusal{status: http.StatusServiceUnavailable, reason: shed.ReasonNoConfig, retryAfter: accept.MinRetryAfter}
 	}
 	j.version = c.Version
-	j.route = roster.Route(c, j.ask.Host, j.ask.Target)
+	j.route = roster.Route(c, j.request.Host, j.request.Target)
 	if j.route == nil {
 		return r.permanentRefusal(http.StatusNotFound, reasonNoRoute)
 	}
 	j.rank = j.route.Rank
 	if len(c.APIKeys) > 0 {
-		ws, ok := c.APIKeys[j.ask.Key]
+		ws, ok := c.APIKeys[j.request.Key]
 		if !ok && !j.route.Public {
 			return r.permanentRefusal(http.StatusUnauthorized, reasonBadKey)
 		}
@@ -80,8 +80,8 @@
 		return &refusal{status: http.StatusServiceUnavailable, reason: shed.ReasonNoServer, retryAfter: accept.MinRetryAfter}
 	}
 	wait := j.route.Timeout
-	if j.ask.Budget > 0 && (wait == 0 || j.ask.Budget < wait) {
-		wait = j.ask.Budget
+	if j.request.Budget > 0 && (wait == 0 || j.request.Budget < wait) {
+		wait = j.request.Budget
 	}
 	if wait == 0 {
 		wait = defaultTimeout
--- a/internal/relay/send.go
+++ b/internal/relay/send.go
@@ -75,10 +75,10 @@
 		j.avoid = append(j.avoid, choice.Server.ID)
 		r.stats.recordAttemptFailure(v.reason)
 		r.log.WithFields(logrus.Fields{
-			"request": j.ask.ID, "server": choice.Server.ID, "zone": choice.Server.Zone, "reason": v.reason,
+			"request": j.request.ID, "server": choice.Server.ID, "zone": choice.Server.Zone, "reason": v.reason,
 			"sent": v.sent, "may_have_run": v.mayHaveRun, "attempt": j.sends, "status": a.status,
 			"took_ms": time.Since(began).Milliseconds(), "cost_ms": choice.Cost.Milliseconds(),
-			"cold": choice.Server.Cold(began), "error": errText(a.err), "fingerprint": j.fingerprint,
+			"cold": choice.Server.Cold(began), "error": errorText(a.err), "fingerprint": j.fingerprint,
 		}).Info("attempt failed")
 	}
 
@@ -113,7 +113,7 @@
 	j := a.job
 	hop := shed.Hop{
 		Server: a.choice.Server.ServerEntry, Budget: time.Until(j.deadline) - answerSlack,
-		Workspace: j.workspace, Urgency: j.rank, LastEventID: j.ask.LastEventID, Inputs: j.inputs,
+		Workspace: j.workspace, Urgency: j.rank, LastEventID: j.request.LastEventID, Inputs: j.inputs,
 	}
 	if a.out.lastEvent != "" {
 		hop.LastEventID = a.out.lastEvent
@@ -121,17 +121,17 @@
 	if !j.route.Streaming {
 		hop.Urgency = -1
 	}
-	if a.choice.Donor != nil {
-		hop.CacheSource = a.choice.Donor.Addr
+	if a.choice.CacheSource != nil {
+		hop.CacheSource = a.choice.CacheSource.Addr
 	}
-	req, err := a.relay.cfg.Dialect.NewForwardRequest(&j.ask, hop)
+	req, err := a.relay.cfg.Dialect.NewForwardRequest(&j.request, hop)
 	if err != nil {
 		a.err = err
 		return outcome{reason: reasonBadHead}
 	}
 	if len(j.body) > 0 {
 		req.Body, req.ContentLength = io.NopCloser(bytes.NewReader(j.body)), int64(len(j.body))
-	} else if j.ask.Method != http.MethodGet && j.ask.Method != http.MethodHead {
+	} else if j.request.Method != http.MethodGet && j.request.Method != http.MethodHead {
 		req.Body = http.NoBody
 	}
 	once := !j.route.Repeatable && !j.route.Resumable
@@ -152,7 +152,7 @@
 	j := a.job
 	a.status = resp.StatusCode
 	reply := a.relay.cfg.Dialect.ParseReply(resp)
-	if reply.ID != j.ask.ID {
+	if reply.ID != j.request.ID {
 		// This is a second answer to an earlier request on the connection, or bytes that are no
 		// answer: they belong to no request.
 		a.serverFailed = true
@@ -183,11 +183,11 @@
 	if j.route.Streaming && resp.StatusCode == http.StatusOK {
 		return a.stream(ctx, resp)
 	}
-	return a.forwardWhole(ctx, resp)
+	return a.forwardBody(ctx, resp)
 }
 
-// forwardWhole forwards an answer that is no stream, once it is complete.
-func (a *attempt) forwardWhole(ctx context.Context, resp *http.Response) outcome {
+// forwardBody forwards an answer that is no stream, once it is complete.
+func (a *attempt) forwardBody(ctx context.Context, resp *http.Response) outcome {
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer+1))
 	if err != nil || len(body) > maxAnswer {
 		a.err, a.serverFailed = err, ctx.Err() == nil
--- a/internal/relay/serve.go
+++ b/internal/relay/serve.go
@@ -24,7 +24,7 @@
 
 // job is the state of one caller's request.
 type job struct {
-	ask       shed.RequestHead
+	request   shed.RequestHead
 	route     *shed.Route
 	pool      *shed.RelayPool
 	workspace shed.WorkspaceID
@@ -99,7 +99,7 @@
 	}
 	j, refused := r.receiveRequest(req)
 	if refused == nil {
-		span.SetAttributes(attribute.String("request", string(j.ask.ID)))
+		span.SetAttributes(attribute.String("request", string(j.request.ID)))
 		refused = r.run(ctx, w, j)
 	}
 	r.finish(ctx, w, j, refused)
@@ -246,7 +246,7 @@
 
 func (r *Relay) wantFor(j *job) picker.Request {
 	w := picker.Request{
-		Prompt: j.ask.Prompt, Input: j.ask.InputTokens, Engine: j.pool.Engine != nil, Avoid: j.avoid,
+		Prompt: j.request.Prompt, Input: j.request.InputTokens, Engine: j.pool.Engine != nil, Avoid: j.avoid,
 	}
 	if j.pool.Engine != nil && r.prefs.Load().Relay.Enabled(prefs.KVFetch) {
 		w.FetchRate = j.pool.Engine.FetchRate
@@ -261,7 +261,7 @@
 	if j.pool.Engine == nil {
 		return
 	}
-	if chain := picker.PrefixChains(j.ask.Prompt); len(chain) > 0 {
+	if chain := picker.PrefixChains(j.request.Prompt); len(chain) > 0 {
 		r.mesh.fanout.RecordPlacement(time.Now(), shed.PromptPlaced{Server: c.Server.ID, Chain: chain})
 	}
 }
--- a/internal/relay/steps.go
+++ b/internal/relay/steps.go
@@ -27,12 +27,12 @@
 	if len(p.steps) == 0 {
 		return nil
 	}
-	ask, retryAfter := r.estimate(j, p)
+	request, retryAfter := r.estimate(j, p)
 	if retryAfter > 0 {
 		return r.refuseUnreachable(ctx, j, retryAfter)
 	}
 	if j.sends == 0 {
-		if refused := r.admitSteps(j, ask); refused != nil {
+		if refused := r.admitSteps(j, request); refused != nil {
 			return refused
 		}
 	}
@@ -139,20 +139,20 @@
 }
 
 // admitSteps refuses a request at once if its pieces would be late.
-func (r *Relay) admitSteps(j *job, ask accept.Request) *refusal {
+func (r *Relay) admitSteps(j *job, request accept.Request) *refusal {
 	now := time.Now()
-	ask.ToTarget, ask.ToDeadline = j.target.Sub(now), j.deadline.Sub(now)
+	request.ToTarget, request.ToDeadline = j.target.Sub(now), j.deadline.Sub(now)
 	r.mu.Lock()
-	v := r.accept.Decide(ask)
+	v := r.accept.Decide(request)
 	r.mu.Unlock()
-	j.predicted = ask.Timely + ask.Answer
+	j.predicted = request.Timely + request.Answer
 	if v.Admitted {
 		return nil
 	}
 	r.log.WithFields(logrus.Fields{
-		"request": j.ask.ID, "route": ask.Route, "needs_ms": v.NeededTime.Milliseconds(), "least_ms": ask.MinTime.Milliseconds(),
-		"timely_ms": ask.Timely.Milliseconds(), "last_ms": ask.Last.Milliseconds(), "answer_ms": ask.Answer.Milliseconds(),
-		"urgent_ranks": ask.UrgentRanks, "to_aim_ms": ask.ToTarget.Milliseconds(), "to_end_ms": ask.ToDeadline.Milliseconds(),
+		"request": j.request.ID, "route": request.Route, "needs_ms": v.NeededTime.Milliseconds(), "least_ms": request.MinTime.Milliseconds(),
+		"timely_ms": request.Timely.Milliseconds(), "last_ms": request.Last.Milliseconds(), "answer_ms": request.Answer.Milliseconds(),
+		"urgent_ranks": request.UrgentRanks, "to_aim_ms": request.ToTarget.Milliseconds(), "to_end_ms": request.ToDeadline.Milliseconds(),
 		"after_ms": v.RetryAfter.Milliseconds(),
 	}).Info("pieces would be late")
 	return &refusal{status: http.StatusServiceUnavailable, reason: reasonPiecesLate, retryAfter: v.RetryAfter}
@@ -219,13 +219,13 @@
 	}
 	for n := range pieces {
 		pieces[n] = shed.Piece{
-			Request: j.ask.ID, Step: s.Index, Number: n, Inputs: inputs, Bytes: s.ResultBytes,
+			Request: j.request.ID, Step: s.Index, Number: n, Inputs: inputs, Bytes: s.ResultBytes,
 			Budget: j.deadline.Sub(now) - after, Target: r.timeToTarget(j, now) - after,
 			PreferredZone: preferred, SameZone: p.fetchedBytes(at) >= largeResultBytes,
 			Origin: shed.RequestRef{Request: j.fingerprint, Workspace: j.workspace},
 		}
 		if len(inputs) == 0 {
-			pieces[n].Key = j.ask.PieceKey
+			pieces[n].Key = j.request.PieceKey
 		}
 	}
 	refs := make([]shed.ResultRef, len(pieces))
--- a/internal/relay/sync.go
+++ b/internal/relay/sync.go
@@ -108,10 +108,10 @@
 	var err error
 	switch call {
 	case follow.ListReplica:
-		rd.from, rd.whole = roster.FromReplica, true
+		rd.from, rd.complete = roster.FromReplica, true
 		rd.items, rd.asOf, err = r.cfg.Store.ListReplica(ctx)
 	case follow.List:
-		rd.whole = true
+		rd.complete = true
 		rd.items, rd.asOf, err = r.cfg.Store.List(ctx)
 	case follow.ReadChanges:
 		rd.items, rd.asOf, err = r.cfg.Store.Watch(ctx, rd.after, 0)
@@ -130,7 +130,7 @@
 		r.historyCompacted = false
 	}
 	if call == follow.ListReplica || call == follow.ReadChanges {
-		r.log.WithFields(logrus.Fields{"after": rd.after, "as_of": rd.asOf, "items": len(rd.items), "whole": rd.whole}).
+		r.log.WithFields(logrus.Fields{"after": rd.after, "as_of": rd.asOf, "items": len(rd.items), "whole": rd.complete}).
 			Info("store read at the start")
 	}
 	r.applyReading(rd)
@@ -143,7 +143,7 @@
 	from        roster.Source
 	items       []shed.Item
 	after, asOf shed.Revision
-	whole       bool
+	complete    bool
 }
 
 // applyReading applies an answer of the store or a peer, and forwards changes from the store.
@@ -154,7 +154,7 @@
 	defer r.applyMu.Unlock()
 	r.setApplying(true)
 	defer r.setApplying(false)
-	l := roster.Update{Source: rd.from, AsOf: rd.asOf, Complete: rd.whole}
+	l := roster.Update{Source: rd.from, AsOf: rd.asOf, Complete: rd.complete}
 	for _, item := range rd.items {
 		if r.cfg.Store.IsRecordKey(item.Key) {
 			l.Items = append(l.Items, r.parseItem(item))
@@ -191,12 +191,12 @@
 	if item.Deleted || r.hasItem(item) {
 		return e
 	}
-	fact, err := r.cfg.Store.ParseRecord(item)
+	record, err := r.cfg.Store.ParseRecord(item)
 	if err != nil {
 		r.log.WithField("key", item.Key).WithError(err).Warn("invalid item of the store ignored")
 		return e
 	}
-	e.Record = fact
+	e.Record = record
 	return e
 }
 
--- a/internal/relay/turns.go
+++ b/internal/relay/turns.go
@@ -26,29 +26,29 @@
 // turnLimit returns the rate that a server accepts from all VMs together now: its stated limit,
 // or the one that applies while it is cold. limited is false if it has none. The caller holds
 // mu.
-func (r *Relay) turnLimit(now time.Time, pool *shed.RelayPool, s *roster.Server) (ask turns.Request, limited bool) {
-	ask = turns.Request{Start: startOf(s.ServerEntry), Burst: 1}
+func (r *Relay) turnLimit(now time.Time, pool *shed.RelayPool, s *roster.Server) (request turns.Request, limited bool) {
+	request = turns.Request{Start: startOf(s.ServerEntry), Burst: 1}
 	if r.limits.Empty() && !s.Cold(now) {
-		return ask, false
+		return request, false
 	}
-	if rate := r.limits.Rate(ask.Start); rate > 0 {
-		ask.Rate, ask.Burst = rate, 1+float64(rate)
+	if rate := r.limits.Rate(request.Start); rate > 0 {
+		request.Rate, request.Burst = rate, 1+float64(rate)
 	}
-	if cold := shed.Rate(pool.ColdRate * coldRateShare); s.Cold(now) && cold > 0 && (ask.Rate == 0 || cold < ask.Rate) {
-		ask.Rate, ask.Burst = cold, 1
+	if cold := shed.Rate(pool.ColdRate * coldRateShare); s.Cold(now) && cold > 0 && (request.Rate == 0 || cold < request.Rate) {
+		request.Rate, request.Burst = cold, 1
 	}
-	return ask, ask.Rate > 0
+	return request, request.Rate > 0
 }
 
 // serverAccess returns the function that tells the picker which servers need a turn, and which
 // have none. The caller holds mu.
 func (r *Relay) serverAccess(now time.Time, pool *shed.RelayPool, denied map[shed.ServerID]bool, maxWait time.Duration) func(*roster.Server) picker.Access {
 	return func(s *roster.Server) picker.Access {
-		ask, limited := r.turnLimit(now, pool, s)
+		request, limited := r.turnLimit(now, pool, s)
 		switch {
 		case !limited:
 			return picker.Free
-		case denied[s.ID] || maxWait == 0 && r.deniedTurns.Active(now, ask.Start):
+		case denied[s.ID] || maxWait == 0 && r.deniedTurns.Active(now, request.Start):
 			return picker.NoTurn
 		}
 		return picker.ByTurn
@@ -59,13 +59,13 @@
 func (r *Relay) takeTurn(ctx context.Context, pool *shed.RelayPool, s *roster.Server, maxWait time.Duration) bool {
 	now := time.Now()
 	r.mu.Lock()
-	ask, limited := r.turnLimit(now, pool, s)
-	ask.Patience = maxWait
+	request, limited := r.turnLimit(now, pool, s)
+	request.Patience = maxWait
 	owner, ok := r.owner(now, "turns "+string(s.ID))
 	client := r.client
 	if limited && ok && owner == r.mesh.self.VM {
-		got := r.turnBook.Take(now, ask)
-		r.recordTurn(now, ask, got)
+		got := r.turnBook.Take(now, request)
+		r.recordTurn(now, request, got)
 		r.mu.Unlock()
 		return r.awaitTurn(ctx, got)
 	}
@@ -75,18 +75,18 @@
 	}
 	got := turns.Decision{Wait: ownerLostWait}
 	if ok {
-		got = r.askOwner(ctx, client, owner, ask)
+		got = r.requestTurn(ctx, client, owner, request)
 	}
 	r.mu.Lock()
-	r.recordTurn(time.Now(), ask, got)
+	r.recordTurn(time.Now(), request, got)
 	r.mu.Unlock()
 	return r.awaitTurn(ctx, got)
 }
 
-func (r *Relay) askOwner(ctx context.Context, client *peers.Client, owner shed.VM, ask turns.Request) turns.Decision {
+func (r *Relay) requestTurn(ctx context.Context, client *peers.Client, owner shed.VM, request turns.Request) turns.Decision {
 	callCtx, cancel := context.WithTimeout(ctx, turnTimeout)
 	defer cancel()
-	got, err := client.Turn(callCtx, owner, peers.TurnCall(ask))
+	got, err := client.Turn(callCtx, owner, peers.TurnCall(request))
 	switch {
 	case err == nil && !got.Moved:
 		return turns.Decision{Granted: got.Granted, Wait: got.Wait}
@@ -100,10 +100,10 @@
 }
 
 // recordTurn holds back requests to a server whose turn was denied. The caller holds mu.
-func (r *Relay) recordTurn(now time.Time, ask turns.Request, got turns.Decision) {
+func (r *Relay) recordTurn(now time.Time, request turns.Request, got turns.Decision) {
 	if !got.Granted {
 		r.stats.turnsDenied.Inc(1)
-		r.deniedTurns.Denied(now, ask.Start, got.Wait)
+		r.deniedTurns.Denied(now, request.Start, got.Wait)
 	}
 }
 
--- a/internal/roster/roster_test.go
+++ b/internal/roster/roster_test.go
@@ -192,11 +192,11 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		first, second := roster.New(roster.Config{}), roster.New(roster.Config{})
 		now, rev := start, shed.Revision(1)
-		facts := map[string]shed.Record{}
+		records := map[string]shed.Record{}
 		entries := func(items []shed.Item) []roster.Entry {
 			var out []roster.Entry
 			for _, it := range items {
-				out = append(out, roster.Entry{Item: it, Record: facts[fmt.Sprint(it.Key, it.Revision)]})
+				out = append(out, roster.Entry{Item: it, Record: records[fmt.Sprint(it.Key, it.Revision)]})
 			}
 			return out
 		}
@@ -208,7 +208,7 @@
 			if rapid.Bool().Draw(rt, "gone") {
 				e = gone(id, rev)
 			}
-			facts[fmt.Sprint(e.Key, e.Revision)] = e.Record
+			records[fmt.Sprint(e.Key, e.Revision)] = e.Record
 			before := first.AsOf()
 			first.Apply(now, store(rev, e))
 			first.Tick(now)
--- a/internal/slots/table.go
+++ b/internal/slots/table.go
@@ -303,20 +303,20 @@
 
 // usableSlots counts the slots that this daemon owns and no other daemon can still use.
 func (t *Table) usableSlots(now time.Time, e *entry) int {
-	owned, ripe := 0, 0
+	owned, usable := 0, 0
 	for _, s := range e.slots {
 		if s.owner != t.cfg.Self {
 			continue
 		}
 		owned++
 		if t.isUsable(now, s) {
-			ripe++
+			usable++
 		}
 	}
-	if ripe == owned {
-		return ripe
+	if usable == owned {
+		return usable
 	}
-	return max(ripe, t.earlyUsable(now, e, owned))
+	return max(usable, t.earlyUsable(now, e, owned))
 }
 
 // firstUsableAt returns when the first of this daemon's slots can be used.
--- a/internal/slots/table_test.go
+++ b/internal/slots/table_test.go
@@ -42,7 +42,7 @@
 // Guards against overloading a cold server, which fails all its calls. Views change at different
 // times: daemons are partitioned, frozen, restarted, delayed, several at once. Daemons with
 // different views could each fill the server on their own.
-func TestServerNeverRunsMoreThanItBears(t *testing.T) {
+func TestServerNeverExceedsItsLimit(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		w := runScript(func(name string, n int) int {
 			return rapid.IntRange(0, n-1).Draw(rt, name)
--- a/internal/slots/zone_test.go
+++ b/internal/slots/zone_test.go
@@ -34,18 +34,18 @@
 }
 
 type proc struct {
-	vm           shed.VM
-	table        *Table
-	boot         uint64
-	partition    int // processes of one partition reach one another
-	up           bool
-	leaving      bool
-	frozenUntil  time.Time
-	unsureUntil  time.Time // the view is unconfirmed until then
-	inView       map[shed.VM]bool
-	leavingBoot  map[shed.VM]uint64 // boot that was reported as leaving
-	exitedAt     time.Time
-	viewChangeAt map[shed.VM]time.Time // when the view follows the true state
+	vm               shed.VM
+	table            *Table
+	boot             uint64
+	partition        int // processes of one partition reach one another
+	up               bool
+	leaving          bool
+	frozenUntil      time.Time
+	unconfirmedUntil time.Time // the view is unconfirmed until then
+	inView           map[shed.VM]bool
+	leavingBoot      map[shed.VM]uint64 // boot that was reported as leaving
+	exitedAt         time.Time
+	viewChangeAt     map[shed.VM]time.Time // when the view follows the true state
 }
 
 type serverCall struct {
@@ -88,7 +88,7 @@
 	}
 	p.boot++
 	p.up, p.leaving, p.frozenUntil = true, false, time.Time{}
-	p.unsureUntil = w.now.Add(w.randomUpTo(time.Second))
+	p.unconfirmedUntil = w.now.Add(w.randomUpTo(time.Second))
 	p.inView, p.leavingBoot, p.viewChangeAt = map[shed.VM]bool{p.vm: true}, map[shed.VM]uint64{}, map[shed.VM]time.Time{}
 	p.table = New(Config{
 		Self:            p.vm,
@@ -145,7 +145,7 @@
 			delete(p.viewChangeAt, q.vm)
 		case p != q && !late:
 			p.viewChangeAt[q.vm] = w.now.Add(w.randomUpTo(detectBound - 2*step))
-		case !w.now.Before(at) || w.now.Before(p.unsureUntil):
+		case !w.now.Before(at) || w.now.Before(p.unconfirmedUntil):
 			p.inView[q.vm] = !p.inView[q.vm]
 			if w.isRunning(q) && q.leaving && p.partition == q.partition {
 				p.leavingBoot[q.vm] = q.boot
@@ -161,7 +161,7 @@
 		}
 	}
 	p.table.SetKnown(w.now, known)
-	w.perform(p, p.table.SetView(w.now, view, hash, w.now.Before(p.unsureUntil)))
+	w.perform(p, p.table.SetView(w.now, view, hash, w.now.Before(p.unconfirmedUntil)))
 }
 
 // knowsLeaving reports whether p knows that the process on q is leaving. That this process has
@@ -292,7 +292,7 @@
 		}
 	case 3:
 		p.frozenUntil = w.now.Add(time.Duration(n%80) * step)
-		p.unsureUntil = p.frozenUntil.Add(w.randomUpTo(time.Second))
+		p.unconfirmedUntil = p.frozenUntil.Add(w.randomUpTo(time.Second))
 	case 4:
 		w.kill(p)
 	case 5:
--- a/internal/turns/turns_test.go
+++ b/internal/turns/turns_test.go
@@ -225,21 +225,21 @@
 // count, so no turn is saved up for it.
 func TestTurnedColdUnseen(t *testing.T) {
 	b := turns.NewLedger()
-	ask := turns.Request{Start: server, Rate: 2, Burst: 3}
-	require.Equal(t, turns.Decision{Wait: 500 * time.Millisecond}, b.Take(start, ask))
-	require.True(t, b.Take(start.Add(500*time.Millisecond), ask).Granted)
-	require.False(t, b.Take(start.Add(501*time.Millisecond), ask).Granted)
+	request := turns.Request{Start: server, Rate: 2, Burst: 3}
+	require.Equal(t, turns.Decision{Wait: 500 * time.Millisecond}, b.Take(start, request))
+	require.True(t, b.Take(start.Add(500*time.Millisecond), request).Granted)
+	require.False(t, b.Take(start.Add(501*time.Millisecond), request).Granted)
 }
 
 func TestTurnsAreLentInOrder(t *testing.T) {
 	b := turns.NewLedger()
-	ask := turns.Request{Start: server, Rate: 1, Burst: 2, Patience: 1500 * time.Millisecond}
-	require.Equal(t, turns.Decision{Granted: true, Wait: time.Second}, b.Take(start, ask))
-	require.Equal(t, turns.Decision{Wait: 2 * time.Second}, b.Take(start, ask), "the second would wait longer than its patience")
+	request := turns.Request{Start: server, Rate: 1, Burst: 2, Patience: 1500 * time.Millisecond}
+	require.Equal(t, turns.Decision{Granted: true, Wait: time.Second}, b.Take(start, request))
+	require.Equal(t, turns.Decision{Wait: 2 * time.Second}, b.Take(start, request), "the second would wait longer than its patience")
 	later := start.Add(time.Minute)
-	require.Equal(t, turns.Decision{Granted: true}, b.Take(later, ask))
-	require.Equal(t, turns.Decision{Granted: true}, b.Take(later, ask), "one turn was saved up")
-	require.Equal(t, turns.Decision{Granted: true, Wait: time.Second}, b.Take(later, ask))
+	require.Equal(t, turns.Decision{Granted: true}, b.Take(later, request))
+	require.Equal(t, turns.Decision{Granted: true}, b.Take(later, request), "one turn was saved up")
+	require.Equal(t, turns.Decision{Granted: true, Wait: time.Second}, b.Take(later, request))
 }
 
 func TestDeniedServersAreLeftAlone(t *testing.T) {
--- a/relay.go
+++ b/relay.go
@@ -352,7 +352,7 @@
 	// ParseRequest parses the head of a caller's request.
 	ParseRequest(r *http.Request) (RequestHead, error)
 	// NewForwardRequest returns the head of the request to a server.
-	NewForwardRequest(ask *RequestHead, hop Hop) (*http.Request, error)
+	NewForwardRequest(head *RequestHead, hop Hop) (*http.Request, error)
 	// ParseReply parses the head of a server's answer.
 	ParseReply(r *http.Response) ReplyHead
 	// NewPiecesRequest returns a call for pieces, and ParseResults parses its answer, which
