--- a/internal/relay/pieces.go
+++ b/internal/relay/pieces.go
@@ -64,7 +64,7 @@
 		}
 		r.log.WithFields(logrus.Fields{"request": pieces[0].Request, "peer": vm, "pool": pool, "error": err.Error()}).
 			Info("peer that gathers pieces gives no answer")
-		r.backOffSilentPeers(vm)
+		r.backOffUnresponsivePeers(vm)
 	}
 	return failedResults(len(pieces)), own
 }
--- a/internal/relay/send.go
+++ b/internal/relay/send.go
@@ -101,8 +101,8 @@
 	cancel context.CancelFunc
 	// begun: the picker has been told that the first event arrived.
 	begun bool
-	// silent: the attempt was cancelled because no event arrived in time.
-	silent atomic.Bool
+	// timedOut: the attempt was cancelled because no event arrived in time.
+	timedOut atomic.Bool
 	// serverFailed: the failure is attributed to the server.
 	serverFailed bool
 	status       int
@@ -249,4 +249,4 @@
 	}
 }
 
-var errSilent = errors.New("no stream event within the time limit")
+var errEventTimeout = errors.New("no stream event within the time limit")
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -28,8 +28,8 @@
 // event: until then another server's answer can still replace it.
 func (a *attempt) stream(ctx context.Context, resp *http.Response) outcome {
 	broken := outcome{sent: true, mayHaveRun: true, reason: shed.ReasonBroken}
-	silent := a.startSilenceTimer(firstEventTimeout)
-	defer silent.Stop()
+	timer := a.startSilenceTimer(firstEventTimeout)
+	defer timer.Stop()
 	events := bufio.NewReader(resp.Body)
 	for {
 		event, err := readEvent(events)
@@ -39,12 +39,12 @@
 			}
 			a.err = err
 			a.serverFailed = ctx.Err() == nil
-			if a.silent.Load() {
-				a.err, a.serverFailed, broken.reason = errSilent, true, shed.ReasonSilent
+			if a.timedOut.Load() {
+				a.err, a.serverFailed, broken.reason = errEventTimeout, true, shed.ReasonSilent
 			}
 			return broken
 		}
-		silent.Reset(nextEventTimeout)
+		timer.Reset(nextEventTimeout)
 		if err := a.forwardEvent(resp, event); err != nil {
 			a.err = err
 			return outcome{sent: true, mayHaveRun: true, reason: shed.ReasonCallerGone}
@@ -57,7 +57,7 @@
 func (a *attempt) startSilenceTimer(limit time.Duration) *time.Timer {
 	t := time.AfterFunc(limit, func() {
 		if a.job.route.Resumable {
-			a.silent.Store(true)
+			a.timedOut.Store(true)
 			a.cancel()
 		}
 	})
--- a/internal/relay/turns.go
+++ b/internal/relay/turns.go
@@ -94,7 +94,7 @@
 		r.backOffPeer(owner)
 	case ctx.Err() == nil:
 		r.log.WithField("peer", owner).WithError(err).Info("peer that lends turns gives no answer")
-		r.backOffSilentPeers(owner)
+		r.backOffUnresponsivePeers(owner)
 	}
 	return turns.Decision{Wait: ownerLostWait}
 }
