--- a/internal/admit/admit_test.go
+++ b/internal/admit/admit_test.go
@@ -263,8 +263,8 @@
 	}
 }
 
-// BenchmarkPushKept queues one request of a new workspace per iteration: its bytes per operation are
-// the memory of a queued request and its workspace, including map growth, hence an upper bound.
+// BenchmarkPushKept queues one request of a new workspace per iteration: its bytes per operation
+// are the memory of a queued request and its workspace, including map growth, hence an upper bound.
 func BenchmarkPushKept(b *testing.B) {
 	g := New(Config{MaxQueued: 1 << 30})
 	b.ReportAllocs()
--- a/internal/answer/answer.go
+++ b/internal/answer/answer.go
@@ -9,8 +9,8 @@
 	shed "jasmineshed"
 )
 
-// Errors of Add and Resume. An error of Add means that the call's reply can't be trusted; the driver
-// ends the call as EndBadReply.
+// Errors of Add and Resume. An error of Add means that the call's reply can't be trusted; the
+// driver ends the call as EndBadReply.
 var (
 	// ErrTooLarge is returned if the text exceeds Config.MaxBytes.
 	ErrTooLarge = errors.New("answer too large")
@@ -42,7 +42,7 @@
 	cfg Config
 	// next is the sequence number of the next frame to append; all earlier ones are in text.
 	next uint32
-	// held are frames after next, unordered and never more than cfg.Ahead.
+	// held are frames after next, unordered and never more than cfg.MaxHeld.
 	held []shed.Frame
 	text strings.Builder
 	// taken is the length of the text that Take has returned.
@@ -149,8 +149,8 @@
 	return a.finish(f.Result)
 }
 
-// finish stores the result of the last frame. If the result has the text as well, it must equal that
-// of the frames, or else part of the answer was lost in transit.
+// finish stores the result of the last frame. If the result has the text as well, it must equal
+// that of the frames, or else part of the answer was lost in transit.
 func (a *Assembly) finish(p *shed.Payload) error {
 	if p == nil {
 		return fmt.Errorf("%w: last frame without a result", ErrContradiction)
--- a/internal/batch/batch_test.go
+++ b/internal/batch/batch_test.go
@@ -254,7 +254,7 @@
 	require.Equal(t, batch.NoServers, tb.b.PredictWait(tb.now, "p", limits).Timely)
 }
 
-// The caller has gone: its pending pieces must not be sent, and results made for it must be
+// The caller has gone: its pending pieces must not be sent, and results completed for it must be
 // released.
 func TestDropped(t *testing.T) {
 	tb := newHarness(t, "a")
--- a/internal/batch/crash_test.go
+++ b/internal/batch/crash_test.go
@@ -12,7 +12,7 @@
 )
 
 // Pieces of eight requests are in one call, and one of them crashes its server. Sent again as
-// a whole they crashed one server after the other, and no piece was made.
+// a whole they crashed one server after the other, and no piece was completed.
 func TestCallThatEndsItsServerIsSplit(t *testing.T) {
 	tb := newHarness(t, "a")
 	const culprit = batch.JobID(5)
--- a/internal/batch/event.go
+++ b/internal/batch/event.go
@@ -57,7 +57,7 @@
 
 // Stopped means that this VM stops coordinating: pending pieces go back to the VMs that
 // requested them, calls in flight run to their end. Otherwise two VMs would coordinate the
-// same servers, with twice the calls, until the last pending piece is made.
+// same servers, with twice the calls, until the last pending piece is complete.
 type Stopped struct{}
 
 // Tick means that time has passed.
--- a/internal/batch/producer.go
+++ b/internal/batch/producer.go
@@ -22,7 +22,7 @@
 	// heldBytes is the size of results that it holds, or will hold once its call ends.
 	heldBytes int64
 	// unaccounted are results that it may hold without this VM knowing them: of calls whose
-	// answer was lost, or made through another VM.
+	// answer was lost, or of calls by another VM.
 	unaccounted []unaccountedBytes
 	// suspectedCalls counts suspect calls in flight beside which the server may get another
 	// one.
@@ -101,8 +101,8 @@
 	m.consecutiveFailures++
 }
 
-// freeResults releases results; those that this VM doesn't know may have been made through
-// another one. Their capacity counts as used until the server has been notified.
+// freeResults releases results; those that this VM doesn't know may be of calls by another
+// one. Their capacity counts as used until the server has been notified.
 func (b *Batcher) freeResults(out []Action, refs []shed.ResultRef) []Action {
 	if len(refs) == 0 {
 		return out
--- a/internal/cost/cost.go
+++ b/internal/cost/cost.go
@@ -58,7 +58,7 @@
 
 // Config sets up a Ledger.
 type Config struct {
-	// MaxLines limits the lines, apart from Other; 0 means DefaultMost.
+	// MaxLines limits the lines, apart from Other; 0 means DefaultMaxLines.
 	MaxLines int
 }
 
--- a/internal/engine/conn.go
+++ b/internal/engine/conn.go
@@ -120,8 +120,8 @@
 }
 
 // gotConn runs before the first byte of the call is written. net/http calls it again only if
-// it repeats the call by itself, which would run the call twice unnoticed; writes on the
-// second connection are blocked, so that no byte of the repetition is sent.
+// it retries the call by itself, which would run the call twice unnoticed; writes on the
+// second connection are blocked, so that no byte of the retry is sent.
 func (s *sendTracker) gotConn(info httptrace.GotConnInfo) {
 	c := trackedConn(info.Conn)
 	s.mu.Lock()
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -1,7 +1,7 @@
 // Package engine implements shed.Backend over HTTP: calls of every stage kind, load reports
 // and orders.
 //
-// It never repeats a call. net/http retries some requests by itself; conn.go and send.go show
+// It never retries a call. net/http retries some requests by itself; conn.go and send.go show
 // how that is prevented here.
 package engine
 
--- a/internal/engine/fault_test.go
+++ b/internal/engine/fault_test.go
@@ -52,7 +52,7 @@
 
 func ignoreFrame(shed.Frame) error { return nil }
 
-// A server's connection goes silent after some tokens: writes to it still succeed, and it
+// A server's connection is blackholed after some tokens: writes to it still succeed, and it
 // never ends. Only the missing progress shows the failure. The call must end as broken, so
 // that the stage is retried elsewhere, and the connection must not be reused.
 func TestSilentConnectionIsBrokenAndNotReused(t *testing.T) {
--- a/internal/fanout/fanout_test.go
+++ b/internal/fanout/fanout_test.go
@@ -50,7 +50,7 @@
 	byID  map[shed.VM]*node
 	// lossRate is the fraction of messages that are lost.
 	lossRate float64
-	// believedAlive tells whether by considers of alive and on its side of a partition.
+	// believedAlive reports whether by considers of alive and on its side of a partition.
 	believedAlive func(by, of *node) bool
 }
 
@@ -226,7 +226,7 @@
 	require.Less(t, p99, 2*time.Second)
 }
 
-// A partition cuts a zone off from the others. Each side must go on with its own hubs, even one
+// A partition separates a zone from the others. Each side must go on with its own hubs, even one
 // without a high-capacity VM.
 func TestEachSideOfAPartitionHasHubs(t *testing.T) {
 	f := newFleet(195, 15)
--- a/internal/fault/proxy.go
+++ b/internal/fault/proxy.go
@@ -14,8 +14,7 @@
 // Mode is how a Proxy treats bytes and new connections. The set is closed.
 type Mode uint32
 
-// The modes. The Drop modes drop all data in their directions without any sign to either
-// side.
+// The modes. The Drop modes drop all data in their directions without any sign to either side.
 const (
 	// Forward forwards everything.
 	Forward Mode = iota
@@ -30,7 +29,7 @@
 	Refuse
 )
 
-// slowDelay is the delay of each read in mode Slow: far above the latency of loopback,
+// slowDelay is the delay of each read in mode Delay: far above the latency of loopback,
 // below all timeouts.
 const slowDelay = 60 * time.Millisecond
 
--- a/internal/flow/ends.go
+++ b/internal/flow/ends.go
@@ -46,7 +46,7 @@
 
 // outlivesCaller reports whether the request continues without its caller. A caller with a
 // ticket is likely to return on another connection, as the first may only have stalled, and a
-// ticket starts only once: if the request were cancelled, a retry could only be told so. And
+// ticket starts only once: if the request were cancelled, a retry could only get that answer. And
 // if a stage that must run at most once may have run, its end must become known. In both
 // cases the deadline bounds the request.
 func (f *Flow) outlivesCaller(r *request) bool {
--- a/internal/flow/flow.go
+++ b/internal/flow/flow.go
@@ -73,7 +73,7 @@
 	byWakeTime wakeHeap
 	// stopping is why new requests are refused; empty while they are accepted.
 	stopping shed.Reason
-	// out collects the actions of the step; started tells whether a start is among them.
+	// out collects the actions of the step; started reports whether a start is among them.
 	out     []shed.Action
 	started bool
 	queues  []admit.QueueKey
--- a/internal/flow/flow_test.go
+++ b/internal/flow/flow_test.go
@@ -35,7 +35,7 @@
 	}
 }
 
-// testRules has a drafting pipeline whose stages may be repeated and a
+// testRules has a drafting pipeline whose stages are idempotent and a
 // publishing one whose second stage must run at most once.
 func testRules() *shed.Rules {
 	encode := shed.Stage{ID: "encode", Kind: shed.KindEncode, Pool: "p", MinDuration: 10 * time.Millisecond, Idempotent: true}
--- a/internal/flow/scenario_test.go
+++ b/internal/flow/scenario_test.go
@@ -98,7 +98,7 @@
 
 // The caller's connection stalls before anything was published, and the caller retries with the
 // same ticket. If the end of the first connection cancelled the request, the ticket would be
-// used up and the caller would only be told "cancelled".
+// used up and the caller would only get the answer "cancelled".
 func TestTicketedRequestWaitsForItsCallersReturn(t *testing.T) {
 	f := newFlow(placeOn("s1"))
 	a := newRequest("r", "publish")
@@ -214,8 +214,8 @@
 }
 
 // Publishing has recently taken a second, and a publication reaches that stage with half a
-// second left. If it were started, the deadline would cut it off and its caller would be told
-// "unknown". It is refused instead, with nothing published.
+// second left. If it were started, the deadline would abort it and its caller would get the
+// outcome "unknown". It is refused instead, with nothing published.
 func TestPublicationIsNotStartedTooLate(t *testing.T) {
 	for _, disabled := range []bool{false, true} {
 		f := newFlow(placeOn("s1"))
--- a/internal/load/calls.go
+++ b/internal/load/calls.go
@@ -50,8 +50,8 @@
 	return e.unanswered < share || e.acceptsLate && now.Sub(e.confirmedAt) < minRestartTime
 }
 
-// RecordAccepted records that the server has accepted the call, and its boot identity if it gave one. A
-// new boot shows a restart of the server long before the next report does.
+// RecordAccepted records that the server has accepted the call, and its boot identity if it
+// gave one. A new boot shows a restart of the server long before the next report does.
 func (b *Tracker) RecordAccepted(now time.Time, id shed.Call, boot string) []shed.Action {
 	c := b.calls[id]
 	if c == nil {
--- a/internal/load/cold.go
+++ b/internal/load/cold.go
@@ -83,9 +83,9 @@
 	return append(out, shed.Note{Reason: ReasonTurnedCold, Server: e.server.ID})
 }
 
-// SuspectAll marks every server cold until a report made from now on, and polls each. The state of a
-// daemon that was suspended is outdated: a server that turned cold meanwhile would get this
-// daemon's calls in addition to those that others send within the slots.
+// SuspectAll marks every server cold until a report made from now on, and polls each. The state
+// of a daemon that was suspended is outdated: a server that turned cold meanwhile would get
+// this daemon's calls in addition to those that others send within the slots.
 func (b *Tracker) SuspectAll(now time.Time) []shed.Action {
 	var out []shed.Action
 	for _, id := range b.serverIDs {
--- a/internal/load/tracker.go
+++ b/internal/load/tracker.go
@@ -322,10 +322,10 @@
 	return e.report, now.Sub(e.reportTime), true
 }
 
-// FreeCapacity returns how many more calls the server can take: while it is cold up to ColdCapacity in
-// total, then one more for each call that it completed since, up to its Capacity (slow start).
-// So a server or zone that returns is given its full load only as it proves that it can handle
-// it.
+// FreeCapacity returns how many more calls the server can take: while it is cold up to
+// ColdCapacity in total, then one more for each call that it completed since, up to its
+// Capacity (slow start). So a server or zone that returns is given its full load only as it
+// proves that it can handle it.
 func (b *Tracker) FreeCapacity(server shed.ServerID) int {
 	e := b.servers[server]
 	if e == nil || !e.refusedAt.IsZero() {
--- a/internal/member/view.go
+++ b/internal/member/view.go
@@ -151,8 +151,8 @@
 	return ok && g.clock.now.Sub(at) <= unresponsivePeriod
 }
 
-// UpSince returns when the current process on a VM was first known to be up, or up again; zero if it
-// is unknown.
+// UpSince returns when the current process on a VM was first known to be up, or up again; zero if
+// it is unknown.
 func (g *Group) UpSince(vm shed.VM) time.Time {
 	if r := g.members[vm]; r != nil {
 		return r.upSince
@@ -236,7 +236,7 @@
 	HomeUnknown HomeState = iota + 1
 	// HomeAlive: it is running.
 	HomeAlive
-	// HomeLeft: it left and handed its tickets to a successor.
+	// HomeLeft: it left and transferred its tickets to a successor.
 	HomeLeft
 	// HomeDead: it is dead, and its tickets are lost.
 	HomeDead
--- a/internal/order/decide.go
+++ b/internal/order/decide.go
@@ -116,9 +116,9 @@
 // isDue reports whether an order should be sent to the server now.
 //
 // An engine that accepts orders from any caller, or with any fencing number, would accept a delayed
-// order of a former holder of the slot, based on older rules, after ours. So the first order is sent
-// after a quiet time in which a delayed one would have arrived, and only on a report made after
-// that, which shows the engine's state at that time.
+// order of a former holder of the slot, based on older rules, after ours. So the first order is
+// sent after a quiet time in which a delayed one would have arrived, and only on a report made
+// after that, which shows the engine's state at that time.
 func (g *Reconciler) isDue(now time.Time, e *entry) bool {
 	if e.heldSince.IsZero() || e.pending.Fence != 0 || now.Before(e.retryAt) {
 		return false
--- a/internal/order/reconciler.go
+++ b/internal/order/reconciler.go
@@ -1,12 +1,12 @@
 // Package order sends engines the orders that bring them to the desired state of the rules: model,
 // version, adapters and role.
 //
-// A zone has as many slots as it may run loads of weights at once; they are assigned to daemons like
-// the slots of cold servers. A hash assigns each server to a slot, and the daemon that holds the
-// slot sends the server's orders, one load at a time. So one daemon orders a server, and the weight
-// store's limit holds, without messages. The fencing number is derived from the configuration's
-// revision, so it never decreases, although it is neither shared nor stored. docs/design/orders.md
-// describes what happens if two daemons send orders nevertheless.
+// A zone has as many slots as it may run loads of weights at once; they are assigned to daemons
+// like the slots of cold servers. A hash assigns each server to a slot, and the daemon that holds
+// the slot sends the server's orders, one load at a time. So one daemon orders a server, and the
+// weight store's limit holds, without messages. The fencing number is derived from the
+// configuration's revision, so it never decreases, although it is neither shared nor stored.
+// docs/design/orders.md describes what happens if two daemons send orders nevertheless.
 package order
 
 import (
--- a/internal/order/reconciler_test.go
+++ b/internal/order/reconciler_test.go
@@ -215,8 +215,8 @@
 	}
 }
 
-// An engine that accepts any order from any caller would accept a delayed one from the former holder
-// of its slot, so the first order to it must be sent later.
+// An engine that accepts any order from any caller would accept a delayed one from the former
+// holder of its slot, so the first order to it must be sent later.
 func TestQuietTime(t *testing.T) {
 	first := map[bool]time.Duration{}
 	for _, checks := range []bool{true, false} {
--- a/internal/picker/fetch.go
+++ b/internal/picker/fetch.go
@@ -17,8 +17,8 @@
 // crossZoneFetchFactor is how much longer a fetch from another zone takes.
 const crossZoneFetchFactor = 2
 
-// cacheSources holds the server that has cached the most of the shared parts of a prompt, per zone
-// and overall.
+// cacheSources holds the server that has cached the most of the shared parts of a prompt, per
+// zone and overall.
 //
 // Load pattern: many requests share a long prefix, and the server that has cached it is busy
 // or in another zone than the request's inputs. Fetching the prefix from it takes a fraction
@@ -67,8 +67,8 @@
 	return out
 }
 
-// maxDonorFailureRate is the share of failed calls above which a server is not used as a
-// donor: the prefix can be read without it.
+// maxSourceFailureRate is the share of failed calls above which a server is not used as a
+// cache source: the prefix can be read without it.
 const maxSourceFailureRate = 0.1
 
 // cachedTokens is how many tokens of the prompt's shared parts the server has cached.
@@ -84,8 +84,8 @@
 	return out
 }
 
-// planFetch chooses a donor for the shared parts that the chosen server lacks, and returns how
-// many tokens it need not read.
+// planFetch chooses a cache source for the shared parts that the chosen server lacks, and
+// returns how many tokens it need not read.
 func (d cacheSources) planFetch(c *Choice, s *roster.Server, reread shed.Tokens) shed.Tokens {
 	if reread < minFetch {
 		return 0
--- a/internal/picker/fetch_test.go
+++ b/internal/picker/fetch_test.go
@@ -41,8 +41,8 @@
 	require.Less(t, next.Time, 200*time.Millisecond, "reading it again takes 260 ms alone")
 }
 
-// Servers in several zones have cached the prefix and are overloaded. The donor must be the
-// one in the same zone, since that transfer is faster.
+// Servers in several zones have cached the prefix and are overloaded. The cache source must
+// be the one in the same zone, since that transfer is faster.
 func TestPrefixIsFetchedWithinTheZone(t *testing.T) {
 	from := servers(6, nil)
 	p := picker.New(picker.Config{Zone: "a"})
@@ -60,8 +60,8 @@
 	require.Equal(t, c.Server.Zone, c.CacheSource.Zone)
 }
 
-// Engines don't fetch, or the donor can't be reached or failed this request: the prefix must
-// be read again, and no request waits for it.
+// Engines don't fetch, or the cache source can't be reached or failed this request: the prefix
+// must be read again, and no request waits for it.
 func TestPrefixIsNotFetched(t *testing.T) {
 	from := servers(2, func(_ int, s *roster.Server) { s.Zone = "a" })
 	home, other := from[0], from[1]
--- a/internal/picker/picker.go
+++ b/internal/picker/picker.go
@@ -113,7 +113,7 @@
 	// Time is the predicted time without the penalties.
 	Time time.Duration
 	// Missing counts the prompt tokens that the server has to read, Fetched those that it
-	// fetches from Donor instead; Donor is nil if there is none.
+	// fetches from CacheSource instead, which is nil if there is none.
 	Missing, Fetched shed.Tokens
 	CacheSource      *roster.Server
 	// ByTurn is set if sending the request to the server needs a turn.
--- a/internal/poison/attribution.go
+++ b/internal/poison/attribution.go
@@ -12,7 +12,7 @@
 	// isolated on the server where a crash does least harm, and is reported to all peers.
 	suspectThreshold = 2
 	// ranWellFactor multiplies the crash limit of a request that has run without a crash:
-	// in a crash storm, frequently repeated requests run on many of the crashing servers.
+	// in a crash storm, frequently retried requests run on many of the crashing servers.
 	ranWellFactor = 2
 	// stormWindow is the period in which crashes under none of the requests at their limit
 	// count as evidence that servers crash for another reason.
--- a/internal/poison/sim_test.go
+++ b/internal/poison/sim_test.go
@@ -283,7 +283,7 @@
 	})
 }
 
-// startRetriers starts n callers, each of which keeps repeating its own request.
+// startRetriers starts n callers, each of which keeps retrying its own request.
 func (s *sim) startRetriers(n int) {
 	for i := range n {
 		var again func()
--- a/internal/poison/table.go
+++ b/internal/poison/table.go
@@ -310,8 +310,9 @@
 	}
 }
 
-// ensureCapacity makes room for one more suspect of a workspace. A full table evicts a suspect of the
-// workspace that has most of them, so that no workspace displaces the suspects of others.
+// ensureCapacity reports whether one more suspect of a workspace fits. A full table evicts a
+// suspect of the workspace that has most of them, so that no workspace displaces the suspects
+// of others.
 func (t *Table) ensureCapacity(ws shed.WorkspaceID) bool {
 	if len(t.suspects) < maxSuspects {
 		return true
--- a/internal/poison/table_test.go
+++ b/internal/poison/table_test.go
@@ -41,7 +41,7 @@
 	goldie.New(t).Assert(t, "crashes", out.Bytes())
 }
 
-// Servers crash for reasons of their own, in storms of several kinds, while callers repeat
+// Servers crash for reasons of their own, in storms of several kinds, while callers retry
 // the same requests. Guards against refusing any of these requests.
 func TestStormsBlameNobody(t *testing.T) {
 	storms := map[string]func(*sim){
@@ -199,7 +199,7 @@
 		"five crashes are unlikely to be a coincidence")
 }
 
-// A request that has run without a crash and is repeated often is on many servers that crash
+// A request that has run without a crash and is retried often is on many servers that crash
 // for other reasons, so it takes more crashes until it is refused.
 func TestRequestThatRanWellNeedsMore(t *testing.T) {
 	tb, f := newTable(), fingerprintOf("r", 1)
--- a/internal/procs/doc.go
+++ b/internal/procs/doc.go
@@ -1,5 +1,5 @@
 // Package procs tests the built programs as separate processes on loopback:
 // daemons in three zones, the platform, engines and plain services. It covers
-// what only real processes can show: SIGKILL, SIGSTOP, SIGTERM and connections
-// that go silent. It has test files only.
+// what only real processes can show: SIGKILL, SIGSTOP, SIGTERM and blackholed
+// connections. It has test files only.
 package procs
--- a/internal/procs/fleet_test.go
+++ b/internal/procs/fleet_test.go
@@ -368,7 +368,7 @@
 	return open[0]
 }
 
-// pipelines returns the pipelines whose requests may be repeated, and those that run once.
+// pipelines returns the idempotent pipelines, and those whose requests run at most once.
 func (f *fleet) pipelines() (idempotent, once []string) {
 	for id, p := range f.rules.Pipelines {
 		if p.Idempotent() {
--- a/internal/procs/load_test.go
+++ b/internal/procs/load_test.go
@@ -24,7 +24,7 @@
 // requestEnd is the outcome of one request for its caller.
 type requestEnd struct {
 	input string
-	// ticket is empty for a request that may be repeated.
+	// ticket is empty for an idempotent request.
 	ticket string
 	answer *client.Answer
 	err    error
@@ -124,7 +124,7 @@
 	}
 }
 
-// captionRequest returns a function that requests a caption, which may be repeated.
+// captionRequest returns a function that requests a caption, which is idempotent.
 func captionRequest(c *client.Client) func(context.Context, string) requestEnd {
 	return func(ctx context.Context, input string) requestEnd {
 		answer, err := c.Run(ctx, client.Request{Pipeline: "caption", Input: input, MaxTokens: tokens})
--- a/internal/procs/silent_test.go
+++ b/internal/procs/silent_test.go
@@ -18,11 +18,11 @@
 	return p
 }
 
-// Guards against calls that hang on silent peer connections. All open connections to the peer
-// listeners of zone a go silent at once: nothing arrives, and neither side gets an error. New
+// Guards against calls that hang on blackholed peer connections. All open connections to the peer
+// listeners of zone a are blackholed at once: nothing arrives, and neither side gets an error. New
 // connections work. Zone c has no server of one kind, so its stages use these connections. Its
-// callers must get complete answers within the deadline: a silent call is abandoned and retried
-// over a new connection or in another zone.
+// callers must get complete answers within the deadline: a call without an answer is abandoned and
+// retried over a new connection or in another zone.
 func TestSilentPeerConnections(t *testing.T) {
 	proxies := map[int]*fault.Proxy{}
 	f := startFleet(t, fleetConfig{
@@ -46,8 +46,8 @@
 }
 
 // Guards against lost or duplicated text when all open connections to a zone's only drafting engine
-// go silent in the middle of streams. The callers must get their complete text once: the stream
-// resumes after the received part, or the stage runs again elsewhere.
+// are blackholed in the middle of streams. The callers must get their complete text once: the
+// stream resumes after the received part, or the stage runs again elsewhere.
 func TestSilentEngineConnections(t *testing.T) {
 	const silent = shed.ServerID("gen-c-1")
 	var engine *fault.Proxy
@@ -66,7 +66,7 @@
 	require.NotEmpty(t, f.recordedRuns(silent))
 }
 
-// loseConnectionsUnderLoad makes connections go silent twice while the given VMs serve load.
+// loseConnectionsUnderLoad blackholes connections twice while the given VMs serve load.
 func (f *fleet) loseConnectionsUnderLoad(vms []*vm, lose func() int) {
 	f.t.Helper()
 	l := f.newLoad()
--- a/internal/procs/stale_test.go
+++ b/internal/procs/stale_test.go
@@ -55,7 +55,7 @@
 	require.Equal(t, accepted, f.lowestRevision())
 }
 
-// anyConfirmed tells whether any daemon's configuration is confirmed, or any status is unknown.
+// anyConfirmed reports whether any daemon's configuration is confirmed, or any status is unknown.
 func (f *fleet) anyConfirmed() bool {
 	for _, v := range f.vms {
 		if s, ok := v.status(); !ok || s.Configuration.Fresh {
@@ -79,7 +79,7 @@
 	return lowest
 }
 
-// sameRevision tells whether the same revision is in force at all daemons.
+// sameRevision reports whether the same revision is in force at all daemons.
 func (f *fleet) sameRevision() bool {
 	f.t.Helper()
 	lowest := f.lowestRevision()
--- a/internal/proof/home_test.go
+++ b/internal/proof/home_test.go
@@ -110,7 +110,7 @@
 	})
 }
 
-// handleRetry accepts a repeat of an active request. A refusal ends only the repeat.
+// handleRetry accepts a retry of an active request. A refusal ends only the retry.
 func (n *node) handleRetry(first *activeRequest, ev shed.RequestArrived, reply func(answer), generation int) {
 	joined := false
 	for _, act := range n.core.Handle(n.w.now, ev) {
--- a/internal/proof/node_test.go
+++ b/internal/proof/node_test.go
@@ -311,7 +311,7 @@
 	watch()
 }
 
-// isEventStep tells whether an event counts as a step: events of requests, configurations,
+// isEventStep reports whether an event counts as a step: events of requests, configurations,
 // tickets and stops do, periodic ticks, probes and load reports do not.
 func isEventStep(ev shed.Event) bool {
 	switch e := ev.(type) {
--- a/internal/proof/scenario_test.go
+++ b/internal/proof/scenario_test.go
@@ -149,7 +149,7 @@
 	w.send(n, shed.RequestID(fmt.Sprintf("r%d", i)), "caption", false, 0)
 }
 
-// sendNonIdempotent sends a request that must run at most once, and repeats it through another
+// sendNonIdempotent sends a request that must run at most once, and retries it through another
 // VM before the first one can have ended.
 func (w *world) sendNonIdempotent(i int) {
 	n := w.pickReadyNode("")
--- a/internal/relay/coordinator.go
+++ b/internal/relay/coordinator.go
@@ -77,9 +77,9 @@
 	r.mesh.backoffUntil[vm] = time.Now().Add(peerBackoff)
 }
 
-// backOffUnresponsivePeers stops sending work to a VM that did not answer and to all other VMs whose
-// load reports are overdue. Calls in flight to the latter are cancelled, so that their pieces
-// go to another VM at once instead of each call timing out after a second.
+// backOffUnresponsivePeers stops sending work to a VM that did not answer and to all other VMs
+// whose load reports are overdue. Calls in flight to the latter are cancelled, so that their
+// pieces go to another VM at once instead of each call timing out after a second.
 func (r *Relay) backOffUnresponsivePeers(vm shed.VM) {
 	now := time.Now()
 	r.mu.Lock()
--- a/internal/relay/limit.go
+++ b/internal/relay/limit.go
@@ -54,7 +54,7 @@
 	}
 }
 
-// receivePeerLimits applies the limits that a peer reported at toldAt. The caller holds mu.
+// receivePeerLimits applies the limits that a peer reported at reportedAt. The caller holds mu.
 func (r *Relay) receivePeerLimits(now, reportedAt time.Time, from shed.VM, limits []shed.ServerLimit) {
 	for _, l := range limits {
 		l.Age += now.Sub(reportedAt)
--- a/internal/relay/load.go
+++ b/internal/relay/load.go
@@ -86,7 +86,7 @@
 	}
 }
 
-// applyLoad applies a load that was reported at toldAt.
+// applyLoad applies a load that was reported at reportedAt.
 func (r *Relay) applyLoad(now, reportedAt time.Time, from shed.Peer, m shed.RelayLoad) {
 	r.mesh.lastSequence[from] = m.Sequence
 	r.mesh.lastLoad[from.VM] = shed.Later(r.mesh.lastLoad[from.VM], reportedAt)
--- a/internal/relay/mesh.go
+++ b/internal/relay/mesh.go
@@ -26,8 +26,8 @@
 	probeInterval  = 500 * time.Millisecond
 	ackTimeout     = 300 * time.Millisecond
 	suspectTimeout = time.Second
-	// joinDuration and joinEvery: a new process starts with short probe rounds. With syncMost
-	// members per answer, it knows a fleet of 78 VMs after two of them.
+	// joinDuration and joinInterval: a new process starts with short probe rounds. With
+	// maxSyncMembers members per answer, it knows a fleet of 78 VMs after two of them.
 	joinDuration   = 1500 * time.Millisecond
 	joinInterval   = 200 * time.Millisecond
 	maxSyncMembers = 100
@@ -43,9 +43,8 @@
 	// calls and result capacity.
 	settleTime = 700 * time.Millisecond
 	// freshLoadPeriods is how old a peer's last load report may be, in reporting periods, once
-	// another peer has given no answer. A partitioned zone falls silent all at once: without
-	// this check, a VM tried the peers there one after the other, each for half a second or
-	// more.
+	// another peer has given no answer. All peers in a partitioned zone stop answering at once:
+	// without this check, a VM tried them one after the other, each for half a second or more.
 	freshLoadPeriods = 1.4
 	// settlePoll is how often a request checks whether a coordinator is known.
 	settlePoll = 50 * time.Millisecond
--- a/internal/relay/pieces.go
+++ b/internal/relay/pieces.go
@@ -69,8 +69,8 @@
 	return failedResults(len(pieces)), own
 }
 
-// requestPeerPieces makes a piece call to a peer. The call is cancelled if the peer is found to
-// be silent by another call.
+// requestPeerPieces makes a piece call to a peer. The call is cancelled if another call
+// finds the peer unresponsive.
 func (r *Relay) requestPeerPieces(
 	ctx context.Context, client *peers.Client, vm shed.VM, call peers.PieceCall,
 ) (peers.PieceAnswer, error) {
--- a/internal/relay/poison.go
+++ b/internal/relay/poison.go
@@ -122,7 +122,7 @@
 }
 
 // closedByServer reports whether the server's side closed the connection, as opposed to a
-// connection that fell silent or was closed here.
+// connection that timed out or was closed here.
 func closedByServer(err error) bool {
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) ||
 		errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)
--- a/internal/relay/send.go
+++ b/internal/relay/send.go
@@ -99,7 +99,7 @@
 	choice picker.Choice
 	began  time.Time
 	cancel context.CancelFunc
-	// begun: the picker has been told that the first event arrived.
+	// begun: the picker has been notified that the first event arrived.
 	begun bool
 	// timedOut: the attempt was cancelled because no event arrived in time.
 	timedOut atomic.Bool
--- a/internal/relay/stop.go
+++ b/internal/relay/stop.go
@@ -14,11 +14,11 @@
 // balancerNoticeTime is how long the load balancer may take to see that this VM isn't ready:
 // two probes, one per second, and a margin. Until then new connections arrive, and each request
 // on them is served. After it none is accepted: if most VMs of a zone stop at once, the
-// balancer keeps sending, and late requests were cut off at the end of the drain time.
+// balancer keeps sending, and late requests were aborted at the end of the drain time.
 const balancerNoticeTime = 2500 * time.Millisecond
 
 // Stop begins a graceful stop: the VM isn't ready, but serves until no request is open. With
-// force, requests in flight are cut off.
+// force, requests in flight are aborted.
 func (r *Relay) Stop(force bool) {
 	if force {
 		r.forceOnce.Do(func() { close(r.forced) })
--- a/internal/relay/sync.go
+++ b/internal/relay/sync.go
@@ -138,7 +138,7 @@
 }
 
 // storeReading is an answer of the store or a peer: the changes after a revision, or all items
-// if whole.
+// if complete.
 type storeReading struct {
 	from        roster.Source
 	items       []shed.Item
--- a/internal/route/simulation_test.go
+++ b/internal/route/simulation_test.go
@@ -120,9 +120,9 @@
 	}
 }
 
-// BenchmarkTrial compares the policies by the shares of cache hits, of calls placed on a server that
-// was already full, and of calls for which no server appeared to have free capacity. Run it with
-// -benchtime 1x: it simulates virtual time, so its nanoseconds are meaningless.
+// BenchmarkTrial compares the policies by the shares of cache hits, of calls placed on a server
+// that was already full, and of calls for which no server appeared to have free capacity. Run it
+// with -benchtime 1x: it simulates virtual time, so its nanoseconds are meaningless.
 func BenchmarkTrial(b *testing.B) {
 	for _, lag := range []int{10, 50, 100} {
 		for _, load := range []float64{0.5, 0.8, 0.95} {
--- a/internal/rules/build.go
+++ b/internal/rules/build.go
@@ -213,7 +213,7 @@
 	s.Pool = shed.PoolID(f.id("pool"))
 	s.Zones = sortedIDs[shed.ZoneID](f.ids("zones"))
 	s.MinDuration = f.duration("minimum", minTime, maxDeadline)
-	// A repeated service call may push a warning twice, so the author of the rule has to
+	// A retried service call may push a warning twice, so the author of the rule has to
 	// state whether that is allowed.
 	if s.Kind == shed.KindService && !f.has("idempotent") {
 		f.fault("nothing says whether the service call may be repeated", "add `idempotent no`, or `idempotent yes` if it may")
--- a/internal/slots/table.go
+++ b/internal/slots/table.go
@@ -283,8 +283,8 @@
 	return max(0, t.usableSlots(now, e)-e.inFlight)
 }
 
-// MayUseSlot reports whether this daemon may use slot i of the server. At most one daemon may at any
-// time, so it also serves to elect the daemon for a task that only one may do.
+// MayUseSlot reports whether this daemon may use slot i of the server. At most one daemon may at
+// any time, so it also serves to elect the daemon for a task that only one may do.
 func (t *Table) MayUseSlot(now time.Time, server shed.ServerID, i int) bool {
 	e := t.servers[server]
 	if e == nil || i >= len(e.slots) || !t.isTrusted(now) {
@@ -376,7 +376,8 @@
 	}
 }
 
-// PeerWithSlot returns a peer that may send a call to the cold server, if this daemon trusts its view.
+// PeerWithSlot returns a peer that may send a call to the cold server, if this daemon trusts its
+// view.
 func (t *Table) PeerWithSlot(now time.Time, server shed.ServerID) (shed.VM, bool) {
 	e := t.servers[server]
 	if e == nil || !t.isTrusted(now) {
--- a/internal/slots/view.go
+++ b/internal/slots/view.go
@@ -8,9 +8,10 @@
 	"jasmineshed/internal/rank"
 )
 
-// SetView sets the live VMs of the zone, this daemon among them, and the hash of that view. unsure
-// means that the view can't be trusted: the process has just started or resumed after a pause, and
-// peers haven't confirmed the view yet. Call it on every Tick; it is cheap while nothing changes.
+// SetView sets the live VMs of the zone, this daemon among them, and the hash of that view.
+// unconfirmed means that the view can't be trusted: the process has just started or resumed after a
+// pause, and peers haven't confirmed the view yet. Call it on every Tick; it is cheap while nothing
+// changes.
 func (t *Table) SetView(now time.Time, vms []shed.VM, hash uint64, unconfirmed bool) []shed.Action {
 	if hash != t.hash || !slices.Equal(vms, t.view) {
 		t.view = slices.Sorted(slices.Values(vms))
--- a/rules.go
+++ b/rules.go
@@ -11,7 +11,7 @@
 	KindRetrieve
 	KindRerank
 	KindGenerate
-	// KindService is a plain service, some of whose calls must not be repeated.
+	// KindService is a plain service, some of whose calls must not be retried.
 	KindService
 )
 
