--- a/internal/config/fault_test.go
+++ b/internal/config/fault_test.go
@@ -137,7 +137,7 @@
 			s.confirm(0, now)
 			require.True(t, s.Fresh(now))
 			actions := s.Handle(now.Add(shed.TickEvery), step)
-			require.Contains(t, actions, shed.Note{Reason: shed.ReasonWoke})
+			require.Contains(t, actions, shed.Note{Reason: shed.ReasonPaused})
 			require.False(t, s.Fresh(now.Add(shed.TickEvery)))
 		})
 	}
--- a/internal/config/fresh.go
+++ b/internal/config/fresh.go
@@ -210,7 +210,7 @@
 	s.fresh.nextQuery = now
 	s.reads.invalidate(now)
 	s.start = start{}
-	return []shed.Action{shed.Note{Reason: shed.ReasonWoke}}
+	return []shed.Action{shed.Note{Reason: shed.ReasonPaused}}
 }
 
 // Resync queries the peers again, as after a pause. Core calls it when a daemon that was
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -25,10 +25,10 @@
 	defaultPolicy   = "affinity"
 	defaultNotice   = 2 * time.Second
 	defaultMaxDrain = 30 * time.Second
-	// defaultFreshFor is how long a daemon without any contact continues with its last known
+	// defaultContactTTL is how long a daemon without any contact continues with its last known
 	// state. New work at a closed zone or server ends within this time plus the send lease
 	// (500 ms).
-	defaultFreshFor = 2400 * time.Millisecond
+	defaultContactTTL = 2400 * time.Millisecond
 )
 
 // Config sets up a Core. Zero values take the defaults.
@@ -130,10 +130,10 @@
 		cfg.MaxDrain = defaultMaxDrain
 	}
 	if cfg.Config.ConfirmationTTL == 0 {
-		cfg.Config.ConfirmationTTL = defaultFreshFor
+		cfg.Config.ConfirmationTTL = defaultContactTTL
 	}
 	if cfg.Member.LeaseDuration == 0 {
-		cfg.Member.LeaseDuration = defaultFreshFor
+		cfg.Member.LeaseDuration = defaultContactTTL
 	}
 	policy, err := route.NewPolicy(cfg.Policy, cfg.Seed)
 	if err != nil {
--- a/internal/core/place.go
+++ b/internal/core/place.go
@@ -56,7 +56,7 @@
 func (c *Core) blockedReason(now time.Time) shed.Reason {
 	switch {
 	case !c.config.Ready():
-		return shed.ReasonWoke
+		return shed.ReasonPaused
 	case c.isolated || c.hasNoContact(now):
 		return shed.ReasonUnconfirmed
 	}
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -61,7 +61,7 @@
 // also refuses a queued request two and ends request one. Each answer must go to
 // its own request: two's caller gets the refusal, and the retry gets the same
 // answer as the first call.
-func TestRepeatTakesNobodyElsesAnswer(t *testing.T) {
+func TestRetryGetsNobodyElsesAnswer(t *testing.T) {
 	s := &script{arrived: make(chan struct{}, 3), acts: [][]shed.Action{nil, nil, {
 		shed.JoinRequest{Request: "one"},
 		shed.Finish{Request: "two", Outcome: shed.OutcomeNotRun, Reason: shed.ReasonServersBusy},
@@ -87,7 +87,7 @@
 
 // The core refuses a retry of a request that still runs. The first call's run must
 // go on, and the retry's answer must not claim that nothing ran.
-func TestRefusedRepeatLeavesTheFirstAlone(t *testing.T) {
+func TestRefusedRetryLeavesTheFirstAlone(t *testing.T) {
 	s := &script{arrived: make(chan struct{}, 2), acts: [][]shed.Action{nil, {
 		shed.Finish{Request: "one", Outcome: shed.OutcomeUnknown, Reason: shed.ReasonTicketUnknown},
 	}}}
--- a/internal/engine/fault_test.go
+++ b/internal/engine/fault_test.go
@@ -100,7 +100,7 @@
 		start.SendBy = time.Now().Add(300 * time.Millisecond)
 		end := late.Call(t.Context(), start, shed.Payload{Input: "x"}, ignoreFrame)
 		require.Equal(t, shed.EndNotStarted, end.End)
-		require.Equal(t, shed.ReasonWoke, end.Reason)
+		require.Equal(t, shed.ReasonPaused, end.Reason)
 		require.Empty(t, eng.Runs())
 		require.NoError(t, late.Close())
 		b.close(t)
@@ -134,7 +134,7 @@
 // The server closes a kept connection at the moment when the next call is sent on it. net/http
 // would resend an idempotent request by itself, without the daemon counting a retry, if it
 // could rewind the body; the server must see each call once.
-func TestReusedConnectionIsNotRepeated(t *testing.T) {
+func TestReusedConnectionIsNotRetried(t *testing.T) {
 	var seen atomic.Int32
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
--- a/internal/engine/send.go
+++ b/internal/engine/send.go
@@ -106,7 +106,7 @@
 	}
 	switch {
 	case errors.Is(err, errTooLate):
-		reason = shed.ReasonWoke
+		reason = shed.ReasonPaused
 	case errors.Is(cause, errIdleTimeout):
 		reason = shed.ReasonSilent
 	case errors.Is(cause, errDeadlinePassed):
--- a/internal/peers/relay_test.go
+++ b/internal/peers/relay_test.go
@@ -67,7 +67,7 @@
 
 // The daemon that requested pieces dies while they run. The answer can't be sent, so the results
 // are freed at once: otherwise they would use up result capacity for seconds.
-func TestAskerGone(t *testing.T) {
+func TestRequesterGone(t *testing.T) {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	stub := &relayStub{release: make(chan struct{}), discarded: make(chan int, 1)}
--- a/internal/relay/sync.go
+++ b/internal/relay/sync.go
@@ -118,7 +118,7 @@
 	default:
 		rd.items, rd.asOf, err = r.cfg.Store.Watch(ctx, rd.after, r.prefs.Load().Relay.Watch)
 	}
-	if errors.Is(err, shed.ErrHistoryGone) {
+	if errors.Is(err, shed.ErrCompacted) {
 		r.historyCompacted = true
 		r.log.WithField("after", rd.after).Info("store history was compacted; reading all items")
 		return nil
--- a/outcome.go
+++ b/outcome.go
@@ -44,7 +44,7 @@
 	ReasonServerOrdered    Reason = "server_changes_model_or_role"
 	ReasonUnconfirmed      Reason = "configuration_unconfirmed"
 	ReasonStopping         Reason = "stopping"
-	ReasonWoke             Reason = "woke_after_pause"
+	ReasonPaused           Reason = "woke_after_pause"
 	ReasonNeedsTicket      Reason = "needs_ticket"
 	ReasonTicketUnknown    Reason = "ticket_unknown"
 	ReasonTicketExpired    Reason = "ticket_expired"
--- a/pkg/client/client_test.go
+++ b/pkg/client/client_test.go
@@ -216,7 +216,7 @@
 // The server reads a call on a kept-alive connection and closes it without an
 // answer. net/http would retry such a call by itself if it could rewind its body;
 // the server must see the call only once.
-func TestTransportRepeatsNothing(t *testing.T) {
+func TestTransportRetriesNothing(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	seen := 0
--- a/relay.go
+++ b/relay.go
@@ -183,9 +183,9 @@
 	ErrStoreUnreachable = errors.New("store unreachable")
 	// ErrStoreBusy: the store rejected the call.
 	ErrStoreBusy = errors.New("store busy")
-	// ErrHistoryGone: the store no longer has all changes since the given revision; list
+	// ErrCompacted: the store no longer has all changes since the given revision; list
 	// all items again.
-	ErrHistoryGone = errors.New("store history gone")
+	ErrCompacted = errors.New("store history gone")
 	// ErrBadStoreReply: the answer is malformed.
 	ErrBadStoreReply = errors.New("bad reply of the store")
 	// ErrUnknownRecord: the item holds no record that the system knows.
