--- a/internal/poison/fingerprint.go
+++ b/internal/poison/fingerprint.go
@@ -22,10 +22,10 @@
 // body. The order of query arguments is ignored, as are the id, the deadline and other
 // headers. It includes the workspace so that no caller can get another workspace's
 // request suspected.
-func Fingerprint(workspace shed.WorkspaceID, request *shed.RequestHead, body []byte) shed.Fingerprint {
-	path, query, _ := strings.Cut(request.Target, "?")
+func Fingerprint(workspace shed.WorkspaceID, head *shed.RequestHead, body []byte) shed.Fingerprint {
+	path, query, _ := strings.Cut(head.Target, "?")
 	h := sha256.New()
-	for _, field := range []string{string(workspace), request.Method, request.Host, path, sortedQuery(query)} {
+	for _, field := range []string{string(workspace), head.Method, head.Host, path, sortedQuery(query)} {
 		// The length prefix makes "a","bc" differ from "ab","c".
 		h.Write(binary.BigEndian.AppendUint32(nil, uint32(len(field))))
 		h.Write([]byte(field))
--- a/placement.go
+++ b/placement.go
@@ -5,7 +5,7 @@
 // Placer decides where one stage call runs. It reserves nothing, so the caller
 // must act on the answer in the same step.
 type Placer interface {
-	Place(now time.Time, request PlaceRequest) Placement
+	Place(now time.Time, req PlaceRequest) Placement
 }
 
 // PlaceRequest is the input of a Placer.
