--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -46,7 +46,7 @@
 	// StartWait bounds how long a starting daemon waits for its peers' answers.
 	StartWait time.Duration
 	// ColdReadSpread, multiplied by the number of zones, is the time over which the zones'
-	// first whole reads spread when no daemon has a configuration.
+	// first full reads spread when no daemon has a configuration.
 	ColdReadSpread time.Duration
 }
 
--- a/internal/config/start.go
+++ b/internal/config/start.go
@@ -32,7 +32,7 @@
 	// revisionKnown is true once one of them had a revision.
 	revisionKnown bool
 	nextQuery     time.Time
-	// coldJitter spreads the first whole reads; drawn once.
+	// coldJitter spreads the first full reads; drawn once.
 	coldJitter time.Duration
 }
 
--- a/internal/core/view.go
+++ b/internal/core/view.go
@@ -7,7 +7,7 @@
 	"jasmineshed/internal/member"
 )
 
-// updateView passes on which VMs are alive and whether that is confirmed.
+// updateView passes the live VMs, and whether the view is confirmed, to the components.
 func (c *Core) updateView(now time.Time) {
 	v := c.member.View()
 	vms := v.VMs(c.cfg.Zone)
--- a/outcome.go
+++ b/outcome.go
@@ -7,7 +7,7 @@
 
 // The outcomes.
 const (
-	// OutcomeComplete: every stage ran and the caller received the whole answer.
+	// OutcomeComplete: every stage ran and the caller received the complete answer.
 	OutcomeComplete Outcome = iota + 1
 	// OutcomeNotRun: no call of any stage can have reached a backend server.
 	OutcomeNotRun
@@ -72,7 +72,7 @@
 
 // The ends of a call.
 const (
-	// EndComplete: the whole result has arrived, in sequence.
+	// EndComplete: the complete result has arrived, in sequence.
 	EndComplete CallEnd = iota + 1
 	// EndNotStarted: the call can't have reached a backend server: no byte was
 	// sent, or the remote side reliably reported so.
