--- a/internal/batch/producer.go
+++ b/internal/batch/producer.go
@@ -9,7 +9,7 @@
 
 // producer is the state of one server as seen by this VM.
 type producer struct {
-	born int64
+	startedMs int64
 	// running is the call in flight; 0 if none.
 	running CallID
 	// slowness is the ratio of actual to expected call time.
@@ -22,7 +22,7 @@
 	// heldBytes is the size of results that it holds, or will hold once its call ends.
 	heldBytes int64
 	// unaccounted are results that it may hold without this VM knowing them: of calls whose
-	// answer was lost, or made through another VM.
+	// answer was lost, or of calls by another VM.
 	unaccounted []unaccountedBytes
 	// suspectedCalls counts suspect calls in flight beside which the server may get another
 	// one.
@@ -101,8 +101,8 @@
 	m.consecutiveFailures++
 }
 
-// freeResults releases results; those that this VM doesn't know may have been made through
-// another one. Their capacity counts as used until the server has been notified.
+// freeResults releases results; those that this VM doesn't know may be of calls by another
+// one. Their capacity counts as used until the server has been notified.
 func (b *Batcher) freeResults(out []Action, refs []shed.ResultRef) []Action {
 	if len(refs) == 0 {
 		return out
@@ -158,15 +158,15 @@
 func (b *Batcher) producer(s shed.ServerEntry) *producer {
 	m := b.producers[s.ID]
 	if m == nil {
-		m = &producer{born: s.StartedMs, slowness: 1}
+		m = &producer{startedMs: s.StartedMs, slowness: 1}
 		b.producers[s.ID] = m
 	}
-	if m.born == 0 {
-		m.born = s.StartedMs
+	if m.startedMs == 0 {
+		m.startedMs = s.StartedMs
 	}
-	if m.born != s.StartedMs {
+	if m.startedMs != s.StartedMs {
 		// A restarted server holds no earlier results.
-		*m = producer{born: s.StartedMs, slowness: 1, running: m.running, heldBytes: b.runningBytes(m.running)}
+		*m = producer{startedMs: s.StartedMs, slowness: 1, running: m.running, heldBytes: b.runningBytes(m.running)}
 		for ref, h := range b.held {
 			if h.server == s.ID {
 				delete(b.held, ref)
--- a/internal/config/start.go
+++ b/internal/config/start.go
@@ -32,7 +32,7 @@
 	// revisionKnown is true once one of them had a revision.
 	revisionKnown bool
 	nextQuery     time.Time
-	// coldJitter spreads the first whole reads; drawn once.
+	// coldJitter spreads the first full reads; drawn once.
 	coldJitter time.Duration
 }
 
@@ -88,8 +88,8 @@
 }
 
 func (s *State) recordStartReply(from shed.VM, m shed.ConfigDigest) {
-	answered, asked := s.start.queried[from]
-	if !asked || answered {
+	answered, queried := s.start.queried[from]
+	if !queried || answered {
 		return
 	}
 	s.start.queried[from] = true
--- a/internal/core/view.go
+++ b/internal/core/view.go
@@ -7,7 +7,7 @@
 	"jasmineshed/internal/member"
 )
 
-// updateView passes on which VMs are alive and whether that is confirmed.
+// updateView passes the live VMs, and whether the view is confirmed, to the components.
 func (c *Core) updateView(now time.Time) {
 	v := c.member.View()
 	vms := v.VMs(c.cfg.Zone)
@@ -61,7 +61,7 @@
 		if s.Zone != c.cfg.Zone || !open {
 			continue
 		}
-		if _, _, heard := c.load.Report(now, id); !heard {
+		if _, _, received := c.load.Report(now, id); !received {
 			c.serversKnown = false
 		}
 	}
@@ -73,6 +73,6 @@
 	ready := c.serversKnown && !c.stop.requested && c.blockedReason(now) == shed.ReasonNone
 	if ready != c.ready {
 		c.ready = ready
-		c.out = append(c.out, shed.SetReady{SetReady: ready})
+		c.out = append(c.out, shed.SetReady{Ready: ready})
 	}
 }
--- a/internal/engine/fault_test.go
+++ b/internal/engine/fault_test.go
@@ -52,7 +52,7 @@
 
 func ignoreFrame(shed.Frame) error { return nil }
 
-// A server's connection goes silent after some tokens: writes to it still succeed, and it
+// A server's connection is blackholed after some tokens: writes to it still succeed, and it
 // never ends. Only the missing progress shows the failure. The call must end as broken, so
 // that the stage is retried elsewhere, and the connection must not be reused.
 func TestSilentConnectionIsBrokenAndNotReused(t *testing.T) {
@@ -78,8 +78,8 @@
 		var got frameCollector
 		end = b.engine.Call(t.Context(), start, shed.Payload{Input: "x", MaxTokens: 40}, got.add)
 		require.Equal(t, shed.EndComplete, end.End, end.Reason)
-		whole := stand.FullText("x", 40)
-		require.Equal(t, strings.TrimPrefix(whole, stand.FullText("x", 10)), got.text())
+		full := stand.FullText("x", 40)
+		require.Equal(t, strings.TrimPrefix(full, stand.FullText("x", 10)), got.text())
 		require.Empty(t, got.frames[len(got.frames)-1].Result.Text)
 		b.close(t)
 	})
@@ -100,7 +100,7 @@
 		start.SendBy = time.Now().Add(300 * time.Millisecond)
 		end := late.Call(t.Context(), start, shed.Payload{Input: "x"}, ignoreFrame)
 		require.Equal(t, shed.EndNotStarted, end.End)
-		require.Equal(t, shed.ReasonWoke, end.Reason)
+		require.Equal(t, shed.ReasonPaused, end.Reason)
 		require.Empty(t, eng.Runs())
 		require.NoError(t, late.Close())
 		b.close(t)
@@ -134,7 +134,7 @@
 // The server closes a kept connection at the moment when the next call is sent on it. net/http
 // would resend an idempotent request by itself, without the daemon counting a retry, if it
 // could rewind the body; the server must see each call once.
-func TestReusedConnectionIsNotRepeated(t *testing.T) {
+func TestReusedConnectionIsNotRetried(t *testing.T) {
 	var seen atomic.Int32
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -283,10 +283,10 @@
 	require.NoError(t, err)
 	require.Equal(t, shed.LoadReport{Boot: "s1-0", Sequence: 1, Fence: 5, Model: "m@2", Role: "decode"}, report)
 
-	stranger := engine.New(engine.Config{})
-	_, err = stranger.Order(t.Context(), order)
+	foreign := engine.New(engine.Config{})
+	_, err = foreign.Order(t.Context(), order)
 	require.ErrorIs(t, err, engine.ErrRefused)
-	require.NoError(t, stranger.Close())
+	require.NoError(t, foreign.Close())
 }
 
 // The caller's deadline passes in the middle of a generation. The call ends at that moment,
--- a/internal/flow/ends.go
+++ b/internal/flow/ends.go
@@ -46,7 +46,7 @@
 
 // outlivesCaller reports whether the request continues without its caller. A caller with a
 // ticket is likely to return on another connection, as the first may only have stalled, and a
-// ticket starts only once: if the request were cancelled, a retry could only be told so. And
+// ticket starts only once: if the request were cancelled, a retry could only get that answer. And
 // if a stage that must run at most once may have run, its end must become known. In both
 // cases the deadline bounds the request.
 func (f *Flow) outlivesCaller(r *request) bool {
@@ -139,7 +139,7 @@
 // noRetryReason is why the stage must not be sent again, or ReasonNone if it may. It must be
 // called last, since it takes from the retry budget.
 func (f *Flow) noRetryReason(now time.Time, r *request, e shed.CallEnded) shed.Reason {
-	if !r.trail.MayRepeat(r.stage) && !f.disabled.mayRepeat {
+	if !r.trail.MayRetry(r.stage) && !f.disabled.mayRetry {
 		return orElse(e.Reason, shed.ReasonBroken)
 	}
 	if r.trail.Reached(r.stage) >= f.cfg.MaxAttempts || r.trail.Attempts(r.stage) >= f.cfg.MaxSends {
--- a/internal/flow/scenario_test.go
+++ b/internal/flow/scenario_test.go
@@ -98,7 +98,7 @@
 
 // The caller's connection stalls before anything was published, and the caller retries with the
 // same ticket. If the end of the first connection cancelled the request, the ticket would be
-// used up and the caller would only be told "cancelled".
+// used up and the caller would only get the answer "cancelled".
 func TestTicketedRequestWaitsForItsCallersReturn(t *testing.T) {
 	f := newFlow(placeOn("s1"))
 	a := newRequest("r", "publish")
@@ -160,11 +160,11 @@
 // draft goes to s2 at once and does not wait behind it.
 func TestOneThatAvoidsAServerHoldsUpNobody(t *testing.T) {
 	for _, disabled := range []bool{false, true} {
-		f := newFlow(func(ask shed.PlaceRequest) shed.Placement {
-			if len(ask.Avoid) > 0 {
+		f := newFlow(func(request shed.PlaceRequest) shed.Placement {
+			if len(request.Avoid) > 0 {
 				return shed.Placement{Kind: shed.PlaceWait, Reason: shed.ReasonServersBusy}
 			}
-			return placeOn("s2")(ask)
+			return placeOn("s2")(request)
 		})
 		f.disabled.skipQueue = disabled
 		first := actionsOf[shed.StartCall](f.Handle(start, newRequest("first", "draft")))[0]
@@ -179,11 +179,11 @@
 // The only other server stays full. The draft must not avoid the server that failed it until
 // its deadline: after a while any server is better than none.
 func TestAvoidingEndsWhereNothingElseFrees(t *testing.T) {
-	f := newFlow(func(ask shed.PlaceRequest) shed.Placement {
-		if len(ask.Avoid) > 0 {
+	f := newFlow(func(request shed.PlaceRequest) shed.Placement {
+		if len(request.Avoid) > 0 {
 			return shed.Placement{Kind: shed.PlaceWait, Reason: shed.ReasonServersBusy}
 		}
-		return placeOn("s2")(ask)
+		return placeOn("s2")(request)
 	})
 	failed := callEnd(actionsOf[shed.StartCall](f.Handle(start, newRequest("r", "draft")))[0].Call, shed.EndOverloaded, 0)
 	failed.Server = "s2"
@@ -214,8 +214,8 @@
 }
 
 // Publishing has recently taken a second, and a publication reaches that stage with half a
-// second left. If it were started, the deadline would cut it off and its caller would be told
-// "unknown". It is refused instead, with nothing published.
+// second left. If it were started, the deadline would abort it and its caller would get the
+// outcome "unknown". It is refused instead, with nothing published.
 func TestPublicationIsNotStartedTooLate(t *testing.T) {
 	for _, disabled := range []bool{false, true} {
 		f := newFlow(placeOn("s1"))
--- a/internal/procs/fleet_test.go
+++ b/internal/procs/fleet_test.go
@@ -368,16 +368,16 @@
 	return open[0]
 }
 
-// pipelines returns the pipelines whose requests may be repeated, and those that run once.
-func (f *fleet) pipelines() (repeatable, once []string) {
+// pipelines returns the idempotent pipelines, and those whose requests run at most once.
+func (f *fleet) pipelines() (idempotent, once []string) {
 	for id, p := range f.rules.Pipelines {
 		if p.Idempotent() {
-			repeatable = append(repeatable, string(id))
+			idempotent = append(idempotent, string(id))
 		} else {
 			once = append(once, string(id))
 		}
 	}
-	sort.Strings(repeatable)
+	sort.Strings(idempotent)
 	sort.Strings(once)
-	return repeatable, once
+	return idempotent, once
 }
--- a/internal/relay/mesh.go
+++ b/internal/relay/mesh.go
@@ -23,14 +23,14 @@
 	meshZone shed.ZoneID = "fleet"
 	// The relay holds no state that a false death verdict could duplicate, so it declares a
 	// peer dead sooner than with member's defaults: after 2.2 s instead of 5.1 s.
-	probeEvery = 500 * time.Millisecond
-	ackAfter   = 300 * time.Millisecond
-	suspectFor = time.Second
-	// joinFor and joinEvery: a new process starts with short probe rounds. With syncMost
-	// members per answer, it knows a fleet of 78 VMs after two of them.
-	joinFor   = 1500 * time.Millisecond
-	joinEvery = 200 * time.Millisecond
-	syncMost  = 100
+	probeInterval  = 500 * time.Millisecond
+	ackTimeout     = 300 * time.Millisecond
+	suspectTimeout = time.Second
+	// joinDuration and joinInterval: a new process starts with short probe rounds. With
+	// maxSyncMembers members per answer, it knows a fleet of 78 VMs after two of them.
+	joinDuration   = 1500 * time.Millisecond
+	joinInterval   = 200 * time.Millisecond
+	maxSyncMembers = 100
 	// peerBackoff is how long this VM sends no work to a peer that gave no answer.
 	peerBackoff = 1500 * time.Millisecond
 	// maxMissedLoads is how many load reports may be missing before a peer coordinates nothing
@@ -43,9 +43,8 @@
 	// calls and result capacity.
 	settleTime = 700 * time.Millisecond
 	// freshLoadPeriods is how old a peer's last load report may be, in reporting periods, once
-	// another peer has given no answer. A partitioned zone falls silent all at once: without
-	// this check, a VM tried the peers there one after the other, each for half a second or
-	// more.
+	// another peer has given no answer. All peers in a partitioned zone stop answering at once:
+	// without this check, a VM tried them one after the other, each for half a second or more.
 	freshLoadPeriods = 1.4
 	// settlePoll is how often a request checks whether a coordinator is known.
 	settlePoll = 50 * time.Millisecond
@@ -108,8 +107,8 @@
 	r.group = member.New(member.Config{
 		Self: r.mesh.self, Zone: meshZone, Seeds: seedVMs(r.prefs.Load()),
 		Seed:          xxhash.Sum64String(string(r.mesh.self.VM)) ^ uint64(r.mesh.self.Incarnation),
-		ProbeInterval: probeEvery, AckTimeout: ackAfter, SuspectTimeout: suspectFor,
-		JoinDuration: joinFor, JoinInterval: joinEvery, MaxSyncMembers: syncMost, Power: r.prefs.Load().Relay.Power,
+		ProbeInterval: probeInterval, AckTimeout: ackTimeout, SuspectTimeout: suspectTimeout,
+		JoinDuration: joinDuration, JoinInterval: joinInterval, MaxSyncMembers: maxSyncMembers, Power: r.prefs.Load().Relay.Power,
 	})
 }
 
--- a/internal/relay/pieces.go
+++ b/internal/relay/pieces.go
@@ -64,13 +64,13 @@
 		}
 		r.log.WithFields(logrus.Fields{"request": pieces[0].Request, "peer": vm, "pool": pool, "error": err.Error()}).
 			Info("peer that gathers pieces gives no answer")
-		r.backOffSilentPeers(vm)
+		r.backOffUnresponsivePeers(vm)
 	}
 	return failedResults(len(pieces)), own
 }
 
-// requestPeerPieces makes a piece call to a peer. The call is cancelled if the peer is found to
-// be silent by another call.
+// requestPeerPieces makes a piece call to a peer. The call is cancelled if another call
+// finds the peer unresponsive.
 func (r *Relay) requestPeerPieces(
 	ctx context.Context, client *peers.Client, vm shed.VM, call peers.PieceCall,
 ) (peers.PieceAnswer, error) {
--- a/internal/relay/stop.go
+++ b/internal/relay/stop.go
@@ -14,11 +14,11 @@
 // balancerNoticeTime is how long the load balancer may take to see that this VM isn't ready:
 // two probes, one per second, and a margin. Until then new connections arrive, and each request
 // on them is served. After it none is accepted: if most VMs of a zone stop at once, the
-// balancer keeps sending, and late requests were cut off at the end of the drain time.
+// balancer keeps sending, and late requests were aborted at the end of the drain time.
 const balancerNoticeTime = 2500 * time.Millisecond
 
 // Stop begins a graceful stop: the VM isn't ready, but serves until no request is open. With
-// force, requests in flight are cut off.
+// force, requests in flight are aborted.
 func (r *Relay) Stop(force bool) {
 	if force {
 		r.forceOnce.Do(func() { close(r.forced) })
@@ -59,7 +59,7 @@
 	r.log.WithField("open", r.open.Load()).Info("stop: listener closes")
 	err := r.front.Shutdown(drainCtx)
 	r.log.WithFields(logrus.Fields{
-		"open": r.open.Load(), "spent_ms": time.Since(stopStart).Milliseconds(), "error": errText(err),
+		"open": r.open.Load(), "spent_ms": time.Since(stopStart).Milliseconds(), "error": errorText(err),
 	}).Info("stop: requests are answered, or cut off")
 	end()
 	return suture.ErrTerminateSupervisorTree
--- a/outcome.go
+++ b/outcome.go
@@ -7,7 +7,7 @@
 
 // The outcomes.
 const (
-	// OutcomeComplete: every stage ran and the caller received the whole answer.
+	// OutcomeComplete: every stage ran and the caller received the complete answer.
 	OutcomeComplete Outcome = iota + 1
 	// OutcomeNotRun: no call of any stage can have reached a backend server.
 	OutcomeNotRun
@@ -44,7 +44,7 @@
 	ReasonServerOrdered    Reason = "server_changes_model_or_role"
 	ReasonUnconfirmed      Reason = "configuration_unconfirmed"
 	ReasonStopping         Reason = "stopping"
-	ReasonWoke             Reason = "woke_after_pause"
+	ReasonPaused           Reason = "woke_after_pause"
 	ReasonNeedsTicket      Reason = "needs_ticket"
 	ReasonTicketUnknown    Reason = "ticket_unknown"
 	ReasonTicketExpired    Reason = "ticket_expired"
@@ -72,7 +72,7 @@
 
 // The ends of a call.
 const (
-	// EndComplete: the whole result has arrived, in sequence.
+	// EndComplete: the complete result has arrived, in sequence.
 	EndComplete CallEnd = iota + 1
 	// EndNotStarted: the call can't have reached a backend server: no byte was
 	// sent, or the remote side reliably reported so.
--- a/relay.go
+++ b/relay.go
@@ -183,9 +183,9 @@
 	ErrStoreUnreachable = errors.New("store unreachable")
 	// ErrStoreBusy: the store rejected the call.
 	ErrStoreBusy = errors.New("store busy")
-	// ErrHistoryGone: the store no longer has all changes since the given revision; list
+	// ErrCompacted: the store no longer has all changes since the given revision; list
 	// all items again.
-	ErrHistoryGone = errors.New("store history gone")
+	ErrCompacted = errors.New("store history gone")
 	// ErrBadStoreReply: the answer is malformed.
 	ErrBadStoreReply = errors.New("bad reply of the store")
 	// ErrUnknownRecord: the item holds no record that the system knows.
@@ -352,7 +352,7 @@
 	// ParseRequest parses the head of a caller's request.
 	ParseRequest(r *http.Request) (RequestHead, error)
 	// NewForwardRequest returns the head of the request to a server.
-	NewForwardRequest(ask *RequestHead, hop Hop) (*http.Request, error)
+	NewForwardRequest(head *RequestHead, hop Hop) (*http.Request, error)
 	// ParseReply parses the head of a server's answer.
 	ParseReply(r *http.Response) ReplyHead
 	// NewPiecesRequest returns a call for pieces, and ParseResults parses its answer, which
