--- a/internal/cmds/daemon.go
+++ b/internal/cmds/daemon.go
@@ -13,12 +13,13 @@
 type daemon interface {
 	// Run returns after a graceful stop, or as soon as ctx ends.
 	Run(ctx context.Context) error
-	// Stop starts a graceful stop; skipNotice skips the notice period before it.
-	Stop(skipNotice bool)
+	// Stop starts a graceful stop. With force, serve's daemon skips the notice period before
+	// it, and the relay aborts requests in flight.
+	Stop(force bool)
 }
 
 // runDaemon runs a daemon and handles signals: the first SIGTERM or SIGINT stops it
-// gracefully, the second one skips the notice period, the third one ends it at once.
+// gracefully, the second one calls Stop with force, the third one ends it at once.
 // SIGHUP calls reload, which may do nothing, and never ends the daemon.
 func runDaemon(ctx context.Context, d daemon, reload func()) error {
 	// The command's own context ends with the first signal, but that signal must
